--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -26,7 +26,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -64,7 +64,7 @@
             suspicion_ms=settings.suspicion_ms,
             remote_suspicion_ms=settings.remote_suspicion_ms,
         )
-        self.book = job_book.JobBook(failure_domain=settings.failure_domain)
+        self.book = job_view.JobView(failure_domain=settings.failure_domain)
         self.outbox = outbox_lib.Outbox(ctx=self._ctx, view=self.view)
         self.reader = stream_reader.StreamReader(ctx=self._ctx, book=self.book)
         self.claims = claims_lib.Claims(
@@ -354,7 +354,7 @@
                 vote = self.claims.vote(claim)
                 self._ctx.send(sender, _with_call(vote, call))
             case peer_messages.ReleaseKey(key=key, record=record):
-                self.book.free(key, record)
+                self.book.free_claim(key, record)
             case _:
                 self._state_message(sender, message)
 
@@ -445,8 +445,8 @@
             ready=self.view.ready,
         )
 
-    def _empty_book(self) -> job_book.JobBook:
-        return job_book.JobBook(failure_domain=self.settings.failure_domain)
+    def _empty_book(self) -> job_view.JobView:
+        return job_view.JobView(failure_domain=self.settings.failure_domain)
 
     def _configuration_changed(
         self, current: configuration.Configuration
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -12,7 +12,7 @@
 from citronmount.core import jobs
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 
 __all__ = ["ClaimOutcome", "Claims"]
@@ -68,7 +68,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        book: job_book.JobBook,
+        book: job_view.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
     ) -> None:
@@ -156,7 +156,7 @@
             if held.record != claim.record
         )
         holder = next(others, None)
-        freed = self._book.is_freed(claim.record)
+        freed = self._book.is_claim_freed(claim.record)
         if holder is None and self._view.ready and not freed:
             self._book.fold(claim)
         granted = holder is None and self._view.ready and not freed
@@ -250,7 +250,7 @@
         """Follows the standing claims of open keys in the order of the log."""
         match record:
             case records.KeyClaimed():
-                if self._book.is_freed(record.record):
+                if self._book.is_claim_freed(record.record):
                     return
                 for election in self._of_key(record.key):
                     election.in_log.append(record)
--- a/citronmount/agent/domain_core.py
+++ b/citronmount/agent/domain_core.py
@@ -13,7 +13,7 @@
 from citronmount.core import scheduler as scheduler_lib
 from citronmount.core import states
 from citronmount.services import messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -26,7 +26,7 @@
     Attributes:
         ctx: The shared context.
         token: The fencing token that the workers have seen.
-        book: What must not be lost.
+        job_view: What must not be lost.
         outbox: Writes durably.
         claims: Claims the attempts of jobs that are not idempotent.
         on_fenced: Told when a worker has seen a higher token.
@@ -52,7 +52,7 @@
         *,
         ctx: context.Context,
         token: ids.FenceToken,
-        book: job_book.JobBook,
+        job_view: job_view.JobView,
         outbox: outbox_lib.Outbox,
         claims: claims_lib.Claims,
         policy: str,
@@ -63,7 +63,7 @@
         Args:
             ctx: The shared context.
             token: The fencing token.
-            book: What must not be lost.
+            job_view: What must not be lost.
             outbox: Writes durably.
             claims: Claims keys.
             policy: The scheduling policy.
@@ -71,7 +71,7 @@
         """
         self.ctx = ctx
         self.token = token
-        self.book = book
+        self.job_view = job_view
         self.outbox = outbox
         self.claims = claims
         self.on_fenced = on_fenced
@@ -120,7 +120,7 @@
         Args:
             record: A record of the failure domain's stream.
         """
-        self.book.fold(record)
+        self.job_view.fold(record)
         self.outbox.write(self.stream, record)
 
     def trace_accepted(self, entry: job_table.JobEntry) -> None:
--- a/citronmount/agent/job_ends.py
+++ b/citronmount/agent/job_ends.py
@@ -80,8 +80,8 @@
     def _tell_end(self, ended: records.JobEnded) -> None:
         if ended.job not in self._core.table.entries:
             return
-        self._core.book.fold(ended)
-        ended = self._core.book.ended[ended.job]
+        self._core.job_view.fold(ended)
+        ended = self._core.job_view.ended[ended.job]
         self._core.ctx.trace(
             timeline.EventKind.JOB_ENDED,
             job=ended.job,
@@ -95,7 +95,7 @@
         over = [
             job
             for job, entry in self._core.table.entries.items()
-            if job in self._core.book.ended and not entry.ending
+            if job in self._core.job_view.ended and not entry.ending
         ]
         for job in over:
             entry = self._core.table.entries[job]
@@ -106,7 +106,7 @@
                 continue
             self._core.scheduler.cancel(job)
             self._core.held_until_ms.pop(job, None)
-            self._core.table.end(self._core.book.ended[job])
+            self._core.table.end(self._core.job_view.ended[job])
 
     def cancel(self, entry: job_table.JobEntry) -> None:
         """Cancels a job, at once or as soon as it is accepted.
@@ -136,7 +136,7 @@
         record = records.JobCancelled(
             record=ids.RecordId(f"cancel:{job}"), job=job
         )
-        self._core.book.fold(record)
+        self._core.job_view.fold(record)
         self._core.outbox.write(self._core.stream, record)
         entry.state = states.JobState.STOPPING
         attempt.stop(decisions.AttemptEnd.CANCELLED)
--- a/citronmount/agent/job_intake.py
+++ b/citronmount/agent/job_intake.py
@@ -60,7 +60,7 @@
                 caller's submission.
         """
         digest = job_table.body_digest(spec)
-        ended = self._core.book.ended.get(spec.job)
+        ended = self._core.job_view.ended.get(spec.job)
         if ended is not None:
             self._answer_again(spec, digest, ended.body_digest, respond)
             return
@@ -111,7 +111,7 @@
         Returns:
             The newest ones, oldest first.
         """
-        ended = map(job_table.ended_status, self._core.book.ended.values())
+        ended = map(job_table.ended_status, self._core.job_view.ended.values())
         opened = (entry.status() for entry in self._core.table.entries.values())
         matching = [
             status
@@ -173,7 +173,7 @@
 
     def _moved_on(self, job: ids.JobId, move: int) -> bool:
         """Returns whether a submission is a late copy of one moved on."""
-        away = self._core.book.moved_away(job)
+        away = self._core.job_view.outgoing_move(job)
         return away is not None and move <= away.number
 
     def _would_start(self, spec: jobs.JobSpec) -> bool:
@@ -239,7 +239,7 @@
         if outcome is outbox_lib.WriteOutcome.NEVER_SENT:
             self._not_accepted(entry, codes.ResultCode.NOT_DURABLE)
             return
-        self._core.book.fold(record)
+        self._core.job_view.fold(record)
         entry.durability = outcome.durability or states.Durability.PEERS
         self._core.trace_accepted(entry)
         if outcome is outbox_lib.WriteOutcome.UNKNOWN:
@@ -271,7 +271,7 @@
         entry = self._core.table.entries.get(job)
         if entry is not None:
             return peer_messages.JobAnswer(status=entry.status())
-        ended = self._core.book.ended.get(job)
+        ended = self._core.job_view.ended.get(job)
         if ended is not None:
             status = job_table.ended_status(ended)
             return peer_messages.JobAnswer(status=status)
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -39,7 +39,7 @@
         Returns:
             The failure domain, or None if the job was not moved.
         """
-        moved = self._core.book.moved_away(job)
+        moved = self._core.job_view.outgoing_move(job)
         if moved is None or job in self._core.table.entries:
             return None
         return moved.to
@@ -69,7 +69,7 @@
         """Returns the moves whose receiver has not answered yet."""
         return [
             (self._core.table.entries[job].spec, moved)
-            for job, moved in self._core.book.moved.items()
+            for job, moved in self._core.job_view.moved.items()
             if not moved.confirmed
             and moved.to != self._core.failure_domain
             and job in self._core.table.entries
@@ -98,12 +98,12 @@
         moved = records.JobMoved(
             record=ids.RecordId(self._core.ctx.unique()),
             job=job,
-            number=self._core.book.next_move(job),
+            number=self._core.job_view.next_move_number(job),
             to=to,
         )
 
         def released() -> None:
-            self._core.book.fold(moved)
+            self._core.job_view.fold(moved)
             on_released(entry.spec, moved)
 
         self._core.outbox.write(
@@ -146,7 +146,7 @@
         """Voids moves that a fenced owner has recorded but not made."""
         void = [
             moved.job
-            for moved in self._core.book.moved.values()
+            for moved in self._core.job_view.moved.values()
             if moved.to != self._core.failure_domain
             and moved.job in self._core.table.entries
             and not self._core.table.entries[moved.job].ending
@@ -160,7 +160,7 @@
             records.JobMoved(
                 record=ids.RecordId(self._core.ctx.unique()),
                 job=job,
-                number=self._core.book.next_move(job) - 1,
+                number=self._core.job_view.next_move_number(job) - 1,
                 to=to,
                 confirmed=True,
             )
@@ -189,7 +189,7 @@
             records.JobMoved(
                 record=ids.RecordId(self._core.ctx.unique()),
                 job=job,
-                number=self._core.book.next_move(job),
+                number=self._core.job_view.next_move_number(job),
                 to=self._core.failure_domain,
             )
         )
--- a/citronmount/agent/job_rebuilding.py
+++ b/citronmount/agent/job_rebuilding.py
@@ -78,7 +78,7 @@
         self._ends.drop_ended()
         missing = [
             spec
-            for job, spec in self._core.book.accepted.items()
+            for job, spec in self._core.job_view.accepted.items()
             if job not in self._core.table.entries
         ]
         self._moves.take_back()
@@ -96,12 +96,12 @@
         entry = job_table.JobEntry(spec=spec, durability=states.Durability.LOG)
         self._core.table.entries[spec.job] = entry
         self._core.trace_accepted(entry)
-        entry.cancelled = spec.job in self._core.book.cancelled
-        if self._core.book.moved_away(spec.job) is not None:
+        entry.cancelled = spec.job in self._core.job_view.cancelled
+        if self._core.job_view.outgoing_move(spec.job) is not None:
             entry.state = states.JobState.STOPPING
             entry.ending = True
             return
-        intent = self._core.book.intents.get(spec.job)
+        intent = self._core.job_view.intents.get(spec.job)
         if intent is not None:
             entry.ever_ran = True
             entry.attempts = intent.number
--- a/citronmount/agent/job_runs.py
+++ b/citronmount/agent/job_runs.py
@@ -212,7 +212,7 @@
             if outcome.durability is None:
                 attempt.stop(decisions.AttemptEnd.REFUSED)
                 return
-            self._core.book.fold(intent)
+            self._core.job_view.fold(intent)
             attempt.permit()
 
         self._core.outbox.write(self._core.stream, intent, written)
@@ -263,7 +263,7 @@
         entry.state = states.JobState.QUEUED
         if refused:
             self._back_off(entry)
-        for claim in self._core.book.claims_of(f"job/{job}"):
+        for claim in self._core.job_view.claims_of(f"job/{job}"):
             self._free_claim(claim)
 
     def _back_off(self, entry: job_table.JobEntry) -> None:
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -15,7 +15,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -54,7 +54,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        book: job_book.JobBook,
+        book: job_view.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
         claims: claims_lib.Claims,
@@ -268,7 +268,7 @@
         Args:
             answer: The peer's answer.
         """
-        self._book.merge(answer.jobs)
+        self._book.merge_snapshot(answer.jobs)
         for record in answer.unappended:
             self._book.fold(record)
         self.learn_token(answer.token)
@@ -308,7 +308,7 @@
         core = domain_core.DomainCore(
             ctx=self._ctx,
             token=self.token,
-            book=self._book,
+            job_view=self._book,
             outbox=self._outbox,
             claims=self._claims,
             policy=self._ctx.settings.policy,
--- a/citronmount/agent/stream_reader.py
+++ b/citronmount/agent/stream_reader.py
@@ -4,7 +4,7 @@
 
 from citronmount.agent import context
 from citronmount.services import messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 
 __all__ = ["StreamReader"]
@@ -18,7 +18,7 @@
     Reads that are asked for while one is under way share the next one.
     """
 
-    def __init__(self, *, ctx: context.Context, book: job_book.JobBook) -> None:
+    def __init__(self, *, ctx: context.Context, book: job_view.JobView) -> None:
         """Initializes a reader at the book's offset.
 
         Args:
--- a/citronmount/agent/worker_reports.py
+++ b/citronmount/agent/worker_reports.py
@@ -117,7 +117,8 @@
         holds = lease.state.holds_resources
         wanted = lease.state is states.LeaseState.FINISHED or holds
         unplaced = (
-            job not in self._core.by_job and job not in self._core.book.ended
+            job not in self._core.by_job
+            and job not in self._core.job_view.ended
         )
         if wanted and unplaced and self._adoptable(lease):
             self._adopt(worker, lease)
@@ -161,7 +162,7 @@
         )
         attempt.adopt()
         attempt.report(worker, lease)
-        if spec.job in self._core.book.cancelled:
+        if spec.job in self._core.job_view.cancelled:
             entry.cancelled = True
             attempt.stop(decisions.AttemptEnd.CANCELLED)
 
--- a/citronmount/state/job_book.py
+++ b/citronmount/state/job_view.py
@@ -8,13 +8,13 @@
 from citronmount.services import messages
 from citronmount.state import records
 
-__all__ = ["JobBook"]
+__all__ = ["JobView"]
 
-REMEMBERED_ENDED = 20_000
-REMEMBERED_KEYS = 100_000
+MAX_ENDED_JOBS = 20_000
+MAX_KEYS = 100_000
 
 
-class JobBook:
+class JobView:
     """Accepted jobs, intents, results and key claims of a failure domain.
 
     Folding a record twice has no further effect. A final result wins over
@@ -97,9 +97,9 @@
             case records.KeyResult():
                 self._key_result(record)
             case records.JobSnapshot():
-                self.merge(record)
+                self.merge_snapshot(record)
 
-    def moved_away(self, job: ids.JobId) -> records.JobMoved | None:
+    def outgoing_move(self, job: ids.JobId) -> records.JobMoved | None:
         """Returns the move by which a job has left the failure domain.
 
         Args:
@@ -113,7 +113,7 @@
             return None
         return moved
 
-    def next_move(self, job: ids.JobId) -> int:
+    def next_move_number(self, job: ids.JobId) -> int:
         """Returns the number of a job's next move.
 
         Args:
@@ -122,7 +122,7 @@
         moved = self.moved.get(job)
         return 1 if moved is None else moved.number + 1
 
-    def merge(self, snapshot: records.JobSnapshot) -> None:
+    def merge_snapshot(self, snapshot: records.JobSnapshot) -> None:
         """Folds a snapshot, which never outranks what is known.
 
         Args:
@@ -179,7 +179,7 @@
         )
 
     def _accept(self, spec: jobs.JobSpec) -> None:
-        moved = self.moved_away(spec.job)
+        moved = self.outgoing_move(spec.job)
         gone = moved is not None and moved.confirmed
         if spec.job not in self.ended and not gone:
             self.accepted.setdefault(spec.job, spec)
@@ -208,7 +208,7 @@
         self.moved[moved.job] = moved
         if moved.confirmed and moved.to != self._failure_domain:
             self.accepted.pop(moved.job, None)
-        while len(self.moved) > REMEMBERED_ENDED:
+        while len(self.moved) > MAX_ENDED_JOBS:
             self.moved.popitem(last=False)
 
     def _end(self, ended: records.JobEnded) -> None:
@@ -220,7 +220,7 @@
         self.cancelled.discard(ended.job)
         self.moved.pop(ended.job, None)
         self.ended.setdefault(ended.job, ended)
-        while len(self.ended) > REMEMBERED_ENDED:
+        while len(self.ended) > MAX_ENDED_JOBS:
             self.ended.popitem(last=False)
 
     def _claim(self, claim: records.KeyClaimed) -> None:
@@ -229,17 +229,17 @@
         if known or claim.record in self._freed:
             return
         self._claims[claim.key] = (*standing, claim)
-        while len(self._claims) > REMEMBERED_KEYS:
+        while len(self._claims) > MAX_KEYS:
             key, _ = self._claims.popitem(last=False)
             self.key_results.pop(key, None)
 
     def _key_result(self, result: records.KeyResult) -> None:
         if codes.info(result.result.code).proves_not_run:
-            self.free(result.key, result.claim)
+            self.free_claim(result.key, result.claim)
             return
         self.key_results.setdefault(result.key, result)
 
-    def free(self, key: str, claim: ids.RecordId) -> None:
+    def free_claim(self, key: str, claim: ids.RecordId) -> None:
         """Gives a key back because its claim was never used.
 
         Args:
@@ -247,7 +247,7 @@
             claim: The record id of the claim; another claim stays.
         """
         self._freed[claim] = None
-        while len(self._freed) > REMEMBERED_KEYS:
+        while len(self._freed) > MAX_KEYS:
             self._freed.popitem(last=False)
         standing = tuple(
             held for held in self.claims_of(key) if held.record != claim
@@ -268,7 +268,7 @@
         """
         return self._claims.get(key, ())
 
-    def is_freed(self, claim: ids.RecordId) -> bool:
+    def is_claim_freed(self, claim: ids.RecordId) -> bool:
         """Returns whether a claim was given back.
 
         Args:
--- a/citronmount/state/tests/test_job_book.py
+++ b/citronmount/state/tests/test_job_view.py
@@ -6,7 +6,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 
 HOME = ids.FailureDomainId("fd-a")
@@ -68,7 +68,7 @@
 
 
 def folded(*entries):
-    book = job_book.JobBook(failure_domain=HOME)
+    book = job_view.JobView(failure_domain=HOME)
     for entry in entries:
         book.fold(entry)
     return book
@@ -131,13 +131,13 @@
         )
         for order in itertools.permutations(moves):
             book = folded(ACCEPTED, *order)
-            self.assertEqual(book.moved_away(JOB).to, "fd-c")
+            self.assertEqual(book.outgoing_move(JOB).to, "fd-c")
             self.assertNotIn(JOB, book.accepted)
 
     def test_a_job_that_moved_back_home_is_not_away(self):
         book = folded(ACCEPTED, moved("fd-b"), moved(HOME, number=2))
         self.assertIn(JOB, book.accepted)
-        self.assertIsNone(book.moved_away(JOB))
+        self.assertIsNone(book.outgoing_move(JOB))
 
     def test_a_snapshot_carries_everything(self):
         book = folded(ACCEPTED, intent(2), CANCELLED, claim("a"), moved("b"))
