--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -51,7 +51,7 @@
         """
         entries = (
             self._core.table.entries.get(job)
-            for job in self._core.scheduler.unclaimed()
+            for job in self._core.scheduler.queued_without_placement()
         )
         return [
             entry.spec
--- a/citronmount/agent/job_runs.py
+++ b/citronmount/agent/job_runs.py
@@ -222,7 +222,9 @@
         entry.state = states.JobState.RUNNING
         entry.ever_ran = True
         entry.refusals = 0
-        self._core.scheduler.started(attempt.spec.job, self._core.ctx.now_ms)
+        self._core.scheduler.attempt_started(
+            attempt.spec.job, self._core.ctx.now_ms
+        )
         self._core.ctx.trace(
             timeline.EventKind.JOB_STARTED,
             job=attempt.spec.job,
@@ -247,7 +249,7 @@
             self._core.forget.setdefault(worker, set()).add(attempt.attempt)
         final = _final_result(entry, result)
         refused = result.how is decisions.AttemptEnd.REFUSED
-        verdict = self._core.scheduler.ended(
+        verdict = self._core.scheduler.attempt_ended(
             job,
             result.how,
             self._core.ctx.now_ms,
--- a/citronmount/bench/replay.py
+++ b/citronmount/bench/replay.py
@@ -179,7 +179,9 @@
         """Moves queued jobs to failure domains that would start them."""
         self._push(now_ms + MOVE_PERIOD_MS, event)
         for domain, numbers in self._queued.items():
-            movable = frozenset(self._schedulers[domain].unclaimed())
+            movable = frozenset(
+                self._schedulers[domain].queued_without_placement()
+            )
             due = [
                 number
                 for number in sorted(numbers, key=self._last_tried)
@@ -299,7 +301,7 @@
         self.late_starts += now_ms > out_ms + START_DELAY_MS
         if job.first_start_ms is None:
             job.first_start_ms = now_ms
-        self._schedulers[job.domain].started(job.spec.job, now_ms)
+        self._schedulers[job.domain].attempt_started(job.spec.job, now_ms)
         left_s = (1.0 - job.progress) * job.job.true_run_s
         finish = replay_events.Finish(
             number=event.number, attempt=event.attempt
@@ -313,7 +315,7 @@
         job = self.jobs[number]
         self.counts["failed_starts"] += 1
         self._vacate(job, now_ms)
-        final = self._schedulers[job.domain].ended(
+        final = self._schedulers[job.domain].attempt_ended(
             job.spec.job,
             decisions.AttemptEnd.FAILED_TO_START,
             now_ms,
@@ -339,7 +341,7 @@
             return set()
         self._vacate(job, now_ms)
         job.progress = 1.0
-        self._schedulers[job.domain].ended(
+        self._schedulers[job.domain].attempt_ended(
             job.spec.job, decisions.AttemptEnd.DONE, now_ms
         )
         self._end(job, codes.ResultCode.DONE, now_ms)
@@ -356,7 +358,7 @@
         self._vacate(job, now_ms)
         job.progress = event.progress
         out = self._ledger.is_out(job.domain)
-        self._schedulers[job.domain].ended(
+        self._schedulers[job.domain].attempt_ended(
             job.spec.job,
             decisions.AttemptEnd.EVICTED,
             now_ms,
@@ -394,7 +396,7 @@
             self._end(job, codes.ResultCode.CANCELLED_NOT_RUN, now_ms)
         elif job.placement is not None:
             self._vacate(job, now_ms)
-            self._schedulers[job.domain].ended(
+            self._schedulers[job.domain].attempt_ended(
                 job.spec.job, decisions.AttemptEnd.CANCELLED, now_ms
             )
             self._end(job, codes.ResultCode.CANCELLED_AFTER_START, now_ms)
--- a/citronmount/bench/timings.py
+++ b/citronmount/bench/timings.py
@@ -142,7 +142,7 @@
         if isinstance(decision, decisions.PlaceJob)
     ]
     for job in placed:
-        scheduler.started(job, now_ms)
+        scheduler.attempt_started(job, now_ms)
     return placed
 
 
@@ -170,7 +170,7 @@
         scheduler.submit(spec, now_ms)
         placed = _start_all(scheduler, now_ms)
         for job in placed:
-            scheduler.ended(job, decisions.AttemptEnd.DONE, now_ms)
+            scheduler.attempt_ended(job, decisions.AttemptEnd.DONE, now_ms)
         scheduler.cancel(spec.job)
         costs_s.append(time.process_time() - began_s)
     return sorted(costs_s)[len(costs_s) // 2]
--- a/citronmount/config/sheet_fit.py
+++ b/citronmount/config/sheet_fit.py
@@ -6,7 +6,7 @@
 from citronmount.config import sheet as sheet_lib
 from citronmount.config import sheet_faults
 from citronmount.core import codes
-from citronmount.core import guarantees
+from citronmount.core import guarantee_feasibility
 
 __all__ = ["check"]
 
@@ -31,7 +31,9 @@
             code=codes.ResultCode.SHEET_DOES_NOT_FIT,
             message="the pool cannot hold this guarantee beside the others",
         )
-        for index in guarantees.unplaceable(sheet.configuration, pool.workers)
+        for index in guarantee_feasibility.infeasible_guarantees(
+            sheet.configuration, pool.workers
+        )
     )
     if not faults:
         return sheet
--- a/citronmount/core/admission.py
+++ b/citronmount/core/admission.py
@@ -1,7 +1,7 @@
 """Checks of a new job before it is queued."""
 
 from citronmount.core import codes
-from citronmount.core import domain as domain_lib
+from citronmount.core import domain_state
 from citronmount.core import jobs
 from citronmount.core import placement
 from citronmount.core import pool
@@ -17,7 +17,7 @@
 class Admission:
     """Refuses jobs that can never run, or cannot be queued now."""
 
-    def __init__(self, *, domain: domain_lib.Domain) -> None:
+    def __init__(self, *, domain: domain_state.DomainState) -> None:
         """Initializes the checks of one failure domain."""
         self._domain = domain
         self._empty = pool.RoomIndex()
--- a/citronmount/core/backfill.py
+++ b/citronmount/core/backfill.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from citronmount.core import domain as domain_lib
+from citronmount.core import domain_state
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import policy as policy_lib
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        domain: domain_lib.Domain,
+        domain: domain_state.DomainState,
         account: ids.AccountId,
         now_ms: int,
     ) -> None:
@@ -89,7 +89,10 @@
     need: dict[ids.WorkerId, jobs.Resources]
 
     def limit(
-        self, domain: domain_lib.Domain, worker: ids.WorkerId, now_ms: int
+        self,
+        domain: domain_state.DomainState,
+        worker: ids.WorkerId,
+        now_ms: int,
     ) -> jobs.Resources:
         """Returns the room of a worker that a long job may take.
 
@@ -115,7 +118,7 @@
 
 
 def reserve(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> Reservation | None:
     """Finds when and where a blocked job can start.
 
@@ -151,8 +154,8 @@
 
 
 def _ending(
-    domain: domain_lib.Domain,
-) -> Iterable[tuple[ids.JobId, domain_lib.Placed]]:
+    domain: domain_state.DomainState,
+) -> Iterable[tuple[ids.JobId, domain_state.PlacedJob]]:
     return domain.placed.items()
 
 
--- a/citronmount/core/siting.py
+++ b/citronmount/core/cell_selection.py
@@ -4,11 +4,11 @@
 from collections.abc import Iterable
 
 from citronmount.core import cells
-from citronmount.core import domain as domain_lib
+from citronmount.core import domain_state
 from citronmount.core import ids
 from citronmount.core import jobs
+from citronmount.core import preemption
 from citronmount.core import queueing
-from citronmount.core import reclaim
 from citronmount.core import resources
 from citronmount.core import shapes
 from citronmount.core import states
@@ -20,7 +20,7 @@
 
 
 def find(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     entry: queueing.Entry,
     avoid: Collection[ids.WorkerId],
     now_ms: int,
@@ -73,7 +73,7 @@
 
 
 def _move_to_least_harm(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     cell: cells.Cell,
     part: shapes.Shape,
     avoid: Collection[ids.WorkerId],
@@ -100,7 +100,7 @@
 
 
 def _enclosures(
-    domain: domain_lib.Domain, part: shapes.Shape
+    domain: domain_state.DomainState, part: shapes.Shape
 ) -> Iterable[list[ids.WorkerId]]:
     free = domain.pool.free
     if part.tasks == 1 or part.adjacency is states.Adjacency.WORKER:
@@ -111,7 +111,7 @@
 
 
 def _fill(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     workers: Iterable[ids.WorkerId],
     part: shapes.Shape,
     avoid: Collection[ids.WorkerId],
@@ -130,7 +130,7 @@
 
 
 def _harm(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     groups: tuple[jobs.TaskGroup, ...],
     per_task: jobs.Resources,
     now_ms: int,
@@ -139,6 +139,6 @@
         group.worker: resources.scaled(per_task, group.tasks)
         for group in groups
     }
-    short = reclaim.shortfall(domain, need)
-    victims = reclaim.choose(domain, short, now_ms)
-    return None if victims is None else reclaim.cost(domain, victims, now_ms)
+    short = preemption.shortfall(domain, need)
+    victims = preemption.choose(domain, short, now_ms)
+    return None if victims is None else preemption.cost(domain, victims, now_ms)
--- a/citronmount/core/patience.py
+++ b/citronmount/core/delay_scheduling.py
@@ -9,7 +9,7 @@
 import heapq
 import itertools
 
-from citronmount.core import domain as domain_lib
+from citronmount.core import domain_state
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import queueing
@@ -36,7 +36,7 @@
 
 
 def waits(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     entry: queueing.Entry,
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
@@ -57,13 +57,13 @@
     if entry.patient_until_ms is None:
         wait_ms = min(int(run_ms * RUN_TIME_SHARE), MAX_WAIT_MS)
         entry.patient_until_ms = now_ms + wait_ms
-        heapq.heappush(domain.wake_ups, entry.patient_until_ms)
+        heapq.heappush(domain.wake_up_times_ms, entry.patient_until_ms)
     entry.look_again_ms = now_ms + LOOK_AGAIN_MS
     return now_ms < entry.patient_until_ms
 
 
 def _scatters(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     entry: queueing.Entry,
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
@@ -87,7 +87,7 @@
 
 
 def _room_beside_long_jobs(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     entry: queueing.Entry,
     worker: ids.WorkerId,
     now_ms: int,
--- a/citronmount/core/domain.py
+++ b/citronmount/core/domain_state.py
@@ -8,7 +8,7 @@
 from citronmount.core import cells
 from citronmount.core import estimates
 from citronmount.core import fragmentation
-from citronmount.core import guarantees
+from citronmount.core import guarantee_feasibility
 from citronmount.core import health
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -23,10 +23,10 @@
 from citronmount.core import shares
 from citronmount.core import states
 
-__all__ = ["Claim", "Domain", "Placed"]
+__all__ = ["DomainState", "PendingPlacement", "PlacedJob"]
 
 
-class Placed:
+class PlacedJob:
     """An attempt that holds room.
 
     Attributes:
@@ -55,7 +55,7 @@
         self.lent = False
 
 
-class Claim:
+class PendingPlacement:
     """A guaranteed job that waits for evictions to end.
 
     Attributes:
@@ -79,7 +79,7 @@
         self.victims = victims
 
 
-class Domain:
+class DomainState:
     """All that is known of a failure domain, without decisions.
 
     Attributes:
@@ -104,8 +104,8 @@
         self.pool = pool.Pool()
         self.plan = cells.CellPlan()
         self.queue = queueing.JobQueue()
-        self.placed: dict[ids.JobId, Placed] = {}
-        self.claims: dict[ids.JobId, Claim] = {}
+        self.placed: dict[ids.JobId, PlacedJob] = {}
+        self.pending_placements: dict[ids.JobId, PendingPlacement] = {}
         self.ledger = ledger.Ledger()
         self.estimator = estimates.Estimator()
         self.health = health.Health()
@@ -113,7 +113,7 @@
         self.in_service = False
         self.unsettled: set[ids.AccountId] = set()
         self.secured = False
-        self.wake_ups: list[int] = []
+        self.wake_up_times_ms: list[int] = []
         self._timelines: dict[
             ids.WorkerId, tuple[int, list[tuple[int, jobs.Resources]]]
         ] = {}
@@ -202,7 +202,7 @@
             return
         self.plan.drop_worker(worker)
         for job in list(self.pool.jobs_on(worker)):
-            if job in self.claims:
+            if job in self.pending_placements:
                 self.release_claim(job, now_ms)
 
     def place(
@@ -215,7 +215,7 @@
         """Gives room to a queued job, in cells or outside them."""
         job = entry.spec.job
         self.queue.remove(job)
-        placed = Placed(entry=entry, groups=groups, since_ms=now_ms)
+        placed = PlacedJob(entry=entry, groups=groups, since_ms=now_ms)
         self.placed[job] = placed
         self._take(entry, groups, now_ms, uses)
         self._lend(placed)
@@ -232,35 +232,39 @@
         """Sets room aside for a queued job until its victims have ended."""
         job = entry.spec.job
         self.queue.remove(job)
-        self.claims[job] = Claim(entry=entry, groups=groups, victims=victims)
+        self.pending_placements[job] = PendingPlacement(
+            entry=entry, groups=groups, victims=victims
+        )
         self._take(entry, groups, now_ms, uses)
 
     def release_claim(
         self, job: ids.JobId, now_ms: int, *, requeue: bool = True
     ) -> None:
         """Gives back the room of a claim."""
-        claim = self.claims.pop(job)
+        claim = self.pending_placements.pop(job)
         self._give_back(claim.entry, claim.groups, now_ms)
         if requeue:
             self.enqueue(claim.entry, now_ms)
 
-    def redeem(self, job: ids.JobId, now_ms: int) -> Placed:
+    def redeem(self, job: ids.JobId, now_ms: int) -> PlacedJob:
         """Turns a claim whose victims have ended into a placed job."""
-        claim = self.claims.pop(job)
-        placed = Placed(entry=claim.entry, groups=claim.groups, since_ms=now_ms)
+        claim = self.pending_placements.pop(job)
+        placed = PlacedJob(
+            entry=claim.entry, groups=claim.groups, since_ms=now_ms
+        )
         self.placed[job] = placed
         self._lend(placed)
         self._note_probes(job, claim.groups, now_ms)
         return placed
 
-    def remove(self, job: ids.JobId, now_ms: int) -> Placed | None:
+    def remove(self, job: ids.JobId, now_ms: int) -> PlacedJob | None:
         """Gives back the room of a placed job."""
         placed = self.placed.pop(job, None)
         if placed is None:
             return None
         self._end_loan(placed)
         self._give_back(placed.entry, placed.groups, now_ms)
-        for claim in self.claims.values():
+        for claim in self.pending_placements.values():
             claim.victims.discard(job)
         return placed
 
@@ -276,7 +280,7 @@
         """Gives back what claims outside guarantees hold of some workers."""
         for worker in workers:
             for job in list(self.pool.jobs_on(worker)):
-                if job in self.claims and not self.plan.holds(job):
+                if job in self.pending_placements and not self.plan.holds(job):
                     self.release_claim(job, now_ms)
 
     def enqueue(
@@ -293,7 +297,7 @@
             self.ledger.wake(account, self.queue.accounts(), now_ms)
         self.queue.add(entry, press_at_ms=press_at_ms)
 
-    def end_of(self, placed: Placed, now_ms: int) -> int:
+    def end_of(self, placed: PlacedJob, now_ms: int) -> int:
         """Returns when a placed job is expected to end."""
         left_ms = self.estimator.left_ms(
             placed.entry.spec,
@@ -402,7 +406,7 @@
             self.unsettled.add(spec.account)
             self.secured = self.secured and not self.plan.unplanned()
 
-    def _lend(self, placed: Placed) -> None:
+    def _lend(self, placed: PlacedJob) -> None:
         spec = placed.entry.spec
         placed.lent = (
             self.policy.guarantees
@@ -412,7 +416,7 @@
         if placed.lent:
             self.pool.lend(spec.per_task, placed.groups)
 
-    def _end_loan(self, placed: Placed) -> None:
+    def _end_loan(self, placed: PlacedJob) -> None:
         if placed.lent:
             placed.lent = False
             back = resources.scaled(placed.entry.spec.per_task, -1)
@@ -452,9 +456,10 @@
     def _require(self, share: shares.Share, now_ms: int) -> None:
         wanted = {
             (account, shape): copies
-            for (account, shape), copies in guarantees.cells_wanted(
-                share
-            ).items()
+            for (
+                account,
+                shape,
+            ), copies in guarantee_feasibility.required_cells(share).items()
             if not self.is_trial(account)
         }
         promised: collections.Counter[shapes.Shape] = collections.Counter()
@@ -462,7 +467,7 @@
             promised[shape] += copies
         self.mix.promise(promised)
         for job in self.plan.require(wanted):
-            if job in self.claims:
+            if job in self.pending_placements:
                 self.release_claim(job, now_ms)
         self.secured = False
         self.unsettled.update(self._classes)
--- a/citronmount/core/guarantees.py
+++ b/citronmount/core/guarantee_feasibility.py
@@ -9,10 +9,10 @@
 from citronmount.core import shares
 from citronmount.services import messages
 
-__all__ = ["cells_wanted", "unplaceable"]
+__all__ = ["required_cells", "infeasible_guarantees"]
 
 
-def cells_wanted(
+def required_cells(
     share: shares.Share,
 ) -> dict[tuple[ids.AccountId, shapes.Shape], int]:
     """Counts the cells that a failure domain must keep reclaimable.
@@ -31,7 +31,7 @@
     return dict(wanted)
 
 
-def unplaceable(
+def infeasible_guarantees(
     configuration: configuration_lib.Configuration,
     workers: tuple[messages.ListedTarget, ...],
 ) -> tuple[int, ...]:
@@ -57,7 +57,7 @@
                 plan.set_worker(
                     ids.WorkerId(worker.name), worker.rack, worker.capacity
                 )
-        plan.require(cells_wanted(share))
+        plan.require(required_cells(share))
         plan.secure()
         lacking = {(cell.account, cell.shape) for cell in plan.unplanned()}
         faults.update(
--- a/citronmount/core/guaranteed.py
+++ b/citronmount/core/guaranteed_placement.py
@@ -4,18 +4,18 @@
 import itertools
 
 from citronmount.core import backfill
+from citronmount.core import cell_selection
 from citronmount.core import cells
 from citronmount.core import decisions
-from citronmount.core import domain as domain_lib
+from citronmount.core import domain_state
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import placement
 from citronmount.core import policy as policy_lib
+from citronmount.core import preemption
 from citronmount.core import queueing
-from citronmount.core import reclaim
 from citronmount.core import resources
 from citronmount.core import shapes
-from citronmount.core import siting
 
 __all__ = ["SCAN_LIMIT", "place", "redeem", "settle"]
 
@@ -24,7 +24,7 @@
 _MAX_DEMOTED_SIZE = 2
 
 
-def settle(domain: domain_lib.Domain) -> None:
+def settle(domain: domain_state.DomainState) -> None:
     """Puts free cells under placed jobs of their account, oldest first.
 
     A job that ran outside its account's guarantee is no longer revocable once
@@ -45,13 +45,13 @@
 
 
 def _settle_accounts(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     accounts: Iterable[ids.AccountId],
     *,
     tight: bool,
 ) -> bool:
     """Returns whether any job is no longer revocable by this."""
-    outside: dict[ids.AccountId, list[domain_lib.Placed]] = {
+    outside: dict[ids.AccountId, list[domain_state.PlacedJob]] = {
         account: [] for account in sorted(accounts)
     }
     for job, placed in domain.placed.items():
@@ -66,7 +66,9 @@
 
 
 def _settle_job(
-    domain: domain_lib.Domain, placed: domain_lib.Placed, tight: bool
+    domain: domain_state.DomainState,
+    placed: domain_state.PlacedJob,
+    tight: bool,
 ) -> bool:
     entry = placed.entry
     uses = domain.plan.cover(
@@ -80,7 +82,9 @@
     return uses is not None
 
 
-def redeem(domain: domain_lib.Domain, now_ms: int) -> list[decisions.PlaceJob]:
+def redeem(
+    domain: domain_state.DomainState, now_ms: int
+) -> list[decisions.PlaceJob]:
     """Places jobs whose victims have all ended.
 
     Args:
@@ -90,12 +94,16 @@
     Returns:
         The placements.
     """
-    ready = [job for job, c in domain.claims.items() if not c.victims]
+    ready = [
+        job for job, c in domain.pending_placements.items() if not c.victims
+    ]
     placed = [domain.redeem(job, now_ms) for job in ready]
     return [_decision(each.entry, each.groups) for each in placed]
 
 
-def place(domain: domain_lib.Domain, now_ms: int) -> list[decisions.Decision]:
+def place(
+    domain: domain_state.DomainState, now_ms: int
+) -> list[decisions.Decision]:
     """Places what fits into the free room of the accounts' own cells.
 
     Args:
@@ -114,7 +122,7 @@
 
 
 def _place_account(
-    domain: domain_lib.Domain, account: ids.AccountId, now_ms: int
+    domain: domain_state.DomainState, account: ids.AccountId, now_ms: int
 ) -> list[decisions.Decision]:
     found: list[decisions.Decision] = []
     failed: set[shapes.Shape] = set()
@@ -136,7 +144,7 @@
 
 
 def _place_entry(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> list[decisions.Decision] | None:
     """Returns None if the job found no room in its account's cells."""
     uses = _find(domain, entry, now_ms)
@@ -158,17 +166,17 @@
 
 
 def _find(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> tuple[cells.Use, ...] | None:
     tries = (
-        siting.find(domain, entry, avoid, now_ms)
+        cell_selection.find(domain, entry, avoid, now_ms)
         for avoid in entry.avoidances(now_ms)
     )
     return next((uses for uses in tries if uses is not None), None)
 
 
 def _find_by_demotion(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> tuple[cells.Use, ...] | None:
     """Gives an urgent job the cells of later jobs of its account.
 
@@ -188,7 +196,7 @@
 
 
 def _demotable(
-    domain: domain_lib.Domain, entry: queueing.Entry
+    domain: domain_state.DomainState, entry: queueing.Entry
 ) -> list[ids.JobId]:
     """Returns small jobs in the account's cells, the latest first."""
     widest = _MAX_DEMOTED_SIZE * entry.shape.accelerators
@@ -211,7 +219,7 @@
 
 
 def _find_outside(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> tuple[jobs.TaskGroup, ...] | None:
     return placement.find(
         domain.pool.free,
@@ -243,7 +251,7 @@
 
 
 def _is_free(
-    domain: domain_lib.Domain, need: dict[ids.WorkerId, jobs.Resources]
+    domain: domain_state.DomainState, need: dict[ids.WorkerId, jobs.Resources]
 ) -> bool:
     free = domain.pool.free
     return all(
@@ -253,7 +261,7 @@
 
 
 def _reclaim(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     entry: queueing.Entry,
     uses: tuple[cells.Use, ...],
     now_ms: int,
@@ -267,20 +275,20 @@
         victims = _victims(domain, uses, now_ms) if uses else None
     if victims is None:
         return None
-    made, waiting = reclaim.evict(domain, entry, _need(uses), victims)
+    made, waiting = preemption.evict(domain, entry, _need(uses), victims)
     domain.claim(entry, _groups(uses), now_ms, uses, waiting)
     return made
 
 
 def _victims(
-    domain: domain_lib.Domain, uses: tuple[cells.Use, ...], now_ms: int
+    domain: domain_state.DomainState, uses: tuple[cells.Use, ...], now_ms: int
 ) -> list[ids.JobId] | None:
-    short = reclaim.shortfall(domain, _need(uses))
-    return reclaim.choose(domain, short, now_ms)
+    short = preemption.shortfall(domain, _need(uses))
+    return preemption.choose(domain, short, now_ms)
 
 
 def _paying_owners(
-    domain: domain_lib.Domain, victims: Iterable[ids.JobId]
+    domain: domain_state.DomainState, victims: Iterable[ids.JobId]
 ) -> set[ids.AccountId]:
     accounts = {domain.placed[job].entry.spec.account for job in victims}
     return {account for account in accounts if not domain.is_trial(account)}
--- a/citronmount/core/leftover.py
+++ b/citronmount/core/opportunistic_placement.py
@@ -7,14 +7,14 @@
 
 from citronmount.core import backfill
 from citronmount.core import decisions
-from citronmount.core import domain as domain_lib
+from citronmount.core import delay_scheduling
+from citronmount.core import domain_state
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.core import patience
 from citronmount.core import placement
 from citronmount.core import policy as policy_lib
+from citronmount.core import preemption
 from citronmount.core import queueing
-from citronmount.core import reclaim
 from citronmount.core import resources
 from citronmount.core import shapes
 
@@ -24,7 +24,9 @@
 RECLAIM_AFTER_MS = 30_000
 
 
-def place(domain: domain_lib.Domain, now_ms: int) -> list[decisions.PlaceJob]:
+def place(
+    domain: domain_state.DomainState, now_ms: int
+) -> list[decisions.PlaceJob]:
     """Places queued jobs wherever room is free at this moment.
 
     Args:
@@ -44,7 +46,7 @@
 
 
 def would_place(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> bool:
     """Returns whether `place` would start a job that is not queued yet.
 
@@ -71,14 +73,14 @@
         over: Whether no further job may start.
     """
 
-    def __init__(self, domain: domain_lib.Domain, now_ms: int) -> None:
+    def __init__(self, domain: domain_state.DomainState, now_ms: int) -> None:
         self.over = False
         self._domain = domain
         self._now_ms = now_ms
         self._failed: set[tuple[shapes.Shape, bool]] = set()
         self._unreclaimable: set[shapes.Shape] = set()
         self._own: dict[
-            ids.AccountId, list[tuple[ids.JobId, domain_lib.Placed]]
+            ids.AccountId, list[tuple[ids.JobId, domain_state.PlacedJob]]
         ] = {}
         self._reservation: backfill.Reservation | None = None
 
@@ -115,7 +117,7 @@
         domain = self._domain
         if domain.is_trial(entry.spec.account) and not domain.allows(entry):
             return False
-        return not patience.rests(entry, self._now_ms)
+        return not delay_scheduling.rests(entry, self._now_ms)
 
     def _is_patient(self, entry: queueing.Entry) -> bool:
         domain = self._domain
@@ -136,7 +138,7 @@
     def _waits(
         self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
     ) -> bool:
-        return patience.waits(self._domain, entry, groups, self._now_ms)
+        return delay_scheduling.waits(self._domain, entry, groups, self._now_ms)
 
     def _find(self, entry: queueing.Entry) -> tuple[jobs.TaskGroup, ...] | None:
         limited = self._may_delay(entry)
@@ -189,7 +191,7 @@
         if victims is None:
             return None
         need = _need(entry, groups)
-        made, waiting = reclaim.evict(domain, entry, need, victims)
+        made, waiting = preemption.evict(domain, entry, need, victims)
         domain.claim(entry, groups, self._now_ms, (), waiting)
         return made
 
@@ -207,8 +209,8 @@
         )
         victims = None
         if groups:
-            short = reclaim.shortfall(self._domain, _need(entry, groups))
-            victims = reclaim.choose(
+            short = preemption.shortfall(self._domain, _need(entry, groups))
+            victims = preemption.choose(
                 self._domain, short, self._now_ms, lent_only=True
             )
         if victims is None:
@@ -234,7 +236,7 @@
 
     def _own_revocable(
         self, account: ids.AccountId
-    ) -> list[tuple[ids.JobId, domain_lib.Placed]]:
+    ) -> list[tuple[ids.JobId, domain_state.PlacedJob]]:
         if account not in self._own:
             domain = self._domain
             self._own[account] = [
@@ -258,7 +260,7 @@
         due_ms = entry.queued_ms + RECLAIM_AFTER_MS
         if self._now_ms < due_ms and entry.reclaim_ms != due_ms:
             entry.reclaim_ms = due_ms
-            heapq.heappush(self._domain.wake_ups, due_ms)
+            heapq.heappush(self._domain.wake_up_times_ms, due_ms)
         return self._now_ms >= due_ms
 
     def _unreserved(self, worker: ids.WorkerId) -> jobs.Resources:
@@ -289,7 +291,7 @@
 
 
 def _in_order(
-    domain: domain_lib.Domain, now_ms: int
+    domain: domain_state.DomainState, now_ms: int
 ) -> Iterator[queueing.Entry]:
     if domain.policy.order is policy_lib.Order.SUBMISSION:
         return iter(
@@ -299,7 +301,7 @@
 
 
 def _fair_order(
-    domain: domain_lib.Domain, now_ms: int
+    domain: domain_state.DomainState, now_ms: int
 ) -> Iterator[queueing.Entry]:
     """Yields the next job of the account furthest behind, paying first."""
     scans = {
@@ -325,7 +327,7 @@
 
 
 def _item(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     account: ids.AccountId,
     scan: Iterator[queueing.Entry],
     now_ms: int,
--- a/citronmount/core/reclaim.py
+++ b/citronmount/core/preemption.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from citronmount.core import decisions
-from citronmount.core import domain as domain_lib
+from citronmount.core import domain_state
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import queueing
@@ -26,7 +26,7 @@
 
 
 def stopping(
-    domain: domain_lib.Domain, worker: ids.WorkerId
+    domain: domain_state.DomainState, worker: ids.WorkerId
 ) -> dict[ids.JobId, int]:
     """Returns the jobs on a worker that were told to stop, with tasks."""
     return {
@@ -37,7 +37,8 @@
 
 
 def shortfall(
-    domain: domain_lib.Domain, need: Mapping[ids.WorkerId, jobs.Resources]
+    domain: domain_state.DomainState,
+    need: Mapping[ids.WorkerId, jobs.Resources],
 ) -> _Short:
     """Returns what has to be evicted of each worker for a gang.
 
@@ -62,7 +63,7 @@
 
 
 def evict(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     entry: queueing.Entry,
     need: Mapping[ids.WorkerId, jobs.Resources],
     victims: list[ids.JobId],
@@ -98,7 +99,7 @@
 
 
 def choose(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     short: _Short,
     now_ms: int,
     *,
@@ -140,7 +141,7 @@
 
 
 def cost(
-    domain: domain_lib.Domain, victims: list[ids.JobId], now_ms: int
+    domain: domain_state.DomainState, victims: list[ids.JobId], now_ms: int
 ) -> tuple[int, int, int, int]:
     """Ranks sets of victims; the smallest is the least harm.
 
@@ -162,13 +163,13 @@
     )
 
 
-def _lost(placed: domain_lib.Placed, now_ms: int) -> int:
+def _lost(placed: domain_state.PlacedJob, now_ms: int) -> int:
     ran_ms = max(now_ms - placed.since_ms, 0)
     return ran_ms * max(placed.entry.shape.accelerators, 1)
 
 
 def _needed(
-    domain: domain_lib.Domain, short: _Short, victims: list[ids.JobId]
+    domain: domain_state.DomainState, short: _Short, victims: list[ids.JobId]
 ) -> list[ids.JobId]:
     kept = list(victims)
     for victim in reversed(victims):
@@ -179,7 +180,7 @@
 
 
 def _without(
-    domain: domain_lib.Domain, short: _Short, victims: list[ids.JobId]
+    domain: domain_state.DomainState, short: _Short, victims: list[ids.JobId]
 ) -> _Short:
     left = dict(short)
     for victim in victims:
@@ -206,7 +207,7 @@
 
 
 def _rank(
-    domain: domain_lib.Domain, job: ids.JobId, left: _Short, now_ms: int
+    domain: domain_state.DomainState, job: ids.JobId, left: _Short, now_ms: int
 ) -> tuple:
     placed = domain.placed[job]
     spec = placed.entry.spec
--- a/citronmount/core/scheduler.py
+++ b/citronmount/core/scheduler.py
@@ -7,15 +7,15 @@
 from citronmount.core import admission
 from citronmount.core import codes
 from citronmount.core import decisions
-from citronmount.core import domain as domain_lib
+from citronmount.core import domain_state
 from citronmount.core import fragmentation
-from citronmount.core import guaranteed
+from citronmount.core import guaranteed_placement
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.core import leftover
-from citronmount.core import outlook
+from citronmount.core import opportunistic_placement
 from citronmount.core import queueing
 from citronmount.core import shapes
+from citronmount.core import start_prediction
 from citronmount.core import states
 from citronmount.core import verdicts
 from citronmount.services import messages
@@ -47,7 +47,7 @@
         """
         self.failure_domain = failure_domain
         self.policy = policy
-        self._domain = domain_lib.Domain(policy=policy)
+        self._domain = domain_state.DomainState(policy=policy)
         self._admission = admission.Admission(domain=self._domain)
         self._sequence = itertools.count()
         self._now_ms = 0
@@ -170,7 +170,7 @@
         domain.unsettled.add(spec.account)
         self._changed = True
 
-    def started(self, job: ids.JobId, now_ms: int) -> None:
+    def attempt_started(self, job: ids.JobId, now_ms: int) -> None:
         """Notes that every task of a placed job has started.
 
         Args:
@@ -183,7 +183,7 @@
             placed.entry.ran = True
             placed.since_ms = self._now_ms
 
-    def ended(
+    def attempt_ended(
         self,
         job: ids.JobId,
         how: decisions.AttemptEnd,
@@ -236,7 +236,7 @@
         Returns:
             Whether it was queued; a placed job is not touched.
         """
-        if job in self._domain.claims:
+        if job in self._domain.pending_placements:
             self._domain.release_claim(job, self._now_ms, requeue=False)
             self._changed = True
             return True
@@ -253,11 +253,11 @@
             now_ms: Monotonic time.
 
         Returns:
-            See `outlook.would_start`.
+            See `start_prediction.would_start`.
         """
         self._advance(now_ms)
         entry = self._entry(spec, 0.0)
-        return outlook.would_start(self._domain, entry, self._now_ms)
+        return start_prediction.would_start(self._domain, entry, self._now_ms)
 
     def decide(self, now_ms: int) -> list[decisions.Decision]:
         """Returns what to do now.
@@ -279,20 +279,20 @@
         self._changed = False
         domain = self._domain
         domain.secure()
-        guaranteed.settle(domain)
+        guaranteed_placement.settle(domain)
         return [
             *ended,
-            *guaranteed.redeem(domain, self._now_ms),
-            *guaranteed.place(domain, self._now_ms),
-            *leftover.place(domain, self._now_ms),
+            *guaranteed_placement.redeem(domain, self._now_ms),
+            *guaranteed_placement.place(domain, self._now_ms),
+            *opportunistic_placement.place(domain, self._now_ms),
         ]
 
     def queued(self) -> tuple[ids.JobId, ...]:
         """Returns the queued jobs, first in line first."""
         waiting = (entry.spec.job for entry in self._domain.queue)
-        return (*self._domain.claims, *waiting)
+        return (*self._domain.pending_placements, *waiting)
 
-    def unclaimed(self) -> tuple[ids.JobId, ...]:
+    def queued_without_placement(self) -> tuple[ids.JobId, ...]:
         """Returns the queued jobs for which no room is being cleared."""
         return tuple(entry.spec.job for entry in self._domain.queue)
 
@@ -327,7 +327,7 @@
         """Returns how many accelerators the queued jobs ask for."""
         claimed = sum(
             claim.entry.shape.accelerators
-            for claim in self._domain.claims.values()
+            for claim in self._domain.pending_placements.values()
         )
         return claimed + self._domain.queue.accelerators
 
@@ -355,7 +355,9 @@
     def _knows(self, job: ids.JobId) -> bool:
         domain = self._domain
         return (
-            job in domain.queue or job in domain.placed or job in domain.claims
+            job in domain.queue
+            or job in domain.placed
+            or job in domain.pending_placements
         )
 
     def _entry(self, spec: jobs.JobSpec, progress: float) -> queueing.Entry:
@@ -365,7 +367,7 @@
 
     def _forget(self, job: ids.JobId) -> queueing.Entry | None:
         domain = self._domain
-        if job in domain.claims:
+        if job in domain.pending_placements:
             domain.release_claim(job, self._now_ms)
         placed = domain.remove(job, self._now_ms)
         return placed.entry if placed else domain.queue.remove(job)
@@ -393,9 +395,9 @@
         ]
 
     def _wake_up(self) -> None:
-        wake_ups = self._domain.wake_ups
-        while wake_ups and wake_ups[0] <= self._now_ms:
-            heapq.heappop(wake_ups)
+        wake_up_times_ms = self._domain.wake_up_times_ms
+        while wake_up_times_ms and wake_up_times_ms[0] <= self._now_ms:
+            heapq.heappop(wake_up_times_ms)
             self._changed = True
         for worker in self._domain.health.due(self._now_ms):
             self._changed = True
--- a/citronmount/core/outlook.py
+++ b/citronmount/core/start_prediction.py
@@ -1,14 +1,14 @@
 """Tells whether a job would start at once, without deciding anything."""
 
-from citronmount.core import domain as domain_lib
-from citronmount.core import leftover
+from citronmount.core import domain_state
+from citronmount.core import opportunistic_placement
 from citronmount.core import queueing
 
 __all__ = ["would_start"]
 
 
 def would_start(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> bool:
     """Returns whether a new job would be placed or get room evicted now.
 
@@ -28,4 +28,4 @@
     free = domain.pool.free
     if domain.plan.fit(account, entry.shape, free, ()) is not None:
         return True
-    return leftover.would_place(domain, entry, now_ms)
+    return opportunistic_placement.would_place(domain, entry, now_ms)
--- a/citronmount/core/tests/oracle.py
+++ b/citronmount/core/tests/packing_oracle.py
@@ -6,7 +6,7 @@
 from citronmount.core import states
 
 
-def packs(rooms, racks, gangs):
+def fits(rooms, racks, gangs):
     """Returns whether all gangs fit at once.
 
     Args:
--- a/citronmount/core/tests/test_guarantees.py
+++ b/citronmount/core/tests/test_guarantees.py
@@ -3,14 +3,14 @@
 import unittest
 
 from citronmount.core import decisions
-from citronmount.core import guaranteed
-from citronmount.core import guarantees
+from citronmount.core import guarantee_feasibility
+from citronmount.core import guaranteed_placement
 from citronmount.core import jobs
 from citronmount.core import resources
 from citronmount.core import scheduler
 from citronmount.core import states
 from citronmount.core.tests import fixtures
-from citronmount.core.tests import oracle
+from citronmount.core.tests import packing_oracle
 
 END = decisions.AttemptEnd
 STEPS = 16
@@ -30,7 +30,9 @@
         self.seen = collections.Counter()
         self.workers = self._workers()
         self.configuration = self._configuration()
-        while guarantees.unplaceable(self.configuration, self.workers):
+        while guarantee_feasibility.infeasible_guarantees(
+            self.configuration, self.workers
+        ):
             self.configuration = self._configuration()
         self.scheduler = scheduler.DomainScheduler(failure_domain=fixtures.ZONE)
         self.scheduler.set_configuration(self.configuration)
@@ -59,7 +61,7 @@
                 if worker in rooms:
                     rooms[worker] = resources.minus(rooms[worker], taken)
         racks = {w.name: w.rack for w in usable}
-        packs = oracle.packs(rooms, racks, free)
+        packs = packing_oracle.fits(rooms, racks, free)
         secured = not self.scheduler.unsecured()
         if not self.faults:
             assert packs
@@ -74,7 +76,7 @@
         """
         self._settle()
         accounts = [a.name for a in self.configuration.accounts]
-        guaranteed._settle_accounts(
+        guaranteed_placement._settle_accounts(
             self.scheduler._domain, accounts, tight=False
         )
         self._reclaim(accounts)
@@ -102,7 +104,7 @@
         }
         assert victims <= revocable
         for job in victims:
-            made.ended(job, END.EVICTED, self.now_ms)
+            made.attempt_ended(job, END.EVICTED, self.now_ms)
         placed = [*first, *made.decide(self.now_ms)]
         assert set(wanted) <= {
             each.job for each in placed if isinstance(each, decisions.PlaceJob)
@@ -113,7 +115,7 @@
         for job in self.scheduler.queued():
             assert self.scheduler.cancel(job)
         for job in sorted(self.evicting):
-            self.scheduler.ended(job, END.EVICTED, self.now_ms)
+            self.scheduler.attempt_ended(job, END.EVICTED, self.now_ms)
             del self.running[job]
         self.evicting.clear()
         assert not self.scheduler.decide(self.now_ms)
@@ -202,7 +204,7 @@
         if job not in self.evicting:
             how = self.rng.choice((END.DONE, END.FAILED_BY_JOB))
         culprit = self.running.pop(job)[0].worker
-        self.scheduler.ended(
+        self.scheduler.attempt_ended(
             job,
             how,
             self.now_ms,
@@ -288,9 +290,14 @@
             fixtures.guarantee("c", 1, 1, 1),
         ]
         configuration = fixtures.configuration(guarantees=rows[::2])
-        self.assertEqual(guarantees.unplaceable(configuration, workers), ())
+        self.assertEqual(
+            guarantee_feasibility.infeasible_guarantees(configuration, workers),
+            (),
+        )
         configuration = fixtures.configuration(guarantees=rows)
-        faults = guarantees.unplaceable(configuration, workers)
+        faults = guarantee_feasibility.infeasible_guarantees(
+            configuration, workers
+        )
         self.assertTrue(faults)
         self.assertNotEqual(faults, (0, 1, 2))
 
@@ -299,15 +306,17 @@
         for seed in range(200):
             world = World(seed, faults=False)
             configuration = world._configuration()
-            fits = not guarantees.unplaceable(configuration, world.workers)
+            fits = not guarantee_feasibility.infeasible_guarantees(
+                configuration, world.workers
+            )
             rooms = {w.name: w.capacity for w in world.workers}
             racks = {w.name: w.rack for w in world.workers}
             gangs = [
-                guarantees.shapes.of_guarantee(row)
+                guarantee_feasibility.shapes.of_guarantee(row)
                 for row in configuration.guarantees
                 for _ in range(row.copies)
             ]
-            packs = oracle.packs(rooms, racks, gangs)
+            packs = packing_oracle.fits(rooms, racks, gangs)
             self.assertTrue(packs or not fits, seed)
             wrong += packs and not fits
         self.assertEqual(wrong, 0)
--- a/citronmount/core/tests/test_placement.py
+++ b/citronmount/core/tests/test_placement.py
@@ -49,11 +49,11 @@
         made = make()
         place(made, "wide", accelerators=8)
         long = place(made, "long", run_time_s=9 * HOUR_S)["long"]
-        made.ended("kr-a/wide", END.DONE, 1)
+        made.attempt_ended("kr-a/wide", END.DONE, 1)
         short = place(made, "short", 1, accelerators=7)["short"]
         self.assertEqual(short, long)
         place(made, "short-2", 1, accelerators=6)
-        made.ended("kr-a/short", END.DONE, 2)
+        made.attempt_ended("kr-a/short", END.DONE, 2)
         joined = place(made, "long-2", 2, 1, 2, run_time_s=8 * HOUR_S)
         self.assertEqual(joined["long-2"], long)
 
@@ -72,7 +72,7 @@
     def test_long_trial_waits_for_less_scattered_room(self):
         made = self.scattered("citron")
         self.assertEqual(self.gang(made), {})
-        made.ended("kr-a/short-0", END.DONE, 1_000)
+        made.attempt_ended("kr-a/short-0", END.DONE, 1_000)
         (workers,) = placements(made, 1_000).values()
         self.assertEqual(len(workers), 1)
 
@@ -103,8 +103,8 @@
         made = self.blocked()
         self.assertEqual(place(made, "long", run_time_s=61.0), {})
         self.assertIn("short", place(made, "short", run_time_s=59.0))
-        made.ended("kr-a/short", END.DONE, 59_000)
-        made.ended("kr-a/running", END.DONE, 60_000)
+        made.attempt_ended("kr-a/short", END.DONE, 59_000)
+        made.attempt_ended("kr-a/running", END.DONE, 60_000)
         self.assertEqual(list(placements(made, 60_000)), ["head"])
 
     def test_policies_differ(self):
--- a/citronmount/core/tests/test_scheduler.py
+++ b/citronmount/core/tests/test_scheduler.py
@@ -44,7 +44,7 @@
         self.assertEqual(len(evicted), 8)
         self.assertEqual(made.decide(2), [])
         for each in evicted:
-            made.ended(each.job, END.EVICTED, 3, requeue=True)
+            made.attempt_ended(each.job, END.EVICTED, 3, requeue=True)
         placed = made.decide(3)
         self.assertEqual([each.job for each in placed], ["kr-a/p"])
         self.assertFalse(made.revocable(placed[0].job))
@@ -56,7 +56,7 @@
         evicted = made.decide(1)
         self.assertTrue(made.cancel(fixtures.spec("p", "paying").job))
         for each in evicted:
-            made.ended(each.job, END.EVICTED, 3, requeue=True)
+            made.attempt_ended(each.job, END.EVICTED, 3, requeue=True)
         self.assertEqual(len(made.decide(3)), 8)
 
     def test_repeatable_trials_are_evicted_first(self):
@@ -84,7 +84,7 @@
             made.submit(fixtures.spec(name, "paying", 1, 8), 30_001)
         (reclaimed,) = made.decide(30_001)
         for job in (evicted.job, reclaimed.job):
-            made.ended(job, END.EVICTED, 30_002, requeue=True)
+            made.attempt_ended(job, END.EVICTED, 30_002, requeue=True)
         placed = {each.job for each in made.decide(30_002)}
         self.assertEqual(placed, {"kr-a/p", "kr-a/q"})
         self.assertIn("kr-a/x", made.queued())
@@ -99,7 +99,7 @@
         (evicted,) = made.decide(4)
         self.assertEqual(evicted.grace_ms, 500)
         self.assertIn(evicted.job, ("kr-a/j1", "kr-a/j2", "kr-a/j3"))
-        made.ended(evicted.job, END.EVICTED, 5, requeue=True)
+        made.attempt_ended(evicted.job, END.EVICTED, 5, requeue=True)
         self.assertEqual([e.job for e in made.decide(5)], ["kr-a/now"])
         self.assertFalse(made.revocable("kr-a/j0"))
 
@@ -111,7 +111,7 @@
         made.submit(fixtures.spec("now", "extra", 1, 1, urgent=True), 4)
         (evicted,) = made.decide(4)
         self.assertEqual(evicted.beneficiary, "kr-a/now")
-        made.ended(evicted.job, END.EVICTED, 5, requeue=True)
+        made.attempt_ended(evicted.job, END.EVICTED, 5, requeue=True)
         self.assertEqual([e.job for e in made.decide(5)], ["kr-a/now"])
 
     def test_work_above_the_guarantee_moves_into_it(self):
@@ -120,7 +120,7 @@
             made.submit(fixtures.spec(f"p{number}", "paying", 1, 8), number)
             made.decide(number)
         self.assertTrue(made.revocable("kr-a/p2"))
-        made.ended("kr-a/p0", END.DONE, 5)
+        made.attempt_ended("kr-a/p0", END.DONE, 5)
         made.decide(5)
         self.assertFalse(made.revocable("kr-a/p2"))
 
@@ -194,7 +194,7 @@
             workers = [group.worker for group in each.placement.groups]
             if each.job == job or worker in workers:
                 culprits = (worker or workers[0],)
-                return made.ended(
+                return made.attempt_ended(
                     each.job,
                     END.FAILED_TO_START,
                     now_ms,
@@ -229,7 +229,7 @@
             for each in made.decide(now_ms):
                 (group,) = each.placement.groups
                 good = group.worker != bad
-                made.ended(
+                made.attempt_ended(
                     each.job,
                     END.DONE if good else END.FAILED_TO_START,
                     now_ms,
@@ -241,7 +241,7 @@
         made.submit(fixtures.spec("wide", "extra", 4, 8, "failure_domain"), 9)
         self.assertEqual(made.decide(9), [])
         (probe,) = made.decide(120_000)
-        made.ended(probe.job, END.DONE, 120_001)
+        made.attempt_ended(probe.job, END.DONE, 120_001)
         self.assertEqual(made.quarantined(), ())
 
 
--- a/citronmount/core/verdicts.py
+++ b/citronmount/core/verdicts.py
@@ -4,7 +4,7 @@
 
 from citronmount.core import codes
 from citronmount.core import decisions
-from citronmount.core import domain as domain_lib
+from citronmount.core import domain_state
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import queueing
@@ -26,8 +26,8 @@
 
 
 def learn(
-    domain: domain_lib.Domain,
-    placed: domain_lib.Placed,
+    domain: domain_state.DomainState,
+    placed: domain_state.PlacedJob,
     how: decisions.AttemptEnd,
     culprits: tuple[ids.WorkerId, ...],
     now_ms: int,
@@ -66,7 +66,7 @@
 
 
 def _note_failure(
-    domain: domain_lib.Domain,
+    domain: domain_state.DomainState,
     entry: queueing.Entry,
     culprits: tuple[ids.WorkerId, ...],
     now_ms: int,
@@ -79,7 +79,7 @@
     entry.failures += own
     entry.failed_on |= set(culprits)
     entry.retry_ms = now_ms + wait_ms
-    heapq.heappush(domain.wake_ups, entry.retry_ms)
+    heapq.heappush(domain.wake_up_times_ms, entry.retry_ms)
 
 
 def failed_everywhere(entry: queueing.Entry) -> bool:
