--- a/citronmount/fleet/advice.py
+++ b/citronmount/fleet/advice_cache.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import orders
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import commands
+from citronmount.fleet import worker_directory
 
-__all__ = ["AdviceBook"]
+__all__ = ["AdviceCache"]
 
 WORKERS_PER_QUESTION = 30
 RETRY_MS = 200
@@ -29,7 +29,7 @@
     until_ms: int
 
 
-class AdviceBook:
+class AdviceCache:
     """Tickets and refusals of every step."""
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         self._next_ms = 0
 
     def ticket(
-        self, step: StepId, worker: workers_lib.Worker, now_ms: int
+        self, step: StepId, worker: worker_directory.Worker, now_ms: int
     ) -> str:
         """Returns the valid ticket of a step for a worker, or empty."""
         found = self._tickets.get(step, {}).get(worker.worker)
@@ -51,9 +51,9 @@
     def next_question(
         self,
         step: StepId,
-        candidates: Iterable[workers_lib.Worker],
+        candidates: Iterable[worker_directory.Worker],
         now_ms: int,
-    ) -> orders.Ask | None:
+    ) -> commands.RequestAdvice | None:
         """Returns the question that is due for a step, if any.
 
         Args:
@@ -76,20 +76,23 @@
         if not unknown:
             return None
         self._open = True
-        return orders.Ask(
+        return commands.RequestAdvice(
             step=step, workers=tuple(unknown[:WORKERS_PER_QUESTION])
         )
 
     def answered(
-        self, question: orders.Ask, grants: orders.Grants, now_ms: int
+        self,
+        advice_request: commands.RequestAdvice,
+        answer: commands.AdviceAnswer,
+        now_ms: int,
     ) -> None:
         """Takes in the answer to a question."""
         self._open = False
-        tickets = self._tickets.setdefault(StepId(question.step), {})
-        refused = self._refused.setdefault(StepId(question.step), set())
-        until_ms = now_ms + grants.valid_ms - TICKET_MARGIN_MS
-        for worker in question.workers:
-            text = grants.tickets.get(worker.worker)
+        tickets = self._tickets.setdefault(StepId(advice_request.step), {})
+        refused = self._refused.setdefault(StepId(advice_request.step), set())
+        until_ms = now_ms + answer.valid_ms - TICKET_MARGIN_MS
+        for worker in advice_request.workers:
+            text = answer.tickets.get(worker.worker)
             if text is None:
                 refused.add(worker.worker)
                 continue
--- a/citronmount/fleet/orders.py
+++ b/citronmount/fleet/commands.py
@@ -5,22 +5,22 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import workers
+from citronmount.fleet import worker_directory
 from citronmount.workflow import units
 
 __all__ = [
-    "Ask",
+    "AdviceAnswer",
     "EndKind",
     "EndedTask",
-    "Grants",
-    "Hold",
-    "HoldReport",
-    "Order",
+    "Command",
+    "LeaseReport",
+    "RenewLeases",
+    "RequestAdvice",
     "RunningTask",
     "Start",
-    "StartVerdict",
+    "StartOutcome",
     "Stop",
-    "StopVerdict",
+    "StopOutcome",
 ]
 
 
@@ -30,37 +30,37 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     MEMBER_LOST = "member_lost"
     MEMBER_MISSING = "member_missing"
 
 
-class StartVerdict(enum.Enum):
+class StartOutcome(enum.Enum):
     """What became of an order to start.
 
-    UNREACHED tells that no byte of the order left, as the worker takes no
-    connection; after UNANSWERED it may still be carried out.
+    UNREACHABLE tells that no byte of the order left, as the worker takes no
+    connection; after UNKNOWN it may still be carried out.
     """
 
     STARTED = "started"
     FENCED = "fenced"
-    OLD_RUN = "old_run"
-    LATE = "late"
-    NO_ROOM = "no_room"
+    STALE_RUN = "old_run"
+    LEASE_EXPIRED = "late"
+    NO_CAPACITY = "no_room"
     NO_TICKET = "no_ticket"
     NOT_STARTED = "not_started"
-    OTHER_LIFE = "other_life"
-    UNREACHED = "unreached"
-    UNANSWERED = "unanswered"
+    OTHER_INCARNATION = "other_life"
+    UNREACHABLE = "unreached"
+    UNKNOWN = "unanswered"
 
 
-class StopVerdict(enum.Enum):
+class StopOutcome(enum.Enum):
     """What became of an order to stop."""
 
     STOPPED = "stopped"
     FENCED = "fenced"
-    OTHER_LIFE = "other_life"
-    UNANSWERED = "unanswered"
+    OTHER_INCARNATION = "other_life"
+    UNKNOWN = "unanswered"
 
 
 class Start(msgspec.Struct, frozen=True, kw_only=True):
@@ -78,7 +78,7 @@
         attempt: Counts the orders to start this run of the task from 1.
     """
 
-    worker: workers.Worker
+    worker: worker_directory.Worker
     task: units.TaskName
     run: int
     payload: str
@@ -99,13 +99,13 @@
         token: The fencing token.
     """
 
-    worker: workers.Worker
+    worker: worker_directory.Worker
     task: units.TaskName
     run: int
     token: ids.FenceToken
 
 
-class Hold(msgspec.Struct, frozen=True, kw_only=True):
+class RenewLeases(msgspec.Struct, frozen=True, kw_only=True):
     """Renews the lease of all that runs on a worker and asks what runs.
 
     Attributes:
@@ -117,7 +117,7 @@
         look: Whether it only asks, beside a hold that may be waiting.
     """
 
-    worker: workers.Worker
+    worker: worker_directory.Worker
     until_ms: int | None
     last_seen: int
     wait_ms: int
@@ -125,7 +125,7 @@
     look: bool = False
 
 
-class Ask(msgspec.Struct, frozen=True, kw_only=True):
+class RequestAdvice(msgspec.Struct, frozen=True, kw_only=True):
     """Asks which workers a queue's policy allows for a step.
 
     Attributes:
@@ -134,10 +134,10 @@
     """
 
     step: str
-    workers: tuple[workers.Worker, ...]
+    workers: tuple[worker_directory.Worker, ...]
 
 
-class Grants(msgspec.Struct, frozen=True, kw_only=True):
+class AdviceAnswer(msgspec.Struct, frozen=True, kw_only=True):
     """The answer to `Ask`.
 
     Attributes:
@@ -149,7 +149,7 @@
     valid_ms: int
 
 
-Order = Start | Stop | Hold | Ask
+Command = Start | Stop | RenewLeases | RequestAdvice
 
 
 class RunningTask(msgspec.Struct, frozen=True, kw_only=True):
@@ -190,7 +190,7 @@
     saved: str
 
 
-class HoldReport(msgspec.Struct, frozen=True, kw_only=True):
+class LeaseReport(msgspec.Struct, frozen=True, kw_only=True):
     """What a worker answers to a hold.
 
     Attributes:
--- a/citronmount/fleet/patience.py
+++ b/citronmount/fleet/delay_scheduling.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
-from citronmount.fleet import configuration as configuration_lib
-from citronmount.fleet import waiting as waiting_lib
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import waiting_units
 
-__all__ = ["Patience"]
+__all__ = ["DelayPolicy"]
 
 DISTRUST_WAIT_MS = 1_500
 GUARANTEED_WAIT_MS = 700
 IDLE_POOL_WAIT_MS = 1_500
 
 
-class Patience(msgspec.Struct, frozen=True, kw_only=True):
+class DelayPolicy(msgspec.Struct, frozen=True, kw_only=True):
     """What a unit takes after the time that it has waited.
 
     Attributes:
@@ -27,22 +27,26 @@
     """
 
     now_ms: int
-    bounds: configuration_lib.Bounds
+    bounds: fleet_configuration.Bounds
     idle_pool: bool
 
-    def takes_distrusted(self, unit: waiting_lib.Waiting) -> bool:
+    def takes_distrusted(self, unit: waiting_units.WaitingUnit) -> bool:
         """Returns whether any worker is better than further waiting.
 
         Jobs that fail everywhere can cost many workers their trust.
         """
         return self.now_ms - unit.since_ms >= DISTRUST_WAIT_MS
 
-    def takes_slow(self, unit: waiting_lib.Waiting, guaranteed: bool) -> bool:
+    def takes_slow(
+        self, unit: waiting_units.WaitingUnit, guaranteed: bool
+    ) -> bool:
         """Returns whether a slow worker is better than further waiting."""
         limit_ms = self._bounded(unit.step.estimate_ms, guaranteed)
         return self.now_ms - unit.since_ms >= limit_ms
 
-    def takes_far(self, unit: waiting_lib.Waiting, guaranteed: bool) -> bool:
+    def takes_far(
+        self, unit: waiting_units.WaitingUnit, guaranteed: bool
+    ) -> bool:
         """Returns whether another rack is better than further waiting."""
         slower = self.bounds.spread_factor - 1
         limit_ms = self._bounded(
--- a/citronmount/fleet/fitting.py
+++ b/citronmount/fleet/fitting.py
@@ -14,13 +14,13 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import room as room_lib
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import worker_allocations
+from citronmount.fleet import worker_directory
 from citronmount.workflow import spec
 
 __all__ = ["Need", "Shelf", "Spread", "fit", "shelf", "suits"]
 
-FreeRoom = Callable[[workers_lib.Worker], spec.Demand]
+FreeRoom = Callable[[worker_directory.Worker], spec.Demand]
 
 
 class Spread(enum.Enum):
@@ -59,7 +59,7 @@
     """
 
     def __init__(
-        self, *, slots: Sequence[tuple[workers_lib.Worker, int]]
+        self, *, slots: Sequence[tuple[worker_directory.Worker, int]]
     ) -> None:
         """Initializes the room.
 
@@ -70,12 +70,12 @@
             itertools.repeat(worker, count) for worker, count in slots
         )
 
-    def take(self) -> workers_lib.Worker | None:
+    def take(self) -> worker_directory.Worker | None:
         """Returns the worker for the next task, or None if there is none."""
         return next(self._workers, None)
 
 
-def suits(need: Need, worker: workers_lib.Worker) -> bool:
+def suits(need: Need, worker: worker_directory.Worker) -> bool:
     """Returns whether a worker may ever run tasks of a unit."""
     label = need.step.worker_label
     return (
@@ -87,10 +87,10 @@
 
 def fit(
     need: Need,
-    workers: Iterable[workers_lib.Worker],
+    workers: Iterable[worker_directory.Worker],
     free: FreeRoom,
     spread: Spread,
-) -> list[workers_lib.Worker] | None:
+) -> list[worker_directory.Worker] | None:
     """Finds workers for all tasks of a unit.
 
     Args:
@@ -113,10 +113,10 @@
 
 def _fit_slots(
     need: Need,
-    slots: Sequence[tuple[workers_lib.Worker, int]],
+    slots: Sequence[tuple[worker_directory.Worker, int]],
     free: FreeRoom,
     spread: Spread,
-) -> list[workers_lib.Worker] | None:
+) -> list[worker_directory.Worker] | None:
     if sum(count for _, count in slots) < need.tasks:
         return None
     near = _in_one_rack(need, slots, free)
@@ -127,7 +127,7 @@
 
 def shelf(
     need: Need,
-    workers: Iterable[workers_lib.Worker],
+    workers: Iterable[worker_directory.Worker],
     free: FreeRoom,
     spread: Spread,
 ) -> Shelf:
@@ -154,9 +154,9 @@
 
 
 def _slots(
-    need: Need, workers: Iterable[workers_lib.Worker], free: FreeRoom
-) -> list[tuple[workers_lib.Worker, int]]:
-    demand = room_lib.charged(need.step)
+    need: Need, workers: Iterable[worker_directory.Worker], free: FreeRoom
+) -> list[tuple[worker_directory.Worker, int]]:
+    demand = worker_allocations.allocated_demand(need.step)
     slots = [
         (worker, _limited(need, worker, free(worker), demand))
         for worker in workers
@@ -167,11 +167,11 @@
 
 def _limited(
     need: Need,
-    worker: workers_lib.Worker,
+    worker: worker_directory.Worker,
     free: spec.Demand,
     demand: spec.Demand,
 ) -> int:
-    count = room_lib.fits_times(free, demand, need.tasks)
+    count = worker_allocations.max_task_count(free, demand, need.tasks)
     limit = need.step.max_tasks_per_worker
     if not limit:
         return count
@@ -180,9 +180,9 @@
 
 def _in_one_rack(
     need: Need,
-    slots: Sequence[tuple[workers_lib.Worker, int]],
+    slots: Sequence[tuple[worker_directory.Worker, int]],
     free: FreeRoom,
-) -> list[workers_lib.Worker] | None:
+) -> list[worker_directory.Worker] | None:
     """Finds the tightest rack, or any workers where racks do not matter."""
     if need.step.data_rack:
         near = [pair for pair in slots if pair[0].rack == need.step.data_rack]
@@ -201,12 +201,12 @@
 
 def _fill(
     need: Need,
-    slots: Sequence[tuple[workers_lib.Worker, int]],
+    slots: Sequence[tuple[worker_directory.Worker, int]],
     free: FreeRoom,
-) -> list[workers_lib.Worker] | None:
+) -> list[worker_directory.Worker] | None:
     if sum(count for _, count in slots) < need.tasks:
         return None
-    chosen: list[workers_lib.Worker] = []
+    chosen: list[worker_directory.Worker] = []
     for worker, count in _ranked(need, slots, free):
         chosen += [worker] * min(count, need.tasks - len(chosen))
     return chosen
@@ -214,9 +214,9 @@
 
 def _ranked(
     need: Need,
-    slots: Sequence[tuple[workers_lib.Worker, int]],
+    slots: Sequence[tuple[worker_directory.Worker, int]],
     free: FreeRoom,
-) -> list[tuple[workers_lib.Worker, int]]:
+) -> list[tuple[worker_directory.Worker, int]]:
     """Returns slots, the tightest first, those to be used last at the end."""
     return sorted(
         slots,
@@ -225,7 +225,7 @@
 
 
 def _left(
-    worker: workers_lib.Worker, free: FreeRoom
+    worker: worker_directory.Worker, free: FreeRoom
 ) -> tuple[float, ids.WorkerId]:
     """Ranks a worker by the share of its room that is free."""
     left = free(worker)
--- a/citronmount/fleet/guarantees.py
+++ b/citronmount/fleet/guarantees.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 
 from citronmount.core import ids
-from citronmount.fleet import configuration as configuration_lib
-from citronmount.fleet import runs as runs_lib
-from citronmount.fleet import waiting as waiting_lib
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import unit_runs
+from citronmount.fleet import waiting_units
 from citronmount.workflow import units
 
 __all__ = ["FIRST_PRIORITY", "Guarantees"]
@@ -23,8 +23,8 @@
     def __init__(
         self,
         *,
-        accounts: Iterable[configuration_lib.Account],
-        runs: Iterable[runs_lib.Run],
+        accounts: Iterable[fleet_configuration.Account],
+        runs: Iterable[unit_runs.Run],
     ) -> None:
         """Counts the runs inside guarantees, the oldest first.
 
@@ -41,19 +41,19 @@
             if run.submission.terms.priority == FIRST_PRIORITY:
                 self._count(run)
 
-    def covers(self, unit: waiting_lib.Waiting) -> bool:
+    def covers(self, unit: waiting_units.WaitingUnit) -> bool:
         """Returns whether a unit fits into what is left."""
         if unit.submission.terms.priority != FIRST_PRIORITY:
             return False
         left = self._left.get(unit.submission.account, 0)
         return 0 < unit.accelerators <= left
 
-    def use(self, unit: waiting_lib.Waiting) -> None:
+    def use(self, unit: waiting_units.WaitingUnit) -> None:
         """Counts a unit that starts, if it is inside the guarantee."""
         if self.covers(unit):
             self._left[unit.submission.account] -= unit.accelerators
 
-    def _count(self, run: runs_lib.Run) -> None:
+    def _count(self, run: unit_runs.Run) -> None:
         account: ids.AccountId = run.submission.account
         used = len(run.members) * run.step.demand.accelerators
         if used <= self._left.get(account, 0):
--- a/citronmount/fleet/job_ends.py
+++ b/citronmount/fleet/job_completion.py
@@ -1,22 +1,22 @@
 """Ends jobs: stops what is left of them and records their final state."""
 
 from citronmount.core import ids
-from citronmount.fleet import orders
+from citronmount.fleet import commands
 from citronmount.fleet import owner_state
 from citronmount.fleet import run_driver
-from citronmount.fleet import runs as runs_lib
-from citronmount.fleet import waiting as waiting_lib
-from citronmount.workflow import book as book_lib
+from citronmount.fleet import unit_runs
+from citronmount.fleet import waiting_units
+from citronmount.workflow import job_views
 from citronmount.workflow import records
 
-__all__ = ["JobEnds", "final_state"]
+__all__ = ["JobCompletion", "final_state"]
 
 FINAL_STATE_MARGIN_S = 60
 
 _MS_PER_S = 1_000
 
 
-class JobEnds:
+class JobCompletion:
     """Gives jobs their final state and forgets it in time."""
 
     def __init__(
@@ -33,16 +33,16 @@
 
     def end_jobs(self, now_ms: int, wall_ms: int) -> None:
         """Ends jobs that are complete, failed or cancelled."""
-        for job, entry in list(self._state.book.jobs.items()):
+        for job, entry in list(self._state.job_view.jobs.items()):
             final = final_state(entry)
             if final is None or job in self._state.finishing:
                 continue
-            cause = runs_lib.EndCause.JOB_FAILED
+            cause = unit_runs.EndCause.JOB_FAILED
             if final is records.FinalState.CANCELLED:
-                cause = runs_lib.EndCause.CANCELLED
+                cause = unit_runs.EndCause.CANCELLED
             left = self._state.table.of_job(job)
             for run in left:
-                if run.outcome is not orders.EndKind.DONE:
+                if run.outcome is not commands.EndKind.DONE:
                     self._state.end_run(run, cause)
                     self._driver.drive_to_end(run, now_ms)
             if not left:
@@ -52,7 +52,7 @@
     def _finish(
         self,
         job: ids.JobId,
-        entry: book_lib.JobEntry,
+        entry: job_views.JobEntry,
         final: records.FinalState,
         wall_ms: int,
     ) -> None:
@@ -64,7 +64,7 @@
             account=entry.submission.account,
             finished_ms=wall_ms,
         )
-        keys = self._state.book.keys_of(job)
+        keys = self._state.job_view.keys_of(job)
         self._state.write(record)
         for key in keys:
             self._state.drop_key(key)
@@ -77,7 +77,7 @@
             account=record.account,
             state=final.name.lower(),
             age_ms=wall_ms - entry.submission.accepted_ms,
-            objective_ms=waiting_lib.objective_end_ms(entry.submission)
+            objective_ms=waiting_units.objective_end_ms(entry.submission)
             - entry.submission.accepted_ms,
             slack_factor=entry.submission.terms.slack_factor,
             margin_ms=entry.submission.terms.objective_ms,
@@ -85,7 +85,7 @@
 
     def _forget_old(self, wall_ms: int) -> None:
         kept_s = self._state.bounds.status_s + FINAL_STATE_MARGIN_S
-        for job in self._state.book.expired(wall_ms - kept_s * _MS_PER_S):
+        for job in self._state.job_view.expired(wall_ms - kept_s * _MS_PER_S):
             if job not in self._state.finishing:
                 self._state.finishing.add(job)
                 key = records.final_key(job)
@@ -93,7 +93,7 @@
 
 
 def final_state(
-    entry: book_lib.JobEntry,
+    entry: job_views.JobEntry,
 ) -> records.FinalState | None:
     """Returns how a job has ended, or None if it has not."""
     if entry.progress.complete:
--- a/citronmount/fleet/sessions.py
+++ b/citronmount/fleet/lease_sessions.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import orders
-from citronmount.fleet import workers
+from citronmount.fleet import commands
+from citronmount.fleet import worker_directory
 
-__all__ = ["HoldState", "LeasePolicy", "Session"]
+__all__ = ["HoldState", "LeasePolicy", "LeaseSession"]
 
 _SLOWEST_CLOCK = 0.98
 
@@ -42,7 +42,7 @@
     stop_ms: int = 400
 
 
-class Session:
+class LeaseSession:
     """One life of a worker under one owner.
 
     Attributes:
@@ -55,7 +55,7 @@
     def __init__(
         self,
         *,
-        worker: workers.Worker,
+        worker: worker_directory.Worker,
         policy: LeasePolicy,
         token: ids.FenceToken,
         now_ms: int,
@@ -133,7 +133,7 @@
             self._clock_ms = clock_ms
             self.answered_ms = now_ms
 
-    def next_hold(self, now_ms: int) -> orders.Hold | None:
+    def next_hold(self, now_ms: int) -> commands.RenewLeases | None:
         """Returns the hold that is due, if any.
 
         Args:
@@ -153,7 +153,7 @@
         trusted = self.silent_ms(now_ms) < self._policy.trust_ms
         renews = self.primed and self.runs and trusted
         quick = self._unresolved or not self.primed or not self.runs
-        return orders.Hold(
+        return commands.RenewLeases(
             worker=self.worker,
             until_ms=self.lease_until_ms(now_ms) if renews else None,
             last_seen=self._last_seen,
@@ -161,10 +161,10 @@
             token=self._token,
         )
 
-    def _look(self) -> orders.Hold:
+    def _look(self) -> commands.RenewLeases:
         """Returns a hold that only asks, beside one that may be waiting."""
         self._look_wanted = False
-        return orders.Hold(
+        return commands.RenewLeases(
             worker=self.worker,
             until_ms=None,
             last_seen=self._told_seen,
@@ -173,12 +173,12 @@
             look=True,
         )
 
-    def look_answered(self, report: orders.HoldReport, now_ms: int) -> None:
+    def look_answered(self, report: commands.LeaseReport, now_ms: int) -> None:
         """Takes in the answer to a look."""
         self.waits_unanswered = 0
         self.heard(report.clock_ms, now_ms)
 
-    def hold_answered(self, report: orders.HoldReport, now_ms: int) -> None:
+    def hold_answered(self, report: commands.LeaseReport, now_ms: int) -> None:
         """Takes in the answer to a hold."""
         self._hold = HoldState.IDLE
         self.waits_unanswered = 0
--- a/citronmount/fleet/owner_state.py
+++ b/citronmount/fleet/owner_state.py
@@ -6,25 +6,25 @@
 import structlog
 
 from citronmount.core import ids
-from citronmount.fleet import advice as advice_lib
-from citronmount.fleet import configuration as configuration_lib
-from citronmount.fleet import orders
+from citronmount.fleet import advice_cache
+from citronmount.fleet import commands
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import lease_sessions
 from citronmount.fleet import run_table
-from citronmount.fleet import runs as runs_lib
-from citronmount.fleet import sessions as sessions_lib
+from citronmount.fleet import unit_runs
+from citronmount.fleet import worker_directory
 from citronmount.fleet import worker_health
 from citronmount.fleet import worker_speeds
-from citronmount.fleet import workers as workers_lib
-from citronmount.workflow import book as book_lib
+from citronmount.workflow import job_views
 from citronmount.workflow import records
 from citronmount.workflow import units
 
-__all__ = ["Entry", "OwnerState"]
+__all__ = ["LogEntry", "OwnerState"]
 
 CLOCK_DRIFT_FACTOR = 1.03
 
 
-class Entry(msgspec.Struct, frozen=True, kw_only=True):
+class LogEntry(msgspec.Struct, frozen=True, kw_only=True):
     """One record that the owner wants appended.
 
     Attributes:
@@ -77,17 +77,17 @@
         self,
         *,
         token: ids.FenceToken,
-        book: book_lib.Book,
-        directory: workers_lib.WorkerDirectory,
-        bounds: configuration_lib.Bounds,
-        policy: sessions_lib.LeasePolicy,
+        job_view: job_views.JobView,
+        directory: worker_directory.WorkerDirectory,
+        bounds: fleet_configuration.Bounds,
+        policy: lease_sessions.LeasePolicy,
         now_ms: int,
     ) -> None:
         """Initializes without runs.
 
         Args:
             token: The fencing token.
-            book: The fold of the job topic, up to date.
+            job_view: The fold of the job topic, up to date.
             directory: The workers' entries.
             bounds: Times that the site sets.
             policy: How leases are renewed.
@@ -96,17 +96,17 @@
         self.token = token
         self.fenced = False
         self.log = structlog.get_logger().bind(token=token)
-        self.book = book
+        self.job_view = job_view
         self.directory = directory
         self.bounds = bounds
         self.policy = policy
         self.table = run_table.RunTable()
-        self.sessions: dict[ids.WorkerId, sessions_lib.Session] = {}
+        self.sessions: dict[ids.WorkerId, lease_sessions.LeaseSession] = {}
         self.strangers: dict[ids.WorkerId, int] = {}
         self.heard: set[ids.WorkerId] = set()
         self.suspended: dict[ids.WorkerId, int] = {}
         self.ready_since: dict[units.UnitId, int] = {}
-        self.clearing: dict[units.UnitId, list[runs_lib.Run]] = {}
+        self.clearing: dict[units.UnitId, list[unit_runs.Run]] = {}
         self.finishing: set[ids.JobId] = set()
         self.unrecorded: collections.Counter[units.UnitId] = (
             collections.Counter()
@@ -114,21 +114,21 @@
         self.later_ends: dict[units.UnitId, list[tuple[records.Place, int]]] = (
             collections.defaultdict(list)
         )
-        self.last_runs: dict[units.UnitId, runs_lib.Run] = {}
+        self.last_runs: dict[units.UnitId, unit_runs.Run] = {}
         self.failed_at: dict[units.UnitId, set[ids.WorkerId]] = {}
         self.stalls: collections.Counter[units.UnitId] = collections.Counter()
         self.health = worker_health.WorkerHealth()
         self.speeds = worker_speeds.WorkerSpeeds()
-        self.speeds.restore(book.speeds, now_ms)
-        self.advice = advice_lib.AdviceBook()
-        self.entries: list[Entry] = []
-        self.orders: list[orders.Order] = []
+        self.speeds.restore(job_view.speeds, now_ms)
+        self.advice = advice_cache.AdviceCache()
+        self.entries: list[LogEntry] = []
+        self.commands: list[commands.Command] = []
         self.orphans_gone_ms = now_ms + int(
             policy.max_lease_ms * CLOCK_DRIFT_FACTOR + policy.stop_ms
         )
         self.changed = True
 
-    def end_run(self, run: runs_lib.Run, cause: runs_lib.EndCause) -> None:
+    def end_run(self, run: unit_runs.Run, cause: unit_runs.EndCause) -> None:
         """Makes what is left of a run end, and tells why."""
         if run.cause is None:
             self.log.info(
@@ -150,7 +150,7 @@
         if isinstance(record, records.UnitChanged):
             self.unrecorded[record.unit] += 1
         self.entries.append(
-            Entry(key=records.key_of(record), record=record, ends=ends)
+            LogEntry(key=records.key_of(record), record=record, ends=ends)
         )
 
     def resolve(self, place: records.Place, number: int, now_ms: int) -> None:
@@ -160,7 +160,7 @@
             session.resolve_end(number, now_ms)
             self.heard.add(place.worker)
 
-    def member_gone(self, run: runs_lib.Run, member: runs_lib.Member) -> None:
+    def member_gone(self, run: unit_runs.Run, member: unit_runs.Member) -> None:
         """Notes a task that its worker no longer has."""
         self.log.info(
             "run_missing",
@@ -170,12 +170,12 @@
         )
         self.table.gone(run, member)
         self.changed = True
-        if run.outcome is not orders.EndKind.DONE:
-            self.end_run(run, runs_lib.EndCause.MEMBER_ENDED)
+        if run.outcome is not commands.EndKind.DONE:
+            self.end_run(run, unit_runs.EndCause.MEMBER_ENDED)
 
     def session_of(
-        self, worker: workers_lib.Worker
-    ) -> sessions_lib.Session | None:
+        self, worker: worker_directory.Worker
+    ) -> lease_sessions.LeaseSession | None:
         """Returns the session of this life of a worker, if any."""
         session = self.sessions.get(worker.worker)
         if session is None or session.worker.life_ms != worker.life_ms:
@@ -192,7 +192,7 @@
 
     def drop_key(self, key: str) -> None:
         """Has a key of the job topic removed."""
-        self.entries.append(Entry(key=key, record=None))
+        self.entries.append(LogEntry(key=key, record=None))
 
     def forget_unit(self, unit: units.UnitId) -> None:
         """Drops what is remembered of a unit whose job has ended."""
@@ -205,7 +205,9 @@
         ):
             kept.pop(unit, None)
 
-    def session_at(self, place: records.Place) -> sessions_lib.Session | None:
+    def session_at(
+        self, place: records.Place
+    ) -> lease_sessions.LeaseSession | None:
         """Returns the session of the life that a place names, if it lives."""
         session = self.sessions.get(place.worker)
         if session is None or session.worker.life_ms != place.life_ms:
--- a/citronmount/fleet/planning.py
+++ b/citronmount/fleet/planning.py
@@ -6,18 +6,18 @@
 from collections.abc import Sequence
 
 from citronmount.core import ids
-from citronmount.fleet import configuration as configuration_lib
+from citronmount.fleet import delay_scheduling
 from citronmount.fleet import fitting
-from citronmount.fleet import guarantees as guarantees_lib
-from citronmount.fleet import patience as patience_lib
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import guarantees
 from citronmount.fleet import preemption
-from citronmount.fleet import room as room_lib
 from citronmount.fleet import run_table
-from citronmount.fleet import runs as runs_lib
-from citronmount.fleet import waiting as waiting_lib
+from citronmount.fleet import unit_runs
+from citronmount.fleet import waiting_units
+from citronmount.fleet import worker_allocations
+from citronmount.fleet import worker_directory
 from citronmount.fleet import worker_health
 from citronmount.fleet import worker_speeds
-from citronmount.fleet import workers as workers_lib
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
@@ -31,17 +31,17 @@
 _Shape = tuple
 
 
-def _full_trust(worker: workers_lib.Worker) -> worker_health.Trust:
+def _full_trust(worker: worker_directory.Worker) -> worker_health.Trust:
     del worker
     return worker_health.Trust()
 
 
-def _full_speed(worker: workers_lib.Worker) -> float:
+def _full_speed(worker: worker_directory.Worker) -> float:
     del worker
     return 1.0
 
 
-def _anyone(key: units.UnitKey, worker: workers_lib.Worker) -> bool:
+def _anyone(key: units.UnitKey, worker: worker_directory.Worker) -> bool:
     del key, worker
     return True
 
@@ -56,16 +56,18 @@
     def __init__(
         self,
         *,
-        workers: Sequence[workers_lib.Worker],
+        workers: Sequence[worker_directory.Worker],
         table: run_table.RunTable,
-        accounts: Iterable[configuration_lib.Account],
-        bounds: configuration_lib.Bounds,
+        accounts: Iterable[fleet_configuration.Account],
+        bounds: fleet_configuration.Bounds,
         now_ms: int,
         trust: Callable[
-            [workers_lib.Worker], worker_health.Trust
+            [worker_directory.Worker], worker_health.Trust
         ] = _full_trust,
-        slowdown: Callable[[workers_lib.Worker], float] = _full_speed,
-        allowed: Callable[[units.UnitKey, workers_lib.Worker], bool] = _anyone,
+        slowdown: Callable[[worker_directory.Worker], float] = _full_speed,
+        allowed: Callable[
+            [units.UnitKey, worker_directory.Worker], bool
+        ] = _anyone,
     ) -> None:
         """Initializes a round.
 
@@ -102,9 +104,7 @@
         self._room = table.room.copy()
         self._bounds = bounds
         self._now_ms = now_ms
-        self._guarantees = guarantees_lib.Guarantees(
-            accounts=accounts, runs=table
-        )
+        self._guarantees = guarantees.Guarantees(accounts=accounts, runs=table)
         self._stopped: set[units.UnitId] = set()
         self._full: set[_Shape] = set()
         self._chosen: dict[tuple, collections.Counter[ids.WorkerId]] = (
@@ -112,7 +112,7 @@
         )
         self._serving = _places(run for run in table if run.step.goal_ms)
         self._filling = _places(run for run in table if run.step.fills)
-        self._patience = patience_lib.Patience(
+        self._patience = delay_scheduling.DelayPolicy(
             now_ms=now_ms,
             bounds=bounds,
             idle_pool=self._used_share() < _IDLE_POOL_SHARE,
@@ -122,8 +122,8 @@
         self._objective_ends_ms: dict[ids.JobId, int] = {}
 
     def decide(
-        self, waiting: Iterable[waiting_lib.Waiting]
-    ) -> list[waiting_lib.Decision]:
+        self, waiting: Iterable[waiting_units.WaitingUnit]
+    ) -> list[waiting_units.Decision]:
         """Returns what is to start now.
 
         Args:
@@ -141,7 +141,7 @@
                 decisions.append(decision)
         return decisions
 
-    def _rank(self, unit: waiting_lib.Waiting) -> tuple:
+    def _rank(self, unit: waiting_units.WaitingUnit) -> tuple:
         return (
             not self._guarantees.covers(unit),
             unit.submission.terms.priority,
@@ -152,16 +152,16 @@
             unit.key.index,
         )
 
-    def _objective_end_ms(self, unit: waiting_lib.Waiting) -> int:
+    def _objective_end_ms(self, unit: waiting_units.WaitingUnit) -> int:
         known = self._objective_ends_ms.get(unit.key.job)
         if known is None:
-            known = waiting_lib.objective_end_ms(unit.submission)
+            known = waiting_units.objective_end_ms(unit.submission)
             self._objective_ends_ms[unit.key.job] = known
         return known
 
     def _decide_one(
-        self, unit: waiting_lib.Waiting
-    ) -> waiting_lib.Decision | None:
+        self, unit: waiting_units.WaitingUnit
+    ) -> waiting_units.Decision | None:
         within = self._guarantees.covers(unit)
         spread = self._spread(unit, within)
         shape = self._shape(unit, spread, within)
@@ -169,7 +169,7 @@
             return None
         chosen = self._fit(unit, shape, spread, within)
         if chosen is not None:
-            return waiting_lib.Decision(
+            return waiting_units.Decision(
                 waiting=unit,
                 workers=tuple(chosen),
                 within_guarantee=within,
@@ -179,7 +179,10 @@
         return self._reclaim(unit, spread, within)
 
     def _shape(
-        self, unit: waiting_lib.Waiting, spread: fitting.Spread, within: bool
+        self,
+        unit: waiting_units.WaitingUnit,
+        spread: fitting.Spread,
+        within: bool,
     ) -> _Shape:
         return (
             unit.submission.terms.service,
@@ -195,11 +198,11 @@
 
     def _fit(
         self,
-        unit: waiting_lib.Waiting,
+        unit: waiting_units.WaitingUnit,
         shape: _Shape,
         spread: fitting.Spread,
         within: bool,
-    ) -> list[workers_lib.Worker] | None:
+    ) -> list[worker_directory.Worker] | None:
         """Finds workers with room for a unit.
 
         Single tasks of one shape take from one shelf as long as nothing else
@@ -217,8 +220,8 @@
         return None if worker is None else [worker]
 
     def _suited(
-        self, unit: waiting_lib.Waiting, within: bool
-    ) -> list[workers_lib.Worker]:
+        self, unit: waiting_units.WaitingUnit, within: bool
+    ) -> list[worker_directory.Worker]:
         """Returns the workers that are good enough for a unit by now."""
         workers = self._quick
         if self._patience.takes_slow(unit, within):
@@ -228,7 +231,7 @@
         return [each for each in workers if self._gets_along(unit, each)]
 
     def _gets_along(
-        self, unit: waiting_lib.Waiting, worker: workers_lib.Worker
+        self, unit: waiting_units.WaitingUnit, worker: worker_directory.Worker
     ) -> bool:
         """Returns whether a unit may and should go to a worker at all.
 
@@ -245,8 +248,11 @@
         return True
 
     def _reclaim(
-        self, unit: waiting_lib.Waiting, spread: fitting.Spread, within: bool
-    ) -> waiting_lib.Decision | None:
+        self,
+        unit: waiting_units.WaitingUnit,
+        spread: fitting.Spread,
+        within: bool,
+    ) -> waiting_units.Decision | None:
         """Finds runs to stop for a unit of the first priority.
 
         Inside the guarantee any run outside one may go. Beyond it only runs
@@ -254,7 +260,7 @@
         unit itself is: a burst of urgent jobs is then served at the cost of
         young runs.
         """
-        if unit.submission.terms.priority != guarantees_lib.FIRST_PRIORITY:
+        if unit.submission.terms.priority != guarantees.FIRST_PRIORITY:
             return None
         workers = [
             each for each in self._workers if self._gets_along(unit, each)
@@ -272,7 +278,7 @@
         worth = preemption.planned_work(unit.step, unit.tasks)
         if not within and found.cost_core_s > URGENCY_FACTOR * worth:
             return None
-        return waiting_lib.Decision(
+        return waiting_units.Decision(
             waiting=unit,
             workers=found.workers,
             victims=found.victims,
@@ -281,21 +287,21 @@
             lost_core_s=found.cost_core_s,
         )
 
-    def _revocable(self, within: bool) -> list[runs_lib.Run]:
+    def _revocable(self, within: bool) -> list[unit_runs.Run]:
         """Returns the runs that may be stopped."""
-        lowest = guarantees_lib.FIRST_PRIORITY
+        lowest = guarantees.FIRST_PRIORITY
         revocable = [
             run
             for run in self._table
             if run.unit not in self._guarantees.inside
             and run.unit not in self._stopped
-            and run.phase is runs_lib.RunPhase.ACTIVE
+            and run.phase is unit_runs.RunPhase.ACTIVE
             and (within or run.submission.terms.priority > lowest)
             and not run.step.lasting
         ]
         return revocable + (self._spare_lasting() if within else [])
 
-    def _spare_lasting(self) -> list[runs_lib.Run]:
+    def _spare_lasting(self) -> list[unit_runs.Run]:
         """Returns lasting runs that their steps can spare at present."""
         steps = collections.defaultdict(list)
         for run in self._table:
@@ -303,16 +309,16 @@
                 steps[_step_place(run.key)].append(run)
         return [run for members in steps.values() for run in _spared(members)]
 
-    def _cost(self, run: runs_lib.Run) -> float:
+    def _cost(self, run: unit_runs.Run) -> float:
         return preemption.lost_work(run, self._now_ms, self._bounds.save_s)
 
-    def _accept(self, decision: waiting_lib.Decision) -> None:
+    def _accept(self, decision: waiting_units.Decision) -> None:
         unit = decision.waiting
         if decision.victims or unit.tasks > 1:
             self._shelf = None
         self._guarantees.use(unit)
         self._stopped.update(run.unit for run in decision.victims)
-        demand = room_lib.charged(unit.step)
+        demand = worker_allocations.allocated_demand(unit.step)
         names = {worker.worker for worker in decision.workers}
         if unit.step.goal_ms:
             self._serving |= names
@@ -322,10 +328,14 @@
             self._room.take(worker.worker, demand)
             self._chosen[_step_place(unit.key)][worker.worker] += 1
 
-    def _free(self, worker: workers_lib.Worker) -> spec.Demand:
-        return room_lib.minus(worker.capacity, self._room.used(worker.worker))
+    def _free(self, worker: worker_directory.Worker) -> spec.Demand:
+        return worker_allocations.subtract_demands(
+            worker.capacity, self._room.used(worker.worker)
+        )
 
-    def _need(self, unit: waiting_lib.Waiting, most: int = 0) -> fitting.Need:
+    def _need(
+        self, unit: waiting_units.WaitingUnit, most: int = 0
+    ) -> fitting.Need:
         """Returns what a unit needs, or `most` single tasks like it."""
         return fitting.Need(
             tasks=most or unit.tasks,
@@ -336,7 +346,7 @@
             taken=self._taken(unit) if unit.step.max_tasks_per_worker else {},
         )
 
-    def _last(self, unit: waiting_lib.Waiting) -> frozenset[ids.WorkerId]:
+    def _last(self, unit: waiting_units.WaitingUnit) -> frozenset[ids.WorkerId]:
         """Returns the workers that a unit should leave to others.
 
         Load pattern: urgent gangs among work that can wait. Jobs with little
@@ -347,7 +357,9 @@
             return self._quicker
         return self._slower
 
-    def _avoided(self, unit: waiting_lib.Waiting) -> frozenset[ids.WorkerId]:
+    def _avoided(
+        self, unit: waiting_units.WaitingUnit
+    ) -> frozenset[ids.WorkerId]:
         """Returns where not to start, unless that leaves nowhere."""
         if not unit.avoid:
             return unit.avoid
@@ -360,7 +372,7 @@
         return unit.avoid if suited - unit.avoid else frozenset()
 
     def _taken(
-        self, unit: waiting_lib.Waiting
+        self, unit: waiting_units.WaitingUnit
     ) -> collections.Counter[ids.WorkerId]:
         place = _step_place(unit.key)
         running = collections.Counter(
@@ -372,7 +384,7 @@
         return running + self._chosen[place]
 
     def _spread(
-        self, unit: waiting_lib.Waiting, within: bool
+        self, unit: waiting_units.WaitingUnit, within: bool
     ) -> fitting.Spread:
         """Returns whether waiting for the preferred rack costs too much."""
         if not unit.step.one_rack and not unit.step.data_rack:
@@ -382,7 +394,7 @@
             return fitting.Spread.ANYWHERE
         return fitting.Spread.PREFERRED
 
-    def _fits_one_rack(self, unit: waiting_lib.Waiting) -> bool:
+    def _fits_one_rack(self, unit: waiting_units.WaitingUnit) -> bool:
         """Returns whether an empty rack could hold a unit."""
         shape = (unit.submission.terms.service, unit.step, unit.tasks)
         known = self._one_rack_fits.get(shape)
@@ -408,7 +420,7 @@
         )
 
 
-def _bare_need(unit: waiting_lib.Waiting) -> fitting.Need:
+def _bare_need(unit: waiting_units.WaitingUnit) -> fitting.Need:
     """Returns what a unit needs of workers that hold nothing."""
     return fitting.Need(
         tasks=unit.tasks,
@@ -417,7 +429,7 @@
     )
 
 
-def _is_particular(unit: waiting_lib.Waiting) -> bool:
+def _is_particular(unit: waiting_units.WaitingUnit) -> bool:
     """Returns whether its own step decides where a unit may go."""
     advised = unit.submission.terms.needs_advice
     return advised or unit.step.max_tasks_per_worker > 0
@@ -428,12 +440,12 @@
     return key.job, key.occurrence, key.step
 
 
-def _places(some: Iterable[runs_lib.Run]) -> set[ids.WorkerId]:
+def _places(some: Iterable[unit_runs.Run]) -> set[ids.WorkerId]:
     """Returns the workers that hold tasks of some runs."""
     return {member.place.worker for run in some for member in run.live_members}
 
 
-def _spared(members: list[runs_lib.Run]) -> list[runs_lib.Run]:
+def _spared(members: list[unit_runs.Run]) -> list[unit_runs.Run]:
     """Returns how many runs of one lasting step may be away, as runs.
 
     A step without a bound on unavailable tasks can spare all of them.
@@ -441,7 +453,7 @@
     working = [
         run
         for run in members
-        if run.started_ms is not None and run.phase is runs_lib.RunPhase.ACTIVE
+        if run.started_ms is not None and run.phase is unit_runs.RunPhase.ACTIVE
     ]
     step = members[0].step
     if not step.max_unavailable:
--- a/citronmount/fleet/owner.py
+++ b/citronmount/fleet/pool_owner.py
@@ -2,29 +2,29 @@
 
 from collections.abc import Iterable
 
-from citronmount.fleet import configuration as configuration_lib
-from citronmount.fleet import job_ends
-from citronmount.fleet import orders
+from citronmount.fleet import commands
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import job_completion
 from citronmount.fleet import owner_state
 from citronmount.fleet import planning
 from citronmount.fleet import run_driver
-from citronmount.fleet import runs as runs_lib
-from citronmount.fleet import waiting as waiting_lib
+from citronmount.fleet import unit_runs
+from citronmount.fleet import waiting_units
+from citronmount.fleet import worker_directory
 from citronmount.fleet import worker_reports
 from citronmount.fleet import worker_sessions
-from citronmount.fleet import workers as workers_lib
-from citronmount.workflow import book as book_lib
+from citronmount.workflow import job_views
 from citronmount.workflow import records
 from citronmount.workflow import units
 
-__all__ = ["Owner"]
+__all__ = ["PoolOwner"]
 
 LOOK_PERIOD_MS = 100
 KEEP_SPEEDS_PERIOD_MS = 5_000
 SPEED_CHANGE = 0.05
 
 
-class Owner:
+class PoolOwner:
     """Decides for the whole pool under one fencing token.
 
     The caller feeds what happened and then calls `step`, which returns the
@@ -47,14 +47,16 @@
         self._state = state
         self._sessions = worker_sessions.WorkerSessions(state=self._state)
         self._driver = run_driver.RunDriver(state=self._state)
-        self._ends = job_ends.JobEnds(state=self._state, driver=self._driver)
+        self._ends = job_completion.JobCompletion(
+            state=self._state, driver=self._driver
+        )
         self.reports = worker_reports.WorkerReports(
             state=self._state, sessions=self._sessions
         )
-        self._accounts: tuple[configuration_lib.Account, ...] = ()
+        self._accounts: tuple[fleet_configuration.Account, ...] = ()
         self._next_look_ms = 0
         self._next_keep_ms = now_ms + KEEP_SPEEDS_PERIOD_MS
-        self._kept_speeds = dict(state.book.speeds)
+        self._kept_speeds = dict(state.job_view.speeds)
         self._driver.restore(now_ms)
 
     @property
@@ -62,18 +64,18 @@
         """Whether a worker has seen a newer owner."""
         return self._state.fenced
 
-    def configure(
-        self, accounts: tuple[configuration_lib.Account, ...]
+    def set_accounts(
+        self, accounts: tuple[fleet_configuration.Account, ...]
     ) -> None:
         """Takes in the client accounts of the configuration in force."""
         self._accounts = accounts
         self._state.changed = True
 
-    def notice(self) -> None:
+    def mark_changed(self) -> None:
         """Takes in that the book or the directory changed."""
         self._state.changed = True
 
-    def take_entries(self, most: int) -> list[owner_state.Entry]:
+    def take_entries(self, most: int) -> list[owner_state.LogEntry]:
         """Returns the records to append next, oldest first.
 
         Args:
@@ -86,8 +88,8 @@
         self._state.entries = self._state.entries[most:]
         return entries
 
-    def appended(
-        self, entries: Iterable[owner_state.Entry], offset: int, now_ms: int
+    def records_appended(
+        self, entries: Iterable[owner_state.LogEntry], offset: int, now_ms: int
     ) -> None:
         """Takes in that records are durable.
 
@@ -98,11 +100,11 @@
         """
         for number, entry in enumerate(entries, offset):
             if entry.record is None:
-                self._state.book.drop(number, entry.key)
+                self._state.job_view.drop(number, entry.key)
                 job = records.job_of_final_key(entry.key)
                 self._state.finishing.discard(job)
             else:
-                self._state.book.apply(number, entry.record)
+                self._state.job_view.apply(number, entry.record)
             for place, end in entry.ends:
                 self._state.resolve(place, end, now_ms)
             if isinstance(entry.record, records.UnitChanged):
@@ -112,7 +114,7 @@
                 self._state.finishing.discard(entry.record.job)
         self._state.changed = True
 
-    def step(self, now_ms: int, wall_ms: int) -> list[orders.Order]:
+    def step(self, now_ms: int, wall_ms: int) -> list[commands.Command]:
         """Decides on all that happened and on the passing of time.
 
         Args:
@@ -135,7 +137,7 @@
             self._next_keep_ms = now_ms + KEEP_SPEEDS_PERIOD_MS
             self._keep_speeds()
         self._sessions.due_holds(now_ms)
-        out, self._state.orders = self._state.orders, []
+        out, self._state.commands = self._state.commands, []
         return out
 
     def _keep_speeds(self) -> None:
@@ -176,8 +178,8 @@
 
     def _ask_for_advice(
         self,
-        waiting: list[waiting_lib.Waiting],
-        usable: list[workers_lib.Worker],
+        waiting: list[waiting_units.WaitingUnit],
+        usable: list[worker_directory.Worker],
         now_ms: int,
     ) -> None:
         """Asks about workers with room for steps that need advice."""
@@ -188,20 +190,22 @@
             suited = [
                 worker
                 for worker in usable
-                if waiting_lib.has_room_for(unit, worker, room)
+                if waiting_units.has_room_for(unit, worker, room)
             ]
-            question = self._state.advice.next_question(
+            advice_request = self._state.advice.next_question(
                 unit.key.step_id, suited, now_ms
             )
-            if question is not None:
-                self._state.orders.append(question)
+            if advice_request is not None:
+                self._state.commands.append(advice_request)
                 return
 
-    def _waiting(self, now_ms: int, wall_ms: int) -> list[waiting_lib.Waiting]:
+    def _waiting(
+        self, now_ms: int, wall_ms: int
+    ) -> list[waiting_units.WaitingUnit]:
         waiting = []
-        for job, entry in self._state.book.jobs.items():
+        for job, entry in self._state.job_view.jobs.items():
             if (
-                job_ends.final_state(entry) is not None
+                job_completion.final_state(entry) is not None
                 or job in self._state.finishing
             ):
                 continue
@@ -214,11 +218,11 @@
         return waiting
 
     def _waiting_unit(
-        self, entry: book_lib.JobEntry, key: units.UnitKey, now_ms: int
-    ) -> waiting_lib.Waiting:
+        self, entry: job_views.JobEntry, key: units.UnitKey, now_ms: int
+    ) -> waiting_units.WaitingUnit:
         before = entry.progress.changed.get(key.unit)
         last = self._state.last_runs.get(key.unit)
-        return waiting_lib.Waiting(
+        return waiting_units.WaitingUnit(
             key=key,
             step=entry.submission.workflow.steps[key.step],
             submission=entry.submission,
@@ -232,9 +236,9 @@
             or (before.saved if before else ""),
         )
 
-    def _place(self, decision: waiting_lib.Decision, now_ms: int) -> None:
+    def _place(self, decision: waiting_units.Decision, now_ms: int) -> None:
         unit = decision.waiting
-        run = runs_lib.Run(
+        run = unit_runs.Run(
             key=unit.key,
             step=unit.step,
             submission=unit.submission,
@@ -243,14 +247,14 @@
                 records.Place(worker=worker.worker, life_ms=worker.life_ms)
                 for worker in decision.workers
             ],
-            phase=runs_lib.RunPhase.CLEARING,
+            phase=unit_runs.RunPhase.CLEARING,
             failures=unit.failures,
             saved=unit.saved,
             now_ms=now_ms,
         )
         self._state.table.add(run)
         for victim in decision.victims:
-            self._state.end_run(victim, runs_lib.EndCause.PREEMPTED)
+            self._state.end_run(victim, unit_runs.EndCause.PREEMPTED)
             self._driver.drive_to_end(victim, now_ms)
         self._state.clearing[run.unit] = list(decision.victims)
         self._driver.clear(run)
--- a/citronmount/fleet/preemption.py
+++ b/citronmount/fleet/preemption.py
@@ -13,9 +13,9 @@
 
 from citronmount.core import ids
 from citronmount.fleet import fitting
-from citronmount.fleet import room as room_lib
-from citronmount.fleet import runs as runs_lib
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import unit_runs
+from citronmount.fleet import worker_allocations
+from citronmount.fleet import worker_directory
 from citronmount.workflow import spec
 
 __all__ = [
@@ -31,7 +31,7 @@
 _MILLICORES_PER_CORE = 1_000
 _MS_PER_S = 1_000
 
-Cost = Callable[[runs_lib.Run], float]
+Cost = Callable[[unit_runs.Run], float]
 
 
 class Reclaim(msgspec.Struct, frozen=True, kw_only=True):
@@ -43,12 +43,12 @@
         cost_core_s: Work that is thrown away.
     """
 
-    workers: tuple[workers_lib.Worker, ...]
-    victims: tuple[runs_lib.Run, ...]
+    workers: tuple[worker_directory.Worker, ...]
+    victims: tuple[unit_runs.Run, ...]
     cost_core_s: float
 
 
-def lost_work(run: runs_lib.Run, now_ms: int, save_s: float) -> float:
+def lost_work(run: unit_runs.Run, now_ms: int, save_s: float) -> float:
     """Returns the work that a stop of a run throws away.
 
     Args:
@@ -89,9 +89,9 @@
 
 def find(
     need: fitting.Need,
-    workers: Sequence[workers_lib.Worker],
+    workers: Sequence[worker_directory.Worker],
     free: fitting.FreeRoom,
-    revocable: Iterable[runs_lib.Run],
+    revocable: Iterable[unit_runs.Run],
     cost: Cost,
     spread: fitting.Spread,
 ) -> Reclaim | None:
@@ -109,7 +109,7 @@
         The workers and victims, or None if no set makes room.
     """
     ranked = sorted(revocable, key=cost)
-    groups: list[Sequence[workers_lib.Worker]] = [workers]
+    groups: list[Sequence[worker_directory.Worker]] = [workers]
     if spread is fitting.Spread.PREFERRED and need.step.one_rack:
         racks = sorted({worker.rack for worker in workers})
         groups = [[w for w in workers if w.rack == rack] for rack in racks]
@@ -123,15 +123,15 @@
 
 def _in_group(
     need: fitting.Need,
-    group: Sequence[workers_lib.Worker],
+    group: Sequence[worker_directory.Worker],
     free: fitting.FreeRoom,
-    ranked: Sequence[runs_lib.Run],
+    ranked: Sequence[unit_runs.Run],
     cost: Cost,
     spread: fitting.Spread,
 ) -> Reclaim | None:
     names = {worker.worker for worker in group}
     useful = [run for run in ranked if _touches(run, names)]
-    victims: list[runs_lib.Run] = []
+    victims: list[unit_runs.Run] = []
     chosen = None
     for run in useful:
         victims.append(run)
@@ -152,29 +152,31 @@
     )
 
 
-def _touches(run: runs_lib.Run, names: set[ids.WorkerId]) -> bool:
+def _touches(run: unit_runs.Run, names: set[ids.WorkerId]) -> bool:
     return any(member.place.worker in names for member in run.live_members)
 
 
 def _fit_without(
     need: fitting.Need,
-    group: Sequence[workers_lib.Worker],
+    group: Sequence[worker_directory.Worker],
     free: fitting.FreeRoom,
-    victims: Iterable[runs_lib.Run],
+    victims: Iterable[unit_runs.Run],
     spread: fitting.Spread,
-) -> list[workers_lib.Worker] | None:
-    freed: dict[ids.WorkerId, room_lib.spec.Demand] = {}
+) -> list[worker_directory.Worker] | None:
+    freed: dict[ids.WorkerId, worker_allocations.spec.Demand] = {}
     for run in victims:
-        demand = room_lib.charged(run.step)
+        demand = worker_allocations.allocated_demand(run.step)
         for member in run.live_members:
             worker = member.place.worker
-            freed[worker] = room_lib.plus(
-                freed.get(worker, room_lib.NONE), demand
+            freed[worker] = worker_allocations.add_demands(
+                freed.get(worker, worker_allocations.NO_DEMAND), demand
             )
 
-    def with_freed(worker: workers_lib.Worker) -> room_lib.spec.Demand:
-        return room_lib.plus(
-            free(worker), freed.get(worker.worker, room_lib.NONE)
+    def with_freed(
+        worker: worker_directory.Worker,
+    ) -> worker_allocations.spec.Demand:
+        return worker_allocations.add_demands(
+            free(worker), freed.get(worker.worker, worker_allocations.NO_DEMAND)
         )
 
     return fitting.fit(need, group, with_freed, spread)
--- a/citronmount/fleet/run_driver.py
+++ b/citronmount/fleet/run_driver.py
@@ -3,11 +3,11 @@
 from collections.abc import Iterable
 
 from citronmount.core import ids
-from citronmount.fleet import orders
+from citronmount.fleet import commands
 from citronmount.fleet import owner_state
-from citronmount.fleet import runs as runs_lib
 from citronmount.fleet import slow_members
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import unit_runs
+from citronmount.fleet import worker_directory
 from citronmount.workflow import records
 from citronmount.workflow import units
 
@@ -34,29 +34,29 @@
 
     def restore(self, now_ms: int) -> None:
         """Makes runs of all that workers may still hold."""
-        for entry in self._state.book.jobs.values():
+        for entry in self._state.job_view.jobs.values():
             workflow = entry.submission.workflow
             for change in entry.progress.changed.values():
                 if not change.places:
                     continue
                 key = units.UnitKey.parse(change.unit)
-                run = runs_lib.Run(
+                run = unit_runs.Run(
                     key=key,
                     step=workflow.steps[key.step],
                     submission=entry.submission,
                     number=change.run,
                     places=change.places,
-                    phase=runs_lib.RunPhase.ACTIVE,
+                    phase=unit_runs.RunPhase.ACTIVE,
                     failures=change.failures,
                     saved=change.saved,
                     restored=True,
                     now_ms=now_ms,
                 )
                 for member in run.members:
-                    member.state = runs_lib.MemberState.ORDERED
+                    member.state = unit_runs.MemberState.ORDERED
                     member.start_answered = True
                 if change.status is records.UnitStatus.WAITING:
-                    self._state.end_run(run, runs_lib.EndCause.MEMBER_ENDED)
+                    self._state.end_run(run, unit_runs.EndCause.MEMBER_ENDED)
                 self._state.table.add(run)
 
     def recorded(self, change: records.UnitChanged) -> None:
@@ -66,12 +66,12 @@
             run is None
             or run.number != change.run
             or change.status is not records.UnitStatus.PLACED
-            or run.phase is not runs_lib.RunPhase.RECORDING
+            or run.phase is not unit_runs.RunPhase.RECORDING
         ):
             return
-        run.phase = runs_lib.RunPhase.ACTIVE
+        run.phase = unit_runs.RunPhase.ACTIVE
         for member in run.members:
-            member.state = runs_lib.MemberState.ORDERED
+            member.state = unit_runs.MemberState.ORDERED
 
     def settle(self, now_ms: int, look: bool) -> None:
         """Brings every run a step further and removes those over.
@@ -86,15 +86,15 @@
         for run in self._state.table:
             if run.at_work and not look:
                 continue
-            if run.phase is runs_lib.RunPhase.CLEARING:
+            if run.phase is unit_runs.RunPhase.CLEARING:
                 self.clear(run)
-            elif run.phase is runs_lib.RunPhase.ACTIVE:
+            elif run.phase is unit_runs.RunPhase.ACTIVE:
                 self._drive(run, now_ms)
                 self._end_if_still(run, now_ms)
                 self._end_if_held_up(run, now_ms)
                 self._end_if_hanging(run, now_ms)
                 self._move_off_leaving_workers(run, now_ms)
-            elif run.phase is runs_lib.RunPhase.ENDING:
+            elif run.phase is unit_runs.RunPhase.ENDING:
                 self.drive_to_end(run, now_ms)
             self._note_lapsed(run, now_ms)
             if run.over:
@@ -104,28 +104,28 @@
                 self._state.last_runs[run.unit] = run
                 self._state.changed = True
 
-    def clear(self, run: runs_lib.Run) -> None:
+    def clear(self, run: unit_runs.Run) -> None:
         """Records a run once what it waits for has ended."""
         victims = self._state.clearing.get(run.unit, [])
         if all(victim.over for victim in victims):
-            run.phase = runs_lib.RunPhase.RECORDING
+            run.phase = unit_runs.RunPhase.RECORDING
             self._state.write(run.record(records.UnitStatus.PLACED))
 
-    def _drive(self, run: runs_lib.Run, now_ms: int) -> None:
+    def _drive(self, run: unit_runs.Run, now_ms: int) -> None:
         """Sends the orders to start that are due."""
         for member in run.live_members:
-            if member.state is not runs_lib.MemberState.ORDERED:
+            if member.state is not unit_runs.MemberState.ORDERED:
                 continue
             if member.start_answered or member.start_open:
                 continue
             if now_ms < member.next_order_ms:
                 continue
             if member.start_tries >= START_TRIES:
-                self._state.end_run(run, runs_lib.EndCause.MEMBER_NOT_STARTED)
+                self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
                 return
             self._send_start(run, member, now_ms)
 
-    def _end_if_still(self, run: runs_lib.Run, now_ms: int) -> None:
+    def _end_if_still(self, run: unit_runs.Run, now_ms: int) -> None:
         """Ends a run of which a member does not get on, so that it moves.
 
         Each time the limit doubles, as with `_end_if_hanging`.
@@ -148,11 +148,11 @@
                 workers=still,
                 limit_ms=int(limit_ms),
             )
-            self._leave(run, still, runs_lib.EndCause.STALLED, now_ms)
+            self._leave(run, still, unit_runs.EndCause.STALLED, now_ms)
 
-    def _end_if_held_up(self, run: runs_lib.Run, now_ms: int) -> None:
+    def _end_if_held_up(self, run: unit_runs.Run, now_ms: int) -> None:
         """Ends a gang that is done sooner if it begins again elsewhere."""
-        if run.phase is not runs_lib.RunPhase.ACTIVE or run.step.lasting:
+        if run.phase is not unit_runs.RunPhase.ACTIVE or run.step.lasting:
             return
         if run.started_ms is None or len(run.members) < 2:
             return
@@ -167,13 +167,13 @@
                 workers=sorted(slow),
                 elapsed_ms=now_ms - run.started_ms,
             )
-            self._leave(run, slow, runs_lib.EndCause.SLOW_MEMBER, now_ms)
+            self._leave(run, slow, unit_runs.EndCause.SLOW_MEMBER, now_ms)
 
     def _leave(
         self,
-        run: runs_lib.Run,
+        run: unit_runs.Run,
         places: Iterable[ids.WorkerId],
-        cause: runs_lib.EndCause,
+        cause: unit_runs.EndCause,
         now_ms: int,
     ) -> None:
         """Ends a run whose unit shall avoid some workers from now on."""
@@ -183,7 +183,7 @@
             self._state.health.stands_still(worker, now_ms)
         self._state.end_run(run, cause)
 
-    def _end_if_hanging(self, run: runs_lib.Run, now_ms: int) -> None:
+    def _end_if_hanging(self, run: unit_runs.Run, now_ms: int) -> None:
         """Ends a run that stands still, so that it goes on elsewhere.
 
         Each time the limit doubles: a job that is far longer than it said
@@ -214,9 +214,11 @@
                 elapsed_ms=elapsed_ms,
                 estimate_ms=estimate_ms,
             )
-            self._state.end_run(run, runs_lib.EndCause.STALLED)
+            self._state.end_run(run, unit_runs.EndCause.STALLED)
 
-    def _move_off_leaving_workers(self, run: runs_lib.Run, now_ms: int) -> None:
+    def _move_off_leaving_workers(
+        self, run: unit_runs.Run, now_ms: int
+    ) -> None:
         """Ends a run that loses nothing by going on elsewhere.
 
         What runs on a worker ends when that leaves. Lasting tasks, and those
@@ -232,25 +234,25 @@
             if session is None:
                 continue
             worker = session.worker
-            if worker.state is not workers_lib.WorkerState.DRAINING:
+            if worker.state is not worker_directory.WorkerState.DRAINING:
                 continue
             if run.step.lasting or left_ms > (worker.remaining_ms or 0):
-                self._state.end_run(run, runs_lib.EndCause.WORKER_LEAVES)
+                self._state.end_run(run, unit_runs.EndCause.WORKER_LEAVES)
                 return
 
     def _send_start(
-        self, run: runs_lib.Run, member: runs_lib.Member, now_ms: int
+        self, run: unit_runs.Run, member: unit_runs.Member, now_ms: int
     ) -> None:
         session = self._state.session_at(member.place)
         if session is None:
             self._state.table.gone(run, member)
-            self._state.end_run(run, runs_lib.EndCause.MEMBER_NOT_STARTED)
+            self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
             return
         member.start_open = True
         member.start_tries += 1
         member.start_sent_ms = now_ms
-        self._state.orders.append(
-            orders.Start(
+        self._state.commands.append(
+            commands.Start(
                 worker=session.worker,
                 task=member.task,
                 run=run.number,
@@ -265,7 +267,7 @@
             )
         )
 
-    def drive_to_end(self, run: runs_lib.Run, now_ms: int) -> None:
+    def drive_to_end(self, run: unit_runs.Run, now_ms: int) -> None:
         """Sends the orders to stop that are due."""
         for member in run.live_members:
             if not member.ordered:
@@ -274,7 +276,7 @@
                 self._send_stop(run, member, now_ms)
 
     def _send_stop(
-        self, run: runs_lib.Run, member: runs_lib.Member, now_ms: int
+        self, run: unit_runs.Run, member: unit_runs.Member, now_ms: int
     ) -> None:
         session = self._state.session_at(member.place)
         if session is None:
@@ -282,8 +284,8 @@
         if now_ms < member.next_order_ms:
             return
         member.stop_open = True
-        self._state.orders.append(
-            orders.Stop(
+        self._state.commands.append(
+            commands.Stop(
                 worker=session.worker,
                 task=member.task,
                 run=run.number,
@@ -291,10 +293,10 @@
             )
         )
 
-    def _note_lapsed(self, run: runs_lib.Run, now_ms: int) -> None:
+    def _note_lapsed(self, run: unit_runs.Run, now_ms: int) -> None:
         """Gives up members whose lease has surely run out."""
         for member in run.live_members:
-            if member.state is runs_lib.MemberState.HELD:
+            if member.state is unit_runs.MemberState.HELD:
                 continue
             session = self._state.sessions.get(member.place.worker)
             if session is None:
--- a/citronmount/fleet/slow_members.py
+++ b/citronmount/fleet/slow_members.py
@@ -5,7 +5,7 @@
 """
 
 from citronmount.core import ids
-from citronmount.fleet import runs as runs_lib
+from citronmount.fleet import unit_runs
 
 __all__ = ["slow_workers"]
 
@@ -16,7 +16,7 @@
 _WHOLE_PERCENT = 100.0
 
 
-def slow_workers(run: runs_lib.Run) -> frozenset[ids.WorkerId]:
+def slow_workers(run: unit_runs.Run) -> frozenset[ids.WorkerId]:
     """Returns the workers that a gang should leave.
 
     Members of a gang do equal work, so the quickest one tells how long a run
@@ -50,7 +50,7 @@
     return frozenset(member.place.worker for member in slow)
 
 
-def _left_s(member: runs_lib.Member) -> float:
+def _left_s(member: unit_runs.Member) -> float:
     rate = member.progress.rough_percent_per_s
     if not rate:
         return float("inf")
--- a/citronmount/fleet/tests/test_planning.py
+++ b/citronmount/fleet/tests/test_planning.py
@@ -4,12 +4,12 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import configuration
 from citronmount.fleet import fitting
+from citronmount.fleet import fleet_configuration
 from citronmount.fleet import planning
 from citronmount.fleet import run_table
-from citronmount.fleet import waiting
-from citronmount.fleet import workers
+from citronmount.fleet import waiting_units
+from citronmount.fleet import worker_directory
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
@@ -21,15 +21,15 @@
 ONE = spec.Demand(millicores=1_000, memory_mb=1_000, accelerators=1)
 
 
-def worker(name: str, rack: str = "r0") -> workers.Worker:
-    return workers.Worker(
+def worker(name: str, rack: str = "r0") -> worker_directory.Worker:
+    return worker_directory.Worker(
         worker=ids.WorkerId(name),
         life_ms=1,
         machine=f"m-{name}",
         address="",
         failure_domain=ids.FailureDomainId("fd"),
         service=SERVICE,
-        state=workers.WorkerState.READY,
+        state=worker_directory.WorkerState.READY,
         capacity=CAPACITY,
         labels=frozenset(),
         rack=ids.RackId(rack),
@@ -38,7 +38,7 @@
 
 def units_of(
     job: str, step: spec.Step, slack_factor: float = 3.0
-) -> list[waiting.Waiting]:
+) -> list[waiting_units.WaitingUnit]:
     workflow = spec.Workflow(job=ids.JobId(job), payload="", steps=(step,))
     submission = spec.Submission(
         workflow=workflow,
@@ -47,7 +47,9 @@
         accepted_ms=ord(job),
     )
     return [
-        waiting.Waiting(key=key, step=step, submission=submission, since_ms=0)
+        waiting_units.WaitingUnit(
+            key=key, step=step, submission=submission, since_ms=0
+        )
         for key in units.units_of_step(workflow.job, 0, 0, step)
     ]
 
@@ -55,17 +57,17 @@
 class PlanningTest(unittest.TestCase):
     def decide(
         self,
-        pool: list[workers.Worker],
-        wanted: list[waiting.Waiting],
+        pool: list[worker_directory.Worker],
+        wanted: list[waiting_units.WaitingUnit],
         now_ms: int = 0,
         slow: str = "",
-    ) -> list[waiting.Decision]:
+    ) -> list[waiting_units.Decision]:
         planner = planning.Planner(
             workers=pool,
             slowdown=lambda each: 1.3 if each.worker in slow.split() else 1.0,
             table=run_table.RunTable(),
             accounts=(),
-            bounds=configuration.Bounds(),
+            bounds=fleet_configuration.Bounds(),
             now_ms=now_ms,
         )
         return planner.decide(wanted)
--- a/citronmount/fleet/tests/test_worker_health.py
+++ b/citronmount/fleet/tests/test_worker_health.py
@@ -3,19 +3,19 @@
 import msgspec
 
 from citronmount.core import ids
+from citronmount.fleet import worker_directory
 from citronmount.fleet import worker_health
-from citronmount.fleet import workers
 from citronmount.workflow import spec
 
 WORKER = ids.WorkerId("w")
-ENTRY = workers.Worker(
+ENTRY = worker_directory.Worker(
     worker=WORKER,
     life_ms=1,
     machine="m",
     address="",
     failure_domain=ids.FailureDomainId("fd"),
     service=spec.ServiceName("s"),
-    state=workers.WorkerState.READY,
+    state=worker_directory.WorkerState.READY,
     capacity=spec.Demand(),
     labels=frozenset(),
     rack=ids.RackId("r"),
--- a/citronmount/fleet/runs.py
+++ b/citronmount/fleet/unit_runs.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import orders
+from citronmount.fleet import commands
 from citronmount.fleet import task_progress
 from citronmount.workflow import records
 from citronmount.workflow import spec
@@ -156,7 +156,7 @@
         self.number = number
         self.phase = phase
         self.cause: EndCause | None = None
-        self.outcome: orders.EndKind | None = None
+        self.outcome: commands.EndKind | None = None
         self.failures = failures
         self.saved = saved
         self.restored = restored
--- a/citronmount/fleet/waiting.py
+++ b/citronmount/fleet/waiting_units.py
@@ -4,16 +4,16 @@
 
 from citronmount.core import ids
 from citronmount.fleet import fitting
-from citronmount.fleet import room as room_lib
-from citronmount.fleet import runs as runs_lib
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import unit_runs
+from citronmount.fleet import worker_allocations
+from citronmount.fleet import worker_directory
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
-__all__ = ["Decision", "Waiting", "has_room_for", "objective_end_ms"]
+__all__ = ["Decision", "WaitingUnit", "has_room_for", "objective_end_ms"]
 
 
-class Waiting(msgspec.Struct, frozen=True, kw_only=True):
+class WaitingUnit(msgspec.Struct, frozen=True, kw_only=True):
     """A unit that may start.
 
     Attributes:
@@ -59,9 +59,9 @@
         lost_core_s: Work that the stops throw away.
     """
 
-    waiting: Waiting
-    workers: tuple[workers_lib.Worker, ...]
-    victims: tuple[runs_lib.Run, ...] = ()
+    waiting: WaitingUnit
+    workers: tuple[worker_directory.Worker, ...]
+    victims: tuple[unit_runs.Run, ...] = ()
     within_guarantee: bool = False
     spread: fitting.Spread = fitting.Spread.PREFERRED
     lost_core_s: float = 0.0
@@ -87,7 +87,9 @@
 
 
 def has_room_for(
-    unit: Waiting, worker: workers_lib.Worker, room: room_lib.Room
+    unit: WaitingUnit,
+    worker: worker_directory.Worker,
+    room: worker_allocations.WorkerAllocations,
 ) -> bool:
     """Returns whether one task of a unit could start at a worker.
 
@@ -102,8 +104,10 @@
     need = fitting.Need(
         tasks=1, step=unit.step, service=unit.submission.terms.service
     )
-    free = room_lib.minus(worker.capacity, room.used(worker.worker))
-    demand = room_lib.charged(unit.step)
+    free = worker_allocations.subtract_demands(
+        worker.capacity, room.used(worker.worker)
+    )
+    demand = worker_allocations.allocated_demand(unit.step)
     return fitting.suits(need, worker) and bool(
-        room_lib.fits_times(free, demand, 1)
+        worker_allocations.max_task_count(free, demand, 1)
     )
--- a/citronmount/fleet/room.py
+++ b/citronmount/fleet/worker_allocations.py
@@ -6,12 +6,19 @@
 from citronmount.core import ids
 from citronmount.workflow import spec
 
-__all__ = ["NONE", "Room", "charged", "fits_times", "minus", "plus"]
+__all__ = [
+    "NO_DEMAND",
+    "WorkerAllocations",
+    "add_demands",
+    "allocated_demand",
+    "max_task_count",
+    "subtract_demands",
+]
 
-NONE = spec.Demand()
+NO_DEMAND = spec.Demand()
 
 
-def plus(left: spec.Demand, right: spec.Demand) -> spec.Demand:
+def add_demands(left: spec.Demand, right: spec.Demand) -> spec.Demand:
     """Returns the sum of two amounts."""
     return spec.Demand(
         millicores=left.millicores + right.millicores,
@@ -20,7 +27,7 @@
     )
 
 
-def minus(left: spec.Demand, right: spec.Demand) -> spec.Demand:
+def subtract_demands(left: spec.Demand, right: spec.Demand) -> spec.Demand:
     """Returns the difference of two amounts, which may be negative."""
     return spec.Demand(
         millicores=left.millicores - right.millicores,
@@ -29,7 +36,7 @@
     )
 
 
-def charged(step: spec.Step) -> spec.Demand:
+def allocated_demand(step: spec.Step) -> spec.Demand:
     """Returns what a task of a step takes of a worker's room.
 
     A filling task runs on processor time that others leave, so only its
@@ -42,7 +49,7 @@
     )
 
 
-def fits_times(free: spec.Demand, demand: spec.Demand, most: int) -> int:
+def max_task_count(free: spec.Demand, demand: spec.Demand, most: int) -> int:
     """Returns how many tasks fit into free room.
 
     Args:
@@ -61,7 +68,7 @@
     return max(min([most, *(have // need for have, need in pairs if need)]), 0)
 
 
-class Room:
+class WorkerAllocations:
     """What is given of each worker's room."""
 
     def __init__(self) -> None:
@@ -72,28 +79,28 @@
 
     def used(self, worker: ids.WorkerId) -> spec.Demand:
         """Returns what is given of a worker's room."""
-        return self._used.get(worker, NONE)
+        return self._used.get(worker, NO_DEMAND)
 
     def take(self, worker: ids.WorkerId, demand: spec.Demand) -> None:
         """Gives room of a worker."""
-        self._used[worker] = plus(self._used[worker], demand)
+        self._used[worker] = add_demands(self._used[worker], demand)
 
     def give_back(self, worker: ids.WorkerId, demand: spec.Demand) -> None:
         """Takes room of a worker back."""
-        left = minus(self._used[worker], demand)
+        left = subtract_demands(self._used[worker], demand)
         self._used[worker] = left
-        if left == NONE:
+        if left == NO_DEMAND:
             del self._used[worker]
 
-    def copy(self) -> "Room":
+    def copy(self) -> "WorkerAllocations":
         """Returns a copy to try decisions on."""
-        other = Room()
+        other = WorkerAllocations()
         other._used.update(self._used)
         return other
 
     def total(self, workers: Iterable[ids.WorkerId]) -> spec.Demand:
         """Returns what is given of the room of several workers."""
-        total = NONE
+        total = NO_DEMAND
         for worker in workers:
-            total = plus(total, self.used(worker))
+            total = add_demands(total, self.used(worker))
         return total
--- a/citronmount/fleet/workers.py
+++ b/citronmount/fleet/worker_directory.py
@@ -72,7 +72,7 @@
         """Iterates over the workers that have an entry."""
         return iter(self._workers.values())
 
-    def newest_lives(self) -> list[Worker]:
+    def newest_incarnations(self) -> list[Worker]:
         """Returns the entries but for those of a machine's older lives.
 
         A worker that starts again under another id leaves its former entry
@@ -105,15 +105,17 @@
         self._workers = {worker.worker: worker for worker in workers}
         self.version += 1
 
-    def set_domain_out(self, domain: ids.FailureDomainId, out: bool) -> None:
+    def set_domain_out_of_service(
+        self, domain: ids.FailureDomainId, out: bool
+    ) -> None:
         """Takes a failure domain out of service or back."""
         (self._out.add if out else self._out.discard)(domain)
 
-    def clear_domains_out(self) -> None:
+    def clear_domains_out_of_service(self) -> None:
         """Takes every failure domain back into service."""
         self._out.clear()
 
-    def usable(self, worker: Worker) -> bool:
+    def is_usable(self, worker: Worker) -> bool:
         """Returns whether a worker may get new work."""
         return (
             self._workers.get(worker.worker) is worker
--- a/citronmount/fleet/worker_health.py
+++ b/citronmount/fleet/worker_health.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import worker_directory
 
 __all__ = ["Trust", "WorkerHealth"]
 
@@ -60,9 +60,9 @@
         self._records: dict[ids.WorkerId, _Record] = collections.defaultdict(
             _Record
         )
-        self._life_ends: dict[workers_lib.MachineId, collections.deque[int]] = (
-            collections.defaultdict(collections.deque)
-        )
+        self._life_ends: dict[
+            worker_directory.MachineId, collections.deque[int]
+        ] = collections.defaultdict(collections.deque)
         self._usual: collections.deque[float] = collections.deque(
             maxlen=FLEET_RATIOS_KEPT
         )
@@ -140,7 +140,7 @@
             )
         return factor
 
-    def life_over(self, worker: workers_lib.Worker, now_ms: int) -> None:
+    def life_over(self, worker: worker_directory.Worker, now_ms: int) -> None:
         """Drops the evidence on a worker and remembers the machine.
 
         A machine whose workers come and go gets no work for a while, longer
@@ -154,14 +154,14 @@
         while ends and ends[0] < now_ms - FLAP_WINDOW_MS:
             ends.popleft()
 
-    def flaps(self, machine: workers_lib.MachineId, now_ms: int) -> bool:
+    def flaps(self, machine: worker_directory.MachineId, now_ms: int) -> bool:
         """Returns whether workers of a machine come and go."""
         ends = self._life_ends.get(machine)
         if not ends or len(ends) < FLAPS_TO_DISTRUST:
             return False
         return now_ms < ends[-1] + FLAP_DISTRUST_MS * (len(ends) - 1)
 
-    def trust(self, worker: workers_lib.Worker, now_ms: int) -> Trust:
+    def trust(self, worker: worker_directory.Worker, now_ms: int) -> Trust:
         """Returns what is believed of a worker."""
         if self.flaps(worker.machine, now_ms):
             return Trust(distrusted=True)
--- a/citronmount/fleet/worker_reports.py
+++ b/citronmount/fleet/worker_reports.py
@@ -3,12 +3,12 @@
 import collections
 import statistics
 
-from citronmount.fleet import orders
+from citronmount.fleet import commands
+from citronmount.fleet import lease_sessions
 from citronmount.fleet import owner_state
-from citronmount.fleet import runs as runs_lib
-from citronmount.fleet import sessions as sessions_lib
+from citronmount.fleet import unit_runs
+from citronmount.fleet import worker_directory
 from citronmount.fleet import worker_sessions
-from citronmount.fleet import workers as workers_lib
 from citronmount.workflow import records
 from citronmount.workflow import units
 
@@ -19,10 +19,10 @@
 TOLD_AFTER_HOLDS = 3
 
 _LOST_ROOM = (
-    orders.StartVerdict.NO_ROOM,
-    orders.StartVerdict.NOT_STARTED,
-    orders.StartVerdict.LATE,
-    orders.StartVerdict.UNREACHED,
+    commands.StartOutcome.NO_CAPACITY,
+    commands.StartOutcome.NOT_STARTED,
+    commands.StartOutcome.LEASE_EXPIRED,
+    commands.StartOutcome.UNREACHABLE,
 )
 
 
@@ -46,149 +46,154 @@
 
     def start_answered(
         self,
-        order: orders.Start,
-        verdict: orders.StartVerdict,
+        command: commands.Start,
+        outcome: commands.StartOutcome,
         clock_ms: int | None,
         now_ms: int,
     ) -> None:
         """Takes in what became of an order to start."""
-        self._state.heard.add(order.worker.worker)
-        self._heard(order.worker, clock_ms, now_ms)
-        if verdict is orders.StartVerdict.FENCED:
+        self._state.heard.add(command.worker.worker)
+        self._heard(command.worker, clock_ms, now_ms)
+        if outcome is commands.StartOutcome.FENCED:
             self._state.fenced = True
             return
-        found = self._state.table.of_task(order.task, order.run)
+        found = self._state.table.of_task(command.task, command.run)
         if found is None:
             return
         run, member = found
         member.start_open = False
         self._state.changed = True
-        if self._is_uncertain(member, verdict):
+        if self._is_uncertain(member, outcome):
             member.start_uncertain = True
             retry_ms = member.start_sent_ms + ORDER_RETRY_MS
             member.next_order_ms = max(now_ms, retry_ms)
             return
         member.start_answered = True
         member.settled_ms = now_ms
-        if verdict is orders.StartVerdict.STARTED:
+        if outcome is commands.StartOutcome.STARTED:
             self._seen_running(run, member, now_ms)
             if run.started_ms == now_ms:
                 self._begin_progress(run, now_ms)
             return
         self._state.log.warning(
             "start_refused",
-            task=order.task,
-            run=order.run,
-            worker=order.worker.worker,
-            verdict=verdict.value,
+            task=command.task,
+            run=command.run,
+            worker=command.worker.worker,
+            verdict=outcome.value,
         )
-        if verdict is orders.StartVerdict.NO_TICKET:
+        if outcome is commands.StartOutcome.NO_TICKET:
             self._state.advice.drop(run.key.step_id, member.place.worker)
-        if verdict in _LOST_ROOM:
-            self._state.suspended[order.worker.worker] = now_ms + SUSPENSION_MS
-        same_life = verdict is not orders.StartVerdict.OTHER_LIFE
+        if outcome in _LOST_ROOM:
+            self._state.suspended[command.worker.worker] = (
+                now_ms + SUSPENSION_MS
+            )
+        same_life = outcome is not commands.StartOutcome.OTHER_INCARNATION
         if not (member.start_uncertain and same_life):
             self._state.table.gone(run, member)
         # Else a stop settles what an earlier, unanswered order may have done.
-        self._state.end_run(run, runs_lib.EndCause.MEMBER_NOT_STARTED)
+        self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
 
     @staticmethod
     def _is_uncertain(
-        member: runs_lib.Member, verdict: orders.StartVerdict
+        member: unit_runs.Member, outcome: commands.StartOutcome
     ) -> bool:
         """Returns whether a member may still start by what was ordered."""
-        if verdict is orders.StartVerdict.UNREACHED:
+        if outcome is commands.StartOutcome.UNREACHABLE:
             return member.start_uncertain
-        return verdict is orders.StartVerdict.UNANSWERED
+        return outcome is commands.StartOutcome.UNKNOWN
 
-    def advised(
-        self, question: orders.Ask, grants: orders.Grants | None, now_ms: int
+    def advice_answered(
+        self,
+        advice_request: commands.RequestAdvice,
+        answer: commands.AdviceAnswer | None,
+        now_ms: int,
     ) -> None:
         """Takes in the answer to a question, or that there was none."""
-        if grants is None:
+        if answer is None:
             self._state.advice.unanswered(now_ms)
             return
-        self._state.advice.answered(question, grants, now_ms)
+        self._state.advice.answered(advice_request, answer, now_ms)
         self._state.changed = True
         self._state.log.info(
             "advice_taken",
-            step=question.step,
-            asked=len(question.workers),
-            granted=len(grants.tickets),
+            step=advice_request.step,
+            asked=len(advice_request.workers),
+            granted=len(answer.tickets),
         )
 
     def stop_answered(
         self,
-        order: orders.Stop,
-        verdict: orders.StopVerdict,
+        command: commands.Stop,
+        outcome: commands.StopOutcome,
         clock_ms: int | None,
         now_ms: int,
     ) -> None:
         """Takes in what became of an order to stop."""
-        self._state.heard.add(order.worker.worker)
-        self._heard(order.worker, clock_ms, now_ms)
-        if verdict is orders.StopVerdict.FENCED:
+        self._state.heard.add(command.worker.worker)
+        self._heard(command.worker, clock_ms, now_ms)
+        if outcome is commands.StopOutcome.FENCED:
             self._state.fenced = True
             return
-        session = self._state.sessions.get(order.worker.worker)
+        session = self._state.sessions.get(command.worker.worker)
         if session is not None:
             session.hold_soon(now_ms)
-        found = self._state.table.of_task(order.task, order.run)
+        found = self._state.table.of_task(command.task, command.run)
         if found is None:
             return
         run, member = found
         member.stop_open = False
         self._state.changed = True
-        if verdict is orders.StopVerdict.UNANSWERED:
+        if outcome is commands.StopOutcome.UNKNOWN:
             member.next_order_ms = now_ms + ORDER_RETRY_MS
             return
-        if verdict is orders.StopVerdict.OTHER_LIFE:
+        if outcome is commands.StopOutcome.OTHER_INCARNATION:
             self._state.table.gone(run, member)
             return
         member.stop_answered = True
         member.settled_ms = now_ms
-        never_seen = member.state is runs_lib.MemberState.ORDERED
+        never_seen = member.state is unit_runs.MemberState.ORDERED
         if never_seen and session is not None:
             session.look_soon()
 
-    def hold_failed(
-        self, order: orders.Hold, fenced: bool, now_ms: int
+    def renewal_failed(
+        self, command: commands.RenewLeases, fenced: bool, now_ms: int
     ) -> None:
         """Takes in that a hold brought no report."""
-        self._state.heard.add(order.worker.worker)
+        self._state.heard.add(command.worker.worker)
         if fenced:
             self._state.fenced = True
-        session = self._state.session_of(order.worker)
+        session = self._state.session_of(command.worker)
         if session is None:
             return
-        if order.look:
+        if command.look:
             return
         session.hold_failed(now_ms)
         if session.waits_unanswered == TOLD_AFTER_HOLDS:
             self._state.log.warning(
                 "worker_silent",
-                worker=order.worker.worker,
+                worker=command.worker.worker,
                 answered_ms_ago=session.silent_ms(now_ms),
                 runs=session.runs,
             )
 
-    def hold_answered(
+    def renewal_answered(
         self,
-        order: orders.Hold,
-        report: orders.HoldReport,
+        command: commands.RenewLeases,
+        report: commands.LeaseReport,
         sent_ms: int,
         now_ms: int,
     ) -> None:
         """Takes in what a worker reports.
 
         Args:
-            order: The hold.
+            command: The hold.
             report: The answer.
             sent_ms: Steady time at which the hold was sent.
             now_ms: Steady time in milliseconds.
         """
-        self._state.heard.add(order.worker.worker)
-        session = self._state.session_of(order.worker)
+        self._state.heard.add(command.worker.worker)
+        session = self._state.session_of(command.worker)
         if session is None:
             return
         if report.life_ms not in (None, session.worker.life_ms):
@@ -196,8 +201,8 @@
             return
         first = not session.primed
         if session.waits_unanswered >= TOLD_AFTER_HOLDS:
-            self._state.log.info("worker_answers", worker=order.worker.worker)
-        if order.look:
+            self._state.log.info("worker_answers", worker=command.worker.worker)
+        if command.look:
             session.look_answered(report, now_ms)
         else:
             session.hold_answered(report, now_ms)
@@ -209,8 +214,8 @@
 
     def _compare(
         self,
-        session: sessions_lib.Session,
-        report: orders.HoldReport,
+        session: lease_sessions.LeaseSession,
+        report: commands.LeaseReport,
         sent_ms: int,
         now_ms: int,
     ) -> None:
@@ -238,7 +243,7 @@
 
     def _miss(
         self,
-        session: sessions_lib.Session,
+        session: lease_sessions.LeaseSession,
         seen: set[units.TaskName],
         sent_ms: int,
     ) -> None:
@@ -249,7 +254,7 @@
                 self._state.member_gone(run, member)
 
     def _stop_stranger(
-        self, session: sessions_lib.Session, task: orders.RunningTask
+        self, session: lease_sessions.LeaseSession, task: commands.RunningTask
     ) -> None:
         self._state.log.warning(
             "unknown_run_stopped",
@@ -257,8 +262,8 @@
             task=task.task,
             run=task.run,
         )
-        self._state.orders.append(
-            orders.Stop(
+        self._state.commands.append(
+            commands.Stop(
                 worker=session.worker,
                 task=task.task,
                 run=task.run,
@@ -267,7 +272,10 @@
         )
 
     def _ended(
-        self, session: sessions_lib.Session, end: orders.EndedTask, now_ms: int
+        self,
+        session: lease_sessions.LeaseSession,
+        end: commands.EndedTask,
+        now_ms: int,
     ) -> None:
         """Takes in one end that a worker lists for the first time."""
         place = records.Place(
@@ -301,7 +309,7 @@
         change = run.record(status)
         self._state.write(change, ends=((place, end.number),))
 
-    def _learn_speeds(self, run: runs_lib.Run, now_ms: int) -> None:
+    def _learn_speeds(self, run: unit_runs.Run, now_ms: int) -> None:
         """Compares the workers of a gang by how its members got on."""
         if not run.step.gang:
             return
@@ -316,36 +324,36 @@
 
     def _note_health(
         self,
-        run: runs_lib.Run,
-        member: runs_lib.Member,
-        kind: orders.EndKind,
+        run: unit_runs.Run,
+        member: unit_runs.Member,
+        kind: commands.EndKind,
         now_ms: int,
     ) -> None:
         """Learns from an end what the worker is like."""
         worker = member.place.worker
-        if kind is orders.EndKind.DONE and run.started_ms is not None:
+        if kind is commands.EndKind.DONE and run.started_ms is not None:
             elapsed_ms = now_ms - run.started_ms
             estimate_ms = run.step.estimate_ms
             self._state.health.done(worker, elapsed_ms, estimate_ms, now_ms)
-        if kind is orders.EndKind.FAILED:
+        if kind is commands.EndKind.FAILED:
             self._state.failed_at.setdefault(run.unit, set()).add(worker)
             if self._state.health.failed(worker, run.job, now_ms):
                 self._state.log.warning("worker_distrusted", worker=worker)
 
     def _outcome(
-        self, run: runs_lib.Run, kind: orders.EndKind
+        self, run: unit_runs.Run, kind: commands.EndKind
     ) -> records.UnitStatus | None:
         """Returns what to record of an end, or None if nothing changes."""
-        decided = (orders.EndKind.DONE, orders.EndKind.FAILED)
+        decided = (commands.EndKind.DONE, commands.EndKind.FAILED)
         if run.outcome in decided:
             return None
         run.outcome = kind
-        if kind is orders.EndKind.DONE:
+        if kind is commands.EndKind.DONE:
             if run.step.lasting:
                 return records.UnitStatus.WAITING
             return records.UnitStatus.DONE
-        self._state.end_run(run, runs_lib.EndCause.MEMBER_ENDED)
-        if kind is orders.EndKind.FAILED:
+        self._state.end_run(run, unit_runs.EndCause.MEMBER_ENDED)
+        if kind is commands.EndKind.FAILED:
             run.failures += 1
             spent = run.failures >= run.submission.terms.max_attempts
             if spent and not run.step.lasting:
@@ -354,15 +362,15 @@
         return records.UnitStatus.WAITING if run.saved else None
 
     def _seen_running(
-        self, run: runs_lib.Run, member: runs_lib.Member, now_ms: int
+        self, run: unit_runs.Run, member: unit_runs.Member, now_ms: int
     ) -> None:
         member.start_answered = True
         if member.state in (
-            runs_lib.MemberState.RUNNING,
-            runs_lib.MemberState.GONE,
+            unit_runs.MemberState.RUNNING,
+            unit_runs.MemberState.GONE,
         ):
             return
-        member.state = runs_lib.MemberState.RUNNING
+        member.state = unit_runs.MemberState.RUNNING
         if run.started_ms is None and run.all_running():
             run.started_ms = now_ms
             self._state.log.info(
@@ -372,7 +380,7 @@
                 took_ms=now_ms - run.placed_ms,
             )
 
-    def _begin_progress(self, run: runs_lib.Run, now_ms: int) -> None:
+    def _begin_progress(self, run: unit_runs.Run, now_ms: int) -> None:
         """Notes that a run which starts anew has done nothing so far."""
         if run.saved or run.restored:
             return
@@ -382,7 +390,7 @@
                 member.progress.note(0, session.clock_ms(now_ms))
 
     def _heard(
-        self, worker: workers_lib.Worker, clock_ms: int | None, now_ms: int
+        self, worker: worker_directory.Worker, clock_ms: int | None, now_ms: int
     ) -> None:
         session = self._state.session_of(worker)
         if session is not None and clock_ms is not None and session.primed:
--- a/citronmount/fleet/worker_sessions.py
+++ b/citronmount/fleet/worker_sessions.py
@@ -3,16 +3,16 @@
 import collections
 
 from citronmount.core import ids
+from citronmount.fleet import lease_sessions
 from citronmount.fleet import owner_state
-from citronmount.fleet import sessions as sessions_lib
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import worker_directory
 
 __all__ = ["WorkerSessions"]
 
 SILENCE_MARGIN_MS = 600
 WITNESSES = 2
 SHUNNED_AFTER_HOLDS = 2
-MOST_PRIMING = 128
+MAX_FIRST_RENEWALS = 128
 SCAN_PERIOD_MS = 50
 
 
@@ -40,7 +40,7 @@
         if version == self._directory_version and not look:
             return
         self._directory_version = version
-        for worker in self._state.directory.newest_lives():
+        for worker in self._state.directory.newest_incarnations():
             session = self._state.sessions.get(worker.worker)
             if session is None:
                 self._open_session(worker, now_ms)
@@ -54,8 +54,10 @@
             if not listed and not self._state.table.count_on(name):
                 del self._state.sessions[name]
 
-    def _open_session(self, worker: workers_lib.Worker, now_ms: int) -> None:
-        session = sessions_lib.Session(
+    def _open_session(
+        self, worker: worker_directory.Worker, now_ms: int
+    ) -> None:
+        session = lease_sessions.LeaseSession(
             worker=worker,
             policy=self._state.policy,
             token=self._state.token,
@@ -71,7 +73,9 @@
             if same and older and worker.machine:
                 self.life_over(other, now_ms)
 
-    def life_over(self, session: sessions_lib.Session, now_ms: int) -> None:
+    def life_over(
+        self, session: lease_sessions.LeaseSession, now_ms: int
+    ) -> None:
         """Takes in that a life of a worker is over, with all it ran."""
         name = session.worker.worker
         self._state.log.info(
@@ -118,7 +122,7 @@
             for session in self._state.sessions.values()
             if not session.primed
         ]
-        free = MOST_PRIMING - sum(session.holding for session in unprimed)
+        free = MAX_FIRST_RENEWALS - sum(session.holding for session in unprimed)
         for session in unprimed:
             name = session.worker.worker
             session.runs = self._state.table.count_on(name)
@@ -130,14 +134,14 @@
                 return
             free -= self._hold(session, now_ms)
 
-    def _hold(self, session: sessions_lib.Session, now_ms: int) -> bool:
+    def _hold(self, session: lease_sessions.LeaseSession, now_ms: int) -> bool:
         """Sends a session's hold if it is due; returns whether it was."""
-        order = session.next_hold(now_ms)
-        if order is not None:
-            self._state.orders.append(order)
-        return order is not None
+        command = session.next_hold(now_ms)
+        if command is not None:
+            self._state.commands.append(command)
+        return command is not None
 
-    def usable(self, now_ms: int) -> list[workers_lib.Worker]:
+    def usable(self, now_ms: int) -> list[worker_directory.Worker]:
         """Returns the workers that may get work."""
         silent_domains = self._silent_domains(now_ms)
         return [
@@ -148,10 +152,12 @@
             and session.worker.failure_domain not in silent_domains
             and not self._state.strangers.get(name)
             and self._state.suspended.get(name, 0) <= now_ms
-            and self._state.directory.usable(session.worker)
+            and self._state.directory.is_usable(session.worker)
         ]
 
-    def _is_silent(self, session: sessions_lib.Session, now_ms: int) -> bool:
+    def _is_silent(
+        self, session: lease_sessions.LeaseSession, now_ms: int
+    ) -> bool:
         """Returns whether a worker should have answered by now.
 
         One that holds nothing is not asked, unless it did not answer before.
--- a/citronmount/fleet/worker_speeds.py
+++ b/citronmount/fleet/worker_speeds.py
@@ -10,7 +10,7 @@
 import math
 import statistics
 
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import worker_directory
 
 __all__ = ["SLOWER_FACTOR", "WorkerSpeeds"]
 
@@ -38,11 +38,11 @@
 
     def __init__(self) -> None:
         """Initializes without any evidence."""
-        self._speeds: dict[workers_lib.MachineId, _Speed] = {}
+        self._speeds: dict[worker_directory.MachineId, _Speed] = {}
         self._usual: float | None = None
 
     def learn(
-        self, rates: Mapping[workers_lib.MachineId, float], now_ms: int
+        self, rates: Mapping[worker_directory.MachineId, float], now_ms: int
     ) -> None:
         """Takes in how fast the members of a gang got on.
 
@@ -69,8 +69,8 @@
         self._usual = None
 
     def kept(
-        self, machines: Iterable[workers_lib.MachineId]
-    ) -> dict[workers_lib.MachineId, float]:
+        self, machines: Iterable[worker_directory.MachineId]
+    ) -> dict[worker_directory.MachineId, float]:
         """Returns what a later owner should begin with.
 
         Args:
@@ -87,7 +87,7 @@
         }
 
     def restore(
-        self, kept: Mapping[workers_lib.MachineId, float], now_ms: int
+        self, kept: Mapping[worker_directory.MachineId, float], now_ms: int
     ) -> None:
         """Begins with what an earlier owner has learned.
 
@@ -102,7 +102,9 @@
             speed.learned_ms = now_ms
         self._usual = None
 
-    def slowdown(self, machine: workers_lib.MachineId, now_ms: int) -> float:
+    def slowdown(
+        self, machine: worker_directory.MachineId, now_ms: int
+    ) -> float:
         """Returns how much longer a machine takes than a quick one.
 
         A machine on which nothing is known counts as quick. One that was very
--- a/citronmount/fleet_service/front.py
+++ b/citronmount/fleet_service/front.py
@@ -11,11 +11,11 @@
 from citronmount.core import errors
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.fleet import configuration as configuration_lib
+from citronmount.fleet import fleet_configuration
 from citronmount.fleet_service import contact as contact_lib
 from citronmount.fleet_service import log_tail
 from citronmount.fleet_service import ports
-from citronmount.workflow import book as book_lib
+from citronmount.workflow import job_views
 from citronmount.workflow import records
 from citronmount.workflow import spec
 
@@ -73,7 +73,7 @@
         *,
         clock: interfaces.IReactorTime,
         log: ports.Log,
-        book: book_lib.Book,
+        job_view: job_views.JobView,
         jobs: log_tail.LogTail,
         contact: contact_lib.LogContact,
         on_change: Callable[[], None],
@@ -84,16 +84,16 @@
         Args:
             clock: The reactor.
             log: The log.
-            book: The fold of the job topic.
+            job_view: The fold of the job topic.
             jobs: The tail that feeds the book.
             contact: Tells whether the log answers.
             on_change: Called after a change of the book.
             wall: Tells the Unix time in milliseconds.
         """
-        self.configuration: configuration_lib.FleetConfiguration | None = None
+        self.configuration: fleet_configuration.FleetConfiguration | None = None
         self._clock = clock
         self._log = log
-        self._book = book
+        self._job_view = job_view
         self._jobs = jobs
         self._contact = contact
         self._on_change = on_change
@@ -109,7 +109,7 @@
 
     async def submit(
         self,
-        queue: configuration_lib.Queue,
+        queue: fleet_configuration.Queue,
         account: ids.AccountId,
         workflow: spec.Workflow,
         timeout_ms: int,
@@ -125,7 +125,7 @@
         Returns:
             DONE if the job is stored, NOT_DONE if it surely is not.
         """
-        if self._book.state(workflow.job) is not None:
+        if self._job_view.state(workflow.job) is not None:
             return Answer(verdict=Verdict.DONE)
         submission = spec.Submission(
             workflow=workflow,
@@ -147,7 +147,7 @@
         return answer
 
     async def cancel(
-        self, queue: configuration_lib.Queue, job: ids.JobId, timeout_ms: int
+        self, queue: fleet_configuration.Queue, job: ids.JobId, timeout_ms: int
     ) -> Answer:
         """Cancels a job once that is durable.
 
@@ -175,7 +175,7 @@
         return answer
 
     async def state(
-        self, queue: configuration_lib.Queue, job: ids.JobId
+        self, queue: fleet_configuration.Queue, job: ids.JobId
     ) -> states.JobState | None:
         """Returns the state of a job, or None if the queue has no such job.
 
@@ -185,12 +185,12 @@
         Raises:
             UnreachableError: It is not known and the log does not answer.
         """
-        known = self._book.state(job)
+        known = self._job_view.state(job)
         if known not in _ENDED:
             await self._refresh(known is not None)
-        if self._book.queue_of(job) != queue.terms.queue:
+        if self._job_view.queue_of(job) != queue.terms.queue:
             return None
-        return self._book.state(job)
+        return self._job_view.state(job)
 
     async def _refresh(self, optional: bool) -> None:
         """Reads to the end of the topic.
@@ -210,9 +210,9 @@
                 raise
             self._trace.warning("older_state_told", error=str(error))
 
-    def pending(self, queue: configuration_lib.Queue) -> int:
+    def pending(self, queue: fleet_configuration.Queue) -> int:
         """Returns how many jobs of a queue have not begun."""
-        return self._book.pending(queue.terms.queue)
+        return self._job_view.pending(queue.terms.queue)
 
     async def _log_answers(self) -> bool:
         """Returns whether the log answers, asking it if that is not known.
@@ -265,7 +265,7 @@
                 verdict = Verdict.UNCERTAIN
             else:
                 self._contact.answered()
-                if self._book.apply(offset, record):
+                if self._job_view.apply(offset, record):
                     self._on_change()
                 return Answer(verdict=Verdict.DONE)
             await task.deferLater(self._clock, APPEND_RETRY_MS / _MS_PER_S)
--- a/citronmount/fleet_service/node.py
+++ b/citronmount/fleet_service/node.py
@@ -9,16 +9,16 @@
 
 from citronmount.core import errors
 from citronmount.core import ids
-from citronmount.fleet import configuration as configuration_lib
-from citronmount.fleet import sessions
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import lease_sessions
+from citronmount.fleet import worker_directory
 from citronmount.fleet_service import candidacy
 from citronmount.fleet_service import contact as contact_lib
 from citronmount.fleet_service import front as front_lib
 from citronmount.fleet_service import log_tail
 from citronmount.fleet_service import owner_loop
 from citronmount.fleet_service import ports
-from citronmount.workflow import book as book_lib
+from citronmount.workflow import job_views
 from citronmount.workflow import records
 
 __all__ = ["Node"]
@@ -43,8 +43,8 @@
         log: ports.Log,
         worker_orders: ports.WorkerOrders,
         decode: Decode,
-        bounds: configuration_lib.Bounds,
-        policy: sessions.LeasePolicy,
+        bounds: fleet_configuration.Bounds,
+        policy: lease_sessions.LeasePolicy,
         capable: bool = True,
         wall: Callable[[], int] = owner_loop.wall_ms,
     ) -> None:
@@ -62,8 +62,8 @@
         """
         self._decode = decode
         self._trace = structlog.get_logger()
-        self._book = book_lib.Book()
-        self._directory = workers_lib.WorkerDirectory()
+        self._job_view = job_views.JobView()
+        self._directory = worker_directory.WorkerDirectory()
         self._draining = False
         self._contact = contact_lib.LogContact(clock=clock)
         elsewhere = contact_lib.LogContact(clock=clock)
@@ -96,7 +96,7 @@
         self.front = front_lib.Front(
             clock=clock,
             log=log,
-            book=self._book,
+            job_view=self._job_view,
             jobs=self._jobs,
             contact=self._contact,
             on_change=self._notice,
@@ -106,7 +106,7 @@
             clock=clock,
             log=log,
             worker_orders=worker_orders,
-            book=self._book,
+            job_view=self._job_view,
             jobs=self._jobs,
             workers=self._workers,
             directory=self._directory,
@@ -127,7 +127,7 @@
         )
 
     def _owner_member(self) -> str | None:
-        owned = self._book.owned
+        owned = self._job_view.ownership
         return owned.member if owned else None
 
     @property
@@ -179,7 +179,7 @@
 
     def _fold_one(self, taken: ports.LogRecord) -> bool:
         if taken.value is None:
-            self._book.drop(taken.offset, taken.key)
+            self._job_view.drop(taken.offset, taken.key)
             return False
         try:
             record = records.decode(taken.key, taken.value)
@@ -188,7 +188,7 @@
                 "record_ignored", offset=taken.offset, error=str(error)
             )
             return False
-        return self._book.apply(taken.offset, record)
+        return self._job_view.apply(taken.offset, record)
 
     def _events(
         self, topic: ports.Topic, taken: Iterable[ports.LogRecord]
@@ -197,7 +197,7 @@
         return [event for event in events if event is not None]
 
     def _reconfigure(self, taken: Sequence[ports.LogRecord]) -> None:
-        self._directory.clear_domains_out()
+        self._directory.clear_domains_out_of_service()
         self._configure(taken)
 
     def _configure(self, taken: Sequence[ports.LogRecord]) -> None:
@@ -206,12 +206,12 @@
                 case ports.ConfigurationChanged(configuration=fresh):
                     self._put_in_force(fresh)
                 case ports.DomainSwitched(domain=domain, out=out):
-                    self._directory.set_domain_out(domain, out)
+                    self._directory.set_domain_out_of_service(domain, out)
                     self._trace.info("domain_switched", domain=domain, out=out)
         self._owner.notice()
 
     def _put_in_force(
-        self, fresh: configuration_lib.FleetConfiguration
+        self, fresh: fleet_configuration.FleetConfiguration
     ) -> None:
         before = self.front.configuration
         if before is not None and before.version > fresh.version:
@@ -241,7 +241,7 @@
                 self._change_worker(event.worker, event.entry)
 
     def _change_worker(
-        self, name: ids.WorkerId, entry: workers_lib.Worker | None
+        self, name: ids.WorkerId, entry: worker_directory.Worker | None
     ) -> None:
         before = self._directory.get(name)
         if entry is None:
--- a/citronmount/fleet_service/owner_loop.py
+++ b/citronmount/fleet_service/owner_loop.py
@@ -11,15 +11,15 @@
 
 from citronmount.core import errors
 from citronmount.core import ids
-from citronmount.fleet import configuration as configuration_lib
-from citronmount.fleet import orders
-from citronmount.fleet import owner as owner_lib
+from citronmount.fleet import commands
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import lease_sessions
 from citronmount.fleet import owner_state
-from citronmount.fleet import sessions
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import pool_owner
+from citronmount.fleet import worker_directory
 from citronmount.fleet_service import log_tail
 from citronmount.fleet_service import ports
-from citronmount.workflow import book as book_lib
+from citronmount.workflow import job_views
 from citronmount.workflow import records
 
 __all__ = ["OwnerLoop"]
@@ -60,12 +60,12 @@
         clock: interfaces.IReactorTime,
         log: ports.Log,
         worker_orders: ports.WorkerOrders,
-        book: book_lib.Book,
+        job_view: job_views.JobView,
         jobs: log_tail.LogTail,
         workers: log_tail.LogTail,
-        directory: workers_lib.WorkerDirectory,
-        bounds: configuration_lib.Bounds,
-        policy: sessions.LeasePolicy,
+        directory: worker_directory.WorkerDirectory,
+        bounds: fleet_configuration.Bounds,
+        policy: lease_sessions.LeasePolicy,
         on_fenced: Callable[[], None],
         wall: Wall = wall_ms,
     ) -> None:
@@ -75,7 +75,7 @@
             clock: The reactor.
             log: The log.
             worker_orders: The workers.
-            book: The fold of the job topic.
+            job_view: The fold of the job topic.
             jobs: The tail that feeds the book.
             workers: The tail that feeds the directory.
             directory: The workers' entries.
@@ -88,7 +88,7 @@
         self._clock = clock
         self._log = log
         self._worker_orders = worker_orders
-        self._book = book
+        self._job_view = job_view
         self._jobs = jobs
         self._workers = workers
         self._directory = directory
@@ -96,11 +96,11 @@
         self._policy = policy
         self._on_fenced = on_fenced
         self._wall = wall
-        self._accounts: tuple[configuration_lib.Account, ...] = ()
+        self._accounts: tuple[fleet_configuration.Account, ...] = ()
         self._candidate = False
         self._taking_over = False
         self._last_epoch = 0
-        self._owner: owner_lib.Owner | None = None
+        self._owner: pool_owner.PoolOwner | None = None
         self._sequence = 0
         self._appending = False
         self._kick: interfaces.IDelayedCall | None = None
@@ -122,23 +122,23 @@
             self._resign("no_longer_candidate")
 
     def configure(
-        self, accounts: tuple[configuration_lib.Account, ...]
+        self, accounts: tuple[fleet_configuration.Account, ...]
     ) -> None:
         """Takes in the client accounts of the configuration in force."""
         self._accounts = accounts
         if self._owner is not None:
-            self._owner.configure(accounts)
+            self._owner.set_accounts(accounts)
             self.kick()
 
     def notice(self) -> None:
         """Takes in that the book or the directory changed."""
         if self._owner is not None:
-            self._owner.notice()
+            self._owner.mark_changed()
             self.kick()
 
     def check_epoch(self) -> None:
         """Gives the pool up if another process took it over."""
-        owned = self._book.owned
+        owned = self._job_view.ownership
         if self.active and owned and owned.epoch > self._last_epoch:
             self._yield("taken_over")
 
@@ -163,7 +163,7 @@
     async def _take_over_once(self) -> None:
         epoch, offset = await self._raise_epoch()
         await self._jobs.catch_up(offset + 1)
-        if self._book.owned != epoch:
+        if self._job_view.ownership != epoch:
             raise ports.FencedError(None)
         await self._workers.catch_up()
         if not self._candidate:
@@ -171,14 +171,14 @@
         now_ms = self._now_ms()
         state = owner_state.OwnerState(
             token=ids.FenceToken(epoch.epoch),
-            book=self._book,
+            job_view=self._job_view,
             directory=self._directory,
             bounds=self._bounds,
             policy=self._policy,
             now_ms=now_ms,
         )
-        self._owner = owner_lib.Owner(state=state, now_ms=now_ms)
-        self._owner.configure(self._accounts)
+        self._owner = pool_owner.PoolOwner(state=state, now_ms=now_ms)
+        self._owner.set_accounts(self._accounts)
         self._sequence = 0
         self._appending = False
         self.active = True
@@ -188,20 +188,22 @@
             "ownership_taken",
             token=epoch.epoch,
             offset=offset,
-            jobs=len(self._book.jobs),
+            jobs=len(self._job_view.jobs),
         )
         self._ticker.start(TICK_MS / _MS_PER_S)
 
-    async def _raise_epoch(self) -> tuple[records.Owned, int]:
+    async def _raise_epoch(self) -> tuple[records.OwnershipTaken, int]:
         """Appends a record that makes lower epochs be refused.
 
         Another process may have tried the same epoch; whose record lies at
         the offset tells which of them has it.
         """
-        last = self._book.owned.epoch if self._book.owned else 0
+        last = self._job_view.ownership.epoch if self._job_view.ownership else 0
         wanted = max(last, self._last_epoch) + 1
         while True:
-            owned = records.Owned(epoch=wanted, member=self._log.member)
+            owned = records.OwnershipTaken(
+                epoch=wanted, member=self._log.member
+            )
             entry = (records.key_of(owned), records.encode(owned))
             try:
                 offset = await self._log.append_as_owner(
@@ -247,11 +249,11 @@
         if owner.fenced:
             self._yield("fenced_by_worker")
             return
-        for order in owner.step(self._now_ms(), self._wall()):
-            self._send(owner, order)
+        for command in owner.step(self._now_ms(), self._wall()):
+            self._send(owner, command)
         self._append(owner)
 
-    def _append(self, owner: owner_lib.Owner) -> None:
+    def _append(self, owner: pool_owner.PoolOwner) -> None:
         if self._appending:
             return
         entries = owner.take_entries(MAX_APPEND_RECORDS)
@@ -263,7 +265,7 @@
         sent.addErrback(self._broken)
 
     async def _append_entries(
-        self, owner: owner_lib.Owner, entries: list[owner_state.Entry]
+        self, owner: pool_owner.PoolOwner, entries: list[owner_state.LogEntry]
     ) -> None:
         """Appends until the log answers; a repeat has no second effect."""
         encoded = [
@@ -297,52 +299,64 @@
                 self._trace.info("append_done_at_last", took_ms=took_ms)
             if owner is self._owner:
                 self._appending = False
-                owner.appended(entries, offset, self._now_ms())
+                owner.records_appended(entries, offset, self._now_ms())
                 self._step()
             return
 
-    def _send(self, owner: owner_lib.Owner, order: orders.Order) -> None:
-        match order:
-            case orders.Start():
-                sent = self._start(owner, order)
-            case orders.Stop():
-                sent = self._stop(owner, order)
-            case orders.Hold():
-                sent = self._hold(owner, order)
-            case orders.Ask():
-                sent = self._ask(owner, order)
+    def _send(
+        self, owner: pool_owner.PoolOwner, command: commands.Command
+    ) -> None:
+        match command:
+            case commands.Start():
+                sent = self._start(owner, command)
+            case commands.Stop():
+                sent = self._stop(owner, command)
+            case commands.RenewLeases():
+                sent = self._hold(owner, command)
+            case commands.RequestAdvice():
+                sent = self._ask(owner, command)
         defer.ensureDeferred(sent).addErrback(self._broken)
 
-    async def _start(self, owner: owner_lib.Owner, order: orders.Start) -> None:
-        number = min(order.attempt, len(START_TIMEOUTS_MS))
-        verdict, clock_ms = await self._worker_orders.start(
-            order, START_TIMEOUTS_MS[number - 1]
+    async def _start(
+        self, owner: pool_owner.PoolOwner, command: commands.Start
+    ) -> None:
+        number = min(command.attempt, len(START_TIMEOUTS_MS))
+        outcome, clock_ms = await self._worker_orders.start(
+            command, START_TIMEOUTS_MS[number - 1]
         )
-        owner.reports.start_answered(order, verdict, clock_ms, self._now_ms())
+        owner.reports.start_answered(command, outcome, clock_ms, self._now_ms())
         self.kick()
 
-    async def _stop(self, owner: owner_lib.Owner, order: orders.Stop) -> None:
-        verdict, clock_ms = await self._worker_orders.stop(
-            order, STOP_TIMEOUT_MS
+    async def _stop(
+        self, owner: pool_owner.PoolOwner, command: commands.Stop
+    ) -> None:
+        outcome, clock_ms = await self._worker_orders.stop(
+            command, STOP_TIMEOUT_MS
         )
-        owner.reports.stop_answered(order, verdict, clock_ms, self._now_ms())
+        owner.reports.stop_answered(command, outcome, clock_ms, self._now_ms())
         self.kick()
 
-    async def _ask(self, owner: owner_lib.Owner, order: orders.Ask) -> None:
-        grants = await self._worker_orders.ask(order, ADVICE_TIMEOUT_MS)
-        owner.reports.advised(order, grants, self._now_ms())
+    async def _ask(
+        self, owner: pool_owner.PoolOwner, command: commands.RequestAdvice
+    ) -> None:
+        answer = await self._worker_orders.ask(command, ADVICE_TIMEOUT_MS)
+        owner.reports.advice_answered(command, answer, self._now_ms())
         self.kick()
 
-    async def _hold(self, owner: owner_lib.Owner, order: orders.Hold) -> None:
+    async def _hold(
+        self, owner: pool_owner.PoolOwner, command: commands.RenewLeases
+    ) -> None:
         sent_ms = self._now_ms()
         answer = await self._worker_orders.hold(
-            order, order.wait_ms + HOLD_MARGIN_MS
+            command, command.wait_ms + HOLD_MARGIN_MS
         )
-        if isinstance(answer, orders.HoldReport):
-            owner.reports.hold_answered(order, answer, sent_ms, self._now_ms())
+        if isinstance(answer, commands.LeaseReport):
+            owner.reports.renewal_answered(
+                command, answer, sent_ms, self._now_ms()
+            )
         else:
-            fenced = answer is orders.StopVerdict.FENCED
-            owner.reports.hold_failed(order, fenced, self._now_ms())
+            fenced = answer is commands.StopOutcome.FENCED
+            owner.reports.renewal_failed(command, fenced, self._now_ms())
         self.kick()
 
     def _now_ms(self) -> int:
--- a/citronmount/fleet_service/ports.py
+++ b/citronmount/fleet_service/ports.py
@@ -10,9 +10,9 @@
 from citronmount.core import codes
 from citronmount.core import errors
 from citronmount.core import ids
-from citronmount.fleet import configuration
-from citronmount.fleet import orders
-from citronmount.fleet import workers
+from citronmount.fleet import commands
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import worker_directory
 
 __all__ = [
     "ConfigurationChanged",
@@ -139,7 +139,7 @@
         configuration: The version.
     """
 
-    configuration: configuration.FleetConfiguration
+    configuration: fleet_configuration.FleetConfiguration
 
 
 class DomainSwitched(msgspec.Struct, frozen=True, kw_only=True):
@@ -163,7 +163,7 @@
     """
 
     worker: ids.WorkerId
-    entry: workers.Worker | None
+    entry: worker_directory.Worker | None
 
 
 LogEvent = ConfigurationChanged | DomainSwitched | WorkerChanged
@@ -226,21 +226,21 @@
     """The orders that workers take. No call fails; silence is a verdict."""
 
     def start(
-        self, order: orders.Start, timeout_ms: int
-    ) -> defer.Deferred[tuple[orders.StartVerdict, int | None]]:
+        self, command: commands.Start, timeout_ms: int
+    ) -> defer.Deferred[tuple[commands.StartOutcome, int | None]]:
         """Starts a task; fires with the verdict and the worker's clock."""
 
     def stop(
-        self, order: orders.Stop, timeout_ms: int
-    ) -> defer.Deferred[tuple[orders.StopVerdict, int | None]]:
+        self, command: commands.Stop, timeout_ms: int
+    ) -> defer.Deferred[tuple[commands.StopOutcome, int | None]]:
         """Stops a run; fires with the verdict and the worker's clock."""
 
     def ask(
-        self, question: orders.Ask, timeout_ms: int
-    ) -> defer.Deferred[orders.Grants | None]:
+        self, advice_request: commands.RequestAdvice, timeout_ms: int
+    ) -> defer.Deferred[commands.AdviceAnswer | None]:
         """Asks a queue's policy; fires with None if it does not answer."""
 
     def hold(
-        self, order: orders.Hold, timeout_ms: int
-    ) -> defer.Deferred[orders.HoldReport | orders.StopVerdict]:
+        self, command: commands.RenewLeases, timeout_ms: int
+    ) -> defer.Deferred[commands.LeaseReport | commands.StopOutcome]:
         """Renews leases; fires with the report or why there is none."""
--- a/citronmount/fleet_service/tests/pool.py
+++ b/citronmount/fleet_service/tests/pool.py
@@ -11,9 +11,9 @@
 
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.fleet import configuration
-from citronmount.fleet import sessions
-from citronmount.fleet import workers
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import lease_sessions
+from citronmount.fleet import worker_directory
 from citronmount.fleet_service import front
 from citronmount.fleet_service import node as node_lib
 from citronmount.fleet_service import ports
@@ -34,8 +34,8 @@
     max_attempts: int = 3,
     needs_advice: bool = False,
     slack_factor: float = 3.0,
-) -> configuration.Queue:
-    return configuration.Queue(
+) -> fleet_configuration.Queue:
+    return fleet_configuration.Queue(
         terms=spec.QueueTerms(
             queue=spec.QueueName(name),
             service=SERVICE,
@@ -106,8 +106,10 @@
             log=pool_log.PoolLogClient(log=self.log, vm=vm),
             worker_orders=self.pool,
             decode=self.decode,
-            bounds=configuration.Bounds(max_lease_ms=6_000),
-            policy=sessions.LeasePolicy(lease_ms=5_000, max_lease_ms=6_000),
+            bounds=fleet_configuration.Bounds(max_lease_ms=6_000),
+            policy=lease_sessions.LeasePolicy(
+                lease_ms=5_000, max_lease_ms=6_000
+            ),
             capable=capable,
             wall=self.wall,
         )
@@ -120,14 +122,14 @@
     def add_worker(
         self, name: str, rack: str, life_ms: int = 1, **changes: object
     ) -> pool_workers.PoolWorker:
-        entry = workers.Worker(
+        entry = worker_directory.Worker(
             worker=ids.WorkerId(name),
             life_ms=life_ms,
             machine=f"m-{name}",
             address=name,
             failure_domain=ids.FailureDomainId(f"fd-{rack}"),
             service=SERVICE,
-            state=workers.WorkerState.READY,
+            state=worker_directory.WorkerState.READY,
             capacity=CAPACITY,
             labels=frozenset({"a", rack}),
             rack=ids.RackId(rack),
@@ -137,7 +139,7 @@
         self.publish(entry)
         return worker
 
-    def publish(self, entry: workers.Worker) -> None:
+    def publish(self, entry: worker_directory.Worker) -> None:
         """Writes a worker's entry; the value only marks that there is one."""
         mark = f"{entry.worker}/{len(self.entries)}"
         self.entries[mark] = entry
@@ -148,16 +150,18 @@
     def remove_entry(self, name: str) -> None:
         self.log.write(ports.Topic.WORKERS, [(name, None)])
 
-    def configure(self, *more: configuration.Queue, version: int = 1) -> None:
+    def configure(
+        self, *more: fleet_configuration.Queue, version: int = 1
+    ) -> None:
         accounts = tuple(
-            configuration.Account(
+            fleet_configuration.Account(
                 account=ids.AccountId(name),
                 keys=frozenset({f"key-{name}"}),
                 guaranteed_accelerators=count,
             )
             for name, count in self.guaranteed.items()
         )
-        self.configuration = configuration.FleetConfiguration(
+        self.configuration = fleet_configuration.FleetConfiguration(
             version=version,
             queues=(queue(), queue("urgent", priority=0), *more),
             accounts=accounts,
--- a/citronmount/fleet_service/tests/test_big_pool.py
+++ b/citronmount/fleet_service/tests/test_big_pool.py
@@ -12,7 +12,7 @@
 
     def test_new_owner_asks_idle_workers_a_few_at_a_time(self) -> None:
         self.assertLessEqual(
-            self.pool.most_open_holds, worker_sessions.MOST_PRIMING
+            self.pool.most_open_holds, worker_sessions.MAX_FIRST_RENEWALS
         )
         gang = pool.one_task(tasks=160, accelerators=8, gang=True)
         self.submit("all", gang)
--- a/citronmount/fleet_service/tests/test_faults.py
+++ b/citronmount/fleet_service/tests/test_faults.py
@@ -5,7 +5,7 @@
 
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.fleet import workers
+from citronmount.fleet import worker_directory
 from citronmount.fleet_service import front
 from citronmount.fleet_service import ports
 from citronmount.fleet_service.tests import pool
@@ -413,7 +413,9 @@
 
     def drain(self, worker: pool_workers.PoolWorker) -> None:
         entry = msgspec.structs.replace(
-            worker.entry, state=workers.WorkerState.DRAINING, remaining_ms=2_000
+            worker.entry,
+            state=worker_directory.WorkerState.DRAINING,
+            remaining_ms=2_000,
         )
         worker.entry = entry
         self.publish(entry)
@@ -436,7 +438,7 @@
     def test_draining_worker_gets_nothing_new(self) -> None:
         for worker in list(self.pool.workers.values())[1:]:
             entry = msgspec.structs.replace(
-                worker.entry, state=workers.WorkerState.DRAINING
+                worker.entry, state=worker_directory.WorkerState.DRAINING
             )
             worker.entry = entry
             self.publish(entry)
--- a/citronmount/fleet_service/tests/test_reloading.py
+++ b/citronmount/fleet_service/tests/test_reloading.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import configuration
+from citronmount.fleet import fleet_configuration
 from citronmount.fleet_service import reloading
 from citronmount.fleet_service import vm_settings
 
@@ -19,7 +19,7 @@
     advice_address="",
     processor_share=1.0,
     stop_grace_s=6.0,
-    bounds=configuration.Bounds(),
+    bounds=fleet_configuration.Bounds(),
 )
 
 
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -19,7 +19,7 @@
 from twisted.web import resource
 from twisted.web import server
 
-from citronmount.fleet import sessions
+from citronmount.fleet import lease_sessions
 from citronmount.fleet_service import front as front_lib
 from citronmount.fleet_service import node as node_lib
 from citronmount.fleet_service import pages
@@ -171,7 +171,7 @@
     log: ports.Log,
 ) -> node_lib.Node:
     lease_ms = min(LEASE_MS, settings.bounds.max_lease_ms - LEASE_MARGIN_MS)
-    policy = sessions.LeasePolicy(
+    policy = lease_sessions.LeasePolicy(
         lease_ms=lease_ms,
         max_lease_ms=settings.bounds.max_lease_ms,
         stop_ms=settings.bounds.stop_ms,
--- a/citronmount/fleet_service/vm_settings.py
+++ b/citronmount/fleet_service/vm_settings.py
@@ -4,7 +4,7 @@
 
 from citronmount.core import errors
 from citronmount.core import ids
-from citronmount.fleet import configuration
+from citronmount.fleet import fleet_configuration
 
 __all__ = ["SettingsError", "VmSettings"]
 
@@ -38,4 +38,4 @@
     advice_address: str
     processor_share: float
     stop_grace_s: float
-    bounds: configuration.Bounds
+    bounds: fleet_configuration.Bounds
--- a/citronmount/platform/entries.py
+++ b/citronmount/platform/entries.py
@@ -4,8 +4,8 @@
 import structlog
 
 from citronmount.core import ids
-from citronmount.fleet import configuration
-from citronmount.fleet import workers
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
 from citronmount.workflow import spec
 
@@ -15,8 +15,8 @@
 _OUT_OF_SERVICE_PREFIX = "evacuate/"
 _WAVE_PREFIX = "wave/"
 _STATES = {
-    "ready": workers.WorkerState.READY,
-    "draining": workers.WorkerState.DRAINING,
+    "ready": worker_directory.WorkerState.READY,
+    "draining": worker_directory.WorkerState.DRAINING,
 }
 
 
@@ -112,9 +112,9 @@
     return ports.WorkerChanged(worker=name, entry=entry)
 
 
-def _entry(name: ids.WorkerId, value: bytes) -> workers.Worker:
+def _entry(name: ids.WorkerId, value: bytes) -> worker_directory.Worker:
     entry = msgspec.json.decode(value, type=_Entry)
-    return workers.Worker(
+    return worker_directory.Worker(
         worker=name,
         life_ms=entry.born,
         machine=entry.host_machine,
@@ -149,7 +149,7 @@
         map(_queue, said.routes), key=lambda queue: -len(queue.path_prefix)
     )
     return ports.ConfigurationChanged(
-        configuration=configuration.FleetConfiguration(
+        configuration=fleet_configuration.FleetConfiguration(
             version=said.version,
             queues=tuple(queues),
             accounts=tuple(map(_account, said.tenants)),
@@ -157,8 +157,8 @@
     )
 
 
-def _queue(route: _Route) -> configuration.Queue:
-    return configuration.Queue(
+def _queue(route: _Route) -> fleet_configuration.Queue:
+    return fleet_configuration.Queue(
         terms=spec.QueueTerms(
             queue=spec.QueueName(route.name),
             service=spec.ServiceName(route.backend),
@@ -175,8 +175,8 @@
     )
 
 
-def _account(tenant: _Tenant) -> configuration.Account:
-    return configuration.Account(
+def _account(tenant: _Tenant) -> fleet_configuration.Account:
+    return fleet_configuration.Account(
         account=ids.AccountId(tenant.name),
         keys=frozenset(tenant.api_keys),
         guaranteed_accelerators=tenant.guaranteed.gpu,
--- a/citronmount/platform/job_api.py
+++ b/citronmount/platform/job_api.py
@@ -10,7 +10,7 @@
 
 from citronmount.core import errors
 from citronmount.core import ids
-from citronmount.fleet import configuration
+from citronmount.fleet import fleet_configuration
 from citronmount.fleet_service import front as front_lib
 from citronmount.platform import job_bodies
 
@@ -81,7 +81,7 @@
     async def _answer(
         self,
         request: iweb.IRequest,
-        in_force: configuration.FleetConfiguration | None,
+        in_force: fleet_configuration.FleetConfiguration | None,
     ) -> bytes:
         if in_force is None:
             return _refuse(request, http.SERVICE_UNAVAILABLE)
@@ -102,7 +102,7 @@
     async def _job_call(
         self,
         request: iweb.IRequest,
-        queue: configuration.Queue,
+        queue: fleet_configuration.Queue,
         account: ids.AccountId,
         job: ids.JobId,
     ) -> bytes:
@@ -118,7 +118,7 @@
     async def _submit(
         self,
         request: iweb.IRequest,
-        queue: configuration.Queue,
+        queue: fleet_configuration.Queue,
         account: ids.AccountId,
         job: ids.JobId,
     ) -> bytes:
@@ -134,7 +134,7 @@
     async def _cancel(
         self,
         request: iweb.IRequest,
-        queue: configuration.Queue,
+        queue: fleet_configuration.Queue,
         job: ids.JobId,
     ) -> bytes:
         try:
@@ -148,7 +148,7 @@
     async def _state(
         self,
         request: iweb.IRequest,
-        queue: configuration.Queue,
+        queue: fleet_configuration.Queue,
         job: ids.JobId,
     ) -> bytes:
         try:
@@ -162,8 +162,8 @@
     def _account(
         self,
         request: iweb.IRequest,
-        in_force: configuration.FleetConfiguration,
-        queue: configuration.Queue,
+        in_force: fleet_configuration.FleetConfiguration,
+        queue: fleet_configuration.Queue,
     ) -> ids.AccountId | None:
         """Returns the caller's account, or None if its key is unknown."""
         key = request.getHeader(KEY_HEADER)
@@ -187,7 +187,9 @@
     return (request.getHeader("host") or "").partition(":")[0]
 
 
-def _timeout_ms(request: iweb.IRequest, queue: configuration.Queue) -> int:
+def _timeout_ms(
+    request: iweb.IRequest, queue: fleet_configuration.Queue
+) -> int:
     """Returns how long the caller waits, within the queue's limit."""
     text = request.getHeader(DEADLINE_HEADER) or ""
     if not text.isdigit():
--- a/citronmount/platform/runners.py
+++ b/citronmount/platform/runners.py
@@ -7,7 +7,7 @@
 from twisted.internet import defer
 
 from citronmount.core import ids
-from citronmount.fleet import orders
+from citronmount.fleet import commands
 from citronmount.services import exchange
 from citronmount.workflow import units
 
@@ -16,19 +16,19 @@
 EXPECTED_LIFE_HEADER = "Citronmount-Expect-Instance"
 
 _END_KINDS = {
-    "done": orders.EndKind.DONE,
-    "failed": orders.EndKind.FAILED,
-    "stopped": orders.EndKind.STOPPED,
-    "lapsed": orders.EndKind.LAPSED,
-    "broken": orders.EndKind.MEMBER_LOST,
-    "alone": orders.EndKind.MEMBER_MISSING,
+    "done": commands.EndKind.DONE,
+    "failed": commands.EndKind.FAILED,
+    "stopped": commands.EndKind.STOPPED,
+    "lapsed": commands.EndKind.LEASE_EXPIRED,
+    "broken": commands.EndKind.MEMBER_LOST,
+    "alone": commands.EndKind.MEMBER_MISSING,
 }
 _REASONS = {
-    "fence": orders.StartVerdict.FENCED,
-    "old": orders.StartVerdict.OLD_RUN,
-    "late": orders.StartVerdict.LATE,
-    "room": orders.StartVerdict.NO_ROOM,
-    "ticket": orders.StartVerdict.NO_TICKET,
+    "fence": commands.StartOutcome.FENCED,
+    "old": commands.StartOutcome.STALE_RUN,
+    "late": commands.StartOutcome.LEASE_EXPIRED,
+    "room": commands.StartOutcome.NO_CAPACITY,
+    "ticket": commands.StartOutcome.NO_TICKET,
 }
 _MAX_ENDS = 500
 
@@ -103,68 +103,68 @@
         self._advice_address = advice_address
 
     async def start(
-        self, order: orders.Start, timeout_ms: int
-    ) -> tuple[orders.StartVerdict, int | None]:
+        self, command: commands.Start, timeout_ms: int
+    ) -> tuple[commands.StartOutcome, int | None]:
         """Starts a task; see `ports.WorkerOrders`."""
         body = _Start(
-            task=order.task,
-            run_id=order.run,
-            spec=order.payload,
-            until_ms=order.until_ms,
-            fencing_token=int(order.token),
-            checkpoint=order.saved,
-            ticket=order.ticket,
+            task=command.task,
+            run_id=command.run,
+            spec=command.payload,
+            until_ms=command.until_ms,
+            fencing_token=int(command.token),
+            checkpoint=command.saved,
+            ticket=command.ticket,
         )
         try:
-            answer = await self._call("/-/run-start", order, body, timeout_ms)
+            answer = await self._call("/-/run-start", command, body, timeout_ms)
         except exchange.NoAnswerError as error:
             if error.sent:
-                return orders.StartVerdict.UNANSWERED, None
-            return orders.StartVerdict.UNREACHED, None
+                return commands.StartOutcome.UNKNOWN, None
+            return commands.StartOutcome.UNREACHABLE, None
         said = _decoded(answer)
-        return _start_verdict(answer.status, said.reason), said.clock_ms
+        return _start_outcome(answer.status, said.reason), said.clock_ms
 
     async def stop(
-        self, order: orders.Stop, timeout_ms: int
-    ) -> tuple[orders.StopVerdict, int | None]:
+        self, command: commands.Stop, timeout_ms: int
+    ) -> tuple[commands.StopOutcome, int | None]:
         """Stops a run; see `ports.WorkerOrders`."""
         body = _Stop(
-            task=order.task,
-            run_id=order.run,
-            fencing_token=int(order.token),
+            task=command.task,
+            run_id=command.run,
+            fencing_token=int(command.token),
         )
-        answer = await self._post("/-/run-stop", order, body, timeout_ms)
+        answer = await self._post("/-/run-stop", command, body, timeout_ms)
         if answer is None:
-            return orders.StopVerdict.UNANSWERED, None
-        return _stop_verdict(answer.status), _decoded(answer).clock_ms
+            return commands.StopOutcome.UNKNOWN, None
+        return _stop_outcome(answer.status), _decoded(answer).clock_ms
 
     async def hold(
-        self, order: orders.Hold, timeout_ms: int
-    ) -> orders.HoldReport | orders.StopVerdict:
+        self, command: commands.RenewLeases, timeout_ms: int
+    ) -> commands.LeaseReport | commands.StopOutcome:
         """Renews leases and asks what runs; see `ports.WorkerOrders`."""
         body = _Hold(
-            fencing_token=int(order.token),
-            last_seen=order.last_seen,
-            until_ms=order.until_ms,
-            wait_ms=order.wait_ms,
+            fencing_token=int(command.token),
+            last_seen=command.last_seen,
+            until_ms=command.until_ms,
+            wait_ms=command.wait_ms,
         )
-        answer = await self._post("/-/hold", order, body, timeout_ms)
+        answer = await self._post("/-/hold", command, body, timeout_ms)
         if answer is None:
-            return orders.StopVerdict.UNANSWERED
+            return commands.StopOutcome.UNKNOWN
         if answer.status != http.HTTPStatus.OK:
-            return _stop_verdict(answer.status)
+            return _stop_outcome(answer.status)
         try:
             return _report(msgspec.json.decode(answer.body, type=_Report))
         except (msgspec.DecodeError, LookupError, ValueError):
-            return orders.StopVerdict.UNANSWERED
+            return commands.StopOutcome.UNKNOWN
 
     async def ask(
-        self, question: orders.Ask, timeout_ms: int
-    ) -> orders.Grants | None:
+        self, advice_request: commands.RequestAdvice, timeout_ms: int
+    ) -> commands.AdviceAnswer | None:
         """Asks a queue's policy; see `ports.WorkerOrders`."""
         body = _Question(
-            step=question.step,
-            workers=[worker.worker for worker in question.workers],
+            step=advice_request.step,
+            workers=[worker.worker for worker in advice_request.workers],
         )
         try:
             answer = await self._connections.call(
@@ -180,7 +180,7 @@
             said = msgspec.json.decode(answer.body, type=_Advice)
         except (exchange.NoAnswerError, msgspec.DecodeError):
             return None
-        return orders.Grants(
+        return commands.AdviceAnswer(
             tickets={ids.WorkerId(name): text for name, text in said.granted},
             valid_ms=int(said.valid_ms),
         )
@@ -188,30 +188,30 @@
     async def _post(
         self,
         path: str,
-        order: orders.Order,
+        command: commands.Command,
         body: msgspec.Struct,
         timeout_ms: int,
     ) -> exchange.Answer | None:
         try:
-            return await self._call(path, order, body, timeout_ms)
+            return await self._call(path, command, body, timeout_ms)
         except exchange.NoAnswerError:
             return None
 
     def _call(
         self,
         path: str,
-        order: orders.Order,
+        command: commands.Command,
         body: msgspec.Struct,
         timeout_ms: int,
     ) -> defer.Deferred[exchange.Answer]:
         return self._connections.call(
             "POST",
-            order.worker.address,
+            command.worker.address,
             path,
             timeout_ms,
             headers={
                 "Content-Type": "application/json",
-                EXPECTED_LIFE_HEADER: order.worker.worker,
+                EXPECTED_LIFE_HEADER: command.worker.worker,
             },
             body=msgspec.json.encode(body),
         )
@@ -224,28 +224,28 @@
         return _Answer()
 
 
-def _start_verdict(status: int, reason: str) -> orders.StartVerdict:
+def _start_outcome(status: int, reason: str) -> commands.StartOutcome:
     if status == http.HTTPStatus.OK:
-        return orders.StartVerdict.STARTED
+        return commands.StartOutcome.STARTED
     if status == http.HTTPStatus.MISDIRECTED_REQUEST:
-        return orders.StartVerdict.OTHER_LIFE
+        return commands.StartOutcome.OTHER_INCARNATION
     if status == http.HTTPStatus.CONFLICT:
-        return _REASONS.get(reason, orders.StartVerdict.NOT_STARTED)
-    return orders.StartVerdict.NOT_STARTED
+        return _REASONS.get(reason, commands.StartOutcome.NOT_STARTED)
+    return commands.StartOutcome.NOT_STARTED
 
 
-def _stop_verdict(status: int) -> orders.StopVerdict:
+def _stop_outcome(status: int) -> commands.StopOutcome:
     if status == http.HTTPStatus.OK:
-        return orders.StopVerdict.STOPPED
+        return commands.StopOutcome.STOPPED
     if status == http.HTTPStatus.MISDIRECTED_REQUEST:
-        return orders.StopVerdict.OTHER_LIFE
+        return commands.StopOutcome.OTHER_INCARNATION
     if status == http.HTTPStatus.CONFLICT:
-        return orders.StopVerdict.FENCED
-    return orders.StopVerdict.UNANSWERED
+        return commands.StopOutcome.FENCED
+    return commands.StopOutcome.UNKNOWN
 
 
-def _report(report: _Report) -> orders.HoldReport:
-    return orders.HoldReport(
+def _report(report: _Report) -> commands.LeaseReport:
+    return commands.LeaseReport(
         clock_ms=report.clock_ms,
         life_ms=report.born,
         running=tuple(map(_running, report.running)),
@@ -254,9 +254,9 @@
     )
 
 
-def _running(row: list[typing.Any]) -> orders.RunningTask:
+def _running(row: list[typing.Any]) -> commands.RunningTask:
     task, run, saved, percent, *load = row
-    return orders.RunningTask(
+    return commands.RunningTask(
         task=units.TaskName(task),
         run=run,
         saved=saved,
@@ -265,9 +265,9 @@
     )
 
 
-def _ended(row: tuple[int, str, int, str, str]) -> orders.EndedTask:
+def _ended(row: tuple[int, str, int, str, str]) -> commands.EndedTask:
     number, task, run, how, saved = row
-    return orders.EndedTask(
+    return commands.EndedTask(
         number=number,
         task=units.TaskName(task),
         run=run,
--- a/citronmount/platform/settings.py
+++ b/citronmount/platform/settings.py
@@ -6,7 +6,7 @@
 
 from citronmount.core import codes
 from citronmount.core import ids
-from citronmount.fleet import configuration
+from citronmount.fleet import fleet_configuration
 from citronmount.fleet_service import vm_settings
 
 __all__ = ["SETTINGS_VARIABLE", "decode", "load"]
@@ -78,7 +78,7 @@
         advice_address=file.advice,
         processor_share=file.limits.cpu_quota * file.limits.cores,
         stop_grace_s=file.bounds.grace_s,
-        bounds=configuration.Bounds(
+        bounds=fleet_configuration.Bounds(
             max_lease_ms=file.bounds.hold_max_ms,
             stop_ms=file.bounds.stop_ms,
             status_s=file.bounds.status_s,
--- a/citronmount/platform/tests/loopback_site.py
+++ b/citronmount/platform/tests/loopback_site.py
@@ -11,8 +11,8 @@
 from twisted.web import iweb
 
 from citronmount.core import ids
-from citronmount.fleet import orders
-from citronmount.fleet import workers
+from citronmount.fleet import commands
+from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
 from citronmount.platform import framing
 from citronmount.platform import log as log_lib
@@ -24,18 +24,18 @@
 SILENCE_MS = 3_000
 _TOPICS = {name: topic for topic, name in log_lib.TOPICS.items()}
 _HOW = {
-    orders.EndKind.DONE: "done",
-    orders.EndKind.FAILED: "failed",
-    orders.EndKind.STOPPED: "stopped",
-    orders.EndKind.LAPSED: "lapsed",
-    orders.EndKind.MEMBER_LOST: "broken",
-    orders.EndKind.MEMBER_MISSING: "alone",
+    commands.EndKind.DONE: "done",
+    commands.EndKind.FAILED: "failed",
+    commands.EndKind.STOPPED: "stopped",
+    commands.EndKind.LEASE_EXPIRED: "lapsed",
+    commands.EndKind.MEMBER_LOST: "broken",
+    commands.EndKind.MEMBER_MISSING: "alone",
 }
 _REASONS = {
-    orders.StartVerdict.FENCED: "fence",
-    orders.StartVerdict.OLD_RUN: "old",
-    orders.StartVerdict.LATE: "late",
-    orders.StartVerdict.NO_ROOM: "room",
+    commands.StartOutcome.FENCED: "fence",
+    commands.StartOutcome.STALE_RUN: "old",
+    commands.StartOutcome.LEASE_EXPIRED: "late",
+    commands.StartOutcome.NO_CAPACITY: "room",
 }
 
 
@@ -125,7 +125,7 @@
     @app.route("/-/run-start", methods=["POST"])
     async def start(self, request: iweb.IRequest) -> bytes:
         said = msgspec.json.decode(request.content.read())
-        order = orders.Start(
+        command = commands.Start(
             worker=self._entry(request),
             task=units.TaskName(said["task"]),
             run=said["run_id"],
@@ -134,37 +134,37 @@
             saved=said.get("checkpoint", ""),
             token=ids.FenceToken(said["fencing_token"]),
         )
-        verdict, _ = await self.pool.start(order, SILENCE_MS)
-        if verdict is not orders.StartVerdict.STARTED:
+        outcome, _ = await self.pool.start(command, SILENCE_MS)
+        if outcome is not commands.StartOutcome.STARTED:
             request.setResponseCode(409)
-        return self._answer(_REASONS.get(verdict, ""))
+        return self._answer(_REASONS.get(outcome, ""))
 
     @app.route("/-/run-stop", methods=["POST"])
     async def stop(self, request: iweb.IRequest) -> bytes:
         said = msgspec.json.decode(request.content.read())
-        order = orders.Stop(
+        command = commands.Stop(
             worker=self._entry(request),
             task=units.TaskName(said["task"]),
             run=said["run_id"],
             token=ids.FenceToken(said["fencing_token"]),
         )
-        verdict, _ = await self.pool.stop(order, SILENCE_MS)
-        fenced = verdict is orders.StopVerdict.FENCED
+        outcome, _ = await self.pool.stop(command, SILENCE_MS)
+        fenced = outcome is commands.StopOutcome.FENCED
         request.setResponseCode(409 if fenced else 200)
         return self._answer("fence" if fenced else "")
 
     @app.route("/-/hold", methods=["POST"])
     async def hold(self, request: iweb.IRequest) -> bytes:
         said = msgspec.json.decode(request.content.read())
-        order = orders.Hold(
+        command = commands.RenewLeases(
             worker=self._entry(request),
             until_ms=said.get("until_ms"),
             last_seen=said["last_seen"],
             wait_ms=said.get("wait_ms", 0),
             token=ids.FenceToken(said["fencing_token"]),
         )
-        report = await self.pool.hold(order, SILENCE_MS)
-        if not isinstance(report, orders.HoldReport):
+        report = await self.pool.hold(command, SILENCE_MS)
+        if not isinstance(report, commands.LeaseReport):
             request.setResponseCode(409)
             return self._answer("fence")
         return _json(
@@ -182,7 +182,7 @@
             }
         )
 
-    def _entry(self, request: iweb.IRequest) -> workers.Worker:
+    def _entry(self, request: iweb.IRequest) -> worker_directory.Worker:
         name = request.getHeader("citronmount-expect-instance")
         return self.pool.workers[ids.WorkerId(name)].entry
 
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -24,7 +24,7 @@
 from twisted.web import server
 
 from citronmount.core import ids
-from citronmount.fleet import workers
+from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
 from citronmount.platform.tests import loopback_site as site
 from citronmount.services import exchange
@@ -160,14 +160,14 @@
 
     def add_worker(self, number: int, port: int) -> None:
         rack = f"rack-{number // 4}"
-        entry = workers.Worker(
+        entry = worker_directory.Worker(
             worker=ids.WorkerId(f"i-{number}"),
             life_ms=1,
             machine=f"m-{number}",
             address=f"{site.HOST}:{port}",
             failure_domain=ids.FailureDomainId("zone-0"),
             service=spec.ServiceName("s"),
-            state=workers.WorkerState.READY,
+            state=worker_directory.WorkerState.READY,
             capacity=ROOM,
             labels=frozenset({"a", rack}),
             rack=ids.RackId(rack),
--- a/citronmount/platform/tests/test_decoding.py
+++ b/citronmount/platform/tests/test_decoding.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from citronmount.core import ids
-from citronmount.fleet import workers
+from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import vm_settings
 from citronmount.platform import entries
@@ -94,7 +94,7 @@
 
 
 class EntryTest(unittest.TestCase):
-    def decode(self, value: object) -> workers.Worker | None:
+    def decode(self, value: object) -> worker_directory.Worker | None:
         event = entries.decode(ports.Topic.WORKERS, record("i-1", value))
         self.assertEqual("i-1", event.worker)
         return event.entry
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -9,9 +9,9 @@
 from twisted.internet import task
 
 from citronmount.core import ids
-from citronmount.fleet import orders
-from citronmount.fleet import room as room_lib
-from citronmount.fleet import workers as workers_lib
+from citronmount.fleet import commands
+from citronmount.fleet import worker_allocations
+from citronmount.fleet import worker_directory
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
@@ -113,7 +113,7 @@
         """Returns the workers' clock."""
         return round(self.clock.seconds() * _MS_PER_S)
 
-    def add(self, entry: workers_lib.Worker) -> "PoolWorker":
+    def add(self, entry: worker_directory.Worker) -> "PoolWorker":
         """Adds a worker that runs nothing."""
         worker = PoolWorker(pool=self, entry=entry)
         self.workers[entry.worker] = worker
@@ -128,95 +128,95 @@
         ]
 
     async def start(
-        self, order: orders.Start, timeout_ms: int
-    ) -> tuple[orders.StartVerdict, int | None]:
+        self, command: commands.Start, timeout_ms: int
+    ) -> tuple[commands.StartOutcome, int | None]:
         """Starts a task."""
-        worker = await self._reach(order)
-        if self._refuses(order):
-            return orders.StartVerdict.UNREACHED, None
+        worker = await self._reach(command)
+        if self._refuses(command):
+            return commands.StartOutcome.UNREACHABLE, None
         if worker is None:
             await self._time_out(timeout_ms)
-            return orders.StartVerdict.UNANSWERED, None
+            return commands.StartOutcome.UNKNOWN, None
         if worker.fault is WorkerFault.LOSES_ANSWERS:
             worker.fault = WorkerFault.NONE
-            worker.start(order)
+            worker.start(command)
             await self._time_out(timeout_ms)
-            return orders.StartVerdict.UNANSWERED, None
+            return commands.StartOutcome.UNKNOWN, None
         if worker.fault is WorkerFault.LOSES_ONE:
             worker.fault = WorkerFault.NONE
             await self._time_out(timeout_ms)
-            return orders.StartVerdict.UNANSWERED, None
+            return commands.StartOutcome.UNKNOWN, None
         if worker.fault is WorkerFault.LATE:
-            self.clock.callLater(worker.late_s, worker.start, order)
+            self.clock.callLater(worker.late_s, worker.start, command)
             await self._time_out(timeout_ms)
-            return orders.StartVerdict.UNANSWERED, None
-        return worker.start(order), worker.now_ms()
+            return commands.StartOutcome.UNKNOWN, None
+        return worker.start(command), worker.now_ms()
 
     async def stop(
-        self, order: orders.Stop, timeout_ms: int
-    ) -> tuple[orders.StopVerdict, int | None]:
+        self, command: commands.Stop, timeout_ms: int
+    ) -> tuple[commands.StopOutcome, int | None]:
         """Stops a run."""
-        worker = await self._reach(order)
+        worker = await self._reach(command)
         if worker is None:
             await self._time_out(timeout_ms)
-            return orders.StopVerdict.UNANSWERED, None
-        return worker.stop(order), worker.now_ms()
+            return commands.StopOutcome.UNKNOWN, None
+        return worker.stop(command), worker.now_ms()
 
     async def ask(
-        self, question: orders.Ask, timeout_ms: int
-    ) -> orders.Grants | None:
+        self, advice_request: commands.RequestAdvice, timeout_ms: int
+    ) -> commands.AdviceAnswer | None:
         """Allows the workers in `allowed` for every step."""
         await task.deferLater(self.clock, ADVICE_S)
         self.questions += 1
-        return orders.Grants(
+        return commands.AdviceAnswer(
             tickets={
-                worker.worker: f"{question.step}/{worker.worker}"
-                for worker in question.workers
+                worker.worker: f"{advice_request.step}/{worker.worker}"
+                for worker in advice_request.workers
                 if worker.worker in self.allowed
             },
             valid_ms=TICKET_MS,
         )
 
     async def hold(
-        self, order: orders.Hold, timeout_ms: int
-    ) -> orders.HoldReport | orders.StopVerdict:
+        self, command: commands.RenewLeases, timeout_ms: int
+    ) -> commands.LeaseReport | commands.StopOutcome:
         """Renews leases and asks what runs."""
         self.open_holds += 1
         self.most_open_holds = max(self.most_open_holds, self.open_holds)
         try:
-            return await self._hold(order, timeout_ms)
+            return await self._hold(command, timeout_ms)
         finally:
             self.open_holds -= 1
 
     async def _hold(
-        self, order: orders.Hold, timeout_ms: int
-    ) -> orders.HoldReport | orders.StopVerdict:
-        worker = await self._reach(order)
+        self, command: commands.RenewLeases, timeout_ms: int
+    ) -> commands.LeaseReport | commands.StopOutcome:
+        worker = await self._reach(command)
         if worker is None:
             await self._time_out(timeout_ms)
-            return orders.StopVerdict.UNANSWERED
-        verdict = worker.renew(order)
-        if verdict is not None:
-            return verdict
-        end_ms = self.now_ms() + order.wait_ms
+            return commands.StopOutcome.UNKNOWN
+        outcome = worker.renew(command)
+        if outcome is not None:
+            return outcome
+        end_ms = self.now_ms() + command.wait_ms
         while not worker.ends and self.now_ms() < end_ms:
             await task.deferLater(self.clock, 0.01)
         if worker.fault is WorkerFault.SILENT:
-            await self._time_out(timeout_ms - order.wait_ms)
-            return orders.StopVerdict.UNANSWERED
+            await self._time_out(timeout_ms - command.wait_ms)
+            return commands.StopOutcome.UNKNOWN
         return worker.report()
 
-    async def _reach(self, order: orders.Order) -> "PoolWorker | None":
+    async def _reach(self, command: commands.Command) -> "PoolWorker | None":
         await task.deferLater(self.clock, TRIP_S)
-        worker = self.workers.get(order.worker.worker)
+        worker = self.workers.get(command.worker.worker)
         if worker is None or worker.fault in _UNREACHABLE:
             return None
-        if worker.entry.life_ms != order.worker.life_ms:
+        if worker.entry.life_ms != command.worker.life_ms:
             return None
         return worker
 
-    def _refuses(self, order: orders.Order) -> bool:
-        worker = self.workers.get(order.worker.worker)
+    def _refuses(self, command: commands.Command) -> bool:
+        worker = self.workers.get(command.worker.worker)
         return worker is not None and worker.fault is WorkerFault.REFUSING
 
     async def _time_out(self, timeout_ms: int) -> None:
@@ -235,7 +235,7 @@
         return max(each.began_ms for _, each in self._members(name, run))
 
     def end_gang(
-        self, name: units.TaskName, run: int, kind: orders.EndKind
+        self, name: units.TaskName, run: int, kind: commands.EndKind
     ) -> None:
         """Ends every member of a gang's run."""
         for worker, each in self._members(name, run):
@@ -268,11 +268,13 @@
         clock_rate: How fast its own clock runs.
     """
 
-    def __init__(self, *, pool: PoolWorkers, entry: workers_lib.Worker) -> None:
+    def __init__(
+        self, *, pool: PoolWorkers, entry: worker_directory.Worker
+    ) -> None:
         """Initializes a worker that runs nothing."""
         self.entry = entry
         self.running: dict[units.TaskName, _Running] = {}
-        self.ends: list[orders.EndedTask] = []
+        self.ends: list[commands.EndedTask] = []
         self.fault = WorkerFault.NONE
         self.late_s = 4.0
         self.slowdown = 1.0
@@ -288,31 +290,31 @@
         """Returns the worker's own clock, on which leases are measured."""
         return round(self._pool.now_ms() * self.clock_rate)
 
-    def start(self, order: orders.Start) -> orders.StartVerdict:
+    def start(self, command: commands.Start) -> commands.StartOutcome:
         """Carries out an order to start."""
-        if order.token < self._token:
-            return orders.StartVerdict.FENCED
-        self._token = order.token
-        self._until_ms = max(self._until_ms, order.until_ms)
-        present = self.running.get(order.task)
-        if present is not None and present.run == order.run:
-            return orders.StartVerdict.STARTED
-        if order.run <= self._barred.get(order.task, 0):
-            return orders.StartVerdict.OLD_RUN
-        if order.until_ms <= self.now_ms():
-            return orders.StartVerdict.LATE
-        self._check_start(order)
-        self._pool.tickets[order.task] = order.ticket
-        plan = self._pool.plans(order.task, order.run)
+        if command.token < self._token:
+            return commands.StartOutcome.FENCED
+        self._token = command.token
+        self._until_ms = max(self._until_ms, command.until_ms)
+        present = self.running.get(command.task)
+        if present is not None and present.run == command.run:
+            return commands.StartOutcome.STARTED
+        if command.run <= self._barred.get(command.task, 0):
+            return commands.StartOutcome.STALE_RUN
+        if command.until_ms <= self.now_ms():
+            return commands.StartOutcome.LEASE_EXPIRED
+        self._check_start(command)
+        self._pool.tickets[command.task] = command.ticket
+        plan = self._pool.plans(command.task, command.run)
         run = _Running(
-            task=order.task,
-            run=order.run,
+            task=command.task,
+            run=command.run,
             plan=plan,
             began_ms=self._pool.now_ms(),
-            saved=order.saved,
+            saved=command.saved,
         )
-        self.running[order.task] = run
-        self._pool.starts.append((order.task, order.run, self.entry.worker))
+        self.running[command.task] = run
+        self._pool.starts.append((command.task, command.run, self.entry.worker))
         self._check_room()
         self._pool.clock.callLater(
             plan.run_time_ms * self.slowdown / _MS_PER_S, self._finish, run
@@ -322,39 +324,41 @@
                 GANG_WAIT_MS / _MS_PER_S, self._check_gang, run
             )
         self._pool.clock.callLater(0.1, self._check_lease)
-        return orders.StartVerdict.STARTED
+        return commands.StartOutcome.STARTED
 
-    def stop(self, order: orders.Stop) -> orders.StopVerdict:
+    def stop(self, command: commands.Stop) -> commands.StopOutcome:
         """Carries out an order to stop."""
-        if order.token < self._token:
-            return orders.StopVerdict.FENCED
-        self._token = order.token
-        self._bar(order.task, order.run)
-        run = self.running.get(order.task)
-        if run is not None and run.run <= order.run and not run.stopping:
+        if command.token < self._token:
+            return commands.StopOutcome.FENCED
+        self._token = command.token
+        self._bar(command.task, command.run)
+        run = self.running.get(command.task)
+        if run is not None and run.run <= command.run and not run.stopping:
             run.stopping = True
             self._pool.clock.callLater(
-                STOP_MS / _MS_PER_S, self.end, run, orders.EndKind.STOPPED
+                STOP_MS / _MS_PER_S, self.end, run, commands.EndKind.STOPPED
             )
-        return orders.StopVerdict.STOPPED
+        return commands.StopOutcome.STOPPED
 
-    def renew(self, order: orders.Hold) -> orders.StopVerdict | None:
+    def renew(
+        self, command: commands.RenewLeases
+    ) -> commands.StopOutcome | None:
         """Carries out a hold, but for its answer."""
-        if order.token < self._token:
-            return orders.StopVerdict.FENCED
-        self._token = order.token
-        if order.until_ms is not None:
-            self._until_ms = max(self._until_ms, order.until_ms)
-        self.ends = [end for end in self.ends if end.number > order.last_seen]
+        if command.token < self._token:
+            return commands.StopOutcome.FENCED
+        self._token = command.token
+        if command.until_ms is not None:
+            self._until_ms = max(self._until_ms, command.until_ms)
+        self.ends = [end for end in self.ends if end.number > command.last_seen]
         return None
 
-    def report(self) -> orders.HoldReport:
+    def report(self) -> commands.LeaseReport:
         """Returns what runs and what ended."""
-        return orders.HoldReport(
+        return commands.LeaseReport(
             clock_ms=self.now_ms(),
             life_ms=self.entry.life_ms,
             running=tuple(
-                orders.RunningTask(
+                commands.RunningTask(
                     task=run.task,
                     run=run.run,
                     saved=run.saved,
@@ -388,16 +392,16 @@
         self.ends.clear()
         self._pool.workers.pop(self.entry.worker, None)
 
-    def end(self, run: _Running, kind: orders.EndKind) -> None:
+    def end(self, run: _Running, kind: commands.EndKind) -> None:
         """Ends a run and lists its end."""
         if self.running.get(run.task) is not run:
             return
         del self.running[run.task]
         self._bar(run.task, run.run)
-        if kind is orders.EndKind.DONE and not run.plan.lasting:
+        if kind is commands.EndKind.DONE and not run.plan.lasting:
             self._pool.done.add(run.task)
         self.ends.append(
-            orders.EndedTask(
+            commands.EndedTask(
                 number=next(self._numbers),
                 task=run.task,
                 run=run.run,
@@ -415,7 +419,7 @@
         if self.stands_still:
             return
         failed = run.plan.fails
-        kind = orders.EndKind.FAILED if failed else orders.EndKind.DONE
+        kind = commands.EndKind.FAILED if failed else commands.EndKind.DONE
         if run.plan.gang == 1:
             self.end(run, kind)
             return
@@ -425,7 +429,7 @@
         if not failed and not self._pool.gang_finished(run.task, run.run):
             return
         self.end(run, kind)
-        rest = orders.EndKind.MEMBER_LOST if failed else kind
+        rest = commands.EndKind.MEMBER_LOST if failed else kind
         self._pool.end_gang(run.task, run.run, rest)
 
     def _check_gang(self, run: _Running) -> None:
@@ -433,31 +437,31 @@
             return
         if not self._pool.gang_present(run.task, run.run, run.plan.gang):
             self._pool.broken.append(f"GANG: {run.task} run {run.run} alone")
-            self.end(run, orders.EndKind.MEMBER_MISSING)
+            self.end(run, commands.EndKind.MEMBER_MISSING)
 
     def _check_lease(self) -> None:
         if not self.running:
             return
         if self.now_ms() > self._until_ms:
             for run in list(self.running.values()):
-                self.end(run, orders.EndKind.LAPSED)
+                self.end(run, commands.EndKind.LEASE_EXPIRED)
             return
         self._pool.clock.callLater(0.1, self._check_lease)
 
-    def _check_start(self, order: orders.Start) -> None:
-        if order.task in self._pool.done:
-            self._pool.broken.append(f"TWICE: {order.task} after its end")
+    def _check_start(self, command: commands.Start) -> None:
+        if command.task in self._pool.done:
+            self._pool.broken.append(f"TWICE: {command.task} after its end")
         elsewhere = [
-            name for task, name in self._pool.running() if task == order.task
+            name for task, name in self._pool.running() if task == command.task
         ]
         if elsewhere:
             self._pool.broken.append(
-                f"TWICE: {order.task} on {elsewhere} and {self.entry.worker}"
+                f"TWICE: {command.task} on {elsewhere} and {self.entry.worker}"
             )
 
     def _check_room(self) -> None:
-        used = room_lib.NONE
+        used = worker_allocations.NO_DEMAND
         for run in self.running.values():
-            used = room_lib.plus(used, run.plan.demand)
-        if not room_lib.fits_times(self.entry.capacity, used, 1):
+            used = worker_allocations.add_demands(used, run.plan.demand)
+        if not worker_allocations.max_task_count(self.entry.capacity, used, 1):
             self._pool.broken.append(f"LIMIT: {self.entry.worker} {used}")
--- a/citronmount/workflow/book.py
+++ b/citronmount/workflow/job_views.py
@@ -10,7 +10,7 @@
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
-__all__ = ["Book", "JobEntry"]
+__all__ = ["JobEntry", "JobView"]
 
 _FINAL_STATES = {
     records.FinalState.COMPLETE: states.JobState.DONE,
@@ -55,7 +55,7 @@
         return states.JobState.QUEUED
 
 
-class Book:
+class JobView:
     """Folds records by offset; folding one twice changes nothing.
 
     Records may come from the tail of the topic, from the newest record of
@@ -73,7 +73,7 @@
         """Initializes an empty book."""
         self.jobs: dict[ids.JobId, JobEntry] = {}
         self.finished: dict[ids.JobId, records.Finished] = {}
-        self.owned: records.Owned | None = None
+        self.ownership: records.OwnershipTaken | None = None
         self.speeds: dict[str, float] = {}
         self._offsets: dict[str, int] = {}
         self._early: dict[ids.JobId, list[tuple[int, records.Record]]] = {}
@@ -97,8 +97,8 @@
                 return self._submit(offset, record.submission)
             case records.Finished():
                 return self._finish(record)
-            case records.Owned():
-                self.owned = record
+            case records.OwnershipTaken():
+                self.ownership = record
                 return True
             case records.SpeedsLearned():
                 self.speeds = record.logs
--- a/citronmount/workflow/progress.py
+++ b/citronmount/workflow/progress.py
@@ -43,7 +43,7 @@
     @property
     def complete(self) -> bool:
         """Whether every unit of every occurrence is done."""
-        wanted = self._workflow.runs * sum(self._unit_counts)
+        wanted = self._workflow.occurrence_count * sum(self._unit_counts)
         return sum(self._done.values()) == wanted
 
     @property
@@ -85,7 +85,7 @@
     def _refresh(self, wall_ms: int) -> None:
         self._open = []
         self._open_until_ms = math.inf
-        for occurrence in range(self._workflow.runs):
+        for occurrence in range(self._workflow.occurrence_count):
             due_ms = self._workflow.due_ms(occurrence)
             if due_ms is not None and due_ms > wall_ms:
                 self._open_until_ms = due_ms
--- a/citronmount/workflow/records.py
+++ b/citronmount/workflow/records.py
@@ -14,7 +14,7 @@
     "Cancelled",
     "Finished",
     "OWNER_KEY",
-    "Owned",
+    "OwnershipTaken",
     "FinalState",
     "Place",
     "Record",
@@ -127,7 +127,7 @@
     finished_ms: int
 
 
-class Owned(msgspec.Struct, frozen=True, kw_only=True, tag="o"):
+class OwnershipTaken(msgspec.Struct, frozen=True, kw_only=True, tag="o"):
     """A process took the pool over.
 
     Attributes:
@@ -149,14 +149,21 @@
     logs: dict[str, float]
 
 
-Record = Submitted | Cancelled | UnitChanged | Finished | Owned | SpeedsLearned
+Record = (
+    Submitted
+    | Cancelled
+    | UnitChanged
+    | Finished
+    | OwnershipTaken
+    | SpeedsLearned
+)
 
 OWNER_KEY = "o"
 SPEEDS_KEY = "w"
 
 _ENCODER = msgspec.msgpack.Encoder()
 _OBJECTS = msgspec.msgpack.Decoder(
-    Submitted | Cancelled | Finished | Owned | SpeedsLearned
+    Submitted | Cancelled | Finished | OwnershipTaken | SpeedsLearned
 )
 _UNITS = msgspec.msgpack.Decoder(UnitChanged)
 _UNIT_PREFIX = "u/"
@@ -208,7 +215,7 @@
             return unit_key(unit)
         case Finished(job=job):
             return final_key(job)
-        case Owned():
+        case OwnershipTaken():
             return OWNER_KEY
         case SpeedsLearned():
             return SPEEDS_KEY
--- a/citronmount/workflow/spec.py
+++ b/citronmount/workflow/spec.py
@@ -98,7 +98,7 @@
     interval_ms: int = 0
 
     @property
-    def runs(self) -> int:
+    def occurrence_count(self) -> int:
         """How often the steps run in all."""
         return max(self.occurrences, 1)
 
--- a/citronmount/workflow/tests/test_book.py
+++ b/citronmount/workflow/tests/test_job_views.py
@@ -2,7 +2,7 @@
 
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.workflow import book as book_lib
+from citronmount.workflow import job_views
 from citronmount.workflow import records
 from citronmount.workflow import spec
 from citronmount.workflow import units
@@ -32,56 +32,56 @@
     )
 
 
-def open_units(book: book_lib.Book, wall_ms: int = 0) -> list[str]:
-    keys = book.jobs[JOB].progress.open_units(wall_ms)
+def open_units(job_view: job_views.JobView, wall_ms: int = 0) -> list[str]:
+    keys = job_view.jobs[JOB].progress.open_units(wall_ms)
     return [key.unit.partition(".")[2] for key in keys]
 
 
 class BookTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = book_lib.Book()
+        self.job_view = job_views.JobView()
 
     def test_first_submission_wins(self) -> None:
-        self.book.apply(1, submitted(spec.Step(tasks=1)))
-        self.assertFalse(self.book.apply(2, submitted(spec.Step(tasks=9))))
-        self.assertEqual(["0.0.0"], open_units(self.book))
+        self.job_view.apply(1, submitted(spec.Step(tasks=1)))
+        self.assertFalse(self.job_view.apply(2, submitted(spec.Step(tasks=9))))
+        self.assertEqual(["0.0.0"], open_units(self.job_view))
 
     def test_step_waits_for_the_steps_before_it(self) -> None:
         first = spec.Step(tasks=2)
         second = spec.Step(tasks=1, gang=True, after=(0,))
-        self.book.apply(0, submitted(first, second))
-        self.book.apply(1, changed("0.0.0", records.UnitStatus.DONE))
-        self.assertEqual(["0.0.1"], open_units(self.book))
-        self.book.apply(2, changed("0.0.1", records.UnitStatus.DONE))
-        self.assertEqual(["0.1"], open_units(self.book))
-        self.book.apply(3, changed("0.1", records.UnitStatus.DONE))
-        self.assertTrue(self.book.jobs[JOB].progress.complete)
+        self.job_view.apply(0, submitted(first, second))
+        self.job_view.apply(1, changed("0.0.0", records.UnitStatus.DONE))
+        self.assertEqual(["0.0.1"], open_units(self.job_view))
+        self.job_view.apply(2, changed("0.0.1", records.UnitStatus.DONE))
+        self.assertEqual(["0.1"], open_units(self.job_view))
+        self.job_view.apply(3, changed("0.1", records.UnitStatus.DONE))
+        self.assertTrue(self.job_view.jobs[JOB].progress.complete)
 
     def test_occurrence_opens_at_its_time(self) -> None:
         step = spec.Step(tasks=1)
         job = submitted(step, occurrences=2, first_due_ms=100, interval_ms=50)
-        self.book.apply(0, job)
-        self.assertEqual([], open_units(self.book, 99))
-        self.assertEqual(["0.0.0"], open_units(self.book, 100))
-        self.assertEqual(["0.0.0", "1.0.0"], open_units(self.book, 150))
+        self.job_view.apply(0, job)
+        self.assertEqual([], open_units(self.job_view, 99))
+        self.assertEqual(["0.0.0"], open_units(self.job_view, 100))
+        self.assertEqual(["0.0.0", "1.0.0"], open_units(self.job_view, 150))
 
     def test_older_record_never_replaces_a_newer_one(self) -> None:
-        self.book.apply(0, submitted(spec.Step(tasks=1)))
-        self.book.apply(5, changed("0.0.0", records.UnitStatus.DONE, run=2))
+        self.job_view.apply(0, submitted(spec.Step(tasks=1)))
+        self.job_view.apply(5, changed("0.0.0", records.UnitStatus.DONE, run=2))
         placed = changed("0.0.0", records.UnitStatus.PLACED, run=1)
-        self.assertFalse(self.book.apply(3, placed))
-        self.assertTrue(self.book.jobs[JOB].progress.complete)
+        self.assertFalse(self.job_view.apply(3, placed))
+        self.assertTrue(self.job_view.jobs[JOB].progress.complete)
 
     def test_unit_read_before_its_repeated_submission(self) -> None:
-        self.book.apply(4, changed("0.0.0", records.UnitStatus.PLACED))
-        self.book.apply(5, records.Cancelled(job=JOB))
-        self.book.apply(9, submitted(spec.Step(tasks=1)))
-        self.assertTrue(self.book.jobs[JOB].progress.started)
-        self.assertTrue(self.book.jobs[JOB].cancelled)
+        self.job_view.apply(4, changed("0.0.0", records.UnitStatus.PLACED))
+        self.job_view.apply(5, records.Cancelled(job=JOB))
+        self.job_view.apply(9, submitted(spec.Step(tasks=1)))
+        self.assertTrue(self.job_view.jobs[JOB].progress.started)
+        self.assertTrue(self.job_view.jobs[JOB].cancelled)
 
     def test_final_state_outlasts_a_late_submission(self) -> None:
-        self.book.apply(0, submitted(spec.Step(tasks=1)))
-        self.book.apply(
+        self.job_view.apply(0, submitted(spec.Step(tasks=1)))
+        self.job_view.apply(
             1,
             records.Finished(
                 job=JOB,
@@ -91,17 +91,17 @@
                 finished_ms=10,
             ),
         )
-        self.book.apply(2, submitted(spec.Step(tasks=1)))
-        self.assertIs(states.JobState.DONE, self.book.state(JOB))
-        self.assertEqual([JOB], self.book.expired(11))
-        self.book.drop(3, records.final_key(JOB))
-        self.assertIsNone(self.book.state(JOB))
+        self.job_view.apply(2, submitted(spec.Step(tasks=1)))
+        self.assertIs(states.JobState.DONE, self.job_view.state(JOB))
+        self.assertEqual([JOB], self.job_view.expired(11))
+        self.job_view.drop(3, records.final_key(JOB))
+        self.assertIsNone(self.job_view.state(JOB))
 
     def test_pending_counts_jobs_that_have_not_begun(self) -> None:
-        self.book.apply(0, submitted(spec.Step(tasks=2)))
-        self.assertEqual(1, self.book.pending(TERMS.queue))
-        self.book.apply(1, changed("0.0.1", records.UnitStatus.PLACED))
-        self.assertEqual(0, self.book.pending(TERMS.queue))
+        self.job_view.apply(0, submitted(spec.Step(tasks=2)))
+        self.assertEqual(1, self.job_view.pending(TERMS.queue))
+        self.job_view.apply(1, changed("0.0.1", records.UnitStatus.PLACED))
+        self.assertEqual(0, self.job_view.pending(TERMS.queue))
 
 
 class RecordTest(unittest.TestCase):
