--- a/citronmount/fleet/job_completion.py
+++ b/citronmount/fleet/job_completion.py
@@ -85,7 +85,9 @@
 
     def _forget_old(self, wall_ms: int) -> None:
         kept_s = self._state.bounds.status_s + FINAL_STATE_MARGIN_S
-        for job in self._state.job_view.expired(wall_ms - kept_s * _MS_PER_S):
+        for job in self._state.job_view.expired_jobs(
+            wall_ms - kept_s * _MS_PER_S
+        ):
             if job not in self._state.finishing:
                 self._state.finishing.add(job)
                 key = records.final_key(job)
--- a/citronmount/fleet/pool_owner.py
+++ b/citronmount/fleet/pool_owner.py
@@ -100,7 +100,7 @@
         """
         for number, entry in enumerate(entries, offset):
             if entry.record is None:
-                self._state.job_view.drop(number, entry.key)
+                self._state.job_view.apply_removal(number, entry.key)
                 job = records.job_of_final_key(entry.key)
                 self._state.finishing.discard(job)
             else:
--- a/citronmount/fleet_service/front.py
+++ b/citronmount/fleet_service/front.py
@@ -125,7 +125,7 @@
         Returns:
             DONE if the job is stored, NOT_DONE if it surely is not.
         """
-        if self._job_view.state(workflow.job) is not None:
+        if self._job_view.state_of(workflow.job) is not None:
             return Answer(verdict=Verdict.DONE)
         submission = spec.Submission(
             workflow=workflow,
@@ -185,12 +185,12 @@
         Raises:
             UnreachableError: It is not known and the log does not answer.
         """
-        known = self._job_view.state(job)
+        known = self._job_view.state_of(job)
         if known not in _ENDED:
             await self._refresh(known is not None)
         if self._job_view.queue_of(job) != queue.terms.queue:
             return None
-        return self._job_view.state(job)
+        return self._job_view.state_of(job)
 
     async def _refresh(self, optional: bool) -> None:
         """Reads to the end of the topic.
@@ -212,7 +212,7 @@
 
     def pending(self, queue: fleet_configuration.Queue) -> int:
         """Returns how many jobs of a queue have not begun."""
-        return self._job_view.pending(queue.terms.queue)
+        return self._job_view.count_queued(queue.terms.queue)
 
     async def _log_answers(self) -> bool:
         """Returns whether the log answers, asking it if that is not known.
--- a/citronmount/fleet_service/node.py
+++ b/citronmount/fleet_service/node.py
@@ -179,7 +179,7 @@
 
     def _fold_one(self, taken: ports.LogRecord) -> bool:
         if taken.value is None:
-            self._job_view.drop(taken.offset, taken.key)
+            self._job_view.apply_removal(taken.offset, taken.key)
             return False
         try:
             record = records.decode(taken.key, taken.value)
--- a/citronmount/workflow/job_views.py
+++ b/citronmount/workflow/job_views.py
@@ -108,7 +108,7 @@
             case records.UnitChanged():
                 return self._change_unit(offset, record)
 
-    def drop(self, offset: int, key: str) -> None:
+    def apply_removal(self, offset: int, key: str) -> None:
         """Folds a record that removes a key.
 
         Args:
@@ -120,7 +120,7 @@
         self._offsets.pop(key, None)
         self.finished.pop(records.job_of_final_key(key), None)
 
-    def state(self, job: ids.JobId) -> states.JobState | None:
+    def state_of(self, job: ids.JobId) -> states.JobState | None:
         """Returns the state of a job, or None if it is not known."""
         final = self.finished.get(job)
         if final is not None:
@@ -136,7 +136,7 @@
         entry = self.jobs.get(job)
         return entry.submission.terms.queue if entry else None
 
-    def pending(self, queue: spec.QueueName) -> int:
+    def count_queued(self, queue: spec.QueueName) -> int:
         """Returns how many jobs of a queue have not begun."""
         return sum(
             entry.submission.terms.queue == queue
@@ -153,7 +153,7 @@
         changed = map(records.unit_key, entry.progress.changed)
         return list(itertools.chain([records.job_key(job)], cancel, changed))
 
-    def expired(self, before_ms: int) -> list[ids.JobId]:
+    def expired_jobs(self, before_ms: int) -> list[ids.JobId]:
         """Returns the jobs whose final state is older than a Unix time."""
         return [
             job
--- a/citronmount/workflow/tests/test_job_views.py
+++ b/citronmount/workflow/tests/test_job_views.py
@@ -92,16 +92,16 @@
             ),
         )
         self.job_view.apply(2, submitted(spec.Step(tasks=1)))
-        self.assertIs(states.JobState.DONE, self.job_view.state(JOB))
-        self.assertEqual([JOB], self.job_view.expired(11))
-        self.job_view.drop(3, records.final_key(JOB))
-        self.assertIsNone(self.job_view.state(JOB))
+        self.assertIs(states.JobState.DONE, self.job_view.state_of(JOB))
+        self.assertEqual([JOB], self.job_view.expired_jobs(11))
+        self.job_view.apply_removal(3, records.final_key(JOB))
+        self.assertIsNone(self.job_view.state_of(JOB))
 
     def test_pending_counts_jobs_that_have_not_begun(self) -> None:
         self.job_view.apply(0, submitted(spec.Step(tasks=2)))
-        self.assertEqual(1, self.job_view.pending(TERMS.queue))
+        self.assertEqual(1, self.job_view.count_queued(TERMS.queue))
         self.job_view.apply(1, changed("0.0.1", records.UnitStatus.PLACED))
-        self.assertEqual(0, self.job_view.pending(TERMS.queue))
+        self.assertEqual(0, self.job_view.count_queued(TERMS.queue))
 
 
 class RecordTest(unittest.TestCase):
