--- a/citronmount/core/admission.py
+++ b/citronmount/core/admission.py
@@ -7,11 +7,11 @@
 from citronmount.core import pool
 from citronmount.core import shapes
 
-__all__ = ["ACCOUNT_QUEUE_LIMIT", "DOMAIN_QUEUE_LIMIT", "Admission"]
+__all__ = ["ACCOUNT_QUEUE_LIMIT_JOBS", "DOMAIN_QUEUE_LIMIT_JOBS", "Admission"]
 
-ACCOUNT_QUEUE_LIMIT = 2_000
-DOMAIN_QUEUE_LIMIT = 20_000
-_ACCOUNT_QUEUE_FLOOR = 64
+ACCOUNT_QUEUE_LIMIT_JOBS = 2_000
+DOMAIN_QUEUE_LIMIT_JOBS = 20_000
+_FULL_DOMAIN_ACCOUNT_LIMIT_JOBS = 64
 
 
 class Admission:
@@ -20,18 +20,18 @@
     def __init__(self, *, domain: domain_state.DomainState) -> None:
         """Initializes the checks of one failure domain."""
         self._domain = domain
-        self._empty = pool.RoomIndex()
-        self._holds: dict[shapes.Shape, bool] = {}
+        self._total_capacity = pool.CapacityIndex()
+        self._fits_when_empty: dict[shapes.Shape, bool] = {}
 
     def refresh(self) -> None:
         """Notes that workers or capacities have changed."""
-        listed = self._domain.pool
-        self._empty = pool.RoomIndex()
-        for worker in listed.workers():
-            self._empty.put(
-                worker, listed.rack(worker), listed.capacity(worker)
+        domain_pool = self._domain.pool
+        self._total_capacity = pool.CapacityIndex()
+        for worker in domain_pool.workers():
+            self._total_capacity.put(
+                worker, domain_pool.rack(worker), domain_pool.capacity(worker)
             )
-        self._holds = {}
+        self._fits_when_empty = {}
 
     def check(
         self, spec: jobs.JobSpec, wall_ms: int | None
@@ -55,12 +55,16 @@
     def _check_fields(self, spec: jobs.JobSpec) -> jobs.JobResult | None:
         if self._domain.account_class(spec.account) is None:
             return _refusal(codes.ResultCode.UNKNOWN_ACCOUNT, spec.account)
-        amounts = (
+        amounts_per_task = (
             spec.per_task.accelerators,
             spec.per_task.cores,
             spec.per_task.memory_gb,
         )
-        if spec.tasks < 1 or min(amounts) < 0 or not any(amounts):
+        if (
+            spec.tasks < 1
+            or min(amounts_per_task) < 0
+            or not any(amounts_per_task)
+        ):
             return _refusal(
                 codes.ResultCode.INVALID_REQUEST,
                 "tasks and resources of a task must be positive",
@@ -69,19 +73,19 @@
 
     def _check_size(self, spec: jobs.JobSpec) -> jobs.JobResult | None:
         shape = shapes.of_job(spec)
-        if not self._could_hold(shape):
+        if not self._could_ever_fit(shape):
             return _refusal(
                 codes.ResultCode.NEVER_FITS,
                 f"{spec.tasks} tasks in one {spec.adjacency.value}",
             )
         if not self._domain.is_trial(spec.account):
             return None
-        allowed = self._domain.allowance(spec.account)
-        if shape.accelerators > allowed:
+        allowed_accelerators = self._domain.allowance(spec.account)
+        if shape.accelerators > allowed_accelerators:
             return _refusal(
                 codes.ResultCode.OVER_ALLOWANCE,
                 f"{shape.accelerators} accelerators asked, "
-                f"{allowed} allowed in this failure domain",
+                f"{allowed_accelerators} allowed in this failure domain",
             )
         return None
 
@@ -90,36 +94,42 @@
     ) -> jobs.JobResult | None:
         if spec.deadline_ms is None or wall_ms is None:
             return None
-        left_ms = spec.deadline_ms - wall_ms
-        if left_ms <= 0:
+        remaining_ms = spec.deadline_ms - wall_ms
+        if remaining_ms <= 0:
             return _refusal(
-                codes.ResultCode.DEADLINE_PASSED, f"{-left_ms} ms ago"
+                codes.ResultCode.DEADLINE_PASSED, f"{-remaining_ms} ms ago"
             )
-        if spec.run_time_s * 1000 > left_ms:
+        if spec.run_time_s * 1000 > remaining_ms:
             return _refusal(
                 codes.ResultCode.DECLARED_TIME_TOO_LONG,
-                f"{spec.run_time_s} s declared, {left_ms} ms left",
+                f"{spec.run_time_s} s declared, {remaining_ms} ms left",
             )
         return None
 
     def _check_queue(self, spec: jobs.JobSpec) -> jobs.JobResult | None:
         queue = self._domain.queue
         size = queue.size(spec.account)
-        full = len(queue) >= DOMAIN_QUEUE_LIMIT
-        limit = _ACCOUNT_QUEUE_FLOOR if full else ACCOUNT_QUEUE_LIMIT
+        full = len(queue) >= DOMAIN_QUEUE_LIMIT_JOBS
+        limit = (
+            _FULL_DOMAIN_ACCOUNT_LIMIT_JOBS
+            if full
+            else ACCOUNT_QUEUE_LIMIT_JOBS
+        )
         if size < limit:
             return None
         return _refusal(
             codes.ResultCode.QUEUE_FULL, f"{size} jobs of the account wait"
         )
 
-    def _could_hold(self, shape: shapes.Shape) -> bool:
-        if not any(True for _ in self._empty):
+    def _could_ever_fit(self, shape: shapes.Shape) -> bool:
+        if not any(True for _ in self._total_capacity):
             return True
-        if shape not in self._holds:
-            groups = placement.find(self._empty, shape, key=placement.first_fit)
-            self._holds[shape] = groups is not None
-        return self._holds[shape]
+        if shape not in self._fits_when_empty:
+            groups = placement.find(
+                self._total_capacity, shape, key=placement.first_fit
+            )
+            self._fits_when_empty[shape] = groups is not None
+        return self._fits_when_empty[shape]
 
 
 def _refusal(code: codes.ResultCode, detail: str) -> jobs.JobResult:
--- a/citronmount/core/backfill.py
+++ b/citronmount/core/backfill.py
@@ -11,17 +11,17 @@
 from citronmount.core import domain_state
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.core import policy as policy_lib
+from citronmount.core import policies
 from citronmount.core import pool
 from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 from citronmount.core import states
 
-__all__ = ["OwnRoom", "Reservation", "reserve"]
+__all__ = ["CellBackfill", "Reservation", "reserve"]
 
 
-class OwnRoom:
+class CellBackfill:
     """Guards the first blocked job of an account inside its own cells."""
 
     def __init__(
@@ -37,42 +37,42 @@
         self._blocked: queueing.Entry | None = None
         self._start_ms: int | None = None
 
-    def block(self, entry: queueing.Entry) -> None:
+    def set_blocked(self, entry: queueing.Entry) -> None:
         """Notes a job that waits for room in the cells of its account."""
         if self._blocked is None:
             self._blocked = entry
 
-    def lets(self, entry: queueing.Entry) -> bool:
+    def allows(self, entry: queueing.Entry) -> bool:
         """Returns whether a later job may use the cells now."""
         if self._blocked is None:
             return True
         backfill = self._domain.policy.backfill
-        if backfill is not policy_lib.Backfill.RESERVATION:
-            return backfill is policy_lib.Backfill.ANY
+        if backfill is not policies.Backfill.RESERVATION:
+            return backfill is policies.Backfill.ANY
         if self._start_ms is None:
-            self._start_ms = self._start_of_blocked()
+            self._start_ms = self._blocked_start_ms()
         run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
         return self._now_ms + run_ms <= self._start_ms
 
-    def _start_of_blocked(self) -> int:
+    def _blocked_start_ms(self) -> int:
         """Finds by bisection how many ends the blocked job waits for."""
         domain = self._domain
-        ends = sorted(
-            (domain.end_of(domain.placed[job], self._now_ms), job)
+        end_times = sorted(
+            (domain.expected_end_ms(domain.placed[job], self._now_ms), job)
             for cell in domain.plan.cells(self._account)
             for job in cell.jobs
             if job in domain.placed
         )
-        low, high = 0, len(ends)
+        low, high = 0, len(end_times)
         while low < high:
             middle = (low + high) // 2
-            staying = {job for _, job in ends[middle:]}
+            remaining_jobs = {job for _, job in end_times[middle:]}
             shape = self._blocked.shape
-            if domain.plan.could_hold(self._account, shape, staying):
+            if domain.plan.could_fit(self._account, shape, remaining_jobs):
                 high = middle
             else:
                 low = middle + 1
-        return ends[low - 1][0] if low else self._now_ms
+        return end_times[low - 1][0] if low else self._now_ms
 
 
 class Reservation(msgspec.Struct, frozen=True, kw_only=True):
@@ -88,7 +88,7 @@
     start_ms: int
     need: dict[ids.WorkerId, jobs.Resources]
 
-    def limit(
+    def available(
         self,
         domain: domain_state.DomainState,
         worker: ids.WorkerId,
@@ -105,16 +105,19 @@
             The free room, or what the reservation leaves of the room that is
             expected to be free at its start.
         """
-        room = domain.pool.free.room(worker)
+        available = domain.pool.free.available(worker)
         need = self.need.get(worker)
         if need is None:
-            return room
+            return available
         for job, tasks in domain.pool.jobs_on(worker).items():
             placed = domain.placed.get(job)
-            if placed and domain.end_of(placed, now_ms) <= self.start_ms:
+            if (
+                placed
+                and domain.expected_end_ms(placed, now_ms) <= self.start_ms
+            ):
                 freed = resources.scaled(placed.entry.spec.per_task, tasks)
-                room = resources.plus(room, freed)
-        return resources.minus(room, need)
+                available = resources.plus(available, freed)
+        return resources.minus(available, need)
 
 
 def reserve(
@@ -131,19 +134,19 @@
         The reservation, or None if it does not fit even when all placed jobs
         have ended.
     """
-    ahead = _Ahead(domain.pool.free, entry.shape)
-    ends = sorted(
+    future = _FutureCapacity(domain.pool.free, entry.shape)
+    end_times = sorted(
         (
-            (domain.end_of(placed, now_ms), job)
-            for job, placed in _ending(domain)
+            (domain.expected_end_ms(placed, now_ms), job)
+            for job, placed in _placed_jobs(domain)
         ),
     )
-    for end_ms, job in ends:
+    for end_ms, job in end_times:
         placed = domain.placed[job]
         for group in placed.groups:
             freed = resources.scaled(placed.entry.spec.per_task, group.tasks)
-            ahead.free(group.worker, freed)
-        found = ahead.fits_on(group.worker for group in placed.groups)
+            future.add_freed(group.worker, freed)
+        found = future.find_groups(group.worker for group in placed.groups)
         if found is not None:
             need = {
                 worker: resources.scaled(entry.spec.per_task, tasks)
@@ -153,71 +156,73 @@
     return None
 
 
-def _ending(
+def _placed_jobs(
     domain: domain_state.DomainState,
 ) -> Iterable[tuple[ids.JobId, domain_state.PlacedJob]]:
     return domain.placed.items()
 
 
-class _Ahead:
+class _FutureCapacity:
     """Free room as it will be when some jobs have ended."""
 
-    def __init__(self, index: pool.RoomIndex, shape: shapes.Shape) -> None:
+    def __init__(self, index: pool.CapacityIndex, shape: shapes.Shape) -> None:
         self._index = index
         self._shape = shape
         self._freed: dict[ids.WorkerId, jobs.Resources] = {}
-        self._total: int | None = None
+        self._total_tasks: int | None = None
 
-    def free(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
+    def add_freed(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
         if worker not in self._index:
             return
-        before = self._count(worker)
+        before = self._tasks_on(worker)
         freed = self._freed.get(worker, resources.NONE)
         self._freed[worker] = resources.plus(freed, amount)
-        if self._total is not None:
-            self._total += self._count(worker) - before
+        if self._total_tasks is not None:
+            self._total_tasks += self._tasks_on(worker) - before
 
-    def fits_on(
+    def find_groups(
         self, workers: Iterable[ids.WorkerId]
     ) -> dict[ids.WorkerId, int] | None:
         """Returns the gang's groups if room freed on workers lets it fit."""
         if self._shape.adjacency is states.Adjacency.FAILURE_DOMAIN:
-            return self._fits_anywhere()
+            return self._find_anywhere()
         for worker in workers:
             if worker not in self._index:
                 continue
             scope = [worker]
             if self._shape.adjacency is states.Adjacency.RACK:
-                scope = self._index.members(self._index.rack(worker))
-            groups = self._fill(scope)
+                scope = self._index.workers_of_rack(self._index.rack(worker))
+            groups = self._fill_workers(scope)
             if groups is not None:
                 return groups
         return None
 
-    def _fits_anywhere(self) -> dict[ids.WorkerId, int] | None:
-        if self._total is None:
-            self._total = sum(self._count(worker) for worker in self._index)
-        if self._total < self._shape.tasks:
+    def _find_anywhere(self) -> dict[ids.WorkerId, int] | None:
+        if self._total_tasks is None:
+            self._total_tasks = sum(
+                self._tasks_on(worker) for worker in self._index
+            )
+        if self._total_tasks < self._shape.tasks:
             return None
-        return self._fill([*self._freed, *self._index])
+        return self._fill_workers([*self._freed, *self._index])
 
-    def _fill(
+    def _fill_workers(
         self, workers: Iterable[ids.WorkerId]
     ) -> dict[ids.WorkerId, int] | None:
-        left = self._shape.tasks
+        remaining = self._shape.tasks
         groups: dict[ids.WorkerId, int] = {}
         for worker in workers:
-            tasks = min(self._count(worker), left)
+            tasks = min(self._tasks_on(worker), remaining)
             if tasks and worker not in groups:
                 groups[worker] = tasks
-                left -= tasks
-            if not left:
+                remaining -= tasks
+            if not remaining:
                 return groups
         return None
 
-    def _count(self, worker: ids.WorkerId) -> int:
-        room = self._index.room(worker)
+    def _tasks_on(self, worker: ids.WorkerId) -> int:
+        available = self._index.available(worker)
         freed = self._freed.get(worker, resources.NONE)
         return resources.count(
-            resources.plus(room, freed), self._shape.per_task
+            resources.plus(available, freed), self._shape.per_task
         )
--- a/citronmount/core/cell_selection.py
+++ b/citronmount/core/cell_selection.py
@@ -15,8 +15,8 @@
 
 __all__ = ["find"]
 
-_SITES = 16
-_NO_HARM = (0, 0, 0, 0)
+_MAX_CANDIDATE_SCOPES = 16
+_NO_COST = (0, 0, 0, 0)
 
 
 def find(
@@ -24,7 +24,7 @@
     entry: queueing.Entry,
     avoid: Collection[ids.WorkerId],
     now_ms: int,
-) -> tuple[cells.Use, ...] | None:
+) -> tuple[cells.CellUse, ...] | None:
     """Finds uses of cells, moving free cells to where they harm least.
 
     A free cell moves to the best room that is free at once; where there is
@@ -42,24 +42,26 @@
     plan = domain.plan
     account = entry.spec.account
     free = domain.pool.free
-    uses = plan.fit(account, entry.shape, free, avoid)
-    key = domain.key(entry, now_ms)
-    opened = dict.fromkeys(u.cell for u in uses or () if not u.cell.held)
-    for cell in opened:
-        part = _part(cell, entry.shape)
+    uses = plan.find_uses(account, entry.shape, free, avoid)
+    key = domain.worker_key(entry, now_ms)
+    opened_cells = dict.fromkeys(
+        use.cell for use in uses or () if not use.cell.occupied
+    )
+    for cell in opened_cells:
+        part = _needed_part(cell, entry.shape)
         if part is not None and (
             plan.relocate(cell, part, free, key, avoid)
-            or _move_to_least_harm(domain, cell, part, avoid, now_ms)
+            or _move_to_least_cost(domain, cell, part, avoid, now_ms)
         ):
-            uses = plan.fit(account, entry.shape, free, avoid)
+            uses = plan.find_uses(account, entry.shape, free, avoid)
     return uses
 
 
-def _part(cell: cells.Cell, shape: shapes.Shape) -> shapes.Shape | None:
+def _needed_part(cell: cells.Cell, shape: shapes.Shape) -> shapes.Shape | None:
     """Returns the slots of a cell that a gang would use."""
-    each = resources.count(cell.shape.per_task, shape.per_task)
-    if each:
-        tasks = min(-(-shape.tasks // each), cell.shape.tasks)
+    tasks_per_slot = resources.count(cell.shape.per_task, shape.per_task)
+    if tasks_per_slot:
+        tasks = min(-(-shape.tasks // tasks_per_slot), cell.shape.tasks)
     elif cell.shape.adjacency is states.Adjacency.WORKER:
         tasks = cell.shape.tasks
     else:
@@ -72,64 +74,70 @@
     )
 
 
-def _move_to_least_harm(
+def _move_to_least_cost(
     domain: domain_state.DomainState,
     cell: cells.Cell,
     part: shapes.Shape,
     avoid: Collection[ids.WorkerId],
     now_ms: int,
 ) -> bool:
-    here = tuple(
+    current_groups = tuple(
         jobs.TaskGroup(worker=worker, tasks=tasks)
         for worker, tasks in cell.slots.items()
     )
-    present = _harm(domain, here, part.per_task, now_ms)
-    if present == _NO_HARM:
+    current_cost = _eviction_cost(domain, current_groups, part.per_task, now_ms)
+    if current_cost == _NO_COST:
         return False
-    sites = [
-        (harm, groups)
-        for workers in _enclosures(domain, part)
-        if (groups := _fill(domain, workers, part, avoid))
-        and (harm := _harm(domain, groups, part.per_task, now_ms)) is not None
-        and (present is None or harm < present)
+    candidates = [
+        (cost, groups)
+        for workers in _candidate_scopes(domain, part)
+        if (groups := _fill_workers(domain, workers, part, avoid))
+        and (cost := _eviction_cost(domain, groups, part.per_task, now_ms))
+        is not None
+        and (current_cost is None or cost < current_cost)
     ]
     return any(
         domain.plan.move_onto(cell, groups)
-        for _, groups in sorted(sites, key=lambda site: site[0])
+        for _, groups in sorted(candidates, key=lambda candidate: candidate[0])
     )
 
 
-def _enclosures(
+def _candidate_scopes(
     domain: domain_state.DomainState, part: shapes.Shape
 ) -> Iterable[list[ids.WorkerId]]:
     free = domain.pool.free
     if part.tasks == 1 or part.adjacency is states.Adjacency.WORKER:
-        return ([worker] for worker in free.emptiest_workers(_SITES))
+        return (
+            [worker] for worker in free.emptiest_workers(_MAX_CANDIDATE_SCOPES)
+        )
     if part.adjacency is states.Adjacency.RACK:
-        return (free.members(rack) for rack in free.emptiest_racks(_SITES))
+        return (
+            free.workers_of_rack(rack)
+            for rack in free.emptiest_racks(_MAX_CANDIDATE_SCOPES)
+        )
     return ()
 
 
-def _fill(
+def _fill_workers(
     domain: domain_state.DomainState,
     workers: Iterable[ids.WorkerId],
     part: shapes.Shape,
     avoid: Collection[ids.WorkerId],
 ) -> tuple[jobs.TaskGroup, ...]:
-    left = part.tasks
+    remaining = part.tasks
     groups = []
     for worker in workers:
-        room = domain.plan.room_beside_held(worker)
-        tasks = min(resources.count(room, part.per_task), left)
+        available = domain.plan.capacity_outside_occupied(worker)
+        tasks = min(resources.count(available, part.per_task), remaining)
         if tasks and worker not in avoid:
             groups.append(jobs.TaskGroup(worker=worker, tasks=tasks))
-            left -= tasks
-        if not left:
+            remaining -= tasks
+        if not remaining:
             return tuple(groups)
     return ()
 
 
-def _harm(
+def _eviction_cost(
     domain: domain_state.DomainState,
     groups: tuple[jobs.TaskGroup, ...],
     per_task: jobs.Resources,
@@ -139,6 +147,10 @@
         group.worker: resources.scaled(per_task, group.tasks)
         for group in groups
     }
-    short = preemption.shortfall(domain, need)
-    victims = preemption.choose(domain, short, now_ms)
-    return None if victims is None else preemption.cost(domain, victims, now_ms)
+    shortage = preemption.shortfall(domain, need)
+    victims = preemption.choose_victims(domain, shortage, now_ms)
+    return (
+        None
+        if victims is None
+        else preemption.eviction_cost(domain, victims, now_ms)
+    )
--- a/citronmount/core/cells.py
+++ b/citronmount/core/cells.py
@@ -21,7 +21,7 @@
 from citronmount.core import shapes
 from citronmount.core import states
 
-__all__ = ["Cell", "CellPlan", "Use"]
+__all__ = ["Cell", "CellPlan", "CellUse"]
 
 
 class Cell:
@@ -36,28 +36,28 @@
         jobs: The jobs that run in the cell.
     """
 
-    __slots__ = ("account", "jobs", "rest", "shape", "slots")
+    __slots__ = ("account", "jobs", "shape", "slots", "unused")
 
     def __init__(self, *, account: ids.AccountId, shape: shapes.Shape) -> None:
         """Initializes a cell that has no place yet."""
         self.account = account
         self.shape = shape
         self.slots: dict[ids.WorkerId, int] = {}
-        self.rest: dict[ids.WorkerId, jobs.Resources] = {}
+        self.unused: dict[ids.WorkerId, jobs.Resources] = {}
         self.jobs: set[ids.JobId] = set()
 
     @property
-    def held(self) -> bool:
+    def occupied(self) -> bool:
         """Whether jobs run in the cell, so that it cannot move."""
         return bool(self.jobs)
 
     @property
     def spare_accelerators(self) -> int:
         """Accelerators that no job of the cell uses."""
-        return sum(rest.accelerators for rest in self.rest.values())
+        return sum(unused.accelerators for unused in self.unused.values())
 
 
-class Use(msgspec.Struct, frozen=True, kw_only=True):
+class CellUse(msgspec.Struct, frozen=True, kw_only=True):
     """Tasks of a job in one cell on one worker.
 
     Attributes:
@@ -82,14 +82,14 @@
 
     def __init__(self) -> None:
         """Initializes a plan without workers and cells."""
-        self.room = pool.RoomIndex()
+        self.uncommitted = pool.CapacityIndex()
         self._capacity: dict[ids.WorkerId, jobs.Resources] = {}
         self._committed: dict[ids.WorkerId, jobs.Resources] = {}
-        self._held: dict[ids.WorkerId, jobs.Resources] = {}
-        self._on: dict[ids.WorkerId, dict[Cell, None]] = {}
+        self._occupied_capacity: dict[ids.WorkerId, jobs.Resources] = {}
+        self._cells_on: dict[ids.WorkerId, dict[Cell, None]] = {}
         self._cells: dict[ids.AccountId, list[Cell]] = {}
-        self._uses: dict[ids.JobId, tuple[Use, ...]] = {}
-        self._journal: dict[Cell, dict[ids.WorkerId, int]] | None = None
+        self._uses: dict[ids.JobId, tuple[CellUse, ...]] = {}
+        self._undo_log: dict[Cell, dict[ids.WorkerId, int]] | None = None
         self._unplanned: dict[Cell, None] = {}
 
     def cells(self, account: ids.AccountId) -> list[Cell]:
@@ -104,16 +104,16 @@
         """Returns the cells for which no room was found."""
         return list(self._unplanned)
 
-    def holds(self, job: ids.JobId) -> bool:
+    def runs_in_cells(self, job: ids.JobId) -> bool:
         """Returns whether a job runs in cells and so is not revocable."""
         return job in self._uses
 
-    def room_beside_held(self, worker: ids.WorkerId) -> jobs.Resources:
+    def capacity_outside_occupied(self, worker: ids.WorkerId) -> jobs.Resources:
         """Returns the capacity of a worker less cells in which jobs run."""
-        if worker not in self.room:
+        if worker not in self.uncommitted:
             return resources.NONE
-        held = self._held.get(worker, resources.NONE)
-        return resources.minus(self._capacity[worker], held)
+        occupied = self._occupied_capacity.get(worker, resources.NONE)
+        return resources.minus(self._capacity[worker], occupied)
 
     def set_worker(
         self,
@@ -122,16 +122,18 @@
         capacity: jobs.Resources,
     ) -> None:
         """Adds a usable worker, or changes its rack or capacity."""
-        moved = worker in self.room and self.room.rack(worker) != rack
+        moved = (
+            worker in self.uncommitted and self.uncommitted.rack(worker) != rack
+        )
         self._capacity[worker] = capacity
-        self.room.put(worker, rack, self._room(worker))
-        if moved or _negative(self._room(worker)):
-            self._lift_free(self._on.get(worker, ()))
+        self.uncommitted.put(worker, rack, self._uncommitted_on(worker))
+        if moved or _has_negative(self._uncommitted_on(worker)):
+            self._unplace_free(self._cells_on.get(worker, ()))
 
     def drop_worker(self, worker: ids.WorkerId) -> None:
         """Removes a worker that may get no new tasks."""
-        self.room.drop(worker)
-        self._lift_free(self._on.get(worker, ()))
+        self.uncommitted.drop(worker)
+        self._unplace_free(self._cells_on.get(worker, ()))
 
     def require(
         self, wanted: Mapping[tuple[ids.AccountId, shapes.Shape], int]
@@ -147,34 +149,34 @@
         present: dict[tuple[ids.AccountId, shapes.Shape], list[Cell]] = {}
         for cell in self.all_cells():
             present.setdefault((cell.account, cell.shape), []).append(cell)
-        loose: list[ids.JobId] = []
+        unbound: list[ids.JobId] = []
         for kind, cells in present.items():
             excess = len(cells) - wanted.get(kind, 0)
             cells.sort(key=lambda cell: len(cell.jobs))
             for cell in cells[: max(excess, 0)]:
-                loose.extend(self._delete(cell))
+                unbound.extend(self._delete_cell(cell))
         for (account, shape), copies in wanted.items():
             missing = copies - len(present.get((account, shape), ()))
             for _ in range(missing):
                 cell = Cell(account=account, shape=shape)
                 self._cells.setdefault(account, []).append(cell)
                 self._unplanned[cell] = None
-        return loose
+        return unbound
 
-    def secure(self) -> None:
+    def plan_cells(self) -> None:
         """Finds room for cells that have none, moving free ones if needed."""
         for cell in _largest_first(self._unplanned):
-            self._plan(cell)
+            self._plan_cell(cell)
         if self._unplanned:
-            self._plan_anew()
+            self._replan_all()
 
-    def fit(
+    def find_uses(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
-        free: pool.RoomIndex,
+        free: pool.CapacityIndex,
         avoid: Collection[ids.WorkerId] = (),
-    ) -> tuple[Use, ...] | None:
+    ) -> tuple[CellUse, ...] | None:
         """Finds room for a job in the cells of its account.
 
         The fewest cells without jobs are opened, then cells of the gang's own
@@ -190,25 +192,27 @@
         Returns:
             The uses, or None if the job does not fit.
         """
-        options = self._options(account, shape, free, avoid)
+        candidates = self._candidate_uses(account, shape, free, avoid)
         found = []
-        for scope in options.values():
-            uses = _fill(sorted(scope, key=lambda o: o[0]), shape)
+        for scope in candidates.values():
+            uses = _select_uses(
+                sorted(scope, key=lambda candidate: candidate[0]), shape
+            )
             if uses:
                 found.append(uses)
         return min(
             found, key=lambda uses: _cost(uses, shape, free), default=None
         )
 
-    def bind(self, job: ids.JobId, uses: tuple[Use, ...]) -> None:
+    def bind(self, job: ids.JobId, uses: tuple[CellUse, ...]) -> None:
         """Lets a job run in cells."""
         for use in uses:
-            if not use.cell.held:
-                self._hold(use.cell, 1)
+            if not use.cell.occupied:
+                self._add_occupied(use.cell, 1)
             use.cell.jobs.add(job)
             need = resources.scaled(use.per_task, use.tasks)
-            rest = use.cell.rest[use.worker]
-            use.cell.rest[use.worker] = resources.minus(rest, need)
+            unused = use.cell.unused[use.worker]
+            use.cell.unused[use.worker] = resources.minus(unused, need)
         self._uses[job] = uses
 
     def release(self, job: ids.JobId) -> None:
@@ -216,15 +220,15 @@
         uses = self._uses.pop(job, ())
         for use in uses:
             need = resources.scaled(use.per_task, use.tasks)
-            rest = use.cell.rest[use.worker]
-            use.cell.rest[use.worker] = resources.plus(rest, need)
+            unused = use.cell.unused[use.worker]
+            use.cell.unused[use.worker] = resources.plus(unused, need)
         for cell in dict.fromkeys(use.cell for use in uses):
             cell.jobs.discard(job)
-            if not cell.held:
-                self._hold(cell, -1)
-                self._lift_if_unusable(cell)
+            if not cell.occupied:
+                self._add_occupied(cell, -1)
+                self._unplace_if_unusable(cell)
 
-    def uses(self, job: ids.JobId) -> tuple[Use, ...]:
+    def uses(self, job: ids.JobId) -> tuple[CellUse, ...]:
         """Returns the cells that a job uses."""
         return self._uses.get(job, ())
 
@@ -238,26 +242,26 @@
         Returns:
             Whether all cells have room; otherwise nothing has changed.
         """
-        outer = self._journal
-        self._journal = {}
-        self._lift(cell)
-        if self._clear(cell, slots) and self._settle(cell, slots):
-            journal, self._journal = self._journal, outer
-            if outer is not None:
-                for moved, before in journal.items():
-                    outer.setdefault(moved, before)
+        outer_log = self._undo_log
+        self._undo_log = {}
+        self._unplace(cell)
+        if self._vacate(cell, slots) and self._place_and_replan(cell, slots):
+            undo_log, self._undo_log = self._undo_log, outer_log
+            if outer_log is not None:
+                for moved, before in undo_log.items():
+                    outer_log.setdefault(moved, before)
             return True
-        self._roll_back(self._journal)
-        self._journal = outer
+        self._roll_back(self._undo_log)
+        self._undo_log = outer_log
         return False
 
-    def cover(
+    def cover_placed(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
         groups: tuple[jobs.TaskGroup, ...],
         widest: int | None = None,
-    ) -> tuple[Use, ...] | None:
+    ) -> tuple[CellUse, ...] | None:
         """Puts cells of an account under a gang that already has its place.
 
         Args:
@@ -269,18 +273,18 @@
         Returns:
             The uses to bind, or None, in which case nothing has changed.
         """
-        self._journal = {}
-        uses = self._cover(account, shape, groups, widest)
+        self._undo_log = {}
+        uses = self._cover_placed(account, shape, groups, widest)
         if uses is None:
-            self._roll_back(self._journal)
-        self._journal = None
+            self._roll_back(self._undo_log)
+        self._undo_log = None
         return uses
 
-    def could_hold(
+    def could_fit(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
-        staying: Collection[ids.JobId] = (),
+        remaining_jobs: Collection[ids.JobId] = (),
     ) -> bool:
         """Returns whether a job would fit into its account's cells.
 
@@ -290,22 +294,22 @@
             staying: Jobs that keep their room; all others count as ended.
         """
         kept: dict[tuple[Cell, ids.WorkerId], jobs.Resources] = {}
-        for job in staying:
+        for job in remaining_jobs:
             for use in self._uses.get(job, ()):
-                place = (use.cell, use.worker)
+                location = (use.cell, use.worker)
                 need = resources.scaled(use.per_task, use.tasks)
-                kept[place] = resources.plus(
-                    kept.get(place, resources.NONE), need
+                kept[location] = resources.plus(
+                    kept.get(location, resources.NONE), need
                 )
         fits: dict[object, int] = {}
         for cell in self.cells(account):
             for worker, slots in cell.slots.items():
-                rest = resources.minus(
+                unused = resources.minus(
                     resources.scaled(cell.shape.per_task, slots),
                     kept.get((cell, worker), resources.NONE),
                 )
                 scope = self._scope(worker, shape.adjacency)
-                tasks = resources.count(rest, shape.per_task)
+                tasks = resources.count(unused, shape.per_task)
                 fits[scope] = fits.get(scope, 0) + tasks
         return any(tasks >= shape.tasks for tasks in fits.values())
 
@@ -313,8 +317,8 @@
         self,
         cell: Cell,
         shape: shapes.Shape,
-        free: pool.RoomIndex,
-        key: placement.Key,
+        free: pool.CapacityIndex,
+        key: placement.WorkerKey,
         avoid: Collection[ids.WorkerId] = (),
     ) -> bool:
         """Moves a cell to where a job in it needs no eviction.
@@ -333,7 +337,7 @@
             free,
             shape,
             key=key,
-            limit=self.room_beside_held,
+            limit=self.capacity_outside_occupied,
             avoid=avoid,
         )
         if groups is None or all(
@@ -352,42 +356,48 @@
         Returns:
             Whether the cell was moved; otherwise nothing has changed.
         """
-        slots = self._complete(cell, groups)
+        slots = self._complete_slots(cell, groups)
         return slots is not None and self.move(cell, slots)
 
-    def _options(
+    def _candidate_uses(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
-        free: pool.RoomIndex,
+        free: pool.CapacityIndex,
         avoid: Collection[ids.WorkerId],
-    ) -> dict[object, list[tuple[tuple, Use]]]:
-        options: dict[object, list[tuple[tuple, Use]]] = {}
+    ) -> dict[object, list[tuple[tuple, CellUse]]]:
+        candidates: dict[object, list[tuple[tuple, CellUse]]] = {}
         for cell in self.cells(account):
             spare = cell.spare_accelerators
-            for worker, rest in cell.rest.items():
-                tasks = resources.count(rest, shape.per_task)
-                if not tasks or worker in avoid or worker not in self.room:
+            for worker, unused in cell.unused.items():
+                tasks = resources.count(unused, shape.per_task)
+                if (
+                    not tasks
+                    or worker in avoid
+                    or worker not in self.uncommitted
+                ):
                     continue
-                use = Use(
+                use = CellUse(
                     cell=cell,
                     worker=worker,
                     tasks=min(tasks, shape.tasks),
                     per_task=shape.per_task,
                 )
-                at_once = resources.count(free.room(worker), shape.per_task)
+                free_tasks = resources.count(
+                    free.available(worker), shape.per_task
+                )
                 rank = (
-                    not cell.held,
+                    not cell.occupied,
                     cell.shape != shape,
                     spare,
-                    at_once < use.tasks,
-                    rest.accelerators,
+                    free_tasks < use.tasks,
+                    unused.accelerators,
                     worker,
                 )
                 scope = self._scope(worker, shape.adjacency)
-                options.setdefault(scope, []).append((rank, use))
-                options.setdefault((cell, scope), []).append((rank, use))
-        return options
+                candidates.setdefault(scope, []).append((rank, use))
+                candidates.setdefault((cell, scope), []).append((rank, use))
+        return candidates
 
     def _scope(
         self, worker: ids.WorkerId, adjacency: states.Adjacency
@@ -395,310 +405,334 @@
         if adjacency is states.Adjacency.WORKER:
             return worker
         if adjacency is states.Adjacency.RACK:
-            return self.room.rack(worker)
+            return self.uncommitted.rack(worker)
         return None
 
-    def _cover(
+    def _cover_placed(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
         groups: tuple[jobs.TaskGroup, ...],
         widest: int | None,
-    ) -> tuple[Use, ...] | None:
-        uses: list[Use] = []
-        open_to = [
+    ) -> tuple[CellUse, ...] | None:
+        uses: list[CellUse] = []
+        usable = [
             cell
             for cell in self.cells(account)
-            if widest is None or cell.held or cell.shape.accelerators <= widest
+            if widest is None
+            or cell.occupied
+            or cell.shape.accelerators <= widest
         ]
-        left = {group.worker: group.tasks for group in groups}
-        taken: set[Cell] = set()
+        remaining = {group.worker: group.tasks for group in groups}
+        chosen: set[Cell] = set()
         while True:
-            self._use_rest(open_to, shape, left, taken, uses)
-            if not left:
+            self._use_spare(usable, shape, remaining, chosen, uses)
+            if not remaining:
                 return tuple(uses)
-            if any(worker not in self.room for worker in left):
+            if any(worker not in self.uncommitted for worker in remaining):
                 return None
-            if not self._bring_cell(open_to, shape, left, taken):
+            if not self._move_free_cell(usable, shape, remaining, chosen):
                 return None
 
-    def _use_rest(
+    def _use_spare(
         self,
         cells: list[Cell],
         shape: shapes.Shape,
-        left: dict[ids.WorkerId, int],
-        taken: set[Cell],
-        uses: list[Use],
+        remaining: dict[ids.WorkerId, int],
+        chosen: set[Cell],
+        uses: list[CellUse],
     ) -> None:
         seen = {(use.cell, use.worker) for use in uses}
         for cell in cells:
-            for worker in [w for w in left if w in cell.rest]:
+            for worker in [w for w in remaining if w in cell.unused]:
                 if (cell, worker) in seen:
                     continue
-                rest = cell.rest[worker]
-                fits = resources.count(rest, shape.per_task)
-                tasks = min(left[worker], fits)
+                unused = cell.unused[worker]
+                fits = resources.count(unused, shape.per_task)
+                tasks = min(remaining[worker], fits)
                 if not tasks:
                     continue
-                taken.add(cell)
+                chosen.add(cell)
                 uses.append(
-                    Use(
+                    CellUse(
                         cell=cell,
                         worker=worker,
                         tasks=tasks,
                         per_task=shape.per_task,
                     )
                 )
-                left[worker] -= tasks
-                if not left[worker]:
-                    del left[worker]
+                remaining[worker] -= tasks
+                if not remaining[worker]:
+                    del remaining[worker]
 
-    def _bring_cell(
+    def _move_free_cell(
         self,
         cells: list[Cell],
         shape: shapes.Shape,
-        left: dict[ids.WorkerId, int],
-        taken: set[Cell],
+        remaining: dict[ids.WorkerId, int],
+        chosen: set[Cell],
     ) -> bool:
         tried: set[shapes.Shape] = set()
         for cell in cells:
-            if cell.held or cell in taken or cell.shape in tried:
+            if cell.occupied or cell in chosen or cell.shape in tried:
                 continue
             tried.add(cell.shape)
-            groups = self._slots_under(cell, shape, left)
-            slots = self._complete(cell, groups) if groups else None
-            if slots is not None and self._move_past(cell, slots, taken):
+            groups = self._slots_for(cell, shape, remaining)
+            slots = self._complete_slots(cell, groups) if groups else None
+            if slots is not None and self._move_keeping(cell, slots, chosen):
                 return True
         return False
 
-    def _move_past(
+    def _move_keeping(
         self,
         cell: Cell,
         slots: Mapping[ids.WorkerId, int],
-        taken: set[Cell],
+        chosen: set[Cell],
     ) -> bool:
         """Moves a cell while those in `taken` stay where they are."""
-        pinned = [other for other in taken if not other.held]
+        pinned = [other for other in chosen if not other.occupied]
         for other in pinned:
-            other.jobs.add(_PIN)
+            other.jobs.add(_PIN_JOB)
         try:
             return self.move(cell, slots)
         finally:
             for other in pinned:
-                other.jobs.discard(_PIN)
+                other.jobs.discard(_PIN_JOB)
 
-    def _slots_under(
+    def _slots_for(
         self,
         cell: Cell,
         shape: shapes.Shape,
-        left: Mapping[ids.WorkerId, int],
+        remaining: Mapping[ids.WorkerId, int],
     ) -> tuple[jobs.TaskGroup, ...]:
-        each = resources.count(cell.shape.per_task, shape.per_task)
-        if not each:
+        tasks_per_slot = resources.count(cell.shape.per_task, shape.per_task)
+        if not tasks_per_slot:
             return ()
         groups = []
         spare = cell.shape.tasks
         scope: object = None
-        for worker, tasks in left.items():
-            here = self._scope(worker, cell.shape.adjacency)
-            if groups and here != scope:
+        for worker, tasks in remaining.items():
+            worker_scope = self._scope(worker, cell.shape.adjacency)
+            if groups and worker_scope != scope:
                 continue
-            slots = min(-(-tasks // each), spare)
+            slots = min(-(-tasks // tasks_per_slot), spare)
             if slots:
-                scope = here
+                scope = worker_scope
                 groups.append(jobs.TaskGroup(worker=worker, tasks=slots))
                 spare -= slots
         return tuple(groups)
 
-    def _complete(
+    def _complete_slots(
         self, cell: Cell, groups: Iterable[jobs.TaskGroup]
     ) -> dict[ids.WorkerId, int] | None:
         """Adds places for those tasks of a cell that `groups` leaves out."""
         slots = {group.worker: group.tasks for group in groups}
-        left = cell.shape.tasks - sum(slots.values())
+        remaining = cell.shape.tasks - sum(slots.values())
         per_task = cell.shape.per_task
         if any(
-            resources.count(self.room_beside_held(worker), per_task) < tasks
+            resources.count(self.capacity_outside_occupied(worker), per_task)
+            < tasks
             for worker, tasks in slots.items()
         ):
             return None
-        if not left:
+        if not remaining:
             return slots
-        for worker in self._near(next(iter(slots)), cell.shape.adjacency):
-            room = self.room_beside_held(worker)
+        for worker in self._workers_in_scope(
+            next(iter(slots)), cell.shape.adjacency
+        ):
+            available = self.capacity_outside_occupied(worker)
             used = slots.get(worker, 0)
-            more = min(resources.count(room, per_task) - used, left)
-            if more > 0:
-                slots[worker] = used + more
-                left -= more
-            if not left:
+            extra = min(resources.count(available, per_task) - used, remaining)
+            if extra > 0:
+                slots[worker] = used + extra
+                remaining -= extra
+            if not remaining:
                 return slots
         return None
 
-    def _near(
+    def _workers_in_scope(
         self, worker: ids.WorkerId, adjacency: states.Adjacency
     ) -> Iterable[ids.WorkerId]:
         if adjacency is states.Adjacency.WORKER:
             return (worker,)
         if adjacency is states.Adjacency.RACK:
-            return self.room.members(self.room.rack(worker))
-        return iter(self.room)
+            return self.uncommitted.workers_of_rack(
+                self.uncommitted.rack(worker)
+            )
+        return iter(self.uncommitted)
 
-    def _clear(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> bool:
+    def _vacate(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> bool:
         for worker, tasks in slots.items():
             need = resources.scaled(cell.shape.per_task, tasks)
-            while not resources.covers(self.room.room(worker), need):
-                others = [c for c in self._on.get(worker, ()) if not c.held]
+            while not resources.covers(
+                self.uncommitted.available(worker), need
+            ):
+                others = [
+                    c for c in self._cells_on.get(worker, ()) if not c.occupied
+                ]
                 if not others:
                     return False
-                self._lift(min(others, key=lambda c: c.shape.accelerators))
+                self._unplace(min(others, key=lambda c: c.shape.accelerators))
         return True
 
-    def _settle(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> bool:
-        self._lay(cell, slots)
+    def _place_and_replan(
+        self, cell: Cell, slots: Mapping[ids.WorkerId, int]
+    ) -> bool:
+        self._place(cell, slots)
         displaced = [
             other
-            for other, before in self._journal.items()
+            for other, before in self._undo_log.items()
             if before and not other.slots
         ]
-        return all(self._plan(other) for other in _largest_first(displaced))
+        return all(
+            self._plan_cell(other) for other in _largest_first(displaced)
+        )
 
-    def _plan(self, cell: Cell) -> bool:
-        groups = placement.find(self.room, cell.shape, key=placement.best_fit)
+    def _plan_cell(self, cell: Cell) -> bool:
+        groups = placement.find(
+            self.uncommitted, cell.shape, key=placement.best_fit
+        )
         if groups is None:
             return False
-        self._lay(cell, {group.worker: group.tasks for group in groups})
+        self._place(cell, {group.worker: group.tasks for group in groups})
         return True
 
-    def _plan_anew(self) -> None:
-        lacking = len(self._unplanned)
-        free = [cell for cell in self.all_cells() if not cell.held]
-        for order in _ORDERS:
-            self._journal = {}
+    def _replan_all(self) -> None:
+        unplanned_count = len(self._unplanned)
+        free = [cell for cell in self.all_cells() if not cell.occupied]
+        for sort_key in _PLANNING_ORDERS:
+            self._undo_log = {}
             for cell in free:
-                self._lift(cell)
-            for cell in sorted(free, key=order):
-                self._plan(cell)
-            if len(self._unplanned) < lacking:
-                self._journal = None
-                lacking = len(self._unplanned)
+                self._unplace(cell)
+            for cell in sorted(free, key=sort_key):
+                self._plan_cell(cell)
+            if len(self._unplanned) < unplanned_count:
+                self._undo_log = None
+                unplanned_count = len(self._unplanned)
             else:
-                self._roll_back(self._journal)
-                self._journal = None
-            if not lacking:
+                self._roll_back(self._undo_log)
+                self._undo_log = None
+            if not unplanned_count:
                 return
 
-    def _roll_back(self, journal: dict[Cell, dict[ids.WorkerId, int]]) -> None:
-        self._journal = None
-        for cell in journal:
-            self._lift(cell)
-        for cell, slots in journal.items():
+    def _roll_back(self, undo_log: dict[Cell, dict[ids.WorkerId, int]]) -> None:
+        self._undo_log = None
+        for cell in undo_log:
+            self._unplace(cell)
+        for cell, slots in undo_log.items():
             if slots:
-                self._lay(cell, slots)
+                self._place(cell, slots)
 
-    def _note(self, cell: Cell) -> None:
-        if self._journal is not None:
-            self._journal.setdefault(cell, dict(cell.slots))
+    def _record_undo(self, cell: Cell) -> None:
+        if self._undo_log is not None:
+            self._undo_log.setdefault(cell, dict(cell.slots))
 
-    def _lift(self, cell: Cell) -> None:
-        self._note(cell)
+    def _unplace(self, cell: Cell) -> None:
+        self._record_undo(cell)
         for worker, tasks in cell.slots.items():
-            self._commit(worker, resources.scaled(cell.shape.per_task, -tasks))
-            del self._on[worker][cell]
+            self._add_committed(
+                worker, resources.scaled(cell.shape.per_task, -tasks)
+            )
+            del self._cells_on[worker][cell]
         cell.slots = {}
-        cell.rest = {}
+        cell.unused = {}
         self._unplanned[cell] = None
 
-    def _lay(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> None:
-        self._note(cell)
+    def _place(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> None:
+        self._record_undo(cell)
         for worker, tasks in slots.items():
             amount = resources.scaled(cell.shape.per_task, tasks)
-            self._commit(worker, amount)
-            self._on.setdefault(worker, {})[cell] = None
-            cell.rest[worker] = amount
+            self._add_committed(worker, amount)
+            self._cells_on.setdefault(worker, {})[cell] = None
+            cell.unused[worker] = amount
         cell.slots = dict(slots)
         self._unplanned.pop(cell, None)
 
-    def _lift_free(self, cells: Iterable[Cell]) -> None:
-        for cell in [cell for cell in cells if not cell.held]:
-            self._lift(cell)
+    def _unplace_free(self, cells: Iterable[Cell]) -> None:
+        for cell in [cell for cell in cells if not cell.occupied]:
+            self._unplace(cell)
 
-    def _lift_if_unusable(self, cell: Cell) -> None:
+    def _unplace_if_unusable(self, cell: Cell) -> None:
         scopes = {
             self._scope(worker, cell.shape.adjacency) for worker in cell.slots
         }
         if len(scopes) > 1 or any(
-            worker not in self.room or _negative(self._room(worker))
+            worker not in self.uncommitted
+            or _has_negative(self._uncommitted_on(worker))
             for worker in cell.slots
         ):
-            self._lift(cell)
+            self._unplace(cell)
 
-    def _delete(self, cell: Cell) -> list[ids.JobId]:
-        loose = list(cell.jobs)
-        for job in loose:
+    def _delete_cell(self, cell: Cell) -> list[ids.JobId]:
+        unbound = list(cell.jobs)
+        for job in unbound:
             self.release(job)
-        self._lift(cell)
+        self._unplace(cell)
         del self._unplanned[cell]
         self._cells[cell.account].remove(cell)
-        return loose
+        return unbound
 
-    def _hold(self, cell: Cell, sign: int) -> None:
+    def _add_occupied(self, cell: Cell, sign: int) -> None:
         for worker, tasks in cell.slots.items():
             amount = resources.scaled(cell.shape.per_task, sign * tasks)
-            held = self._held.get(worker, resources.NONE)
-            self._held[worker] = resources.plus(held, amount)
+            occupied = self._occupied_capacity.get(worker, resources.NONE)
+            self._occupied_capacity[worker] = resources.plus(occupied, amount)
 
-    def _commit(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
+    def _add_committed(
+        self, worker: ids.WorkerId, amount: jobs.Resources
+    ) -> None:
         committed = self._committed.get(worker, resources.NONE)
         self._committed[worker] = resources.plus(committed, amount)
-        self.room.set_room(worker, self._room(worker))
+        self.uncommitted.set_available(worker, self._uncommitted_on(worker))
 
-    def _room(self, worker: ids.WorkerId) -> jobs.Resources:
+    def _uncommitted_on(self, worker: ids.WorkerId) -> jobs.Resources:
         committed = self._committed.get(worker, resources.NONE)
         capacity = self._capacity.get(worker, resources.NONE)
         return resources.minus(capacity, committed)
 
 
-_PIN = ids.JobId("")
+_PIN_JOB = ids.JobId("")
 
 
-def _negative(room: jobs.Resources) -> bool:
-    return min(room.accelerators, room.cores, room.memory_gb) < 0
+def _has_negative(available: jobs.Resources) -> bool:
+    return min(available.accelerators, available.cores, available.memory_gb) < 0
 
 
-def _fill(
-    ranked: list[tuple[tuple, Use]], shape: shapes.Shape
-) -> tuple[Use, ...]:
+def _select_uses(
+    ranked: list[tuple[tuple, CellUse]], shape: shapes.Shape
+) -> tuple[CellUse, ...]:
     uses = []
-    left = shape.tasks
+    remaining = shape.tasks
     for _, use in ranked:
-        tasks = min(use.tasks, left)
+        tasks = min(use.tasks, remaining)
         uses.append(msgspec.structs.replace(use, tasks=tasks))
-        left -= tasks
-        if not left:
+        remaining -= tasks
+        if not remaining:
             return tuple(uses)
     return ()
 
 
 def _cost(
-    uses: tuple[Use, ...], shape: shapes.Shape, free: pool.RoomIndex
+    uses: tuple[CellUse, ...], shape: shapes.Shape, free: pool.CapacityIndex
 ) -> tuple:
-    short = sum(
-        resources.count(free.room(use.worker), use.per_task) < use.tasks
+    not_free = sum(
+        resources.count(free.available(use.worker), use.per_task) < use.tasks
         for use in uses
     )
-    opened = len({use.cell for use in uses if not use.cell.held})
+    opened = len({use.cell for use in uses if not use.cell.occupied})
     used = {use.cell for use in uses}
-    other = sum(not cell.held and cell.shape != shape for cell in used)
+    other_shapes = sum(
+        not cell.occupied and cell.shape != shape for cell in used
+    )
     spare = sum(cell.spare_accelerators for cell in used)
-    return (opened, other, spare, short)
+    return (opened, other_shapes, spare, not_free)
 
 
 def _largest_first(cells: Iterable[Cell]) -> list[Cell]:
-    return sorted(cells, key=_by_enclosure)
+    return sorted(cells, key=_by_scope)
 
 
-def _by_enclosure(cell: Cell) -> tuple:
+def _by_scope(cell: Cell) -> tuple:
     return (
         cell.shape.adjacency is states.Adjacency.FAILURE_DOMAIN,
         -cell.shape.accelerators,
@@ -706,9 +740,9 @@
     )
 
 
-def _by_need_of_one_worker(cell: Cell) -> tuple:
-    on_one = cell.shape.adjacency is states.Adjacency.WORKER
-    need = cell.shape.total if on_one else cell.shape.per_task
+def _by_single_worker_need(cell: Cell) -> tuple:
+    single_worker = cell.shape.adjacency is states.Adjacency.WORKER
+    need = cell.shape.total if single_worker else cell.shape.per_task
     return (-need.accelerators, -cell.shape.accelerators)
 
 
@@ -716,4 +750,4 @@
     return (-cell.shape.accelerators, -cell.shape.per_task.accelerators)
 
 
-_ORDERS = (_by_enclosure, _by_need_of_one_worker, _by_size)
+_PLANNING_ORDERS = (_by_scope, _by_single_worker_need, _by_size)
--- a/citronmount/core/delay_scheduling.py
+++ b/citronmount/core/delay_scheduling.py
@@ -15,17 +15,17 @@
 from citronmount.core import queueing
 from citronmount.core import resources
 
-__all__ = ["rests", "waits"]
+__all__ = ["recently_checked", "should_wait"]
 
-RUN_TIME_SHARE = 0.1
+MAX_WAIT_RUN_TIME_SHARE = 0.1
 MAX_WAIT_MS = 900_000
-MIN_RUN_MS = 1_800_000
-LOOK_AGAIN_MS = 1_000
-_OUTLASTING_SHARE = 0.5
-_WORKERS_SEEN = 64
+MIN_RUN_TIME_MS = 1_800_000
+RECHECK_INTERVAL_MS = 1_000
+_OUTLASTING_RUN_TIME_SHARE = 0.5
+_MAX_WORKERS_SCANNED = 64
 
 
-def rests(entry: queueing.Entry, now_ms: int) -> bool:
+def recently_checked(entry: queueing.Entry, now_ms: int) -> bool:
     """Returns whether a waiting job was looked at a moment ago."""
     waiting = entry.patient_until_ms is not None
     return (
@@ -35,7 +35,7 @@
     )
 
 
-def waits(
+def should_wait(
     domain: domain_state.DomainState,
     entry: queueing.Entry,
     groups: tuple[jobs.TaskGroup, ...],
@@ -50,19 +50,19 @@
         now_ms: Monotonic time.
     """
     run_ms = domain.estimator.run_ms(entry.spec, entry.progress)
-    if entry.lane < queueing.Lane.NEW or run_ms < MIN_RUN_MS:
+    if entry.lane < queueing.Lane.NEW or run_ms < MIN_RUN_TIME_MS:
         return False
-    if not _scatters(domain, entry, groups, now_ms, run_ms):
+    if not _spreads_too_wide(domain, entry, groups, now_ms, run_ms):
         return False
     if entry.patient_until_ms is None:
-        wait_ms = min(int(run_ms * RUN_TIME_SHARE), MAX_WAIT_MS)
+        wait_ms = min(int(run_ms * MAX_WAIT_RUN_TIME_SHARE), MAX_WAIT_MS)
         entry.patient_until_ms = now_ms + wait_ms
         heapq.heappush(domain.wake_up_times_ms, entry.patient_until_ms)
-    entry.look_again_ms = now_ms + LOOK_AGAIN_MS
+    entry.look_again_ms = now_ms + RECHECK_INTERVAL_MS
     return now_ms < entry.patient_until_ms
 
 
-def _scatters(
+def _spreads_too_wide(
     domain: domain_state.DomainState,
     entry: queueing.Entry,
     groups: tuple[jobs.TaskGroup, ...],
@@ -70,31 +70,32 @@
     run_ms: int,
 ) -> bool:
     """Returns whether the gang outlasts other jobs on too many workers."""
-    late_ms = now_ms + int(run_ms * _OUTLASTING_SHARE)
+    horizon_ms = now_ms + int(run_ms * _OUTLASTING_RUN_TIME_SHARE)
     outlasted = sum(
-        domain.busy_until(group.worker, now_ms) < late_ms for group in groups
+        domain.busy_until_ms(group.worker, now_ms) < horizon_ms
+        for group in groups
     )
     if not outlasted:
         return False
-    joined = sum(
-        _room_beside_long_jobs(domain, entry, worker, now_ms, late_ms)
-        for worker in itertools.islice(domain.pool.free, _WORKERS_SEEN)
+    tasks_beside_long_jobs = sum(
+        _tasks_beside_long_jobs(domain, entry, worker, now_ms, horizon_ms)
+        for worker in itertools.islice(domain.pool.free, _MAX_WORKERS_SCANNED)
     )
     capacity = domain.pool.capacity(groups[0].worker)
-    each = max(resources.count(capacity, entry.shape.per_task), 1)
-    alone = max(entry.shape.tasks - joined, 0)
-    return outlasted > -(-alone // each)
+    tasks_per_worker = max(resources.count(capacity, entry.shape.per_task), 1)
+    tasks_alone = max(entry.shape.tasks - tasks_beside_long_jobs, 0)
+    return outlasted > -(-tasks_alone // tasks_per_worker)
 
 
-def _room_beside_long_jobs(
+def _tasks_beside_long_jobs(
     domain: domain_state.DomainState,
     entry: queueing.Entry,
     worker: ids.WorkerId,
     now_ms: int,
-    late_ms: int,
+    horizon_ms: int,
 ) -> int:
     """Returns how many tasks could join jobs that run for long anyway."""
-    if domain.busy_until(worker, now_ms) < late_ms:
+    if domain.busy_until_ms(worker, now_ms) < horizon_ms:
         return 0
-    room = domain.room_at(worker, now_ms, late_ms)
-    return resources.count(room, entry.shape.per_task)
+    available = domain.available_at(worker, now_ms, horizon_ms)
+    return resources.count(available, entry.shape.per_task)
--- a/citronmount/core/domain_state.py
+++ b/citronmount/core/domain_state.py
@@ -14,7 +14,7 @@
 from citronmount.core import jobs
 from citronmount.core import ledger
 from citronmount.core import placement
-from citronmount.core import policy as policy_lib
+from citronmount.core import policies
 from citronmount.core import pool
 from citronmount.core import queueing
 from citronmount.core import ranking
@@ -38,7 +38,7 @@
             guarantees.
     """
 
-    __slots__ = ("entry", "evicting", "groups", "lent", "since_ms")
+    __slots__ = ("entry", "evicting", "groups", "preemptible", "since_ms")
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.groups = groups
         self.since_ms = since_ms
         self.evicting = False
-        self.lent = False
+        self.preemptible = False
 
 
 class PendingPlacement:
@@ -100,7 +100,7 @@
 
     def __init__(self, *, policy: str) -> None:
         """Initializes a failure domain without workers and accounts."""
-        self.policy = policy_lib.get(policy)
+        self.policy = policies.get(policy)
         self.pool = pool.Pool()
         self.plan = cells.CellPlan()
         self.queue = queueing.JobQueue()
@@ -109,17 +109,17 @@
         self.ledger = ledger.Ledger()
         self.estimator = estimates.Estimator()
         self.health = health.Health()
-        self.mix = fragmentation.Mix()
+        self.mix = fragmentation.GangMix()
         self.in_service = False
-        self.unsettled: set[ids.AccountId] = set()
-        self.secured = False
+        self.accounts_to_bind: set[ids.AccountId] = set()
+        self.cells_planned = False
         self.wake_up_times_ms: list[int] = []
         self._timelines: dict[
             ids.WorkerId, tuple[int, list[tuple[int, jobs.Resources]]]
         ] = {}
-        self._classes: dict[ids.AccountId, states.AccountClass] = {}
+        self._account_classes: dict[ids.AccountId, states.AccountClass] = {}
         self._allowances: dict[ids.AccountId, int] = {}
-        self._trial_use: collections.Counter[ids.AccountId] = (
+        self._trial_accelerators: collections.Counter[ids.AccountId] = (
             collections.Counter()
         )
 
@@ -127,20 +127,22 @@
         self, account: ids.AccountId
     ) -> states.AccountClass | None:
         """Returns the class of an account, None if it is not known."""
-        return self._classes.get(account)
+        return self._account_classes.get(account)
 
     def is_trial(self, account: ids.AccountId) -> bool:
         """Returns whether an account does not pay."""
-        return self._classes.get(account) is not states.AccountClass.PAYING
+        return (
+            self._account_classes.get(account) is not states.AccountClass.PAYING
+        )
 
     def allowance(self, account: ids.AccountId) -> int:
         """Returns the accelerators that a trial account may use here."""
         return self._allowances.get(account, 0)
 
-    def allows(self, entry: queueing.Entry) -> bool:
+    def within_allowance(self, entry: queueing.Entry) -> bool:
         """Returns whether an allowance leaves room for a trial job."""
         account = entry.spec.account
-        used = self._trial_use[account] + entry.shape.accelerators
+        used = self._trial_accelerators[account] + entry.shape.accelerators
         return used <= self.allowance(account)
 
     def revocable(self, job: ids.JobId) -> bool:
@@ -149,7 +151,7 @@
             self.policy.guarantees
             and job in self.placed
             and not self.placed[job].evicting
-            and not self.plan.holds(job)
+            and not self.plan.runs_in_cells(job)
         )
 
     def configure(
@@ -170,20 +172,21 @@
             and domain.state is states.FailureDomainState.IN
             for domain in configuration.failure_domains
         )
-        self._classes = {
-            a.name: a.account_class for a in configuration.accounts
+        self._account_classes = {
+            account.name: account.account_class
+            for account in configuration.accounts
         }
         share = shares.share(configuration, failure_domain)
         self._allowances = share.allowances
-        self._weigh(configuration, share, now_ms)
+        self._update_weights(configuration, share, now_ms)
         if self.policy.guarantees:
-            self._require(share, now_ms)
+            self._update_cells(share, now_ms)
 
-    def secure(self) -> None:
+    def plan_cells(self) -> None:
         """Finds room for cells that have none."""
-        if not self.secured:
-            self.plan.secure()
-            self.secured = True
+        if not self.cells_planned:
+            self.plan.plan_cells()
+            self.cells_planned = True
 
     def refresh_worker(self, worker: ids.WorkerId, now_ms: int) -> None:
         """Brings plan and claims up to date with a worker of the pool.
@@ -193,40 +196,40 @@
             now_ms: Monotonic time.
         """
         self.pool.set_closed(worker, not self.health.is_open(worker))
-        self.secured = False
+        self.cells_planned = False
         if self.pool.usable(worker):
             self.plan.set_worker(
                 worker, self.pool.rack(worker), self.pool.capacity(worker)
             )
-            self.unsettled.update(self._classes)
+            self.accounts_to_bind.update(self._account_classes)
             return
         self.plan.drop_worker(worker)
         for job in list(self.pool.jobs_on(worker)):
             if job in self.pending_placements:
-                self.release_claim(job, now_ms)
+                self.cancel_pending(job, now_ms)
 
     def place(
         self,
         entry: queueing.Entry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
-        uses: tuple[cells.Use, ...] = (),
+        uses: tuple[cells.CellUse, ...] = (),
     ) -> None:
         """Gives room to a queued job, in cells or outside them."""
         job = entry.spec.job
         self.queue.remove(job)
         placed = PlacedJob(entry=entry, groups=groups, since_ms=now_ms)
         self.placed[job] = placed
-        self._take(entry, groups, now_ms, uses)
-        self._lend(placed)
-        self._note_probes(job, groups, now_ms)
+        self._allocate(entry, groups, now_ms, uses)
+        self._mark_preemptible(placed)
+        self._record_probes(job, groups, now_ms)
 
-    def claim(
+    def add_pending(
         self,
         entry: queueing.Entry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
-        uses: tuple[cells.Use, ...],
+        uses: tuple[cells.CellUse, ...],
         victims: set[ids.JobId],
     ) -> None:
         """Sets room aside for a queued job until its victims have ended."""
@@ -235,26 +238,26 @@
         self.pending_placements[job] = PendingPlacement(
             entry=entry, groups=groups, victims=victims
         )
-        self._take(entry, groups, now_ms, uses)
+        self._allocate(entry, groups, now_ms, uses)
 
-    def release_claim(
+    def cancel_pending(
         self, job: ids.JobId, now_ms: int, *, requeue: bool = True
     ) -> None:
         """Gives back the room of a claim."""
-        claim = self.pending_placements.pop(job)
-        self._give_back(claim.entry, claim.groups, now_ms)
+        pending = self.pending_placements.pop(job)
+        self._deallocate(pending.entry, pending.groups, now_ms)
         if requeue:
-            self.enqueue(claim.entry, now_ms)
+            self.enqueue(pending.entry, now_ms)
 
-    def redeem(self, job: ids.JobId, now_ms: int) -> PlacedJob:
+    def place_pending(self, job: ids.JobId, now_ms: int) -> PlacedJob:
         """Turns a claim whose victims have ended into a placed job."""
-        claim = self.pending_placements.pop(job)
+        pending = self.pending_placements.pop(job)
         placed = PlacedJob(
-            entry=claim.entry, groups=claim.groups, since_ms=now_ms
+            entry=pending.entry, groups=pending.groups, since_ms=now_ms
         )
         self.placed[job] = placed
-        self._lend(placed)
-        self._note_probes(job, claim.groups, now_ms)
+        self._mark_preemptible(placed)
+        self._record_probes(job, pending.groups, now_ms)
         return placed
 
     def remove(self, job: ids.JobId, now_ms: int) -> PlacedJob | None:
@@ -262,26 +265,29 @@
         placed = self.placed.pop(job, None)
         if placed is None:
             return None
-        self._end_loan(placed)
-        self._give_back(placed.entry, placed.groups, now_ms)
-        for claim in self.pending_placements.values():
-            claim.victims.discard(job)
+        self._unmark_preemptible(placed)
+        self._deallocate(placed.entry, placed.groups, now_ms)
+        for pending in self.pending_placements.values():
+            pending.victims.discard(job)
         return placed
 
-    def evict(self, job: ids.JobId) -> None:
+    def mark_evicting(self, job: ids.JobId) -> None:
         """Notes that a placed job was told to stop."""
         placed = self.placed[job]
         placed.evicting = True
-        self._end_loan(placed)
+        self._unmark_preemptible(placed)
 
-    def release_outside_claims(
+    def cancel_pending_outside_cells(
         self, workers: Iterable[ids.WorkerId], now_ms: int
     ) -> None:
         """Gives back what claims outside guarantees hold of some workers."""
         for worker in workers:
             for job in list(self.pool.jobs_on(worker)):
-                if job in self.pending_placements and not self.plan.holds(job):
-                    self.release_claim(job, now_ms)
+                if (
+                    job in self.pending_placements
+                    and not self.plan.runs_in_cells(job)
+                ):
+                    self.cancel_pending(job, now_ms)
 
     def enqueue(
         self,
@@ -297,7 +303,7 @@
             self.ledger.wake(account, self.queue.accounts(), now_ms)
         self.queue.add(entry, press_at_ms=press_at_ms)
 
-    def end_of(self, placed: PlacedJob, now_ms: int) -> int:
+    def expected_end_ms(self, placed: PlacedJob, now_ms: int) -> int:
         """Returns when a placed job is expected to end."""
         left_ms = self.estimator.left_ms(
             placed.entry.spec,
@@ -306,22 +312,24 @@
         )
         return now_ms + left_ms
 
-    def key(self, entry: queueing.Entry, now_ms: int) -> placement.Key:
+    def worker_key(
+        self, entry: queueing.Entry, now_ms: int
+    ) -> placement.WorkerKey:
         """Returns the ranking of workers for a job.
 
         Args:
             entry: The job.
             now_ms: Monotonic time.
         """
-        ranked = ranking.Ranking(
+        worker_ranking = ranking.FragmentationRanking(
             mix=self.mix,
             timeline=functools.partial(self._timeline, now_ms),
             now_ms=now_ms,
             run_ms=self.estimator.run_ms(entry.spec, entry.progress),
         )
-        return self.policy.key(ranked)
+        return self.policy.key(worker_ranking)
 
-    def busy_until(self, worker: ids.WorkerId, now_ms: int) -> int:
+    def busy_until_ms(self, worker: ids.WorkerId, now_ms: int) -> int:
         """Returns when the last job of a worker is expected to end.
 
         Args:
@@ -331,7 +339,7 @@
         ends = self._timeline(now_ms, worker)
         return ends[-1][0] if ends else now_ms
 
-    def room_at(
+    def available_at(
         self, worker: ids.WorkerId, now_ms: int, later_ms: int
     ) -> jobs.Resources:
         """Returns the room of a worker once some of its jobs have ended.
@@ -341,11 +349,11 @@
             now_ms: Monotonic time.
             later_ms: Jobs expected to end before this time count as ended.
         """
-        room = self.pool.free.room(worker)
+        available = self.pool.free.available(worker)
         for end_ms, freed in self._timeline(now_ms, worker):
             if end_ms < later_ms:
-                room = resources.plus(room, freed)
-        return room
+                available = resources.plus(available, freed)
+        return available
 
     def _timeline(
         self, now_ms: int, worker: ids.WorkerId
@@ -356,7 +364,7 @@
             return ends
         ends = [
             (
-                self.end_of(self.placed[job], now_ms),
+                self.expected_end_ms(self.placed[job], now_ms),
                 resources.scaled(self.placed[job].entry.spec.per_task, tasks),
             )
             for job, tasks in self.pool.jobs_on(worker).items()
@@ -366,63 +374,65 @@
         self._timelines[worker] = (now_ms, ends)
         return ends
 
-    def _forget_timelines(self, groups: tuple[jobs.TaskGroup, ...]) -> None:
+    def _invalidate_timelines(self, groups: tuple[jobs.TaskGroup, ...]) -> None:
         for group in groups:
             self._timelines.pop(group.worker, None)
 
-    def _take(
+    def _allocate(
         self,
         entry: queueing.Entry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
-        uses: tuple[cells.Use, ...],
+        uses: tuple[cells.CellUse, ...],
     ) -> None:
         spec = entry.spec
         entry.tried = True
-        self._forget_timelines(groups)
-        self.pool.take(spec.job, spec.per_task, groups)
+        self._invalidate_timelines(groups)
+        self.pool.allocate(spec.job, spec.per_task, groups)
         self.ledger.change(spec.account, entry.shape.accelerators, now_ms)
         if self.is_trial(spec.account):
-            self._trial_use[spec.account] += entry.shape.accelerators
+            self._trial_accelerators[spec.account] += entry.shape.accelerators
             entry.counted_as_trial = True
         if uses:
             self.plan.bind(spec.job, uses)
 
-    def _give_back(
+    def _deallocate(
         self,
         entry: queueing.Entry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
     ) -> None:
         spec = entry.spec
-        self._forget_timelines(groups)
-        self.pool.give_back(spec.job, spec.per_task, groups)
+        self._invalidate_timelines(groups)
+        self.pool.deallocate(spec.job, spec.per_task, groups)
         self.ledger.change(spec.account, -entry.shape.accelerators, now_ms)
         if entry.counted_as_trial:
-            self._trial_use[spec.account] -= entry.shape.accelerators
+            self._trial_accelerators[spec.account] -= entry.shape.accelerators
             entry.counted_as_trial = False
-        if self.plan.holds(spec.job):
+        if self.plan.runs_in_cells(spec.job):
             self.plan.release(spec.job)
-            self.unsettled.add(spec.account)
-            self.secured = self.secured and not self.plan.unplanned()
+            self.accounts_to_bind.add(spec.account)
+            self.cells_planned = (
+                self.cells_planned and not self.plan.unplanned()
+            )
 
-    def _lend(self, placed: PlacedJob) -> None:
+    def _mark_preemptible(self, placed: PlacedJob) -> None:
         spec = placed.entry.spec
-        placed.lent = (
+        placed.preemptible = (
             self.policy.guarantees
             and spec.idempotent
             and self.is_trial(spec.account)
         )
-        if placed.lent:
-            self.pool.lend(spec.per_task, placed.groups)
+        if placed.preemptible:
+            self.pool.add_preemptible(spec.per_task, placed.groups)
 
-    def _end_loan(self, placed: PlacedJob) -> None:
-        if placed.lent:
-            placed.lent = False
+    def _unmark_preemptible(self, placed: PlacedJob) -> None:
+        if placed.preemptible:
+            placed.preemptible = False
             back = resources.scaled(placed.entry.spec.per_task, -1)
-            self.pool.lend(back, placed.groups)
+            self.pool.add_preemptible(back, placed.groups)
 
-    def _note_probes(
+    def _record_probes(
         self,
         job: ids.JobId,
         groups: tuple[jobs.TaskGroup, ...],
@@ -432,7 +442,7 @@
             if self.health.placed(job, group.worker):
                 self.refresh_worker(group.worker, now_ms)
 
-    def _weigh(
+    def _update_weights(
         self,
         configuration: configuration_lib.Configuration,
         share: shares.Share,
@@ -442,32 +452,40 @@
         for row in configuration.guarantees:
             accelerators = row.tasks * row.per_task.accelerators
             weights[row.account] += row.copies * accelerators
-        here: collections.Counter[ids.AccountId] = collections.Counter()
+        guaranteed_here: collections.Counter[ids.AccountId] = (
+            collections.Counter()
+        )
         for part in share.guarantees:
-            here[part.account] += part.copies * part.shape.accelerators
-        for account in self._classes:
+            guaranteed_here[part.account] += (
+                part.copies * part.shape.accelerators
+            )
+        for account in self._account_classes:
             self.ledger.set_due(
                 account,
                 weight=weights[account],
-                guaranteed=here[account],
+                guaranteed=guaranteed_here[account],
                 now_ms=now_ms,
             )
 
-    def _require(self, share: shares.Share, now_ms: int) -> None:
+    def _update_cells(self, share: shares.Share, now_ms: int) -> None:
         wanted = {
             (account, shape): copies
             for (
                 account,
                 shape,
-            ), copies in guarantee_feasibility.required_cells(share).items()
+            ), copies in guarantee_feasibility.required_cell_copies(
+                share
+            ).items()
             if not self.is_trial(account)
         }
-        promised: collections.Counter[shapes.Shape] = collections.Counter()
+        guaranteed_copies: collections.Counter[shapes.Shape] = (
+            collections.Counter()
+        )
         for (_, shape), copies in wanted.items():
-            promised[shape] += copies
-        self.mix.promise(promised)
+            guaranteed_copies[shape] += copies
+        self.mix.set_guaranteed(guaranteed_copies)
         for job in self.plan.require(wanted):
             if job in self.pending_placements:
-                self.release_claim(job, now_ms)
-        self.secured = False
-        self.unsettled.update(self._classes)
+                self.cancel_pending(job, now_ms)
+        self.cells_planned = False
+        self.accounts_to_bind.update(self._account_classes)
--- a/citronmount/core/fragmentation.py
+++ b/citronmount/core/fragmentation.py
@@ -14,41 +14,41 @@
 from citronmount.core import shapes
 from citronmount.core import states
 
-__all__ = ["Mix", "share_unusable"]
+__all__ = ["GangMix", "unusable_share"]
 
-_MIX_SIZE = 8
-_REFRESH_SUBMISSIONS = 64
+_MAX_TYPICAL_SHAPES = 8
+_MAX_SUBMISSIONS_PER_REFRESH = 64
 _HOUR_S = 3_600
-_MEMORY_H = 50_000
-_FORGOTTEN_H = 0.1
+_DECAY_THRESHOLD_ACCELERATOR_H = 50_000
+_MIN_WEIGHT_ACCELERATOR_H = 0.1
 
 
-class Mix:
+class GangMix:
     """The typical gangs, learnt from guarantees and submissions."""
 
     def __init__(self) -> None:
         """Initializes an empty mix."""
-        self._promised: dict[shapes.Shape, float] = {}
-        self._learnt: dict[shapes.Shape, float] = {}
-        self._total_h = 0.0
-        self._units: list[tuple[jobs.Resources, float]] = []
-        self._noted = 0
+        self._guaranteed: dict[shapes.Shape, float] = {}
+        self._submitted: dict[shapes.Shape, float] = {}
+        self._submitted_total_h = 0.0
+        self._unit_weights: list[tuple[jobs.Resources, float]] = []
+        self._submission_count = 0
         self._since_refresh = 0
         self._gradients: dict[tuple[jobs.Resources, jobs.Resources], float] = {}
 
-    def promise(self, copies: Mapping[shapes.Shape, int]) -> None:
+    def set_guaranteed(self, copies: Mapping[shapes.Shape, int]) -> None:
         """Replaces the gangs that guarantees promise.
 
         Args:
             copies: How many of each.
         """
-        self._promised = {
+        self._guaranteed = {
             shape: float(number * shape.accelerators)
             for shape, number in copies.items()
         }
         self._refresh()
 
-    def note(self, shape: shapes.Shape, run_time_s: float) -> None:
+    def add_submission(self, shape: shapes.Shape, run_time_s: float) -> None:
         """Adds a gang that was asked for.
 
         Args:
@@ -56,16 +56,20 @@
             run_time_s: For how long it was asked for.
         """
         weight_h = shape.accelerators * run_time_s / _HOUR_S
-        self._learnt[shape] = self._learnt.get(shape, 0.0) + weight_h
-        self._total_h += weight_h
-        if self._total_h > _MEMORY_H:
+        self._submitted[shape] = self._submitted.get(shape, 0.0) + weight_h
+        self._submitted_total_h += weight_h
+        if self._submitted_total_h > _DECAY_THRESHOLD_ACCELERATOR_H:
             self._decay()
-        self._noted += 1
+        self._submission_count += 1
         self._since_refresh += 1
-        if self._since_refresh >= min(self._noted / 2, _REFRESH_SUBMISSIONS):
+        if self._since_refresh >= min(
+            self._submission_count / 2, _MAX_SUBMISSIONS_PER_REFRESH
+        ):
             self._refresh()
 
-    def on_worker(self, room: jobs.Resources, taken: jobs.Resources) -> float:
+    def fragmentation_change(
+        self, available: jobs.Resources, used: jobs.Resources
+    ) -> float:
         """Returns the accelerators made unusable by taking some of a room.
 
         Args:
@@ -75,53 +79,61 @@
         Returns:
             The expected change; negative if unusable room is used up.
         """
-        key = (room, taken)
+        key = (available, used)
         if key not in self._gradients:
-            after = resources.minus(room, taken)
+            after = resources.minus(available, used)
             self._gradients[key] = sum(
-                weight * (_left_over(after, unit) - _left_over(room, unit))
-                for unit, weight in self._units
+                weight
+                * (
+                    _unusable_accelerators(after, unit)
+                    - _unusable_accelerators(available, unit)
+                )
+                for unit, weight in self._unit_weights
             )
         return self._gradients[key]
 
     def _refresh(self) -> None:
-        weights = dict(self._promised)
-        for shape, weight_h in self._learnt.items():
+        weights = dict(self._guaranteed)
+        for shape, weight_h in self._submitted.items():
             weights[shape] = weights.get(shape, 0.0) + weight_h
         top = heapq.nlargest(
-            _MIX_SIZE,
+            _MAX_TYPICAL_SHAPES,
             weights.items(),
             key=lambda item: (item[1], item[0].accelerators),
         )
         total = sum(weight for _, weight in top) or 1.0
-        self._units = [(_unit(shape), weight / total) for shape, weight in top]
+        self._unit_weights = [
+            (_unit(shape), weight / total) for shape, weight in top
+        ]
         self._gradients = {}
         self._since_refresh = 0
 
     def _decay(self) -> None:
-        self._learnt = {
+        self._submitted = {
             shape: weight / 2
-            for shape, weight in self._learnt.items()
-            if weight >= _FORGOTTEN_H
+            for shape, weight in self._submitted.items()
+            if weight >= _MIN_WEIGHT_ACCELERATOR_H
         }
-        self._total_h = sum(self._learnt.values())
+        self._submitted_total_h = sum(self._submitted.values())
 
 
 def _unit(shape: shapes.Shape) -> jobs.Resources:
     """Returns what one worker must have to be of use to a gang."""
-    on_one = shape.adjacency is states.Adjacency.WORKER
-    return shape.total if on_one else shape.per_task
+    single_worker = shape.adjacency is states.Adjacency.WORKER
+    return shape.total if single_worker else shape.per_task
 
 
-def _left_over(room: jobs.Resources, unit: jobs.Resources) -> int:
-    free = max(room.accelerators, 0)
+def _unusable_accelerators(
+    available: jobs.Resources, unit: jobs.Resources
+) -> int:
+    free = max(available.accelerators, 0)
     if not unit.accelerators:
         return 0
-    return free - resources.count(room, unit) * unit.accelerators
+    return free - resources.count(available, unit) * unit.accelerators
 
 
-def share_unusable(
-    index: pool.RoomIndex, pending: Mapping[shapes.Shape, int]
+def unusable_share(
+    index: pool.CapacityIndex, pending: Mapping[shapes.Shape, int]
 ) -> float:
     """Returns the share of free accelerators that pending gangs cannot use.
 
@@ -142,21 +154,22 @@
     if not index.total or not total:
         return 0.0
     usable = sum(
-        weight * _usable(index, shape) for shape, weight in weights.items()
+        weight * _usable_accelerators(index, shape)
+        for shape, weight in weights.items()
     )
     return 1.0 - usable / (total * index.total)
 
 
-def _usable(index: pool.RoomIndex, shape: shapes.Shape) -> int:
+def _usable_accelerators(index: pool.CapacityIndex, shape: shapes.Shape) -> int:
     if shape.adjacency is states.Adjacency.WORKER:
         groups = [[worker] for worker in index]
     elif shape.adjacency is states.Adjacency.RACK:
         racks = {index.rack(worker) for worker in index}
-        groups = [index.members(rack) for rack in racks]
+        groups = [index.workers_of_rack(rack) for rack in racks]
     else:
         groups = [list(index)]
     gangs = sum(
-        sum(resources.count(index.room(w), shape.per_task) for w in group)
+        sum(resources.count(index.available(w), shape.per_task) for w in group)
         // shape.tasks
         for group in groups
     )
--- a/citronmount/core/guarantee_feasibility.py
+++ b/citronmount/core/guarantee_feasibility.py
@@ -9,10 +9,10 @@
 from citronmount.core import shares
 from citronmount.services import messages
 
-__all__ = ["required_cells", "infeasible_guarantees"]
+__all__ = ["required_cell_copies", "infeasible_guarantees"]
 
 
-def required_cells(
+def required_cell_copies(
     share: shares.Share,
 ) -> dict[tuple[ids.AccountId, shapes.Shape], int]:
     """Counts the cells that a failure domain must keep reclaimable.
@@ -57,8 +57,8 @@
                 plan.set_worker(
                     ids.WorkerId(worker.name), worker.rack, worker.capacity
                 )
-        plan.require(required_cells(share))
-        plan.secure()
+        plan.require(required_cell_copies(share))
+        plan.plan_cells()
         lacking = {(cell.account, cell.shape) for cell in plan.unplanned()}
         faults.update(
             part.row
--- a/citronmount/core/guaranteed_placement.py
+++ b/citronmount/core/guaranteed_placement.py
@@ -11,20 +11,20 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import placement
-from citronmount.core import policy as policy_lib
+from citronmount.core import policies
 from citronmount.core import preemption
 from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 
-__all__ = ["SCAN_LIMIT", "place", "redeem", "settle"]
+__all__ = ["SCAN_LIMIT_JOBS", "place", "place_pending", "bind_placed_jobs"]
 
-SCAN_LIMIT = 256
+SCAN_LIMIT_JOBS = 256
 _MAX_DEMOTIONS = 8
-_MAX_DEMOTED_SIZE = 2
+_MAX_DEMOTED_SIZE_FACTOR = 2
 
 
-def settle(domain: domain_state.DomainState) -> None:
+def bind_placed_jobs(domain: domain_state.DomainState) -> None:
     """Puts free cells under placed jobs of their account, oldest first.
 
     A job that ran outside its account's guarantee is no longer revocable once
@@ -36,53 +36,55 @@
     """
     accounts = [
         account
-        for account in domain.unsettled
-        if any(not cell.held for cell in domain.plan.cells(account))
+        for account in domain.accounts_to_bind
+        if any(not cell.occupied for cell in domain.plan.cells(account))
     ]
-    domain.unsettled.clear()
+    domain.accounts_to_bind.clear()
     if accounts:
-        _settle_accounts(domain, accounts, tight=True)
+        _bind_jobs_of(domain, accounts, no_wider_cells=True)
 
 
-def _settle_accounts(
+def _bind_jobs_of(
     domain: domain_state.DomainState,
     accounts: Iterable[ids.AccountId],
     *,
-    tight: bool,
+    no_wider_cells: bool,
 ) -> bool:
     """Returns whether any job is no longer revocable by this."""
-    outside: dict[ids.AccountId, list[domain_state.PlacedJob]] = {
+    revocable_jobs: dict[ids.AccountId, list[domain_state.PlacedJob]] = {
         account: [] for account in sorted(accounts)
     }
     for job, placed in domain.placed.items():
-        if placed.entry.spec.account in outside and domain.revocable(job):
-            outside[placed.entry.spec.account].append(placed)
+        if placed.entry.spec.account in revocable_jobs and domain.revocable(
+            job
+        ):
+            revocable_jobs[placed.entry.spec.account].append(placed)
     bound = False
-    for found in outside.values():
+    for found in revocable_jobs.values():
         found.sort(key=lambda placed: placed.entry.sequence)
-        for placed in found[:SCAN_LIMIT]:
-            bound |= _settle_job(domain, placed, tight)
+        for placed in found[:SCAN_LIMIT_JOBS]:
+            bound |= _bind_job(domain, placed, no_wider_cells)
     return bound
 
 
-def _settle_job(
+def _bind_job(
     domain: domain_state.DomainState,
     placed: domain_state.PlacedJob,
-    tight: bool,
+    no_wider_cells: bool,
 ) -> bool:
     entry = placed.entry
-    uses = domain.plan.cover(
+    uses = domain.plan.cover_placed(
         entry.spec.account,
         entry.shape,
         placed.groups,
-        entry.shape.accelerators if tight else None,
+        entry.shape.accelerators if no_wider_cells else None,
     )
     if uses is not None:
         domain.plan.bind(entry.spec.job, uses)
     return uses is not None
 
 
-def redeem(
+def place_pending(
     domain: domain_state.DomainState, now_ms: int
 ) -> list[decisions.PlaceJob]:
     """Places jobs whose victims have all ended.
@@ -95,10 +97,12 @@
         The placements.
     """
     ready = [
-        job for job, c in domain.pending_placements.items() if not c.victims
+        job
+        for job, pending in domain.pending_placements.items()
+        if not pending.victims
     ]
-    placed = [domain.redeem(job, now_ms) for job in ready]
-    return [_decision(each.entry, each.groups) for each in placed]
+    placed = [domain.place_pending(job, now_ms) for job in ready]
+    return [_place_decision(each.entry, each.groups) for each in placed]
 
 
 def place(
@@ -113,7 +117,11 @@
     Returns:
         Placements, and evictions for jobs that have to wait for them.
     """
-    accounts = [a for a in domain.queue.accounts() if domain.plan.cells(a)]
+    accounts = [
+        account
+        for account in domain.queue.accounts()
+        if domain.plan.cells(account)
+    ]
     return [
         decision
         for account in accounts
@@ -125,20 +133,20 @@
     domain: domain_state.DomainState, account: ids.AccountId, now_ms: int
 ) -> list[decisions.Decision]:
     found: list[decisions.Decision] = []
-    failed: set[shapes.Shape] = set()
-    passing = backfill.OwnRoom(domain, account, now_ms)
-    scan = itertools.islice(domain.queue.of_account(account), SCAN_LIMIT)
+    failed_shapes: set[shapes.Shape] = set()
+    cell_backfill = backfill.CellBackfill(domain, account, now_ms)
+    scan = itertools.islice(domain.queue.of_account(account), SCAN_LIMIT_JOBS)
     for entry in list(scan):
-        if entry.shape in failed or not passing.lets(entry):
+        if entry.shape in failed_shapes or not cell_backfill.allows(entry):
             continue
         made = _place_entry(domain, entry, now_ms)
         if made is not None:
             found.extend(made)
             continue
-        failed.add(entry.shape)
-        if domain.plan.could_hold(account, entry.shape):
-            passing.block(entry)
-            if domain.policy.backfill is policy_lib.Backfill.NONE:
+        failed_shapes.add(entry.shape)
+        if domain.plan.could_fit(account, entry.shape):
+            cell_backfill.set_blocked(entry)
+            if domain.policy.backfill is policies.Backfill.NONE:
                 break
     return found
 
@@ -147,27 +155,27 @@
     domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> list[decisions.Decision] | None:
     """Returns None if the job found no room in its account's cells."""
-    uses = _find(domain, entry, now_ms)
+    uses = _find_uses(domain, entry, now_ms)
     if uses is None and entry.spec.urgent:
         uses = _find_by_demotion(domain, entry, now_ms)
     if uses is None:
         return None
     if _opens_wider_cell(uses):
-        groups = _find_outside(domain, entry, now_ms)
+        groups = _find_outside_cells(domain, entry, now_ms)
         if groups is not None:
             domain.place(entry, groups, now_ms)
-            return [_decision(entry, groups)]
-    need = _need(uses)
+            return [_place_decision(entry, groups)]
+    need = _need_by_worker(uses)
     if _is_free(domain, need):
-        groups = _groups(uses)
+        groups = _task_groups(uses)
         domain.place(entry, groups, now_ms, uses)
-        return [_decision(entry, groups)]
+        return [_place_decision(entry, groups)]
     return _reclaim(domain, entry, uses, now_ms)
 
 
-def _find(
+def _find_uses(
     domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
-) -> tuple[cells.Use, ...] | None:
+) -> tuple[cells.CellUse, ...] | None:
     tries = (
         cell_selection.find(domain, entry, avoid, now_ms)
         for avoid in entry.avoidances(now_ms)
@@ -177,19 +185,19 @@
 
 def _find_by_demotion(
     domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
-) -> tuple[cells.Use, ...] | None:
+) -> tuple[cells.CellUse, ...] | None:
     """Gives an urgent job the cells of later jobs of its account.
 
     Those jobs go on, but are revocable from then on.
     """
-    loose: list[tuple[ids.JobId, tuple[cells.Use, ...]]] = []
+    unbound: list[tuple[ids.JobId, tuple[cells.CellUse, ...]]] = []
     for job in _demotable(domain, entry)[:_MAX_DEMOTIONS]:
-        loose.append((job, domain.plan.uses(job)))
+        unbound.append((job, domain.plan.uses(job)))
         domain.plan.release(job)
-        uses = _find(domain, entry, now_ms)
+        uses = _find_uses(domain, entry, now_ms)
         if uses is not None:
             return uses
-    for job, uses in loose:
+    for job, uses in unbound:
         if all(use.worker in use.cell.slots for use in uses):
             domain.plan.bind(job, uses)
     return None
@@ -199,7 +207,7 @@
     domain: domain_state.DomainState, entry: queueing.Entry
 ) -> list[ids.JobId]:
     """Returns small jobs in the account's cells, the latest first."""
-    widest = _MAX_DEMOTED_SIZE * entry.shape.accelerators
+    widest = _MAX_DEMOTED_SIZE_FACTOR * entry.shape.accelerators
     found = {
         job: domain.placed[job].entry
         for cell in domain.plan.cells(entry.spec.account)
@@ -218,30 +226,32 @@
     )
 
 
-def _find_outside(
+def _find_outside_cells(
     domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> tuple[jobs.TaskGroup, ...] | None:
     return placement.find(
         domain.pool.free,
         entry.shape,
-        key=domain.key(entry, now_ms),
+        key=domain.worker_key(entry, now_ms),
         avoid=entry.avoidances(now_ms)[0],
     )
 
 
-def _opens_wider_cell(uses: tuple[cells.Use, ...]) -> bool:
+def _opens_wider_cell(uses: tuple[cells.CellUse, ...]) -> bool:
     """Returns whether a gang wider than the job would lose its cell."""
     used: dict[cells.Cell, int] = {}
     for use in uses:
         accelerators = use.tasks * use.per_task.accelerators
         used[use.cell] = used.get(use.cell, 0) + accelerators
     return any(
-        not cell.held and cell.shape.accelerators > accelerators
+        not cell.occupied and cell.shape.accelerators > accelerators
         for cell, accelerators in used.items()
     )
 
 
-def _need(uses: tuple[cells.Use, ...]) -> dict[ids.WorkerId, jobs.Resources]:
+def _need_by_worker(
+    uses: tuple[cells.CellUse, ...],
+) -> dict[ids.WorkerId, jobs.Resources]:
     need: dict[ids.WorkerId, jobs.Resources] = {}
     for use in uses:
         amount = resources.scaled(use.per_task, use.tasks)
@@ -255,7 +265,7 @@
 ) -> bool:
     free = domain.pool.free
     return all(
-        resources.covers(free.room(worker), amount)
+        resources.covers(free.available(worker), amount)
         for worker, amount in need.items()
     )
 
@@ -263,47 +273,56 @@
 def _reclaim(
     domain: domain_state.DomainState,
     entry: queueing.Entry,
-    uses: tuple[cells.Use, ...],
+    uses: tuple[cells.CellUse, ...],
     now_ms: int,
 ) -> list[decisions.Decision] | None:
-    domain.release_outside_claims(_need(uses), now_ms)
-    victims = _victims(domain, uses, now_ms)
-    owners = _paying_owners(domain, victims or ()) - {entry.spec.account}
-    if owners and _settle_accounts(domain, owners, tight=False):
-        uses = _find(domain, entry, now_ms)
-        domain.release_outside_claims(_need(uses or ()), now_ms)
-        victims = _victims(domain, uses, now_ms) if uses else None
+    domain.cancel_pending_outside_cells(_need_by_worker(uses), now_ms)
+    victims = _choose_victims(domain, uses, now_ms)
+    paying_accounts = _paying_accounts(domain, victims or ()) - {
+        entry.spec.account
+    }
+    if paying_accounts and _bind_jobs_of(
+        domain, paying_accounts, no_wider_cells=False
+    ):
+        uses = _find_uses(domain, entry, now_ms)
+        domain.cancel_pending_outside_cells(_need_by_worker(uses or ()), now_ms)
+        victims = _choose_victims(domain, uses, now_ms) if uses else None
     if victims is None:
         return None
-    made, waiting = preemption.evict(domain, entry, _need(uses), victims)
-    domain.claim(entry, _groups(uses), now_ms, uses, waiting)
+    made, blocking_jobs = preemption.evict(
+        domain, entry, _need_by_worker(uses), victims
+    )
+    domain.add_pending(entry, _task_groups(uses), now_ms, uses, blocking_jobs)
     return made
 
 
-def _victims(
-    domain: domain_state.DomainState, uses: tuple[cells.Use, ...], now_ms: int
+def _choose_victims(
+    domain: domain_state.DomainState,
+    uses: tuple[cells.CellUse, ...],
+    now_ms: int,
 ) -> list[ids.JobId] | None:
-    short = preemption.shortfall(domain, _need(uses))
-    return preemption.choose(domain, short, now_ms)
+    shortage = preemption.shortfall(domain, _need_by_worker(uses))
+    return preemption.choose_victims(domain, shortage, now_ms)
 
 
-def _paying_owners(
+def _paying_accounts(
     domain: domain_state.DomainState, victims: Iterable[ids.JobId]
 ) -> set[ids.AccountId]:
     accounts = {domain.placed[job].entry.spec.account for job in victims}
     return {account for account in accounts if not domain.is_trial(account)}
 
 
-def _groups(uses: tuple[cells.Use, ...]) -> tuple[jobs.TaskGroup, ...]:
+def _task_groups(uses: tuple[cells.CellUse, ...]) -> tuple[jobs.TaskGroup, ...]:
     tasks: dict[ids.WorkerId, int] = {}
     for use in uses:
         tasks[use.worker] = tasks.get(use.worker, 0) + use.tasks
     return tuple(
-        jobs.TaskGroup(worker=worker, tasks=n) for worker, n in tasks.items()
+        jobs.TaskGroup(worker=worker, tasks=task_count)
+        for worker, task_count in tasks.items()
     )
 
 
-def _decision(
+def _place_decision(
     entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
 ) -> decisions.PlaceJob:
     return decisions.PlaceJob(
--- a/citronmount/core/opportunistic_placement.py
+++ b/citronmount/core/opportunistic_placement.py
@@ -12,16 +12,16 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import placement
-from citronmount.core import policy as policy_lib
+from citronmount.core import policies
 from citronmount.core import preemption
 from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 
-__all__ = ["SCAN_LIMIT", "place"]
+__all__ = ["SCAN_LIMIT_JOBS", "place"]
 
-SCAN_LIMIT = 256
-RECLAIM_AFTER_MS = 30_000
+SCAN_LIMIT_JOBS = 256
+PREEMPT_TRIALS_AFTER_MS = 30_000
 
 
 def place(
@@ -36,11 +36,11 @@
     Returns:
         The placements.
     """
-    visits = _Pass(domain, now_ms)
+    queue_pass = _QueuePass(domain, now_ms)
     found: list[decisions.Decision] = []
-    for entry in _in_order(domain, now_ms):
-        found.extend(visits.visit(entry))
-        if visits.over:
+    for entry in _queue_order(domain, now_ms):
+        found.extend(queue_pass.process(entry))
+        if queue_pass.finished:
             break
     return found
 
@@ -58,15 +58,15 @@
     Returns:
         Whether there is room for it that no job ahead has reserved.
     """
-    visits = _Pass(domain, now_ms)
-    for ahead in _in_order(domain, now_ms):
-        visits.note_blocked(ahead)
-        if visits.over or visits.reserved:
+    queue_pass = _QueuePass(domain, now_ms)
+    for ahead in _queue_order(domain, now_ms):
+        queue_pass.note_blocked(ahead)
+        if queue_pass.finished or queue_pass.has_reservation:
             break
-    return not visits.over and visits.fits(entry)
+    return not queue_pass.finished and queue_pass.would_start(entry)
 
 
-class _Pass:
+class _QueuePass:
     """One pass over the queue; it remembers what did not fit.
 
     Attributes:
@@ -74,30 +74,30 @@
     """
 
     def __init__(self, domain: domain_state.DomainState, now_ms: int) -> None:
-        self.over = False
+        self.finished = False
         self._domain = domain
         self._now_ms = now_ms
         self._failed: set[tuple[shapes.Shape, bool]] = set()
-        self._unreclaimable: set[shapes.Shape] = set()
-        self._own: dict[
+        self._not_preemptible: set[shapes.Shape] = set()
+        self._own_jobs: dict[
             ids.AccountId, list[tuple[ids.JobId, domain_state.PlacedJob]]
         ] = {}
         self._reservation: backfill.Reservation | None = None
 
-    def visit(self, entry: queueing.Entry) -> Sequence[decisions.Decision]:
+    def process(self, entry: queueing.Entry) -> Sequence[decisions.Decision]:
         """Places a job, makes room for it or notes that it is blocked."""
         if not self._may_start(entry):
             return ()
         groups = self._find(entry)
         if groups is not None:
             return self._place(entry, groups)
-        made = self._reclaim(entry)
+        made = self._preempt(entry)
         if made is None:
             self._block(entry)
         return made or ()
 
     @property
-    def reserved(self) -> bool:
+    def has_reservation(self) -> bool:
         """Whether a blocked job has reserved room."""
         return self._reservation is not None
 
@@ -106,20 +106,23 @@
         if self._may_start(entry) and self._find(entry) is None:
             self._block(entry)
 
-    def fits(self, entry: queueing.Entry) -> bool:
+    def would_start(self, entry: queueing.Entry) -> bool:
         """Returns whether a job would be placed at once."""
         groups = self._find(entry) if self._may_start(entry) else None
         return groups is not None and not (
-            self._is_patient(entry) and self._waits(entry, groups)
+            self._uses_delay_scheduling(entry)
+            and self._should_wait(entry, groups)
         )
 
     def _may_start(self, entry: queueing.Entry) -> bool:
         domain = self._domain
-        if domain.is_trial(entry.spec.account) and not domain.allows(entry):
+        if domain.is_trial(entry.spec.account) and not domain.within_allowance(
+            entry
+        ):
             return False
-        return not delay_scheduling.rests(entry, self._now_ms)
+        return not delay_scheduling.recently_checked(entry, self._now_ms)
 
-    def _is_patient(self, entry: queueing.Entry) -> bool:
+    def _uses_delay_scheduling(self, entry: queueing.Entry) -> bool:
         domain = self._domain
         return domain.policy.patient and domain.is_trial(entry.spec.account)
 
@@ -127,21 +130,27 @@
         self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
     ) -> Sequence[decisions.PlaceJob]:
         domain = self._domain
-        if self._is_patient(entry) and self._waits(entry, groups):
-            groups = self._search(entry, self._may_delay(entry), narrow=True)
-            if groups is None or self._waits(entry, groups):
+        if self._uses_delay_scheduling(entry) and self._should_wait(
+            entry, groups
+        ):
+            groups = self._search(
+                entry, self._may_delay_reservation(entry), fewest_workers=True
+            )
+            if groups is None or self._should_wait(entry, groups):
                 return ()
         domain.place(entry, groups, self._now_ms)
         placed = jobs.Placement(groups=groups)
         return (decisions.PlaceJob(job=entry.spec.job, placement=placed),)
 
-    def _waits(
+    def _should_wait(
         self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
     ) -> bool:
-        return delay_scheduling.waits(self._domain, entry, groups, self._now_ms)
+        return delay_scheduling.should_wait(
+            self._domain, entry, groups, self._now_ms
+        )
 
     def _find(self, entry: queueing.Entry) -> tuple[jobs.TaskGroup, ...] | None:
-        limited = self._may_delay(entry)
+        limited = self._may_delay_reservation(entry)
         if {(entry.shape, False), (entry.shape, limited)} & self._failed:
             return None
         groups = self._search(entry, limited)
@@ -149,18 +158,22 @@
             self._failed.add((entry.shape, limited))
         return groups
 
-    def _may_delay(self, entry: queueing.Entry) -> bool:
+    def _may_delay_reservation(self, entry: queueing.Entry) -> bool:
         if self._reservation is None:
             return False
         run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
         return self._now_ms + run_ms > self._reservation.start_ms
 
     def _search(
-        self, entry: queueing.Entry, limited: bool, *, narrow: bool = False
+        self,
+        entry: queueing.Entry,
+        limited: bool,
+        *,
+        fewest_workers: bool = False,
     ) -> tuple[jobs.TaskGroup, ...] | None:
         domain = self._domain
-        key = domain.key(entry, self._now_ms)
-        if narrow:
+        key = domain.worker_key(entry, self._now_ms)
+        if fewest_workers:
             key = placement.fewest_workers(key)
         limit = self._limit if limited else None
         for avoid in entry.avoidances(self._now_ms):
@@ -176,32 +189,32 @@
         return None
 
     def _limit(self, worker: ids.WorkerId) -> jobs.Resources:
-        return self._reservation.limit(self._domain, worker, self._now_ms)
+        return self._reservation.available(self._domain, worker, self._now_ms)
 
-    def _reclaim(
+    def _preempt(
         self, entry: queueing.Entry
     ) -> list[decisions.EvictJob] | None:
         """Evicts work of less right; None if the job gets no room by it."""
         domain = self._domain
-        if domain.is_trial(entry.spec.account) or not self._waited(entry):
+        if domain.is_trial(entry.spec.account) or not self._may_preempt(entry):
             return None
-        groups, victims = self._from_trials(entry)
+        groups, victims = self._choose_trial_victims(entry)
         if victims is None and entry.spec.urgent:
-            groups, victims = self._from_own_jobs(entry)
+            groups, victims = self._choose_own_victim(entry)
         if victims is None:
             return None
-        need = _need(entry, groups)
-        made, waiting = preemption.evict(domain, entry, need, victims)
-        domain.claim(entry, groups, self._now_ms, (), waiting)
+        need = _need_by_worker(entry, groups)
+        made, blocking_jobs = preemption.evict(domain, entry, need, victims)
+        domain.add_pending(entry, groups, self._now_ms, (), blocking_jobs)
         return made
 
-    def _from_trials(
+    def _choose_trial_victims(
         self, entry: queueing.Entry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
-        if entry.shape in self._unreclaimable:
+        if entry.shape in self._not_preemptible:
             return (), None
         groups = placement.find(
-            self._domain.pool.lendable,
+            self._domain.pool.free_or_preemptible,
             entry.shape,
             key=placement.best_fit,
             limit=self._unreserved,
@@ -209,37 +222,40 @@
         )
         victims = None
         if groups:
-            short = preemption.shortfall(self._domain, _need(entry, groups))
-            victims = preemption.choose(
-                self._domain, short, self._now_ms, lent_only=True
+            shortage = preemption.shortfall(
+                self._domain, _need_by_worker(entry, groups)
+            )
+            victims = preemption.choose_victims(
+                self._domain, shortage, self._now_ms, preemptible_only=True
             )
         if victims is None:
-            self._unreclaimable.add(entry.shape)
+            self._not_preemptible.add(entry.shape)
         return groups or (), victims
 
-    def _from_own_jobs(
+    def _choose_own_victim(
         self, entry: queueing.Entry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
         """Finds a later job of the account on one worker to give way."""
         total = entry.shape.total
-        for job, placed in self._own_revocable(entry.spec.account):
+        for job, placed in self._own_revocable_jobs(entry.spec.account):
             worker = placed.groups[0].worker
             if worker not in self._domain.pool.free:
                 continue
-            room = resources.plus(
-                self._domain.pool.free.room(worker), placed.entry.shape.total
+            available = resources.plus(
+                self._domain.pool.free.available(worker),
+                placed.entry.shape.total,
             )
-            if len(placed.groups) == 1 and resources.covers(room, total):
+            if len(placed.groups) == 1 and resources.covers(available, total):
                 group = jobs.TaskGroup(worker=worker, tasks=entry.shape.tasks)
                 return (group,), [job]
         return (), None
 
-    def _own_revocable(
+    def _own_revocable_jobs(
         self, account: ids.AccountId
     ) -> list[tuple[ids.JobId, domain_state.PlacedJob]]:
-        if account not in self._own:
+        if account not in self._own_jobs:
             domain = self._domain
-            self._own[account] = [
+            self._own_jobs[account] = [
                 (job, placed)
                 for job, placed in reversed(domain.placed.items())
                 if placed.entry.spec.account == account
@@ -248,16 +264,16 @@
             ]
         return [
             pair
-            for pair in self._own[account]
+            for pair in self._own_jobs[account]
             if self._domain.revocable(pair[0])
         ]
 
-    def _waited(self, entry: queueing.Entry) -> bool:
+    def _may_preempt(self, entry: queueing.Entry) -> bool:
         if not self._domain.policy.guarantees:
             return False
         if entry.spec.urgent:
             return True
-        due_ms = entry.queued_ms + RECLAIM_AFTER_MS
+        due_ms = entry.queued_ms + PREEMPT_TRIALS_AFTER_MS
         if self._now_ms < due_ms and entry.reclaim_ms != due_ms:
             entry.reclaim_ms = due_ms
             heapq.heappush(self._domain.wake_up_times_ms, due_ms)
@@ -266,13 +282,13 @@
     def _unreserved(self, worker: ids.WorkerId) -> jobs.Resources:
         if self._reservation and worker in self._reservation.need:
             return resources.NONE
-        return self._domain.pool.lendable.room(worker)
+        return self._domain.pool.free_or_preemptible.available(worker)
 
     def _block(self, entry: queueing.Entry) -> None:
-        backfills = self._domain.policy.backfill
-        if backfills is policy_lib.Backfill.NONE:
-            self.over = True
-        if backfills is not policy_lib.Backfill.RESERVATION:
+        backfill_rule = self._domain.policy.backfill
+        if backfill_rule is policies.Backfill.NONE:
+            self.finished = True
+        if backfill_rule is not policies.Backfill.RESERVATION:
             return
         if self._reservation is None:
             self._reservation = backfill.reserve(
@@ -280,7 +296,7 @@
             )
 
 
-def _need(
+def _need_by_worker(
     entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
 ) -> dict[ids.WorkerId, jobs.Resources]:
     per_task = entry.spec.per_task
@@ -290,12 +306,14 @@
     }
 
 
-def _in_order(
+def _queue_order(
     domain: domain_state.DomainState, now_ms: int
 ) -> Iterator[queueing.Entry]:
-    if domain.policy.order is policy_lib.Order.SUBMISSION:
+    if domain.policy.order is policies.Order.SUBMISSION:
         return iter(
-            list(itertools.islice(domain.queue.by_submission(), SCAN_LIMIT))
+            list(
+                itertools.islice(domain.queue.by_submission(), SCAN_LIMIT_JOBS)
+            )
         )
     return _fair_order(domain, now_ms)
 
@@ -306,27 +324,31 @@
     """Yields the next job of the account furthest behind, paying first."""
     scans = {
         account: iter(
-            list(itertools.islice(domain.queue.of_account(account), SCAN_LIMIT))
+            list(
+                itertools.islice(
+                    domain.queue.of_account(account), SCAN_LIMIT_JOBS
+                )
+            )
         )
         for account in domain.queue.accounts()
     }
     heap = [
         item
         for account, scan in scans.items()
-        if (item := _item(domain, account, scan, now_ms)) is not None
+        if (item := _heap_item(domain, account, scan, now_ms)) is not None
     ]
     heapq.heapify(heap)
     while heap:
         _, account, entry = heap[0]
         yield entry
-        item = _item(domain, account, scans[account], now_ms)
+        item = _heap_item(domain, account, scans[account], now_ms)
         if item is None:
             heapq.heappop(heap)
         else:
             heapq.heapreplace(heap, item)
 
 
-def _item(
+def _heap_item(
     domain: domain_state.DomainState,
     account: ids.AccountId,
     scan: Iterator[queueing.Entry],
--- a/citronmount/core/placement.py
+++ b/citronmount/core/placement.py
@@ -12,22 +12,24 @@
 from citronmount.core import states
 
 __all__ = [
-    "Key",
-    "Limit",
+    "WorkerKey",
+    "CapacityLimit",
     "best_fit",
     "fewest_workers",
     "find",
     "first_fit",
 ]
 
-Key = Callable[[pool.RoomIndex, ids.WorkerId, jobs.Resources, int], tuple]
-Limit = Callable[[ids.WorkerId], jobs.Resources]
+WorkerKey = Callable[
+    [pool.CapacityIndex, ids.WorkerId, jobs.Resources, int], tuple
+]
+CapacityLimit = Callable[[ids.WorkerId], jobs.Resources]
 
 _CANDIDATES_PER_LEVEL = 16
 
 
 def first_fit(
-    index: pool.RoomIndex,
+    index: pool.CapacityIndex,
     worker: ids.WorkerId,
     per_task: jobs.Resources,
     tasks: int,
@@ -38,37 +40,37 @@
 
 
 def best_fit(
-    index: pool.RoomIndex,
+    index: pool.CapacityIndex,
     worker: ids.WorkerId,
     per_task: jobs.Resources,
     tasks: int,
 ) -> tuple:
     """Ranks workers by the accelerators that would be left."""
-    room = index.room(worker)
-    left = room.accelerators - tasks * per_task.accelerators
-    return (left, index.rack_total(index.rack(worker)), worker)
+    available = index.available(worker)
+    remaining = available.accelerators - tasks * per_task.accelerators
+    return (remaining, index.rack_total(index.rack(worker)), worker)
 
 
-def fewest_workers(key: Key) -> Key:
+def fewest_workers(key: WorkerKey) -> WorkerKey:
     """Ranks workers by how much of the gang they hold, then by a key."""
 
-    def narrow(
-        index: pool.RoomIndex,
+    def key_by_tasks(
+        index: pool.CapacityIndex,
         worker: ids.WorkerId,
         per_task: jobs.Resources,
         tasks: int,
     ) -> tuple:
         return (-tasks, *key(index, worker, per_task, tasks))
 
-    return narrow
+    return key_by_tasks
 
 
 def find(
-    index: pool.RoomIndex,
+    index: pool.CapacityIndex,
     shape: shapes.Shape,
     *,
-    key: Key,
-    limit: Limit | None = None,
+    key: WorkerKey,
+    limit: CapacityLimit | None = None,
     avoid: Collection[ids.WorkerId] = (),
 ) -> tuple[jobs.TaskGroup, ...] | None:
     """Finds room for a gang.
@@ -96,10 +98,10 @@
 
     def __init__(
         self,
-        index: pool.RoomIndex,
+        index: pool.CapacityIndex,
         shape: shapes.Shape,
-        key: Key,
-        limit: Limit | None,
+        key: WorkerKey,
+        limit: CapacityLimit | None,
         avoid: Collection[ids.WorkerId],
     ) -> None:
         self._index = index
@@ -111,19 +113,23 @@
     def on_one_worker(self) -> tuple[jobs.TaskGroup, ...] | None:
         tasks = self._shape.tasks
         need = self._shape.total
-        found = [
+        candidates = [
             worker
             for level in self._index.levels(need.accelerators, need.cores)
-            for worker, _ in self._take(level, tasks, _CANDIDATES_PER_LEVEL)
+            for worker, _ in self._candidates(
+                level, tasks, _CANDIDATES_PER_LEVEL
+            )
         ]
-        if not found:
+        if not candidates:
             return None
-        best = min(found, key=lambda worker: self._rank(worker, tasks))
+        best = min(candidates, key=lambda worker: self._rank(worker, tasks))
         return (jobs.TaskGroup(worker=best, tasks=tasks),)
 
     def in_one_rack(self) -> tuple[jobs.TaskGroup, ...] | None:
-        for rack in self._index.racks(self._shape.accelerators):
-            groups = self._fill(self._take(self._index.members(rack), 1))
+        for rack in self._index.racks_with(self._shape.accelerators):
+            groups = self._fill_workers(
+                self._candidates(self._index.workers_of_rack(rack), 1)
+            )
             if groups is not None:
                 return groups
         return None
@@ -132,52 +138,55 @@
         if self._index.total < self._shape.accelerators:
             return None
         need = self._shape.per_task
-        wanted = max(self._shape.tasks, _CANDIDATES_PER_LEVEL)
-        found = [
-            pair
+        max_candidates = max(self._shape.tasks, _CANDIDATES_PER_LEVEL)
+        candidates = [
+            candidate
             for level in self._index.levels(need.accelerators, need.cores)
-            for pair in self._take(level, 1, wanted)
+            for candidate in self._candidates(level, 1, max_candidates)
         ]
-        return self._fill(found)
+        return self._fill_workers(candidates)
 
-    def _take(
+    def _candidates(
         self,
         workers: Iterable[ids.WorkerId],
-        at_least: int,
-        wanted: int | None = None,
+        min_tasks: int,
+        max_candidates: int | None = None,
     ) -> list[tuple[ids.WorkerId, int]]:
-        found = []
+        candidates = []
         for worker in workers:
-            tasks = self._count(worker)
-            if tasks >= at_least:
-                found.append((worker, tasks))
-            if len(found) == wanted:
+            tasks = self._tasks_on(worker)
+            if tasks >= min_tasks:
+                candidates.append((worker, tasks))
+            if len(candidates) == max_candidates:
                 break
-        return found
+        return candidates
 
-    def _count(self, worker: ids.WorkerId) -> int:
+    def _tasks_on(self, worker: ids.WorkerId) -> int:
         if worker in self._avoid:
             return 0
-        room = self._index.room(worker)
+        available = self._index.available(worker)
         if self._limit is not None:
-            room = resources.smaller(room, self._limit(worker))
-        return resources.count(room, self._shape.per_task)
+            available = resources.smaller(available, self._limit(worker))
+        return resources.count(available, self._shape.per_task)
 
-    def _fill(
-        self, found: list[tuple[ids.WorkerId, int]]
+    def _fill_workers(
+        self, candidates: list[tuple[ids.WorkerId, int]]
     ) -> tuple[jobs.TaskGroup, ...] | None:
-        left = self._shape.tasks
-        if sum(tasks for _, tasks in found) < left:
+        remaining = self._shape.tasks
+        if sum(tasks for _, tasks in candidates) < remaining:
             return None
         ranked = sorted(
-            found, key=lambda pair: self._rank(pair[0], min(pair[1], left))
+            candidates,
+            key=lambda candidate: self._rank(
+                candidate[0], min(candidate[1], remaining)
+            ),
         )
         groups = []
         for worker, tasks in ranked:
-            used = min(tasks, left)
+            used = min(tasks, remaining)
             groups.append(jobs.TaskGroup(worker=worker, tasks=used))
-            left -= used
-            if not left:
+            remaining -= used
+            if not remaining:
                 break
         return tuple(groups)
 
--- a/citronmount/core/policy.py
+++ b/citronmount/core/policies.py
@@ -44,17 +44,17 @@
     order: Order
     backfill: Backfill
     patient: bool
-    key: Callable[[ranking.Ranking], placement.Key]
+    key: Callable[[ranking.FragmentationRanking], placement.WorkerKey]
 
 
 _POLICIES: dict[str, Policy] = {}
 
 
-def register(make: Callable[[], Policy]) -> Callable[[], Policy]:
+def register(factory: Callable[[], Policy]) -> Callable[[], Policy]:
     """Adds the policy that a function makes to the registry."""
-    made = make()
-    _POLICIES[made.name] = made
-    return make
+    policy = factory()
+    _POLICIES[policy.name] = policy
+    return factory
 
 
 def get(name: str) -> Policy:
@@ -85,7 +85,7 @@
         order=Order.FAIR,
         backfill=Backfill.RESERVATION,
         patient=True,
-        key=lambda ranked: ranked.key,
+        key=lambda worker_ranking: worker_ranking.key,
     )
 
 
@@ -97,7 +97,7 @@
         order=Order.FAIR,
         backfill=Backfill.NONE,
         patient=True,
-        key=lambda ranked: ranked.key,
+        key=lambda worker_ranking: worker_ranking.key,
     )
 
 
@@ -109,7 +109,7 @@
         order=Order.SUBMISSION,
         backfill=Backfill.NONE,
         patient=False,
-        key=lambda ranked: placement.best_fit,
+        key=lambda worker_ranking: placement.best_fit,
     )
 
 
@@ -121,5 +121,5 @@
         order=Order.SUBMISSION,
         backfill=Backfill.ANY,
         patient=False,
-        key=lambda ranked: placement.best_fit,
+        key=lambda worker_ranking: placement.best_fit,
     )
--- a/citronmount/core/pool.py
+++ b/citronmount/core/pool.py
@@ -11,10 +11,10 @@
 from citronmount.core import states
 from citronmount.services import messages
 
-__all__ = ["Pool", "RoomIndex"]
+__all__ = ["Pool", "CapacityIndex"]
 
 
-class RoomIndex:
+class CapacityIndex:
     """Room of workers, indexed by level and by rack.
 
     The level of a worker is its number of free accelerators; within a level
@@ -24,9 +24,9 @@
 
     def __init__(self) -> None:
         """Initializes an empty index."""
-        self._room: dict[ids.WorkerId, jobs.Resources] = {}
+        self._available: dict[ids.WorkerId, jobs.Resources] = {}
         self._rack: dict[ids.WorkerId, ids.RackId] = {}
-        self._members: dict[ids.RackId, dict[ids.WorkerId, None]] = {}
+        self._workers_by_rack: dict[ids.RackId, dict[ids.WorkerId, None]] = {}
         self._levels: dict[int, list[tuple[int, ids.WorkerId]]] = {}
         self._rack_totals: dict[ids.RackId, int] = {}
         self._racks: list[tuple[int, ids.RackId]] = []
@@ -34,15 +34,15 @@
 
     def __contains__(self, worker: ids.WorkerId) -> bool:
         """Returns whether the worker is in the index."""
-        return worker in self._room
+        return worker in self._available
 
     def __iter__(self) -> Iterator[ids.WorkerId]:
         """Iterates over the workers of the index."""
-        return iter(self._room)
+        return iter(self._available)
 
-    def room(self, worker: ids.WorkerId) -> jobs.Resources:
+    def available(self, worker: ids.WorkerId) -> jobs.Resources:
         """Returns the room of a worker, none if it is not in the index."""
-        return self._room.get(worker, resources.NONE)
+        return self._available.get(worker, resources.NONE)
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId | None:
         """Returns the rack of a worker of the index."""
@@ -52,35 +52,37 @@
         """Returns the free accelerators of a rack."""
         return self._rack_totals.get(rack, 0)
 
-    def members(self, rack: ids.RackId) -> list[ids.WorkerId]:
+    def workers_of_rack(self, rack: ids.RackId) -> list[ids.WorkerId]:
         """Returns the workers of a rack that are in the index."""
-        return list(self._members.get(rack, ()))
+        return list(self._workers_by_rack.get(rack, ()))
 
     def put(
         self,
         worker: ids.WorkerId,
         rack: ids.RackId,
-        room: jobs.Resources,
+        available: jobs.Resources,
     ) -> None:
         """Adds a worker or replaces its rack and room."""
         self.drop(worker)
         self._rack[worker] = rack
-        self._members.setdefault(rack, {})[worker] = None
-        self._insert(worker, room)
+        self._workers_by_rack.setdefault(rack, {})[worker] = None
+        self._insert(worker, available)
 
     def drop(self, worker: ids.WorkerId) -> None:
         """Removes a worker, if it is in the index."""
-        if worker not in self._room:
+        if worker not in self._available:
             return
         self._remove(worker)
         rack = self._rack.pop(worker)
-        del self._members[rack][worker]
+        del self._workers_by_rack[rack][worker]
 
-    def set_room(self, worker: ids.WorkerId, room: jobs.Resources) -> None:
+    def set_available(
+        self, worker: ids.WorkerId, available: jobs.Resources
+    ) -> None:
         """Changes the room of a worker, if it is in the index."""
-        if worker in self._room and self._room[worker] != room:
+        if worker in self._available and self._available[worker] != available:
             self._remove(worker)
-            self._insert(worker, room)
+            self._insert(worker, available)
 
     def levels(
         self, accelerators: int, cores: int = 0
@@ -112,31 +114,35 @@
         """Returns the racks with most free accelerators."""
         return [rack for _, rack in self._racks[-limit:]][::-1]
 
-    def racks(self, accelerators: int) -> list[ids.RackId]:
+    def racks_with(self, accelerators: int) -> list[ids.RackId]:
         """Returns racks with so many free accelerators, smallest first."""
         start = bisect.bisect_left(self._racks, (accelerators, ""))
         return [rack for _, rack in self._racks[start:]]
 
-    def _insert(self, worker: ids.WorkerId, room: jobs.Resources) -> None:
-        level = max(room.accelerators, 0)
-        self._room[worker] = room
-        bisect.insort(self._levels.setdefault(level, []), (room.cores, worker))
-        self._shift(self._rack[worker], level)
+    def _insert(self, worker: ids.WorkerId, available: jobs.Resources) -> None:
+        level = max(available.accelerators, 0)
+        self._available[worker] = available
+        bisect.insort(
+            self._levels.setdefault(level, []), (available.cores, worker)
+        )
+        self._adjust_rack_total(self._rack[worker], level)
 
     def _remove(self, worker: ids.WorkerId) -> None:
-        room = self._room.pop(worker)
-        level = max(room.accelerators, 0)
-        at = bisect.bisect_left(self._levels[level], (room.cores, worker))
-        del self._levels[level][at]
+        available = self._available.pop(worker)
+        level = max(available.accelerators, 0)
+        position = bisect.bisect_left(
+            self._levels[level], (available.cores, worker)
+        )
+        del self._levels[level][position]
         if not self._levels[level]:
             del self._levels[level]
-        self._shift(self._rack[worker], -level)
+        self._adjust_rack_total(self._rack[worker], -level)
 
-    def _shift(self, rack: ids.RackId, change: int) -> None:
+    def _adjust_rack_total(self, rack: ids.RackId, change: int) -> None:
         before = self._rack_totals.get(rack)
         if before is not None:
-            at = bisect.bisect_left(self._racks, (before, rack))
-            del self._racks[at]
+            position = bisect.bisect_left(self._racks, (before, rack))
+            del self._racks[position]
         after = (before or 0) + change
         self._rack_totals[rack] = after
         bisect.insort(self._racks, (after, rack))
@@ -153,9 +159,9 @@
 
     def __init__(self) -> None:
         """Initializes an empty pool."""
-        self.free = RoomIndex()
-        self.lendable = RoomIndex()
-        self._lent: dict[ids.WorkerId, jobs.Resources] = {}
+        self.free = CapacityIndex()
+        self.free_or_preemptible = CapacityIndex()
+        self._preemptible: dict[ids.WorkerId, jobs.Resources] = {}
         self._listed: dict[ids.WorkerId, messages.ListedTarget] = {}
         self._states: dict[ids.WorkerId, states.TargetState] = {}
         self._closed: set[ids.WorkerId] = set()
@@ -190,7 +196,7 @@
         """Returns the tasks of each job that holds room on a worker."""
         return self._jobs.get(worker, {})
 
-    def list_workers(
+    def update_workers(
         self, listed: tuple[messages.ListedTarget, ...]
     ) -> list[ids.WorkerId]:
         """Takes over the platform's list.
@@ -201,21 +207,21 @@
         Returns:
             The workers that changed.
         """
-        fresh = {ids.WorkerId(target.name): target for target in listed}
+        new_list = {ids.WorkerId(target.name): target for target in listed}
         changed = [
             worker
-            for worker in {**self._listed, **fresh}
-            if self._listed.get(worker) != fresh.get(worker)
+            for worker in {**self._listed, **new_list}
+            if self._listed.get(worker) != new_list.get(worker)
         ]
         for worker in changed:
-            target = fresh.get(worker)
+            target = new_list.get(worker)
             if target is None:
                 del self._listed[worker]
                 continue
             self._listed[worker] = target
             self._states[worker] = target.state
         for worker in changed:
-            self._refresh(worker)
+            self._reindex(worker)
         return changed
 
     def set_state(
@@ -225,7 +231,7 @@
         if self._states.get(worker) is state:
             return False
         self._states[worker] = state
-        self._refresh(worker)
+        self._reindex(worker)
         return True
 
     def set_closed(self, worker: ids.WorkerId, closed: bool) -> None:
@@ -234,9 +240,9 @@
             self._closed.add(worker)
         else:
             self._closed.discard(worker)
-        self._refresh(worker)
+        self._reindex(worker)
 
-    def take(
+    def allocate(
         self,
         job: ids.JobId,
         per_task: jobs.Resources,
@@ -245,9 +251,11 @@
         """Gives room to a job; free room may become negative."""
         for group in groups:
             self._jobs[group.worker][job] = group.tasks
-            self._use(group.worker, resources.scaled(per_task, group.tasks))
+            self._add_usage(
+                group.worker, resources.scaled(per_task, group.tasks)
+            )
 
-    def give_back(
+    def deallocate(
         self,
         job: ids.JobId,
         per_task: jobs.Resources,
@@ -256,44 +264,52 @@
         """Takes back the room that `take` gave."""
         for group in groups:
             self._jobs[group.worker].pop(job, None)
-            self._use(group.worker, resources.scaled(per_task, -group.tasks))
+            self._add_usage(
+                group.worker, resources.scaled(per_task, -group.tasks)
+            )
 
-    def lend(
+    def add_preemptible(
         self, per_task: jobs.Resources, groups: tuple[jobs.TaskGroup, ...]
     ) -> None:
         """Notes that room in use may be taken back, or not if negative."""
         for group in groups:
-            lent = self._lent.get(group.worker, resources.NONE)
+            preemptible = self._preemptible.get(group.worker, resources.NONE)
             amount = resources.scaled(per_task, group.tasks)
-            self._lent[group.worker] = resources.plus(lent, amount)
-            if self._lent[group.worker] == resources.NONE:
-                del self._lent[group.worker]
-            self._index(group.worker)
-
-    def _use(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
+            self._preemptible[group.worker] = resources.plus(
+                preemptible, amount
+            )
+            if self._preemptible[group.worker] == resources.NONE:
+                del self._preemptible[group.worker]
+            self._update_available(group.worker)
+
+    def _add_usage(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
         used = self._used.get(worker, resources.NONE)
         self._used[worker] = resources.plus(used, amount)
         if not self._jobs[worker]:
             del self._jobs[worker]
             del self._used[worker]
-        self._index(worker)
-
-    def _index(self, worker: ids.WorkerId) -> None:
-        free = self._free(worker)
-        lent = self._lent.get(worker, resources.NONE)
-        self.free.set_room(worker, free)
-        self.lendable.set_room(worker, resources.plus(free, lent))
+        self._update_available(worker)
+
+    def _update_available(self, worker: ids.WorkerId) -> None:
+        free = self._free_capacity(worker)
+        preemptible = self._preemptible.get(worker, resources.NONE)
+        self.free.set_available(worker, free)
+        self.free_or_preemptible.set_available(
+            worker, resources.plus(free, preemptible)
+        )
 
-    def _free(self, worker: ids.WorkerId) -> jobs.Resources:
+    def _free_capacity(self, worker: ids.WorkerId) -> jobs.Resources:
         used = self._used.get(worker, resources.NONE)
         return resources.minus(self.capacity(worker), used)
 
-    def _refresh(self, worker: ids.WorkerId) -> None:
+    def _reindex(self, worker: ids.WorkerId) -> None:
         if self.usable(worker):
             rack = self.rack(worker)
-            self.free.put(worker, rack, self._free(worker))
-            self.lendable.put(worker, rack, self._free(worker))
-            self._index(worker)
+            self.free.put(worker, rack, self._free_capacity(worker))
+            self.free_or_preemptible.put(
+                worker, rack, self._free_capacity(worker)
+            )
+            self._update_available(worker)
         else:
             self.free.drop(worker)
-            self.lendable.drop(worker)
+            self.free_or_preemptible.drop(worker)
--- a/citronmount/core/preemption.py
+++ b/citronmount/core/preemption.py
@@ -12,20 +12,20 @@
 __all__ = [
     "GRACE_MS",
     "URGENT_GRACE_MS",
-    "choose",
-    "cost",
+    "choose_victims",
+    "eviction_cost",
     "evict",
     "shortfall",
-    "stopping",
+    "stopping_jobs",
 ]
 
 GRACE_MS = 5_000
 URGENT_GRACE_MS = 500
 
-_Short = dict[ids.WorkerId, jobs.Resources]
+_Shortage = dict[ids.WorkerId, jobs.Resources]
 
 
-def stopping(
+def stopping_jobs(
     domain: domain_state.DomainState, worker: ids.WorkerId
 ) -> dict[ids.JobId, int]:
     """Returns the jobs on a worker that were told to stop, with tasks."""
@@ -39,7 +39,7 @@
 def shortfall(
     domain: domain_state.DomainState,
     need: Mapping[ids.WorkerId, jobs.Resources],
-) -> _Short:
+) -> _Shortage:
     """Returns what has to be evicted of each worker for a gang.
 
     Room of jobs that are stopping already counts as free.
@@ -51,15 +51,17 @@
     Returns:
         What is missing of each worker where anything is.
     """
-    short = {}
-    for worker, wanted in need.items():
-        room = domain.pool.free.room(worker)
-        for job, tasks in stopping(domain, worker).items():
+    shortage = {}
+    for worker, needed in need.items():
+        available = domain.pool.free.available(worker)
+        for job, tasks in stopping_jobs(domain, worker).items():
             per_task = domain.placed[job].entry.spec.per_task
-            room = resources.plus(room, resources.scaled(per_task, tasks))
-        if not resources.covers(room, wanted):
-            short[worker] = resources.minus(wanted, room)
-    return short
+            available = resources.plus(
+                available, resources.scaled(per_task, tasks)
+            )
+        if not resources.covers(available, needed):
+            shortage[worker] = resources.minus(needed, available)
+    return shortage
 
 
 def evict(
@@ -80,30 +82,30 @@
         The decisions, and all jobs that have to end before the room is free.
     """
     for victim in victims:
-        domain.evict(victim)
+        domain.mark_evicting(victim)
     free = domain.pool.free
-    waiting = {
+    blocking_jobs = {
         job
-        for worker, wanted in need.items()
-        if not resources.covers(free.room(worker), wanted)
-        for job in stopping(domain, worker)
+        for worker, needed in need.items()
+        if not resources.covers(free.available(worker), needed)
+        for job in stopping_jobs(domain, worker)
     }
     grace_ms = URGENT_GRACE_MS if entry.spec.urgent else GRACE_MS
-    made = [
+    evictions = [
         decisions.EvictJob(
             job=victim, beneficiary=entry.spec.job, grace_ms=grace_ms
         )
         for victim in victims
     ]
-    return made, waiting
+    return evictions, blocking_jobs
 
 
-def choose(
+def choose_victims(
     domain: domain_state.DomainState,
-    short: _Short,
+    shortage: _Shortage,
     now_ms: int,
     *,
-    lent_only: bool = False,
+    preemptible_only: bool = False,
 ) -> list[ids.JobId] | None:
     """Chooses victims that free what is short.
 
@@ -121,26 +123,29 @@
         The victims, or None if revocable work is not enough.
     """
     victims: list[ids.JobId] = []
-    left = dict(short)
-    while left:
+    remaining = dict(shortage)
+    while remaining:
         candidates = {
             job
-            for worker in left
+            for worker in remaining
             for job in domain.pool.jobs_on(worker)
             if domain.revocable(job)
             and job not in victims
-            and (domain.placed[job].lent or not lent_only)
+            and (domain.placed[job].preemptible or not preemptible_only)
         }
         if not candidates:
             return None
-        ranked = {job: _rank(domain, job, left, now_ms) for job in candidates}
+        ranked = {
+            job: _victim_rank(domain, job, remaining, now_ms)
+            for job in candidates
+        }
         best = min(candidates, key=ranked.get)
         victims.append(best)
-        left = _without(domain, left, [best])
-    return _needed(domain, short, victims)
+        remaining = _shortage_after(domain, remaining, [best])
+    return _drop_needless(domain, shortage, victims)
 
 
-def cost(
+def eviction_cost(
     domain: domain_state.DomainState, victims: list[ids.JobId], now_ms: int
 ) -> tuple[int, int, int, int]:
     """Ranks sets of victims; the smallest is the least harm.
@@ -156,44 +161,53 @@
     """
     placed = [domain.placed[job] for job in victims]
     return (
-        sum(not domain.is_trial(each.entry.spec.account) for each in placed),
-        sum(not each.entry.spec.idempotent for each in placed),
+        sum(
+            not domain.is_trial(placed_job.entry.spec.account)
+            for placed_job in placed
+        ),
+        sum(not placed_job.entry.spec.idempotent for placed_job in placed),
         len(placed),
-        sum(_lost(each, now_ms) for each in placed),
+        sum(_lost_accelerator_ms(placed_job, now_ms) for placed_job in placed),
     )
 
 
-def _lost(placed: domain_state.PlacedJob, now_ms: int) -> int:
+def _lost_accelerator_ms(placed: domain_state.PlacedJob, now_ms: int) -> int:
     ran_ms = max(now_ms - placed.since_ms, 0)
     return ran_ms * max(placed.entry.shape.accelerators, 1)
 
 
-def _needed(
-    domain: domain_state.DomainState, short: _Short, victims: list[ids.JobId]
+def _drop_needless(
+    domain: domain_state.DomainState,
+    shortage: _Shortage,
+    victims: list[ids.JobId],
 ) -> list[ids.JobId]:
     kept = list(victims)
     for victim in reversed(victims):
         others = [job for job in kept if job != victim]
-        if not _without(domain, short, others):
+        if not _shortage_after(domain, shortage, others):
             kept = others
     return kept
 
 
-def _without(
-    domain: domain_state.DomainState, short: _Short, victims: list[ids.JobId]
-) -> _Short:
-    left = dict(short)
+def _shortage_after(
+    domain: domain_state.DomainState,
+    shortage: _Shortage,
+    victims: list[ids.JobId],
+) -> _Shortage:
+    remaining = dict(shortage)
     for victim in victims:
         placed = domain.placed[victim]
         for group in placed.groups:
-            if group.worker in left:
+            if group.worker in remaining:
                 freed = resources.scaled(
                     placed.entry.spec.per_task, group.tasks
                 )
-                left[group.worker] = resources.minus(left[group.worker], freed)
+                remaining[group.worker] = resources.minus(
+                    remaining[group.worker], freed
+                )
     return {
         worker: missing
-        for worker, missing in left.items()
+        for worker, missing in remaining.items()
         if not resources.covers(resources.NONE, _positive(missing))
     }
 
@@ -206,23 +220,26 @@
     )
 
 
-def _rank(
-    domain: domain_state.DomainState, job: ids.JobId, left: _Short, now_ms: int
+def _victim_rank(
+    domain: domain_state.DomainState,
+    job: ids.JobId,
+    remaining: _Shortage,
+    now_ms: int,
 ) -> tuple:
     placed = domain.placed[job]
     spec = placed.entry.spec
     freed = sum(
         min(
             group.tasks * spec.per_task.accelerators,
-            max(left[group.worker].accelerators, 1),
+            max(remaining[group.worker].accelerators, 1),
         )
         for group in placed.groups
-        if group.worker in left
+        if group.worker in remaining
     )
     return (
         not domain.is_trial(spec.account),
         not spec.idempotent,
         -freed,
-        _lost(placed, now_ms),
+        _lost_accelerator_ms(placed, now_ms),
         job,
     )
--- a/citronmount/core/ranking.py
+++ b/citronmount/core/ranking.py
@@ -14,20 +14,20 @@
 from citronmount.core import pool
 from citronmount.core import resources
 
-__all__ = ["Ranking", "Timeline"]
+__all__ = ["FragmentationRanking", "Timeline"]
 
 Timeline = Callable[[ids.WorkerId], list[tuple[int, jobs.Resources]]]
 
 _MIN_RUN_MS = 1_000
 
 
-class Ranking:
+class FragmentationRanking:
     """The ranking of workers for one gang at one moment."""
 
     def __init__(
         self,
         *,
-        mix: fragmentation.Mix,
+        mix: fragmentation.GangMix,
         timeline: Timeline,
         now_ms: int,
         run_ms: int,
@@ -48,27 +48,27 @@
 
     def key(
         self,
-        index: pool.RoomIndex,
+        index: pool.CapacityIndex,
         worker: ids.WorkerId,
         per_task: jobs.Resources,
         tasks: int,
     ) -> tuple:
         """Ranks a worker, as `placement.Key`."""
-        taken = resources.scaled(per_task, tasks)
-        room = index.room(worker)
-        gradient = self._mean(worker, room, taken)
+        used = resources.scaled(per_task, tasks)
+        available = index.available(worker)
+        gradient = self._mean_gradient(worker, available, used)
         return (
             round(gradient, 3),
-            room.accelerators - taken.accelerators,
+            available.accelerators - used.accelerators,
             index.rack_total(index.rack(worker)),
             worker,
         )
 
-    def _mean(
+    def _mean_gradient(
         self,
         worker: ids.WorkerId,
-        room: jobs.Resources,
-        taken: jobs.Resources,
+        available: jobs.Resources,
+        used: jobs.Resources,
     ) -> float:
         end_ms = self._now_ms + self._run_ms
         at_ms = self._now_ms
@@ -76,8 +76,12 @@
         for free_ms, freed in self._timeline(worker):
             if free_ms >= end_ms:
                 break
-            total += self._mix.on_worker(room, taken) * (free_ms - at_ms)
+            total += self._mix.fragmentation_change(available, used) * (
+                free_ms - at_ms
+            )
             at_ms = free_ms
-            room = resources.plus(room, freed)
-        total += self._mix.on_worker(room, taken) * (end_ms - at_ms)
+            available = resources.plus(available, freed)
+        total += self._mix.fragmentation_change(available, used) * (
+            end_ms - at_ms
+        )
         return total / self._run_ms
--- a/citronmount/core/scheduler.py
+++ b/citronmount/core/scheduler.py
@@ -22,7 +22,7 @@
 
 __all__ = ["DomainScheduler"]
 
-_PRESS_RUN_TIMES = 2
+_NEAR_DEADLINE_RUN_TIMES = 2
 
 
 class DomainScheduler:
@@ -88,7 +88,7 @@
         Args:
             workers: The workers, with capacity and rack.
         """
-        changed = self._domain.pool.list_workers(workers)
+        changed = self._domain.pool.update_workers(workers)
         for worker in changed:
             self._domain.refresh_worker(worker, self._now_ms)
         if changed:
@@ -105,7 +105,7 @@
             state: Only UP lets new tasks be placed.
             now_ms: Monotonic time.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         if self._domain.pool.set_state(worker, state):
             self._changed = True
             self._domain.refresh_worker(worker, self._now_ms)
@@ -121,14 +121,16 @@
             None if the job is queued, otherwise why it can never run or
             cannot be queued now. A refusal changes nothing.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         self._infer_wall_clock(spec)
-        if self._knows(spec.job):
+        if self._is_known(spec.job):
             return None
         refusal = self._admission.check(spec, self._wall_ms())
         if refusal is None:
-            self._domain.mix.note(shapes.of_job(spec), spec.run_time_s)
-            self._enqueue(self._entry(spec, 0.0))
+            self._domain.mix.add_submission(
+                shapes.of_job(spec), spec.run_time_s
+            )
+            self._enqueue(self._new_entry(spec, 0.0))
         return refusal
 
     def restore(
@@ -141,9 +143,9 @@
             now_ms: Monotonic time.
             progress: Saved share of its work, between 0 and 1.
         """
-        self._advance(now_ms)
-        if not self._knows(spec.job):
-            self._enqueue(self._entry(spec, progress))
+        self._advance_clock(now_ms)
+        if not self._is_known(spec.job):
+            self._enqueue(self._new_entry(spec, progress))
 
     def adopt(
         self,
@@ -161,13 +163,13 @@
             now_ms: Monotonic time.
             running_ms: How long it has run.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         domain = self._domain
-        entry = self._forget(spec.job) or self._entry(spec, 0.0)
+        entry = self._withdraw(spec.job) or self._new_entry(spec, 0.0)
         entry.ran = True
         domain.place(entry, placement.groups, self._now_ms)
         domain.placed[spec.job].since_ms = self._now_ms - running_ms
-        domain.unsettled.add(spec.account)
+        domain.accounts_to_bind.add(spec.account)
         self._changed = True
 
     def attempt_started(self, job: ids.JobId, now_ms: int) -> None:
@@ -177,7 +179,7 @@
             job: The job.
             now_ms: Monotonic time.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         placed = self._domain.placed.get(job)
         if placed is not None:
             placed.entry.ran = True
@@ -186,7 +188,7 @@
     def attempt_ended(
         self,
         job: ids.JobId,
-        how: decisions.AttemptEnd,
+        attempt_end: decisions.AttemptEnd,
         now_ms: int,
         *,
         culprits: tuple[ids.WorkerId, ...] = (),
@@ -208,12 +210,14 @@
             again, because it failed on several distinct workers; otherwise
             None.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         self._changed = True
         placed = self._domain.remove(job, self._now_ms)
         if placed is None:
             return None
-        verdicts.learn(self._domain, placed, how, culprits, self._now_ms)
+        verdicts.learn(
+            self._domain, placed, attempt_end, culprits, self._now_ms
+        )
         if not requeue:
             return None
         entry = placed.entry
@@ -237,7 +241,7 @@
             Whether it was queued; a placed job is not touched.
         """
         if job in self._domain.pending_placements:
-            self._domain.release_claim(job, self._now_ms, requeue=False)
+            self._domain.cancel_pending(job, self._now_ms, requeue=False)
             self._changed = True
             return True
         if self._domain.queue.remove(job) is None:
@@ -255,8 +259,8 @@
         Returns:
             See `start_prediction.would_start`.
         """
-        self._advance(now_ms)
-        entry = self._entry(spec, 0.0)
+        self._advance_clock(now_ms)
+        entry = self._new_entry(spec, 0.0)
         return start_prediction.would_start(self._domain, entry, self._now_ms)
 
     def decide(self, now_ms: int) -> list[decisions.Decision]:
@@ -271,18 +275,18 @@
         Returns:
             The decisions, in the order in which to carry them out.
         """
-        self._advance(now_ms)
-        ended = self._expire()
-        self._wake_up()
+        self._advance_clock(now_ms)
+        ended = self._end_expired()
+        self._process_wake_ups()
         if not self._changed or not self._domain.in_service:
             return ended
         self._changed = False
         domain = self._domain
-        domain.secure()
-        guaranteed_placement.settle(domain)
+        domain.plan_cells()
+        guaranteed_placement.bind_placed_jobs(domain)
         return [
             *ended,
-            *guaranteed_placement.redeem(domain, self._now_ms),
+            *guaranteed_placement.place_pending(domain, self._now_ms),
             *guaranteed_placement.place(domain, self._now_ms),
             *opportunistic_placement.place(domain, self._now_ms),
         ]
@@ -304,9 +308,9 @@
         """Returns the workers that fail the jobs placed on them."""
         return self._domain.health.quarantined()
 
-    def unsecured(self) -> int:
+    def unplanned_cells(self) -> int:
         """Returns how many guaranteed gangs have no room in the pool."""
-        self._domain.secure()
+        self._domain.plan_cells()
         return len(self._domain.plan.unplanned())
 
     def fragmentation(self) -> float:
@@ -317,7 +321,7 @@
         pending: dict[shapes.Shape, int] = {}
         for entry in self._domain.queue:
             pending[entry.shape] = pending.get(entry.shape, 0) + 1
-        return fragmentation.share_unusable(self._domain.pool.free, pending)
+        return fragmentation.unusable_share(self._domain.pool.free, pending)
 
     def free_accelerators(self) -> int:
         """Returns how many accelerators of usable workers no job holds."""
@@ -325,18 +329,18 @@
 
     def queued_accelerators(self) -> int:
         """Returns how many accelerators the queued jobs ask for."""
-        claimed = sum(
-            claim.entry.shape.accelerators
-            for claim in self._domain.pending_placements.values()
+        pending_accelerators = sum(
+            pending.entry.shape.accelerators
+            for pending in self._domain.pending_placements.values()
         )
-        return claimed + self._domain.queue.accelerators
+        return pending_accelerators + self._domain.queue.accelerators
 
     def largest_gang(self) -> int:
         """Returns the accelerators of the failure domain's usable workers."""
         pool = self._domain.pool
         return sum(pool.capacity(worker).accelerators for worker in pool.free)
 
-    def _advance(self, now_ms: int) -> None:
+    def _advance_clock(self, now_ms: int) -> None:
         self._now_ms = max(self._now_ms, now_ms)
 
     def _wall_ms(self) -> int | None:
@@ -352,7 +356,7 @@
         if known is None or offset_ms > known:
             self._wall_offset_ms = offset_ms
 
-    def _knows(self, job: ids.JobId) -> bool:
+    def _is_known(self, job: ids.JobId) -> bool:
         domain = self._domain
         return (
             job in domain.queue
@@ -360,15 +364,15 @@
             or job in domain.pending_placements
         )
 
-    def _entry(self, spec: jobs.JobSpec, progress: float) -> queueing.Entry:
+    def _new_entry(self, spec: jobs.JobSpec, progress: float) -> queueing.Entry:
         return queueing.Entry(
             spec=spec, sequence=next(self._sequence), progress=progress
         )
 
-    def _forget(self, job: ids.JobId) -> queueing.Entry | None:
+    def _withdraw(self, job: ids.JobId) -> queueing.Entry | None:
         domain = self._domain
         if job in domain.pending_placements:
-            domain.release_claim(job, self._now_ms)
+            domain.cancel_pending(job, self._now_ms)
         placed = domain.remove(job, self._now_ms)
         return placed.entry if placed else domain.queue.remove(job)
 
@@ -377,10 +381,12 @@
         press_at_ms = None
         if entry.spec.deadline_ms is not None:
             run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
-            press_at_ms = entry.spec.deadline_ms - _PRESS_RUN_TIMES * run_ms
+            press_at_ms = (
+                entry.spec.deadline_ms - _NEAR_DEADLINE_RUN_TIMES * run_ms
+            )
         self._domain.enqueue(entry, self._now_ms, press_at_ms)
 
-    def _expire(self) -> list[decisions.EndJob]:
+    def _end_expired(self) -> list[decisions.EndJob]:
         wall_ms = self._wall_ms()
         if wall_ms is None:
             return []
@@ -394,7 +400,7 @@
             for entry in expired
         ]
 
-    def _wake_up(self) -> None:
+    def _process_wake_ups(self) -> None:
         wake_up_times_ms = self._domain.wake_up_times_ms
         while wake_up_times_ms and wake_up_times_ms[0] <= self._now_ms:
             heapq.heappop(wake_up_times_ms)
--- a/citronmount/core/start_prediction.py
+++ b/citronmount/core/start_prediction.py
@@ -24,8 +24,8 @@
     account = entry.spec.account
     if not domain.in_service or domain.queue.size(account):
         return False
-    domain.secure()
+    domain.plan_cells()
     free = domain.pool.free
-    if domain.plan.fit(account, entry.shape, free, ()) is not None:
+    if domain.plan.find_uses(account, entry.shape, free, ()) is not None:
         return True
     return opportunistic_placement.would_place(domain, entry, now_ms)
--- a/citronmount/core/tests/packing_oracle.py
+++ b/citronmount/core/tests/packing_oracle.py
@@ -64,6 +64,6 @@
         for worker, tasks in slots.items()
     }
     return {
-        worker: resources.minus(room, taken.get(worker, resources.NONE))
-        for worker, room in rooms.items()
+        worker: resources.minus(available, taken.get(worker, resources.NONE))
+        for worker, available in rooms.items()
     }
--- a/citronmount/core/tests/test_guarantees.py
+++ b/citronmount/core/tests/test_guarantees.py
@@ -53,7 +53,7 @@
         free = []
         for cell in domain.plan.all_cells():
             assert sum(cell.slots.values()) in (0, cell.shape.tasks)
-            if not cell.held:
+            if not cell.occupied:
                 free.append(cell.shape)
                 continue
             for worker, tasks in cell.slots.items():
@@ -62,12 +62,12 @@
                     rooms[worker] = resources.minus(rooms[worker], taken)
         racks = {w.name: w.rack for w in usable}
         packs = packing_oracle.fits(rooms, racks, free)
-        secured = not self.scheduler.unsecured()
+        cells_planned = not self.scheduler.unplanned_cells()
         if not self.faults:
             assert packs
-            assert secured
-        assert packs or not secured
-        self.missed += packs and not secured
+            assert cells_planned
+        assert packs or not cells_planned
+        self.missed += packs and not cells_planned
 
     def reclaim_everything(self):
         """Asks for every unused gang of all accounts at once.
@@ -76,8 +76,8 @@
         """
         self._settle()
         accounts = [a.name for a in self.configuration.accounts]
-        guaranteed_placement._settle_accounts(
-            self.scheduler._domain, accounts, tight=False
+        guaranteed_placement._bind_jobs_of(
+            self.scheduler._domain, accounts, no_wider_cells=False
         )
         self._reclaim(accounts)
 
@@ -93,7 +93,7 @@
         wanted = {
             spec.job: spec
             for number, cell in enumerate(made._domain.plan.all_cells())
-            if not cell.held and cell.account in accounts
+            if not cell.occupied and cell.account in accounts
             for spec in [self._probe(number, cell)]
         }
         for spec in wanted.values():
