--- a/citronmount/core/admission.py
+++ b/citronmount/core/admission.py
@@ -1,4 +1,4 @@
-"""Checks of a new job before it is queued."""
+"""Admission control: validates a new job before it is queued."""
 
 from citronmount.core import codes
 from citronmount.core import domain_state
@@ -11,20 +11,25 @@
 
 ACCOUNT_QUEUE_LIMIT_JOBS = 2_000
 DOMAIN_QUEUE_LIMIT_JOBS = 20_000
+# Limit of each account while the queue of the failure domain is full.
 _FULL_DOMAIN_ACCOUNT_LIMIT_JOBS = 64
 
 
 class Admission:
-    """Refuses jobs that can never run, or cannot be queued now."""
+    """Refuses jobs that can never run or for which the queue is full."""
 
     def __init__(self, *, domain: domain_state.DomainState) -> None:
-        """Initializes the checks of one failure domain."""
+        """Initializes admission control of one failure domain.
+
+        Args:
+            domain: State of the failure domain.
+        """
         self._domain = domain
         self._total_capacity = pool.CapacityIndex()
         self._fits_when_empty: dict[shapes.Shape, bool] = {}
 
     def refresh(self) -> None:
-        """Notes that workers or capacities have changed."""
+        """Rebuilds the capacity index after a change to the worker list."""
         domain_pool = self._domain.pool
         self._total_capacity = pool.CapacityIndex()
         for worker in domain_pool.workers():
@@ -36,14 +41,15 @@
     def check(
         self, spec: jobs.JobSpec, wall_ms: int | None
     ) -> jobs.JobResult | None:
-        """Checks a new job.
+        """Validates a new job.
 
         Args:
             spec: The job.
-            wall_ms: Wall-clock time, if known.
+            wall_ms: Unix time in ms, or None if it is not known; deadlines
+                are then not checked.
 
         Returns:
-            None if it may be queued, otherwise why not.
+            None if the job may be queued, otherwise the refusal.
         """
         return (
             self._check_fields(spec)
@@ -67,7 +73,8 @@
         ):
             return _refusal(
                 codes.ResultCode.INVALID_REQUEST,
-                "tasks and resources of a task must be positive",
+                "tasks must be at least 1; the resources of a task must be "
+                "non-negative and not all 0",
             )
         return None
 
@@ -76,7 +83,8 @@
         if not self._could_ever_fit(shape):
             return _refusal(
                 codes.ResultCode.NEVER_FITS,
-                f"{spec.tasks} tasks in one {spec.adjacency.value}",
+                f"no {spec.adjacency.value} has the capacity for "
+                f"{spec.tasks} tasks at once",
             )
         if not self._domain.is_trial(spec.account):
             return None
@@ -84,8 +92,9 @@
         if shape.accelerators > allowed_accelerators:
             return _refusal(
                 codes.ResultCode.OVER_ALLOWANCE,
-                f"{shape.accelerators} accelerators asked, "
-                f"{allowed_accelerators} allowed in this failure domain",
+                f"the job requests {shape.accelerators} accelerators; the "
+                f"account's allowance in this failure domain is "
+                f"{allowed_accelerators}",
             )
         return None
 
@@ -97,12 +106,14 @@
         remaining_ms = spec.deadline_ms - wall_ms
         if remaining_ms <= 0:
             return _refusal(
-                codes.ResultCode.DEADLINE_PASSED, f"{-remaining_ms} ms ago"
+                codes.ResultCode.DEADLINE_PASSED,
+                f"the deadline passed {-remaining_ms} ms ago",
             )
         if spec.run_time_s * 1000 > remaining_ms:
             return _refusal(
                 codes.ResultCode.DECLARED_TIME_TOO_LONG,
-                f"{spec.run_time_s} s declared, {remaining_ms} ms left",
+                f"the declared run time is {spec.run_time_s} s; the deadline "
+                f"is in {remaining_ms} ms",
             )
         return None
 
@@ -118,7 +129,8 @@
         if size < limit:
             return None
         return _refusal(
-            codes.ResultCode.QUEUE_FULL, f"{size} jobs of the account wait"
+            codes.ResultCode.QUEUE_FULL,
+            f"the account has {size} queued jobs; the limit is {limit}",
         )
 
     def _could_ever_fit(self, shape: shapes.Shape) -> bool:
--- a/citronmount/core/backfill.py
+++ b/citronmount/core/backfill.py
@@ -1,6 +1,6 @@
-"""Lets later jobs start early when they cannot delay the first in line.
+"""Backfilling: starts later jobs early if they do not delay the queue head.
 
-The reservation for the first job that does not fit follows EASY backfilling
+The first job that does not fit gets a reservation, as in EASY backfilling
 (Lifka, "The ANL/IBM SP Scheduling System", JSSPP 1995).
 """
 
@@ -22,7 +22,13 @@
 
 
 class CellBackfill:
-    """Guards the first blocked job of an account inside its own cells."""
+    """Decides which jobs of an account may pass a blocked one in its cells.
+
+    The first job of the account that finds no free capacity in the account's
+    cells is the blocked one. Under `policies.Backfill.RESERVATION` a later job
+    may use the cells only if it is expected to end before the blocked job can
+    start.
+    """
 
     def __init__(
         self,
@@ -30,7 +36,13 @@
         account: ids.AccountId,
         now_ms: int,
     ) -> None:
-        """Initializes a guard with no job blocked."""
+        """Initializes the check with no blocked job.
+
+        Args:
+            domain: State of the failure domain.
+            account: The account that owns the cells.
+            now_ms: Monotonic time.
+        """
         self._domain = domain
         self._account = account
         self._now_ms = now_ms
@@ -38,12 +50,12 @@
         self._start_ms: int | None = None
 
     def set_blocked(self, entry: queueing.Entry) -> None:
-        """Notes a job that waits for room in the cells of its account."""
+        """Records a blocked job, unless an earlier one is blocked already."""
         if self._blocked is None:
             self._blocked = entry
 
     def allows(self, entry: queueing.Entry) -> bool:
-        """Returns whether a later job may use the cells now."""
+        """Returns whether a later job may use the account's cells now."""
         if self._blocked is None:
             return True
         backfill = self._domain.policy.backfill
@@ -55,7 +67,11 @@
         return self._now_ms + run_ms <= self._start_ms
 
     def _blocked_start_ms(self) -> int:
-        """Finds by bisection how many ends the blocked job waits for."""
+        """Returns when the blocked job is expected to fit into the cells.
+
+        Bisects over the expected end times of the jobs in the cells for the
+        fewest that must end first.
+        """
         domain = self._domain
         end_times = sorted(
             (domain.expected_end_ms(domain.placed[job], self._now_ms), job)
@@ -65,45 +81,46 @@
         )
         low, high = 0, len(end_times)
         while low < high:
-            middle = (low + high) // 2
-            remaining_jobs = {job for _, job in end_times[middle:]}
+            mid = (low + high) // 2
+            remaining_jobs = {job for _, job in end_times[mid:]}
             shape = self._blocked.shape
             if domain.plan.could_fit(self._account, shape, remaining_jobs):
-                high = middle
+                high = mid
             else:
-                low = middle + 1
+                low = mid + 1
         return end_times[low - 1][0] if low else self._now_ms
 
 
 class Reservation(msgspec.Struct, frozen=True, kw_only=True):
-    """Room kept for the first job in line from a time on.
+    """Capacity reserved for the first blocked job in the queue.
 
     Attributes:
-        job: The job.
-        start_ms: When enough room is expected to be free.
-        need: What it will use of each worker.
+        job: The blocked job.
+        start_ms: Monotonic time at which it is expected to fit.
+        need: Resources that it will use on each worker.
     """
 
     job: ids.JobId
     start_ms: int
     need: dict[ids.WorkerId, jobs.Resources]
 
-    def available(
+    def available_to_long_job(
         self,
         domain: domain_state.DomainState,
         worker: ids.WorkerId,
         now_ms: int,
     ) -> jobs.Resources:
-        """Returns the room of a worker that a long job may take.
+        """Returns the capacity that a job may use beyond `start_ms`.
 
         Args:
-            domain: The failure domain.
+            domain: State of the failure domain.
             worker: The worker.
             now_ms: Monotonic time.
 
         Returns:
-            The free room, or what the reservation leaves of the room that is
-            expected to be free at its start.
+            The free capacity of a worker without a reservation; otherwise the
+            capacity expected to be free at `start_ms` minus the reserved
+            resources.
         """
         available = domain.pool.free.available(worker)
         need = self.need.get(worker)
@@ -125,14 +142,17 @@
 ) -> Reservation | None:
     """Finds when and where a blocked job can start.
 
+    Placed jobs are assumed to end one after the other at their expected end
+    times, until the blocked job fits.
+
     Args:
-        domain: The failure domain.
-        entry: The job.
+        domain: State of the failure domain.
+        entry: The blocked job.
         now_ms: Monotonic time.
 
     Returns:
-        The reservation, or None if it does not fit even when all placed jobs
-        have ended.
+        The reservation, or None if the job does not fit even after all placed
+        jobs have ended.
     """
     future = _FutureCapacity(domain.pool.free, entry.shape)
     end_times = sorted(
@@ -145,12 +165,14 @@
         placed = domain.placed[job]
         for group in placed.groups:
             freed = resources.scaled(placed.entry.spec.per_task, group.tasks)
-            future.add_freed(group.worker, freed)
-        found = future.find_groups(group.worker for group in placed.groups)
-        if found is not None:
+            future.free(group.worker, freed)
+        tasks_by_worker = future.find_groups(
+            group.worker for group in placed.groups
+        )
+        if tasks_by_worker is not None:
             need = {
                 worker: resources.scaled(entry.spec.per_task, tasks)
-                for worker, tasks in found.items()
+                for worker, tasks in tasks_by_worker.items()
             }
             return Reservation(job=entry.spec.job, start_ms=end_ms, need=need)
     return None
@@ -163,7 +185,7 @@
 
 
 class _FutureCapacity:
-    """Free room as it will be when some jobs have ended."""
+    """Free capacity as it will be after some placed jobs have ended."""
 
     def __init__(self, index: pool.CapacityIndex, shape: shapes.Shape) -> None:
         self._index = index
@@ -171,7 +193,7 @@
         self._freed: dict[ids.WorkerId, jobs.Resources] = {}
         self._total_tasks: int | None = None
 
-    def add_freed(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
+    def free(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
         if worker not in self._index:
             return
         before = self._tasks_on(worker)
@@ -183,7 +205,14 @@
     def find_groups(
         self, workers: Iterable[ids.WorkerId]
     ) -> dict[ids.WorkerId, int] | None:
-        """Returns the gang's groups if room freed on workers lets it fit."""
+        """Returns the gang's tasks by worker, or None if it does not fit.
+
+        A gang confined to one worker or rack is tried only on the given
+        workers or their racks: nothing has been freed elsewhere.
+
+        Args:
+            workers: The workers on which capacity was freed last.
+        """
         if self._shape.adjacency is states.Adjacency.FAILURE_DOMAIN:
             return self._find_anywhere()
         for worker in workers:
--- a/citronmount/core/cell_selection.py
+++ b/citronmount/core/cell_selection.py
@@ -1,4 +1,4 @@
-"""Chooses where a guaranteed job uses its account's cells."""
+"""Selects the cells of its account that a guaranteed job uses."""
 
 from collections.abc import Collection
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 __all__ = ["find"]
 
 _MAX_CANDIDATE_SCOPES = 16
-_NO_COST = (0, 0, 0, 0)
+_ZERO_COST = (0, 0, 0, 0)
 
 
 def find(
@@ -25,19 +25,20 @@
     avoid: Collection[ids.WorkerId],
     now_ms: int,
 ) -> tuple[cells.CellUse, ...] | None:
-    """Finds uses of cells, moving free cells to where they harm least.
+    """Finds cells for a job, moving free cells to avoid costly evictions.
 
-    A free cell moves to the best room that is free at once; where there is
-    none, to the least harmful of some sites by what would be evicted.
+    A free cell moves to the best-ranked free capacity. If there is none, it
+    moves to the candidate workers or racks with the lowest eviction cost.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         entry: The job.
         avoid: Workers that must not be used.
         now_ms: Monotonic time.
 
     Returns:
-        The uses, or None if the account's cells cannot hold the job now.
+        The cell uses, or None if the job does not fit into the account's
+        cells now.
     """
     plan = domain.plan
     account = entry.spec.account
@@ -58,7 +59,11 @@
 
 
 def _needed_part(cell: cells.Cell, shape: shapes.Shape) -> shapes.Shape | None:
-    """Returns the slots of a cell that a gang would use."""
+    """Returns the shape of the slots of a cell that a gang would use.
+
+    Returns None if a slot holds no task of the gang, unless all slots of the
+    cell are on one worker: the gang may then use them together.
+    """
     tasks_per_slot = resources.count(cell.shape.per_task, shape.per_task)
     if tasks_per_slot:
         tasks = min(-(-shape.tasks // tasks_per_slot), cell.shape.tasks)
@@ -81,12 +86,17 @@
     avoid: Collection[ids.WorkerId],
     now_ms: int,
 ) -> bool:
+    """Moves a free cell to where a job in it evicts the least work.
+
+    Returns:
+        Whether the cell was moved.
+    """
     current_groups = tuple(
         jobs.TaskGroup(worker=worker, tasks=tasks)
         for worker, tasks in cell.slots.items()
     )
     current_cost = _eviction_cost(domain, current_groups, part.per_task, now_ms)
-    if current_cost == _NO_COST:
+    if current_cost == _ZERO_COST:
         return False
     candidates = [
         (cost, groups)
@@ -143,6 +153,7 @@
     per_task: jobs.Resources,
     now_ms: int,
 ) -> tuple | None:
+    """Returns the cost of freeing capacity, None if it cannot be freed."""
     need = {
         group.worker: resources.scaled(per_task, group.tasks)
         for group in groups
--- a/citronmount/core/cells.py
+++ b/citronmount/core/cells.py
@@ -1,10 +1,11 @@
-"""A standing plan of where every guaranteed gang could run.
-
-Each copy of a guarantee is a cell: slots on concrete workers, as the virtual
-cells of HiveD (Zhao et al., OSDI 2020). All cells together never exceed the
-capacity of a worker. Guaranteed work runs inside cells of its own account
-only, so a cell without jobs can be handed over at any time by evicting work
-that runs in no cell. Cells without jobs may be moved.
+"""Maintains a plan of where each guaranteed gang can run.
+
+Each copy of a guarantee is a cell: slots on concrete workers, like the virtual
+cells of HiveD (Zhao et al., OSDI 2020). The cells on a worker never exceed its
+capacity together. Guaranteed work runs only in the cells of its own account,
+so the capacity of a cell without jobs can be reclaimed at any time by evicting
+work that runs outside cells. A cell is occupied while jobs run in it and free
+otherwise; free cells may be moved to other workers.
 """
 
 from collections.abc import Collection
@@ -28,18 +29,24 @@
     """One copy of a guarantee.
 
     Attributes:
-        account: The paying account.
-        shape: The guaranteed gang.
-        slots: Tasks of the gang planned on each worker; empty if no room
-            could be found.
-        rest: Room on each worker that no job of the cell uses.
+        account: The paying account that owns the cell.
+        shape: Shape of the guaranteed gang.
+        slots: Number of the gang's tasks planned on each worker; empty while
+            the cell is unplanned, because no capacity was found for it.
+        unused: Resources of the slots on each worker that no job in the cell
+            uses.
         jobs: The jobs that run in the cell.
     """
 
     __slots__ = ("account", "jobs", "shape", "slots", "unused")
 
     def __init__(self, *, account: ids.AccountId, shape: shapes.Shape) -> None:
-        """Initializes a cell that has no place yet."""
+        """Initializes an unplanned cell.
+
+        Args:
+            account: The paying account that owns the cell.
+            shape: Shape of the guaranteed gang.
+        """
         self.account = account
         self.shape = shape
         self.slots: dict[ids.WorkerId, int] = {}
@@ -48,23 +55,23 @@
 
     @property
     def occupied(self) -> bool:
-        """Whether jobs run in the cell, so that it cannot move."""
+        """Whether jobs run in the cell; an occupied cell cannot move."""
         return bool(self.jobs)
 
     @property
     def spare_accelerators(self) -> int:
-        """Accelerators that no job of the cell uses."""
+        """Number of accelerators that no job in the cell uses."""
         return sum(unused.accelerators for unused in self.unused.values())
 
 
 class CellUse(msgspec.Struct, frozen=True, kw_only=True):
-    """Tasks of a job in one cell on one worker.
+    """The tasks of a job that run in one cell on one worker.
 
     Attributes:
         cell: The cell.
         worker: The worker.
-        tasks: How many tasks of the job.
-        per_task: Resources of each.
+        tasks: Number of tasks of the job.
+        per_task: Resources of each task.
     """
 
     cell: Cell
@@ -74,10 +81,10 @@
 
 
 class CellPlan:
-    """The cells of one failure domain and where they are.
+    """The cells of one failure domain and their slots on workers.
 
     Attributes:
-        room: Capacity of usable workers that no cell has.
+        uncommitted: Capacity of usable workers that belongs to no cell.
     """
 
     def __init__(self) -> None:
@@ -97,19 +104,19 @@
         return self._cells.get(account, [])
 
     def all_cells(self) -> list[Cell]:
-        """Returns every cell."""
+        """Returns the cells of all accounts."""
         return [cell for cells in self._cells.values() for cell in cells]
 
     def unplanned(self) -> list[Cell]:
-        """Returns the cells for which no room was found."""
+        """Returns the cells for which no capacity was found."""
         return list(self._unplanned)
 
     def runs_in_cells(self, job: ids.JobId) -> bool:
-        """Returns whether a job runs in cells and so is not revocable."""
+        """Returns whether a job runs in cells and is thus not revocable."""
         return job in self._uses
 
     def capacity_outside_occupied(self, worker: ids.WorkerId) -> jobs.Resources:
-        """Returns the capacity of a worker less cells in which jobs run."""
+        """Returns the capacity of a worker minus that of occupied cells."""
         if worker not in self.uncommitted:
             return resources.NONE
         occupied = self._occupied_capacity.get(worker, resources.NONE)
@@ -121,42 +128,54 @@
         rack: ids.RackId,
         capacity: jobs.Resources,
     ) -> None:
-        """Adds a usable worker, or changes its rack or capacity."""
+        """Adds a usable worker or updates its rack and capacity.
+
+        The worker's free cells lose their slots if its rack has changed or
+        its cells exceed the new capacity.
+        """
         moved = (
             worker in self.uncommitted and self.uncommitted.rack(worker) != rack
         )
         self._capacity[worker] = capacity
         self.uncommitted.put(worker, rack, self._uncommitted_on(worker))
         if moved or _has_negative(self._uncommitted_on(worker)):
-            self._unplace_free(self._cells_on.get(worker, ()))
+            self._clear_free_cells(self._cells_on.get(worker, ()))
 
     def drop_worker(self, worker: ids.WorkerId) -> None:
-        """Removes a worker that may get no new tasks."""
+        """Removes a worker that may not get new tasks.
+
+        Its free cells lose their slots; occupied ones keep them until their
+        jobs have ended.
+        """
         self.uncommitted.drop(worker)
-        self._unplace_free(self._cells_on.get(worker, ()))
+        self._clear_free_cells(self._cells_on.get(worker, ()))
 
     def require(
         self, wanted: Mapping[tuple[ids.AccountId, shapes.Shape], int]
     ) -> list[ids.JobId]:
-        """Changes the number of cells to that of a new configuration.
+        """Adds and deletes cells to match a new configuration.
+
+        Cells with the fewest jobs are deleted first.
 
         Args:
-            wanted: Cells wanted for each account and shape.
+            wanted: Required number of cells for each account and shape.
 
         Returns:
-            Jobs that lost their cell and are revocable now.
+            The jobs whose cell was deleted; they are revocable from now on.
         """
-        present: dict[tuple[ids.AccountId, shapes.Shape], list[Cell]] = {}
+        cells_by_kind: dict[tuple[ids.AccountId, shapes.Shape], list[Cell]] = {}
         for cell in self.all_cells():
-            present.setdefault((cell.account, cell.shape), []).append(cell)
+            cells_by_kind.setdefault((cell.account, cell.shape), []).append(
+                cell
+            )
         unbound: list[ids.JobId] = []
-        for kind, cells in present.items():
+        for kind, cells in cells_by_kind.items():
             excess = len(cells) - wanted.get(kind, 0)
             cells.sort(key=lambda cell: len(cell.jobs))
             for cell in cells[: max(excess, 0)]:
                 unbound.extend(self._delete_cell(cell))
         for (account, shape), copies in wanted.items():
-            missing = copies - len(present.get((account, shape), ()))
+            missing = copies - len(cells_by_kind.get((account, shape), ()))
             for _ in range(missing):
                 cell = Cell(account=account, shape=shape)
                 self._cells.setdefault(account, []).append(cell)
@@ -164,8 +183,8 @@
         return unbound
 
     def plan_cells(self) -> None:
-        """Finds room for cells that have none, moving free ones if needed."""
-        for cell in _largest_first(self._unplanned):
+        """Finds slots for unplanned cells, moving free cells if needed."""
+        for cell in _hardest_first(self._unplanned):
             self._plan_cell(cell)
         if self._unplanned:
             self._replan_all()
@@ -177,20 +196,20 @@
         free: pool.CapacityIndex,
         avoid: Collection[ids.WorkerId] = (),
     ) -> tuple[CellUse, ...] | None:
-        """Finds room for a job in the cells of its account.
+        """Finds capacity for a job in the cells of its account.
 
-        The fewest cells without jobs are opened, then cells of the gang's own
-        shape, then the least spare room is touched, then room that is free at
-        once is preferred.
+        Minimizes, in this order: the number of free cells used, the number of
+        free cells of another shape, the spare accelerators of the cells used,
+        and the uses that must wait for capacity to be freed.
 
         Args:
             account: The account.
-            shape: The gang.
-            free: Room that no job uses.
+            shape: Shape of the job's gang.
+            free: Capacity that no job uses.
             avoid: Workers that must not be used.
 
         Returns:
-            The uses, or None if the job does not fit.
+            The cell uses, or None if the job does not fit.
         """
         candidates = self._candidate_uses(account, shape, free, avoid)
         found = []
@@ -201,11 +220,13 @@
             if uses:
                 found.append(uses)
         return min(
-            found, key=lambda uses: _cost(uses, shape, free), default=None
+            found,
+            key=lambda uses: _cost_of_uses(uses, shape, free),
+            default=None,
         )
 
     def bind(self, job: ids.JobId, uses: tuple[CellUse, ...]) -> None:
-        """Lets a job run in cells."""
+        """Binds a job to cells, which become occupied."""
         for use in uses:
             if not use.cell.occupied:
                 self._add_occupied(use.cell, 1)
@@ -216,7 +237,10 @@
         self._uses[job] = uses
 
     def release(self, job: ids.JobId) -> None:
-        """Takes a job out of its cells, if it runs in any."""
+        """Unbinds a job from its cells, if it runs in any.
+
+        A cell that becomes free loses its slots if they are no longer usable.
+        """
         uses = self._uses.pop(job, ())
         for use in uses:
             need = resources.scaled(use.per_task, use.tasks)
@@ -226,26 +250,29 @@
             cell.jobs.discard(job)
             if not cell.occupied:
                 self._add_occupied(cell, -1)
-                self._unplace_if_unusable(cell)
+                self._clear_if_unusable(cell)
 
     def uses(self, job: ids.JobId) -> tuple[CellUse, ...]:
-        """Returns the cells that a job uses."""
+        """Returns the cell uses of a job, empty if it runs in no cell."""
         return self._uses.get(job, ())
 
     def move(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> bool:
-        """Moves a cell without jobs, and others out of its way.
+        """Moves a free cell, displacing other free cells if needed.
 
         Args:
-            cell: The cell.
-            slots: Where its tasks shall be planned.
+            cell: The free cell.
+            slots: Its new slots: number of tasks on each worker.
 
         Returns:
-            Whether all cells have room; otherwise nothing has changed.
+            Whether the cell was moved and all displaced cells found new
+            slots; if not, every cell is left as it was.
         """
         outer_log = self._undo_log
         self._undo_log = {}
-        self._unplace(cell)
-        if self._vacate(cell, slots) and self._place_and_replan(cell, slots):
+        self._clear_slots(cell)
+        if self._vacate(cell, slots) and self._set_slots_and_replan_displaced(
+            cell, slots
+        ):
             undo_log, self._undo_log = self._undo_log, outer_log
             if outer_log is not None:
                 for moved, before in undo_log.items():
@@ -262,16 +289,18 @@
         groups: tuple[jobs.TaskGroup, ...],
         widest: int | None = None,
     ) -> tuple[CellUse, ...] | None:
-        """Puts cells of an account under a gang that already has its place.
+        """Moves cells of an account onto the workers of a placed gang.
 
         Args:
             account: The account.
-            shape: The gang.
-            groups: Where it runs.
-            widest: The most accelerators of a cell to be opened, or None.
+            shape: Shape of the gang.
+            groups: Placement of the gang.
+            widest: Maximum number of accelerators of a free cell that may be
+                used; None for no limit.
 
         Returns:
-            The uses to bind, or None, in which case nothing has changed.
+            The cell uses to bind, or None if the cells cannot cover the gang;
+            every cell is then left as it was.
         """
         self._undo_log = {}
         uses = self._cover_placed(account, shape, groups, widest)
@@ -290,23 +319,24 @@
 
         Args:
             account: The account.
-            shape: The gang.
-            staying: Jobs that keep their room; all others count as ended.
+            shape: Shape of the job's gang.
+            remaining_jobs: Jobs that keep their slots; all others count as
+                ended.
         """
-        kept: dict[tuple[Cell, ids.WorkerId], jobs.Resources] = {}
+        used_by_remaining: dict[tuple[Cell, ids.WorkerId], jobs.Resources] = {}
         for job in remaining_jobs:
             for use in self._uses.get(job, ()):
                 location = (use.cell, use.worker)
                 need = resources.scaled(use.per_task, use.tasks)
-                kept[location] = resources.plus(
-                    kept.get(location, resources.NONE), need
+                used_by_remaining[location] = resources.plus(
+                    used_by_remaining.get(location, resources.NONE), need
                 )
         fits: dict[object, int] = {}
         for cell in self.cells(account):
             for worker, slots in cell.slots.items():
                 unused = resources.minus(
                     resources.scaled(cell.shape.per_task, slots),
-                    kept.get((cell, worker), resources.NONE),
+                    used_by_remaining.get((cell, worker), resources.NONE),
                 )
                 scope = self._scope(worker, shape.adjacency)
                 tasks = resources.count(unused, shape.per_task)
@@ -321,13 +351,13 @@
         key: placement.WorkerKey,
         avoid: Collection[ids.WorkerId] = (),
     ) -> bool:
-        """Moves a cell to where a job in it needs no eviction.
+        """Moves a free cell to where a job in it needs no eviction.
 
         Args:
-            cell: A cell without jobs.
-            shape: The part of the cell's gang that must be free at once.
-            free: Room that no job uses.
-            key: Ranks workers.
+            cell: The free cell.
+            shape: Part of the cell's gang that needs free capacity now.
+            free: Capacity that no job uses.
+            key: Sort key of workers.
             avoid: Workers that must not be used.
 
         Returns:
@@ -347,14 +377,15 @@
         return self.move_onto(cell, groups)
 
     def move_onto(self, cell: Cell, groups: tuple[jobs.TaskGroup, ...]) -> bool:
-        """Moves a cell so that some of its tasks are where they are wanted.
+        """Moves a free cell so that it has slots on the given workers.
 
         Args:
-            cell: A cell without jobs.
-            groups: Tasks of the cell's gang and where they shall be.
+            cell: The free cell.
+            groups: Slots required on each worker; the cell's other slots go
+                to workers of the same scope.
 
         Returns:
-            Whether the cell was moved; otherwise nothing has changed.
+            Whether the cell was moved; if not, every cell is left as it was.
         """
         slots = self._complete_slots(cell, groups)
         return slots is not None and self.move(cell, slots)
@@ -366,6 +397,7 @@
         free: pool.CapacityIndex,
         avoid: Collection[ids.WorkerId],
     ) -> dict[object, list[tuple[tuple, CellUse]]]:
+        """Returns ranked cell uses by scope, and by cell and scope."""
         candidates: dict[object, list[tuple[tuple, CellUse]]] = {}
         for cell in self.cells(account):
             spare = cell.spare_accelerators
@@ -402,6 +434,7 @@
     def _scope(
         self, worker: ids.WorkerId, adjacency: states.Adjacency
     ) -> object:
+        """Returns the worker, its rack or None for the failure domain."""
         if adjacency is states.Adjacency.WORKER:
             return worker
         if adjacency is states.Adjacency.RACK:
@@ -426,7 +459,7 @@
         remaining = {group.worker: group.tasks for group in groups}
         chosen: set[Cell] = set()
         while True:
-            self._use_spare(usable, shape, remaining, chosen, uses)
+            self._use_unused(usable, shape, remaining, chosen, uses)
             if not remaining:
                 return tuple(uses)
             if any(worker not in self.uncommitted for worker in remaining):
@@ -434,7 +467,7 @@
             if not self._move_free_cell(usable, shape, remaining, chosen):
                 return None
 
-    def _use_spare(
+    def _use_unused(
         self,
         cells: list[Cell],
         shape: shapes.Shape,
@@ -489,7 +522,10 @@
         slots: Mapping[ids.WorkerId, int],
         chosen: set[Cell],
     ) -> bool:
-        """Moves a cell while those in `taken` stay where they are."""
+        """Moves a free cell without displacing the cells in `chosen`.
+
+        The free ones among them are marked as occupied during the move.
+        """
         pinned = [other for other in chosen if not other.occupied]
         for other in pinned:
             other.jobs.add(_PIN_JOB)
@@ -525,7 +561,10 @@
     def _complete_slots(
         self, cell: Cell, groups: Iterable[jobs.TaskGroup]
     ) -> dict[ids.WorkerId, int] | None:
-        """Adds places for those tasks of a cell that `groups` leaves out."""
+        """Returns slots for all tasks of a cell, those in `groups` included.
+
+        Returns None if the capacity outside occupied cells is too small.
+        """
         slots = {group.worker: group.tasks for group in groups}
         remaining = cell.shape.tasks - sum(slots.values())
         per_task = cell.shape.per_task
@@ -568,24 +607,28 @@
                 self.uncommitted.available(worker), need
             ):
                 others = [
-                    c for c in self._cells_on.get(worker, ()) if not c.occupied
+                    other
+                    for other in self._cells_on.get(worker, ())
+                    if not other.occupied
                 ]
                 if not others:
                     return False
-                self._unplace(min(others, key=lambda c: c.shape.accelerators))
+                self._clear_slots(
+                    min(others, key=lambda other: other.shape.accelerators)
+                )
         return True
 
-    def _place_and_replan(
+    def _set_slots_and_replan_displaced(
         self, cell: Cell, slots: Mapping[ids.WorkerId, int]
     ) -> bool:
-        self._place(cell, slots)
+        self._set_slots(cell, slots)
         displaced = [
             other
             for other, before in self._undo_log.items()
             if before and not other.slots
         ]
         return all(
-            self._plan_cell(other) for other in _largest_first(displaced)
+            self._plan_cell(other) for other in _hardest_first(displaced)
         )
 
     def _plan_cell(self, cell: Cell) -> bool:
@@ -594,16 +637,21 @@
         )
         if groups is None:
             return False
-        self._place(cell, {group.worker: group.tasks for group in groups})
+        self._set_slots(cell, {group.worker: group.tasks for group in groups})
         return True
 
     def _replan_all(self) -> None:
+        """Replans all free cells in several orders.
+
+        Keeps a result only if it leaves fewer cells unplanned, and stops when
+        none is left.
+        """
         unplanned_count = len(self._unplanned)
         free = [cell for cell in self.all_cells() if not cell.occupied]
         for sort_key in _PLANNING_ORDERS:
             self._undo_log = {}
             for cell in free:
-                self._unplace(cell)
+                self._clear_slots(cell)
             for cell in sorted(free, key=sort_key):
                 self._plan_cell(cell)
             if len(self._unplanned) < unplanned_count:
@@ -618,16 +666,16 @@
     def _roll_back(self, undo_log: dict[Cell, dict[ids.WorkerId, int]]) -> None:
         self._undo_log = None
         for cell in undo_log:
-            self._unplace(cell)
+            self._clear_slots(cell)
         for cell, slots in undo_log.items():
             if slots:
-                self._place(cell, slots)
+                self._set_slots(cell, slots)
 
     def _record_undo(self, cell: Cell) -> None:
         if self._undo_log is not None:
             self._undo_log.setdefault(cell, dict(cell.slots))
 
-    def _unplace(self, cell: Cell) -> None:
+    def _clear_slots(self, cell: Cell) -> None:
         self._record_undo(cell)
         for worker, tasks in cell.slots.items():
             self._add_committed(
@@ -638,7 +686,7 @@
         cell.unused = {}
         self._unplanned[cell] = None
 
-    def _place(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> None:
+    def _set_slots(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> None:
         self._record_undo(cell)
         for worker, tasks in slots.items():
             amount = resources.scaled(cell.shape.per_task, tasks)
@@ -648,11 +696,11 @@
         cell.slots = dict(slots)
         self._unplanned.pop(cell, None)
 
-    def _unplace_free(self, cells: Iterable[Cell]) -> None:
+    def _clear_free_cells(self, cells: Iterable[Cell]) -> None:
         for cell in [cell for cell in cells if not cell.occupied]:
-            self._unplace(cell)
+            self._clear_slots(cell)
 
-    def _unplace_if_unusable(self, cell: Cell) -> None:
+    def _clear_if_unusable(self, cell: Cell) -> None:
         scopes = {
             self._scope(worker, cell.shape.adjacency) for worker in cell.slots
         }
@@ -661,13 +709,13 @@
             or _has_negative(self._uncommitted_on(worker))
             for worker in cell.slots
         ):
-            self._unplace(cell)
+            self._clear_slots(cell)
 
     def _delete_cell(self, cell: Cell) -> list[ids.JobId]:
         unbound = list(cell.jobs)
         for job in unbound:
             self.release(job)
-        self._unplace(cell)
+        self._clear_slots(cell)
         del self._unplanned[cell]
         self._cells[cell.account].remove(cell)
         return unbound
@@ -691,6 +739,7 @@
         return resources.minus(capacity, committed)
 
 
+# Marks a free cell as occupied while another one moves.
 _PIN_JOB = ids.JobId("")
 
 
@@ -712,7 +761,7 @@
     return ()
 
 
-def _cost(
+def _cost_of_uses(
     uses: tuple[CellUse, ...], shape: shapes.Shape, free: pool.CapacityIndex
 ) -> tuple:
     not_free = sum(
@@ -728,7 +777,7 @@
     return (opened, other_shapes, spare, not_free)
 
 
-def _largest_first(cells: Iterable[Cell]) -> list[Cell]:
+def _hardest_first(cells: Iterable[Cell]) -> list[Cell]:
     return sorted(cells, key=_by_scope)
 
 
--- a/citronmount/core/delay_scheduling.py
+++ b/citronmount/core/delay_scheduling.py
@@ -1,9 +1,9 @@
-"""Lets a long trial wait a little rather than break up one more worker.
+"""Delay scheduling: long trial jobs wait for a less fragmented placement.
 
-A long job that starts in the gaps of a burst of short ones keeps its workers
-broken up long after the burst. It waits for a bounded share of its run time,
-as in delay scheduling (Zaharia et al., EuroSys 2010), if fewer workers would
-do once the short jobs have ended.
+A long job that starts in the gaps left by a burst of short jobs keeps its
+workers fragmented long after the burst. If it would need fewer workers once
+the short jobs have ended, it waits for a bounded share of its run time, as in
+delay scheduling (Zaharia et al., EuroSys 2010).
 """
 
 import heapq
@@ -26,7 +26,7 @@
 
 
 def recently_checked(entry: queueing.Entry, now_ms: int) -> bool:
-    """Returns whether a waiting job was looked at a moment ago."""
+    """Returns whether a waiting job was checked less than the interval ago."""
     waiting = entry.patient_until_ms is not None
     return (
         waiting
@@ -41,12 +41,14 @@
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
 ) -> bool:
-    """Returns whether a job should not start at a place that it could have.
+    """Returns whether a job should wait although it could start now.
+
+    The first call that says so sets the time at which the wait ends.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         entry: A job that runs outside guarantees.
-        groups: Where it could start.
+        groups: Placement at which it could start now.
         now_ms: Monotonic time.
     """
     run_ms = domain.estimator.run_ms(entry.spec, entry.progress)
@@ -69,7 +71,12 @@
     now_ms: int,
     run_ms: int,
 ) -> bool:
-    """Returns whether the gang outlasts other jobs on too many workers."""
+    """Returns whether the gang would outlast the jobs of too many workers.
+
+    A worker is outlasted if all its other jobs are expected to end before
+    half of the gang's run time has passed. There are too many of them if the
+    tasks that do not fit beside long jobs would need fewer workers.
+    """
     horizon_ms = now_ms + int(run_ms * _OUTLASTING_RUN_TIME_SHARE)
     outlasted = sum(
         domain.busy_until_ms(group.worker, now_ms) < horizon_ms
@@ -94,7 +101,10 @@
     now_ms: int,
     horizon_ms: int,
 ) -> int:
-    """Returns how many tasks could join jobs that run for long anyway."""
+    """Returns how many tasks fit on a worker beside its long jobs.
+
+    Short jobs, which end before `horizon_ms`, count as ended.
+    """
     if domain.busy_until_ms(worker, now_ms) < horizon_ms:
         return 0
     available = domain.available_at(worker, now_ms, horizon_ms)
--- a/citronmount/core/domain_state.py
+++ b/citronmount/core/domain_state.py
@@ -1,4 +1,7 @@
-"""The state of one failure domain's scheduler and its elementary changes."""
+"""Holds the state of one failure domain's scheduler.
+
+The methods change it consistently; which change to make is decided elsewhere.
+"""
 
 import collections
 from collections.abc import Iterable
@@ -27,15 +30,14 @@
 
 
 class PlacedJob:
-    """An attempt that holds room.
+    """An attempt to which resources of workers are allocated.
 
     Attributes:
         entry: The job.
-        groups: Where it runs.
-        since_ms: When it was placed or started.
-        evicting: Whether it was told to stop.
-        lent: Whether its room may be taken back for paying work outside
-            guarantees.
+        groups: Its tasks on each worker.
+        since_ms: Monotonic time at which it was placed or, later, started.
+        evicting: Whether its eviction was requested.
+        preemptible: Whether paying work outside guarantees may preempt it.
     """
 
     __slots__ = ("entry", "evicting", "groups", "preemptible", "since_ms")
@@ -47,7 +49,7 @@
         groups: tuple[jobs.TaskGroup, ...],
         since_ms: int,
     ) -> None:
-        """Initializes an attempt that may run."""
+        """Initializes an attempt that was just placed."""
         self.entry = entry
         self.groups = groups
         self.since_ms = since_ms
@@ -56,12 +58,12 @@
 
 
 class PendingPlacement:
-    """A guaranteed job that waits for evictions to end.
+    """A job that is placed once the jobs evicted for it have ended.
 
     Attributes:
         entry: The job.
-        groups: Where it will run; the room is set aside.
-        victims: Jobs that still have to end.
+        groups: Its tasks on each worker; their resources are allocated.
+        victims: Evicted jobs that have not ended yet.
     """
 
     __slots__ = ("entry", "groups", "victims")
@@ -73,33 +75,34 @@
         groups: tuple[jobs.TaskGroup, ...],
         victims: set[ids.JobId],
     ) -> None:
-        """Initializes a claim."""
+        """Initializes a pending placement."""
         self.entry = entry
         self.groups = groups
         self.victims = victims
 
 
 class DomainState:
-    """All that is known of a failure domain, without decisions.
+    """State of one failure domain's scheduler.
 
     Attributes:
-        policy: What decisions consult.
-        pool: The workers.
+        policy: The scheduling policy.
+        pool: The workers and their free capacity.
         plan: The cells of the guarantees.
-        queue: Jobs that wait.
-        placed: Jobs that hold room.
-        claims: Jobs that wait for evictions, in order.
-        ledger: Served shares.
-        estimator: Expected run times.
-        health: Workers in quarantine.
-        mix: Typical gangs.
+        queue: Queued jobs.
+        placed: Placed jobs, by id.
+        pending_placements: Jobs that wait for evictions, in order of decision.
+        ledger: Service that each account has received.
+        estimator: Estimator of run times.
+        health: Quarantine of workers that fail jobs.
+        mix: Typical gangs of the workload.
         in_service: Whether tasks may start.
-        unsettled: Accounts whose placed jobs may now run in cells.
-        wake_ups: Times at which to look again, a heap.
+        accounts_to_bind: Accounts whose placed jobs may now fit into cells.
+        cells_planned: Whether the cell plan is up to date.
+        wake_up_times_ms: Heap of monotonic times at which to decide again.
     """
 
     def __init__(self, *, policy: str) -> None:
-        """Initializes a failure domain without workers and accounts."""
+        """Initializes a state without workers and accounts."""
         self.policy = policies.get(policy)
         self.pool = pool.Pool()
         self.plan = cells.CellPlan()
@@ -136,17 +139,17 @@
         )
 
     def allowance(self, account: ids.AccountId) -> int:
-        """Returns the accelerators that a trial account may use here."""
+        """Returns how many accelerators a trial account may use here."""
         return self._allowances.get(account, 0)
 
     def within_allowance(self, entry: queueing.Entry) -> bool:
-        """Returns whether an allowance leaves room for a trial job."""
+        """Returns whether a trial job fits its account's allowance now."""
         account = entry.spec.account
         used = self._trial_accelerators[account] + entry.shape.accelerators
         return used <= self.allowance(account)
 
     def revocable(self, job: ids.JobId) -> bool:
-        """Returns whether a placed job may be told to stop for another."""
+        """Returns whether a job is placed and may be evicted for another."""
         return (
             self.policy.guarantees
             and job in self.placed
@@ -160,11 +163,11 @@
         failure_domain: ids.FailureDomainId,
         now_ms: int,
     ) -> None:
-        """Takes over a configuration.
+        """Applies a configuration.
 
         Args:
             configuration: The version in force.
-            failure_domain: The failure domain that this one is.
+            failure_domain: The failure domain of this state.
             now_ms: Monotonic time.
         """
         self.in_service = any(
@@ -183,13 +186,13 @@
             self._update_cells(share, now_ms)
 
     def plan_cells(self) -> None:
-        """Finds room for cells that have none."""
+        """Finds slots for unplanned cells, if anything has changed."""
         if not self.cells_planned:
             self.plan.plan_cells()
             self.cells_planned = True
 
     def refresh_worker(self, worker: ids.WorkerId, now_ms: int) -> None:
-        """Brings plan and claims up to date with a worker of the pool.
+        """Updates cells and pending placements after a change to a worker.
 
         Args:
             worker: A worker whose state or capacity may have changed.
@@ -215,7 +218,7 @@
         now_ms: int,
         uses: tuple[cells.CellUse, ...] = (),
     ) -> None:
-        """Gives room to a queued job, in cells or outside them."""
+        """Places a queued job, in cells if `uses` is not empty."""
         job = entry.spec.job
         self.queue.remove(job)
         placed = PlacedJob(entry=entry, groups=groups, since_ms=now_ms)
@@ -232,7 +235,7 @@
         uses: tuple[cells.CellUse, ...],
         victims: set[ids.JobId],
     ) -> None:
-        """Sets room aside for a queued job until its victims have ended."""
+        """Allocates resources to a queued job that waits for its victims."""
         job = entry.spec.job
         self.queue.remove(job)
         self.pending_placements[job] = PendingPlacement(
@@ -243,14 +246,14 @@
     def cancel_pending(
         self, job: ids.JobId, now_ms: int, *, requeue: bool = True
     ) -> None:
-        """Gives back the room of a claim."""
+        """Cancels a pending placement and frees its resources."""
         pending = self.pending_placements.pop(job)
         self._deallocate(pending.entry, pending.groups, now_ms)
         if requeue:
             self.enqueue(pending.entry, now_ms)
 
     def place_pending(self, job: ids.JobId, now_ms: int) -> PlacedJob:
-        """Turns a claim whose victims have ended into a placed job."""
+        """Places a pending job whose victims have ended."""
         pending = self.pending_placements.pop(job)
         placed = PlacedJob(
             entry=pending.entry, groups=pending.groups, since_ms=now_ms
@@ -261,7 +264,7 @@
         return placed
 
     def remove(self, job: ids.JobId, now_ms: int) -> PlacedJob | None:
-        """Gives back the room of a placed job."""
+        """Removes a placed job and frees its resources."""
         placed = self.placed.pop(job, None)
         if placed is None:
             return None
@@ -272,7 +275,7 @@
         return placed
 
     def mark_evicting(self, job: ids.JobId) -> None:
-        """Notes that a placed job was told to stop."""
+        """Records that the eviction of a placed job was requested."""
         placed = self.placed[job]
         placed.evicting = True
         self._unmark_preemptible(placed)
@@ -280,7 +283,7 @@
     def cancel_pending_outside_cells(
         self, workers: Iterable[ids.WorkerId], now_ms: int
     ) -> None:
-        """Gives back what claims outside guarantees hold of some workers."""
+        """Cancels the pending placements outside cells on some workers."""
         for worker in workers:
             for job in list(self.pool.jobs_on(worker)):
                 if (
@@ -295,7 +298,7 @@
         now_ms: int,
         press_at_ms: int | None = None,
     ) -> None:
-        """Queues an entry."""
+        """Adds an entry to the queue."""
         account = entry.spec.account
         entry.queued_ms = now_ms
         entry.patient_until_ms = None
@@ -304,7 +307,7 @@
         self.queue.add(entry, press_at_ms=press_at_ms)
 
     def expected_end_ms(self, placed: PlacedJob, now_ms: int) -> int:
-        """Returns when a placed job is expected to end."""
+        """Returns the monotonic time at which a job is expected to end."""
         left_ms = self.estimator.left_ms(
             placed.entry.spec,
             placed.entry.progress,
@@ -315,12 +318,7 @@
     def worker_key(
         self, entry: queueing.Entry, now_ms: int
     ) -> placement.WorkerKey:
-        """Returns the ranking of workers for a job.
-
-        Args:
-            entry: The job.
-            now_ms: Monotonic time.
-        """
+        """Returns the sort key of workers for a job."""
         worker_ranking = ranking.FragmentationRanking(
             mix=self.mix,
             timeline=functools.partial(self._timeline, now_ms),
@@ -330,11 +328,11 @@
         return self.policy.key(worker_ranking)
 
     def busy_until_ms(self, worker: ids.WorkerId, now_ms: int) -> int:
-        """Returns when the last job of a worker is expected to end.
+        """Returns when the last job on a worker is expected to end.
 
         Args:
             worker: The worker.
-            now_ms: Monotonic time, returned if no job runs there.
+            now_ms: Monotonic time; returned if no job is placed there.
         """
         ends = self._timeline(now_ms, worker)
         return ends[-1][0] if ends else now_ms
@@ -342,7 +340,7 @@
     def available_at(
         self, worker: ids.WorkerId, now_ms: int, later_ms: int
     ) -> jobs.Resources:
-        """Returns the room of a worker once some of its jobs have ended.
+        """Returns the capacity of a worker that will be free later.
 
         Args:
             worker: The worker.
@@ -358,7 +356,7 @@
     def _timeline(
         self, now_ms: int, worker: ids.WorkerId
     ) -> list[tuple[int, jobs.Resources]]:
-        """Returns when jobs on a worker will end and what they then free."""
+        """Returns expected end times and the resources freed then, sorted."""
         as_of_ms, ends = self._timelines.get(worker, (-1, []))
         if as_of_ms == now_ms:
             return ends
@@ -429,8 +427,8 @@
     def _unmark_preemptible(self, placed: PlacedJob) -> None:
         if placed.preemptible:
             placed.preemptible = False
-            back = resources.scaled(placed.entry.spec.per_task, -1)
-            self.pool.add_preemptible(back, placed.groups)
+            released = resources.scaled(placed.entry.spec.per_task, -1)
+            self.pool.add_preemptible(released, placed.groups)
 
     def _record_probes(
         self,
@@ -473,9 +471,7 @@
             for (
                 account,
                 shape,
-            ), copies in guarantee_feasibility.required_cell_copies(
-                share
-            ).items()
+            ), copies in guarantee_feasibility.cell_copies(share).items()
             if not self.is_trial(account)
         }
         guaranteed_copies: collections.Counter[shapes.Shape] = (
--- a/citronmount/core/fragmentation.py
+++ b/citronmount/core/fragmentation.py
@@ -1,8 +1,8 @@
-"""Measures how much free room the pending mix of gangs cannot use.
+"""Measures fragmentation: free capacity that typical gangs cannot use.
 
-The gradient follows Weng et al., "Beware of Fragmentation", USENIX ATC 2023:
-a gang goes where it adds least to the accelerators that a typical task of the
-workload could not use.
+The change per placement is the fragmentation gradient of Weng et al., "Beware
+of Fragmentation", USENIX ATC 2023: a gang is placed where it adds the fewest
+accelerators that a typical task of the workload cannot use.
 """
 
 from collections.abc import Mapping
@@ -24,7 +24,11 @@
 
 
 class GangMix:
-    """The typical gangs, learnt from guarantees and submissions."""
+    """The typical gangs of the workload, from guarantees and submissions.
+
+    Submitted gangs are weighted by accelerator hours. The weights are halved
+    when their sum exceeds a threshold, so that the mix follows the workload.
+    """
 
     def __init__(self) -> None:
         """Initializes an empty mix."""
@@ -34,26 +38,26 @@
         self._unit_weights: list[tuple[jobs.Resources, float]] = []
         self._submission_count = 0
         self._since_refresh = 0
-        self._gradients: dict[tuple[jobs.Resources, jobs.Resources], float] = {}
+        self._changes: dict[tuple[jobs.Resources, jobs.Resources], float] = {}
 
     def set_guaranteed(self, copies: Mapping[shapes.Shape, int]) -> None:
-        """Replaces the gangs that guarantees promise.
+        """Replaces the guaranteed gangs.
 
         Args:
-            copies: How many of each.
+            copies: Number of guaranteed copies of each shape.
         """
         self._guaranteed = {
-            shape: float(number * shape.accelerators)
-            for shape, number in copies.items()
+            shape: float(count * shape.accelerators)
+            for shape, count in copies.items()
         }
         self._refresh()
 
     def add_submission(self, shape: shapes.Shape, run_time_s: float) -> None:
-        """Adds a gang that was asked for.
+        """Adds the gang of a submitted job.
 
         Args:
-            shape: The gang.
-            run_time_s: For how long it was asked for.
+            shape: Shape of the gang.
+            run_time_s: Declared run time in seconds.
         """
         weight_h = shape.accelerators * run_time_s / _HOUR_S
         self._submitted[shape] = self._submitted.get(shape, 0.0) + weight_h
@@ -70,19 +74,20 @@
     def fragmentation_change(
         self, available: jobs.Resources, used: jobs.Resources
     ) -> float:
-        """Returns the accelerators made unusable by taking some of a room.
+        """Returns how many accelerators an allocation would make unusable.
 
         Args:
-            room: The free room of a worker.
-            taken: What would be taken of it.
+            available: Free capacity of a worker.
+            used: Resources that would be allocated on it.
 
         Returns:
-            The expected change; negative if unusable room is used up.
+            Weighted mean over the typical gangs; negative if the allocation
+            uses up accelerators that were unusable.
         """
         key = (available, used)
-        if key not in self._gradients:
+        if key not in self._changes:
             after = resources.minus(available, used)
-            self._gradients[key] = sum(
+            self._changes[key] = sum(
                 weight
                 * (
                     _unusable_accelerators(after, unit)
@@ -90,7 +95,7 @@
                 )
                 for unit, weight in self._unit_weights
             )
-        return self._gradients[key]
+        return self._changes[key]
 
     def _refresh(self) -> None:
         weights = dict(self._guaranteed)
@@ -101,11 +106,12 @@
             weights.items(),
             key=lambda item: (item[1], item[0].accelerators),
         )
-        total = sum(weight for _, weight in top) or 1.0
+        total_weight = sum(weight for _, weight in top) or 1.0
         self._unit_weights = [
-            (_unit(shape), weight / total) for shape, weight in top
+            (_worker_unit(shape), weight / total_weight)
+            for shape, weight in top
         ]
-        self._gradients = {}
+        self._changes = {}
         self._since_refresh = 0
 
     def _decay(self) -> None:
@@ -117,8 +123,8 @@
         self._submitted_total_h = sum(self._submitted.values())
 
 
-def _unit(shape: shapes.Shape) -> jobs.Resources:
-    """Returns what one worker must have to be of use to a gang."""
+def _worker_unit(shape: shapes.Shape) -> jobs.Resources:
+    """Returns the least free capacity of a worker that a gang can use."""
     single_worker = shape.adjacency is states.Adjacency.WORKER
     return shape.total if single_worker else shape.per_task
 
@@ -138,26 +144,26 @@
     """Returns the share of free accelerators that pending gangs cannot use.
 
     Args:
-        index: The free room.
-        pending: Gangs wanted, with their number as weight.
+        index: Free capacity of the workers.
+        pending: Number of pending gangs of each shape.
 
     Returns:
-        The mean over the gangs, between 0 and 1; 0 if nothing is free or
-        nothing is wanted.
+        Mean over the shapes, weighted by their pending accelerators, between
+        0 and 1; 0 if no accelerator is free or pending.
     """
     weights = {
         shape: copies * shape.accelerators
         for shape, copies in pending.items()
         if shape.accelerators
     }
-    total = sum(weights.values())
-    if not index.total or not total:
+    total_weight = sum(weights.values())
+    if not index.total or not total_weight:
         return 0.0
     usable = sum(
         weight * _usable_accelerators(index, shape)
         for shape, weight in weights.items()
     )
-    return 1.0 - usable / (total * index.total)
+    return 1.0 - usable / (total_weight * index.total)
 
 
 def _usable_accelerators(index: pool.CapacityIndex, shape: shapes.Shape) -> int:
--- a/citronmount/core/guarantee_feasibility.py
+++ b/citronmount/core/guarantee_feasibility.py
@@ -1,4 +1,4 @@
-"""Checks whether the guarantees of a configuration fit into a pool."""
+"""Checks that the guarantees of a configuration fit into a pool together."""
 
 import collections
 
@@ -9,47 +9,47 @@
 from citronmount.core import shares
 from citronmount.services import messages
 
-__all__ = ["required_cell_copies", "infeasible_guarantees"]
+__all__ = ["cell_copies", "infeasible_guarantees"]
 
 
-def required_cell_copies(
+def cell_copies(
     share: shares.Share,
 ) -> dict[tuple[ids.AccountId, shapes.Shape], int]:
-    """Counts the cells that a failure domain must keep reclaimable.
+    """Counts the cells that a failure domain must provide.
 
     Args:
-        share: What the failure domain has to honour.
+        share: The failure domain's share of the configuration.
 
     Returns:
-        The number of copies for each account and shape.
+        Number of cells for each account and shape.
     """
-    wanted: dict[tuple[ids.AccountId, shapes.Shape], int] = (
+    copies: dict[tuple[ids.AccountId, shapes.Shape], int] = (
         collections.Counter()
     )
     for part in share.guarantees:
-        wanted[(part.account, part.shape)] += part.copies
-    return dict(wanted)
+        copies[(part.account, part.shape)] += part.copies
+    return dict(copies)
 
 
 def infeasible_guarantees(
     configuration: configuration_lib.Configuration,
     workers: tuple[messages.ListedTarget, ...],
 ) -> tuple[int, ...]:
-    """Finds the guarantees that cannot all be held at once by a pool.
+    """Finds guarantees for which the pool has no capacity beside the others.
 
-    The planner is the scheduler's own: first fit decreasing in three orders,
-    so it may in rare cases miss a packing that exists, but a configuration
-    that passes can be planned by every scheduler.
+    Uses the schedulers' own planner, which places cells greedily in three
+    decreasing orders. In rare cases it misses a packing that exists, but every
+    scheduler can plan a configuration that passes.
 
     Args:
         configuration: The configuration to check.
         workers: The workers of all failure domains.
 
     Returns:
-        Indexes into the guarantees of the configuration, rising; empty if
-        every copy of every guarantee has its place.
+        Indexes into the guarantees of the configuration, ascending; empty if
+        all copies of all guarantees fit together.
     """
-    faults: set[int] = set()
+    infeasible: set[int] = set()
     for domain, share in shares.split(configuration).items():
         plan = cells.CellPlan()
         for worker in workers:
@@ -57,19 +57,19 @@
                 plan.set_worker(
                     ids.WorkerId(worker.name), worker.rack, worker.capacity
                 )
-        plan.require(required_cell_copies(share))
+        plan.require(cell_copies(share))
         plan.plan_cells()
-        lacking = {(cell.account, cell.shape) for cell in plan.unplanned()}
-        faults.update(
+        unplanned = {(cell.account, cell.shape) for cell in plan.unplanned()}
+        infeasible.update(
             part.row
             for part in share.guarantees
-            if (part.account, part.shape) in lacking
+            if (part.account, part.shape) in unplanned
         )
-    known = {domain.name for domain in configuration.failure_domains}
-    faults.update(
+    domain_names = {domain.name for domain in configuration.failure_domains}
+    infeasible.update(
         row
         for row, guarantee in enumerate(configuration.guarantees)
-        if guarantee.failure_domain not in known | {None}
-        or (guarantee.copies and not known)
+        if guarantee.failure_domain not in domain_names | {None}
+        or (guarantee.copies and not domain_names)
     )
-    return tuple(sorted(faults))
+    return tuple(sorted(infeasible))
--- a/citronmount/core/guaranteed_placement.py
+++ b/citronmount/core/guaranteed_placement.py
@@ -1,4 +1,4 @@
-"""Places jobs inside the guarantees of their accounts."""
+"""Places jobs in the cells that guarantee capacity to their accounts."""
 
 from collections.abc import Iterable
 import itertools
@@ -17,7 +17,7 @@
 from citronmount.core import resources
 from citronmount.core import shapes
 
-__all__ = ["SCAN_LIMIT_JOBS", "place", "place_pending", "bind_placed_jobs"]
+__all__ = ["SCAN_LIMIT_JOBS", "bind_placed_jobs", "place", "place_pending"]
 
 SCAN_LIMIT_JOBS = 256
 _MAX_DEMOTIONS = 8
@@ -25,14 +25,14 @@
 
 
 def bind_placed_jobs(domain: domain_state.DomainState) -> None:
-    """Puts free cells under placed jobs of their account, oldest first.
+    """Binds revocable placed jobs to free cells of their account.
 
-    A job that ran outside its account's guarantee is no longer revocable once
-    the guarantee has room for it. A cell that is wider than the job stays
-    free for a wider gang until the job would be evicted.
+    A job that was placed outside the cells is no longer revocable once it fits
+    into them; jobs submitted first are bound first. A cell that is larger than
+    the job stays free for a larger gang until the job would be evicted.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
     """
     accounts = [
         account
@@ -50,7 +50,17 @@
     *,
     no_wider_cells: bool,
 ) -> bool:
-    """Returns whether any job is no longer revocable by this."""
+    """Binds revocable jobs of some accounts to the accounts' cells.
+
+    Args:
+        domain: State of the failure domain.
+        accounts: The accounts.
+        no_wider_cells: Whether to leave free cells that are larger than the
+            job unused.
+
+    Returns:
+        Whether any job was bound and is thus no longer revocable.
+    """
     revocable_jobs: dict[ids.AccountId, list[domain_state.PlacedJob]] = {
         account: [] for account in sorted(accounts)
     }
@@ -60,9 +70,9 @@
         ):
             revocable_jobs[placed.entry.spec.account].append(placed)
     bound = False
-    for found in revocable_jobs.values():
-        found.sort(key=lambda placed: placed.entry.sequence)
-        for placed in found[:SCAN_LIMIT_JOBS]:
+    for jobs_of_account in revocable_jobs.values():
+        jobs_of_account.sort(key=lambda placed: placed.entry.sequence)
+        for placed in jobs_of_account[:SCAN_LIMIT_JOBS]:
             bound |= _bind_job(domain, placed, no_wider_cells)
     return bound
 
@@ -87,40 +97,42 @@
 def place_pending(
     domain: domain_state.DomainState, now_ms: int
 ) -> list[decisions.PlaceJob]:
-    """Places jobs whose victims have all ended.
+    """Places the pending jobs whose victims have all ended.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         now_ms: Monotonic time.
 
     Returns:
-        The placements.
+        The placement decisions.
     """
     ready = [
         job
         for job, pending in domain.pending_placements.items()
         if not pending.victims
     ]
-    placed = [domain.place_pending(job, now_ms) for job in ready]
-    return [_place_decision(each.entry, each.groups) for each in placed]
+    placed_jobs = [domain.place_pending(job, now_ms) for job in ready]
+    return [
+        _place_decision(placed_job.entry, placed_job.groups)
+        for placed_job in placed_jobs
+    ]
 
 
 def place(
     domain: domain_state.DomainState, now_ms: int
 ) -> list[decisions.Decision]:
-    """Places what fits into the free room of the accounts' own cells.
+    """Places queued jobs that fit into the cells of their accounts.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         now_ms: Monotonic time.
 
     Returns:
-        Placements, and evictions for jobs that have to wait for them.
+        Placements, and evictions for jobs whose cells are in use by other
+        work; those jobs become pending.
     """
     accounts = [
-        account
-        for account in domain.queue.accounts()
-        if domain.plan.cells(account)
+        name for name in domain.queue.accounts() if domain.plan.cells(name)
     ]
     return [
         decision
@@ -132,29 +144,36 @@
 def _place_account(
     domain: domain_state.DomainState, account: ids.AccountId, now_ms: int
 ) -> list[decisions.Decision]:
-    found: list[decisions.Decision] = []
+    made: list[decisions.Decision] = []
     failed_shapes: set[shapes.Shape] = set()
     cell_backfill = backfill.CellBackfill(domain, account, now_ms)
-    scan = itertools.islice(domain.queue.of_account(account), SCAN_LIMIT_JOBS)
-    for entry in list(scan):
+    entries = itertools.islice(
+        domain.queue.of_account(account), SCAN_LIMIT_JOBS
+    )
+    for entry in list(entries):
         if entry.shape in failed_shapes or not cell_backfill.allows(entry):
             continue
-        made = _place_entry(domain, entry, now_ms)
-        if made is not None:
-            found.extend(made)
+        entry_decisions = _place_entry(domain, entry, now_ms)
+        if entry_decisions is not None:
+            made.extend(entry_decisions)
             continue
         failed_shapes.add(entry.shape)
         if domain.plan.could_fit(account, entry.shape):
             cell_backfill.set_blocked(entry)
             if domain.policy.backfill is policies.Backfill.NONE:
                 break
-    return found
+    return made
 
 
 def _place_entry(
     domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> list[decisions.Decision] | None:
-    """Returns None if the job found no room in its account's cells."""
+    """Places a job, evicting other work if needed.
+
+    Returns:
+        The decisions, or None if the job does not fit into its account's
+        cells.
+    """
     uses = _find_uses(domain, entry, now_ms)
     if uses is None and entry.spec.urgent:
         uses = _find_by_demotion(domain, entry, now_ms)
@@ -186,9 +205,9 @@
 def _find_by_demotion(
     domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> tuple[cells.CellUse, ...] | None:
-    """Gives an urgent job the cells of later jobs of its account.
+    """Finds cells for an urgent job by unbinding later jobs of its account.
 
-    Those jobs go on, but are revocable from then on.
+    The unbound jobs keep running but become revocable.
     """
     unbound: list[tuple[ids.JobId, tuple[cells.CellUse, ...]]] = []
     for job in _demotable(domain, entry)[:_MAX_DEMOTIONS]:
@@ -206,9 +225,13 @@
 def _demotable(
     domain: domain_state.DomainState, entry: queueing.Entry
 ) -> list[ids.JobId]:
-    """Returns small jobs in the account's cells, the latest first."""
-    widest = _MAX_DEMOTED_SIZE_FACTOR * entry.shape.accelerators
-    found = {
+    """Returns jobs that may lose their cells to an urgent one, latest first.
+
+    They are idempotent, not urgent and at most twice as large as the urgent
+    job.
+    """
+    max_accelerators = _MAX_DEMOTED_SIZE_FACTOR * entry.shape.accelerators
+    entries = {
         job: domain.placed[job].entry
         for cell in domain.plan.cells(entry.spec.account)
         for job in cell.jobs
@@ -217,12 +240,12 @@
     return sorted(
         (
             job
-            for job, other in found.items()
+            for job, other in entries.items()
             if not other.spec.urgent
             and other.spec.idempotent
-            and other.shape.accelerators <= widest
+            and other.shape.accelerators <= max_accelerators
         ),
-        key=lambda job: -found[job].sequence,
+        key=lambda job: -entries[job].sequence,
     )
 
 
@@ -238,14 +261,16 @@
 
 
 def _opens_wider_cell(uses: tuple[cells.CellUse, ...]) -> bool:
-    """Returns whether a gang wider than the job would lose its cell."""
-    used: dict[cells.Cell, int] = {}
+    """Returns whether a free cell would be used that is larger than needed."""
+    accelerators_used: dict[cells.Cell, int] = {}
     for use in uses:
         accelerators = use.tasks * use.per_task.accelerators
-        used[use.cell] = used.get(use.cell, 0) + accelerators
+        accelerators_used[use.cell] = (
+            accelerators_used.get(use.cell, 0) + accelerators
+        )
     return any(
         not cell.occupied and cell.shape.accelerators > accelerators
-        for cell, accelerators in used.items()
+        for cell, accelerators in accelerators_used.items()
     )
 
 
@@ -276,6 +301,15 @@
     uses: tuple[cells.CellUse, ...],
     now_ms: int,
 ) -> list[decisions.Decision] | None:
+    """Evicts work from the cells of a job, which becomes pending.
+
+    Paying jobs among the victims are first bound to cells of their own
+    accounts where they fit, larger cells included; the victims are then chosen
+    again.
+
+    Returns:
+        The evictions, or None if revocable work does not free enough.
+    """
     domain.cancel_pending_outside_cells(_need_by_worker(uses), now_ms)
     victims = _choose_victims(domain, uses, now_ms)
     paying_accounts = _paying_accounts(domain, victims or ()) - {
@@ -289,11 +323,11 @@
         victims = _choose_victims(domain, uses, now_ms) if uses else None
     if victims is None:
         return None
-    made, blocking_jobs = preemption.evict(
+    evictions, blocking_jobs = preemption.evict(
         domain, entry, _need_by_worker(uses), victims
     )
     domain.add_pending(entry, _task_groups(uses), now_ms, uses, blocking_jobs)
-    return made
+    return evictions
 
 
 def _choose_victims(
--- a/citronmount/core/opportunistic_placement.py
+++ b/citronmount/core/opportunistic_placement.py
@@ -1,4 +1,4 @@
-"""Places jobs on what guarantees leave over, in a fair order."""
+"""Places jobs on capacity that guarantees leave free, in fair order."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -27,22 +27,22 @@
 def place(
     domain: domain_state.DomainState, now_ms: int
 ) -> list[decisions.PlaceJob]:
-    """Places queued jobs wherever room is free at this moment.
+    """Places queued jobs on free capacity, outside cells.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         now_ms: Monotonic time.
 
     Returns:
-        The placements.
+        Placements, and evictions for paying jobs that preempt other work.
     """
     queue_pass = _QueuePass(domain, now_ms)
-    found: list[decisions.Decision] = []
+    made: list[decisions.Decision] = []
     for entry in _queue_order(domain, now_ms):
-        found.extend(queue_pass.process(entry))
+        made.extend(queue_pass.process(entry))
         if queue_pass.finished:
             break
-    return found
+    return made
 
 
 def would_place(
@@ -51,12 +51,13 @@
     """Returns whether `place` would start a job that is not queued yet.
 
     Args:
-        domain: The failure domain, after a call of `place`.
+        domain: State of the failure domain, after a call of `place`.
         entry: The job.
         now_ms: Monotonic time.
 
     Returns:
-        Whether there is room for it that no job ahead has reserved.
+        Whether the job fits into free capacity that is not reserved for a job
+        ahead of it.
     """
     queue_pass = _QueuePass(domain, now_ms)
     for ahead in _queue_order(domain, now_ms):
@@ -67,10 +68,10 @@
 
 
 class _QueuePass:
-    """One pass over the queue; it remembers what did not fit.
+    """One pass over the queue; shapes that did not fit are not tried again.
 
     Attributes:
-        over: Whether no further job may start.
+        finished: Whether no further job may start in this pass.
     """
 
     def __init__(self, domain: domain_state.DomainState, now_ms: int) -> None:
@@ -85,29 +86,29 @@
         self._reservation: backfill.Reservation | None = None
 
     def process(self, entry: queueing.Entry) -> Sequence[decisions.Decision]:
-        """Places a job, makes room for it or notes that it is blocked."""
+        """Places a job, evicts work for it or records it as blocked."""
         if not self._may_start(entry):
             return ()
         groups = self._find(entry)
         if groups is not None:
             return self._place(entry, groups)
-        made = self._preempt(entry)
-        if made is None:
+        evictions = self._preempt(entry)
+        if evictions is None:
             self._block(entry)
-        return made or ()
+        return evictions or ()
 
     @property
     def has_reservation(self) -> bool:
-        """Whether a blocked job has reserved room."""
+        """Whether a blocked job has reserved capacity."""
         return self._reservation is not None
 
     def note_blocked(self, entry: queueing.Entry) -> None:
-        """Notes that a job is blocked, if it finds no room."""
+        """Records a job as blocked if it does not fit."""
         if self._may_start(entry) and self._find(entry) is None:
             self._block(entry)
 
     def would_start(self, entry: queueing.Entry) -> bool:
-        """Returns whether a job would be placed at once."""
+        """Returns whether a job would be placed now."""
         groups = self._find(entry) if self._may_start(entry) else None
         return groups is not None and not (
             self._uses_delay_scheduling(entry)
@@ -189,12 +190,22 @@
         return None
 
     def _limit(self, worker: ids.WorkerId) -> jobs.Resources:
-        return self._reservation.available(self._domain, worker, self._now_ms)
+        return self._reservation.available_to_long_job(
+            self._domain, worker, self._now_ms
+        )
 
     def _preempt(
         self, entry: queueing.Entry
     ) -> list[decisions.EvictJob] | None:
-        """Evicts work of less right; None if the job gets no room by it."""
+        """Evicts work for a paying job, which becomes pending.
+
+        Victims are idempotent trial jobs or, for an urgent job, one later job
+        of its own account.
+
+        Returns:
+            The evictions, or None if the job may not preempt other work or
+            would not fit even then.
+        """
         domain = self._domain
         if domain.is_trial(entry.spec.account) or not self._may_preempt(entry):
             return None
@@ -204,9 +215,11 @@
         if victims is None:
             return None
         need = _need_by_worker(entry, groups)
-        made, blocking_jobs = preemption.evict(domain, entry, need, victims)
+        evictions, blocking_jobs = preemption.evict(
+            domain, entry, need, victims
+        )
         domain.add_pending(entry, groups, self._now_ms, (), blocking_jobs)
-        return made
+        return evictions
 
     def _choose_trial_victims(
         self, entry: queueing.Entry
@@ -235,7 +248,7 @@
     def _choose_own_victim(
         self, entry: queueing.Entry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
-        """Finds a later job of the account on one worker to give way."""
+        """Finds a later job of the account whose worker can hold the job."""
         total = entry.shape.total
         for job, placed in self._own_revocable_jobs(entry.spec.account):
             worker = placed.groups[0].worker
@@ -263,9 +276,9 @@
                 and not placed.entry.spec.urgent
             ]
         return [
-            pair
-            for pair in self._own_jobs[account]
-            if self._domain.revocable(pair[0])
+            candidate
+            for candidate in self._own_jobs[account]
+            if self._domain.revocable(candidate[0])
         ]
 
     def _may_preempt(self, entry: queueing.Entry) -> bool:
@@ -321,8 +334,12 @@
 def _fair_order(
     domain: domain_state.DomainState, now_ms: int
 ) -> Iterator[queueing.Entry]:
-    """Yields the next job of the account furthest behind, paying first."""
-    scans = {
+    """Yields queued jobs, always the next one of the best-ranked account.
+
+    Paying accounts come first, then those whose next job is urgent or near its
+    deadline, then the account that is furthest behind its fair share.
+    """
+    entries_by_account = {
         account: iter(
             list(
                 itertools.islice(
@@ -334,14 +351,14 @@
     }
     heap = [
         item
-        for account, scan in scans.items()
-        if (item := _heap_item(domain, account, scan, now_ms)) is not None
+        for account, entries in entries_by_account.items()
+        if (item := _heap_item(domain, account, entries, now_ms)) is not None
     ]
     heapq.heapify(heap)
     while heap:
         _, account, entry = heap[0]
         yield entry
-        item = _heap_item(domain, account, scans[account], now_ms)
+        item = _heap_item(domain, account, entries_by_account[account], now_ms)
         if item is None:
             heapq.heappop(heap)
         else:
@@ -351,10 +368,10 @@
 def _heap_item(
     domain: domain_state.DomainState,
     account: ids.AccountId,
-    scan: Iterator[queueing.Entry],
+    entries: Iterator[queueing.Entry],
     now_ms: int,
 ) -> tuple[tuple, ids.AccountId, queueing.Entry] | None:
-    entry = next(scan, None)
+    entry = next(entries, None)
     if entry is None:
         return None
     rank = (
--- a/citronmount/core/placement.py
+++ b/citronmount/core/placement.py
@@ -1,4 +1,7 @@
-"""Finds workers for a gang: the smallest enclosure that holds all of it."""
+"""Finds workers for a gang within the scope that its adjacency requires.
+
+The scope is one worker, one rack or the whole failure domain.
+"""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -12,14 +15,16 @@
 from citronmount.core import states
 
 __all__ = [
-    "WorkerKey",
     "CapacityLimit",
+    "WorkerKey",
     "best_fit",
     "fewest_workers",
     "find",
     "first_fit",
 ]
 
+# Sort key of a worker for running `tasks` tasks of a gang there, called as
+# key(index, worker, per_task, tasks); the smallest key is the best worker.
 WorkerKey = Callable[
     [pool.CapacityIndex, ids.WorkerId, jobs.Resources, int], tuple
 ]
@@ -45,14 +50,18 @@
     per_task: jobs.Resources,
     tasks: int,
 ) -> tuple:
-    """Ranks workers by the accelerators that would be left."""
+    """Ranks workers by the free accelerators that would remain."""
     available = index.available(worker)
     remaining = available.accelerators - tasks * per_task.accelerators
     return (remaining, index.rack_total(index.rack(worker)), worker)
 
 
 def fewest_workers(key: WorkerKey) -> WorkerKey:
-    """Ranks workers by how much of the gang they hold, then by a key."""
+    """Returns a key that prefers workers holding more tasks of the gang.
+
+    Args:
+        key: Sort key of workers that hold the same number of tasks.
+    """
 
     def key_by_tasks(
         index: pool.CapacityIndex,
@@ -73,17 +82,17 @@
     limit: CapacityLimit | None = None,
     avoid: Collection[ids.WorkerId] = (),
 ) -> tuple[jobs.TaskGroup, ...] | None:
-    """Finds room for a gang.
+    """Finds workers with capacity for a gang.
 
     Args:
-        index: The room of each worker.
-        shape: The gang.
-        key: Ranks workers; the smallest key comes first.
-        limit: An upper bound on the room that may be used of each worker.
+        index: Available capacity of each worker.
+        shape: Shape of the gang.
+        key: Sort key of workers; the smallest comes first.
+        limit: Upper bound on the capacity that may be used of each worker.
         avoid: Workers that must not be used.
 
     Returns:
-        The groups, or None if the gang does not fit.
+        The tasks on each worker, or None if the gang does not fit.
     """
     search = _Search(index, shape, key, limit, avoid)
     if shape.adjacency is states.Adjacency.RACK and shape.tasks > 1:
@@ -94,7 +103,7 @@
 
 
 class _Search:
-    """One search; it holds what all its steps need."""
+    """One search for workers."""
 
     def __init__(
         self,
--- a/citronmount/core/policies.py
+++ b/citronmount/core/policies.py
@@ -1,4 +1,4 @@
-"""Named scheduling policies, filled in by decorators."""
+"""Registry of named scheduling policies."""
 
 from collections.abc import Callable
 import enum
@@ -12,7 +12,7 @@
 
 
 class Backfill(enum.Enum):
-    """What may start while the first job in line does not fit."""
+    """Which jobs may start while the first job in the queue does not fit."""
 
     NONE = "none"
     ANY = "any"
@@ -20,23 +20,24 @@
 
 
 class Order(enum.Enum):
-    """How queued jobs that run outside guarantees are ordered."""
+    """Order in which queued jobs are placed outside guarantees."""
 
     SUBMISSION = "submission"
     FAIR = "fair"
 
 
 class Policy(msgspec.Struct, frozen=True, kw_only=True):
-    """What a scheduler consults where policies differ.
+    """Options in which scheduling policies differ.
 
     Attributes:
-        name: Its name in the registry.
-        guarantees: Whether guarantees are kept reclaimable and work outside
-            them is evicted for them.
-        order: The order outside guarantees.
-        backfill: What may pass the first job in line.
-        patient: Whether trials may wait a little for a less scattered place.
-        key: Makes the ranking of workers for one gang.
+        name: Name in the registry.
+        guarantees: Whether guaranteed capacity is kept reclaimable and work
+            outside guarantees is evicted to reclaim it.
+        order: Order of jobs outside guarantees.
+        backfill: Which jobs may pass the first one in the queue.
+        patient: Whether delay scheduling applies to long trial jobs.
+        key: Returns the sort key of workers for one gang, given its ranking
+            by fragmentation.
     """
 
     name: str
@@ -51,20 +52,14 @@
 
 
 def register(factory: Callable[[], Policy]) -> Callable[[], Policy]:
-    """Adds the policy that a function makes to the registry."""
+    """Registers the policy that a function returns; used as a decorator."""
     policy = factory()
     _POLICIES[policy.name] = policy
     return factory
 
 
 def get(name: str) -> Policy:
-    """Returns a policy by its name.
-
-    Args:
-        name: The name.
-
-    Returns:
-        The policy.
+    """Returns the policy with a given name.
 
     Raises:
         KeyError: If no policy has the name.
@@ -73,7 +68,7 @@
 
 
 def names() -> tuple[str, ...]:
-    """Returns the names of all policies."""
+    """Returns the names of all registered policies."""
     return tuple(_POLICIES)
 
 
--- a/citronmount/core/pool.py
+++ b/citronmount/core/pool.py
@@ -1,4 +1,4 @@
-"""Indexes of room on workers, and the pool of one failure domain."""
+"""Indexes the free capacity of a failure domain's workers."""
 
 import bisect
 import collections
@@ -11,15 +11,19 @@
 from citronmount.core import states
 from citronmount.services import messages
 
-__all__ = ["Pool", "CapacityIndex"]
+__all__ = ["CapacityIndex", "Pool"]
 
 
 class CapacityIndex:
-    """Room of workers, indexed by level and by rack.
+    """Available capacity of workers, indexed by level and by rack.
 
-    The level of a worker is its number of free accelerators; within a level
-    workers are sorted by free cores. Updates and searches bisect; a search
-    starts at the smallest level, or the smallest rack, that is large enough.
+    The level of a worker is its number of available accelerators; within a
+    level workers are sorted by available cores. Updates and searches use
+    bisection; a search starts at the smallest level, or at the rack with the
+    fewest available accelerators, that is large enough.
+
+    Attributes:
+        total: Available accelerators of all workers.
     """
 
     def __init__(self) -> None:
@@ -41,19 +45,19 @@
         return iter(self._available)
 
     def available(self, worker: ids.WorkerId) -> jobs.Resources:
-        """Returns the room of a worker, none if it is not in the index."""
+        """Returns a worker's available capacity, zero if it is not indexed."""
         return self._available.get(worker, resources.NONE)
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId | None:
-        """Returns the rack of a worker of the index."""
+        """Returns the rack of a worker, None if it is not in the index."""
         return self._rack.get(worker)
 
     def rack_total(self, rack: ids.RackId) -> int:
-        """Returns the free accelerators of a rack."""
+        """Returns the number of available accelerators in a rack."""
         return self._rack_totals.get(rack, 0)
 
     def workers_of_rack(self, rack: ids.RackId) -> list[ids.WorkerId]:
-        """Returns the workers of a rack that are in the index."""
+        """Returns the indexed workers of a rack."""
         return list(self._workers_by_rack.get(rack, ()))
 
     def put(
@@ -62,7 +66,7 @@
         rack: ids.RackId,
         available: jobs.Resources,
     ) -> None:
-        """Adds a worker or replaces its rack and room."""
+        """Adds a worker or replaces its rack and available capacity."""
         self.drop(worker)
         self._rack[worker] = rack
         self._workers_by_rack.setdefault(rack, {})[worker] = None
@@ -79,7 +83,7 @@
     def set_available(
         self, worker: ids.WorkerId, available: jobs.Resources
     ) -> None:
-        """Changes the room of a worker, if it is in the index."""
+        """Sets a worker's available capacity, if it is in the index."""
         if worker in self._available and self._available[worker] != available:
             self._remove(worker)
             self._insert(worker, available)
@@ -87,14 +91,14 @@
     def levels(
         self, accelerators: int, cores: int = 0
     ) -> Iterator[list[ids.WorkerId]]:
-        """Iterates over levels from the smallest that is large enough.
+        """Iterates over levels, from the smallest that is large enough.
 
         Args:
-            accelerators: The lowest level wanted.
-            cores: The fewest free cores wanted.
+            accelerators: Minimum number of available accelerators.
+            cores: Minimum number of available cores.
 
         Yields:
-            The workers of one level, those with fewest free cores first.
+            The workers of one level, in ascending order of available cores.
         """
         for level in sorted(n for n in self._levels if n >= accelerators):
             workers = self._levels[level]
@@ -102,20 +106,23 @@
             yield [worker for _, worker in workers[start:]]
 
     def emptiest_workers(self, limit: int) -> list[ids.WorkerId]:
-        """Returns the workers with most free accelerators."""
-        falling = (
+        """Returns the workers with the most available accelerators."""
+        descending = (
             reversed(self._levels[n])
             for n in sorted(self._levels, reverse=True)
         )
-        workers = itertools.chain.from_iterable(falling)
+        workers = itertools.chain.from_iterable(descending)
         return [worker for _, worker in itertools.islice(workers, limit)]
 
     def emptiest_racks(self, limit: int) -> list[ids.RackId]:
-        """Returns the racks with most free accelerators."""
+        """Returns the racks with the most available accelerators."""
         return [rack for _, rack in self._racks[-limit:]][::-1]
 
     def racks_with(self, accelerators: int) -> list[ids.RackId]:
-        """Returns racks with so many free accelerators, smallest first."""
+        """Returns the racks with at least as many accelerators available.
+
+        They are in ascending order of available accelerators.
+        """
         start = bisect.bisect_left(self._racks, (accelerators, ""))
         return [rack for _, rack in self._racks[start:]]
 
@@ -150,11 +157,12 @@
 
 
 class Pool:
-    """Workers of a failure domain and who uses them.
+    """The workers of a failure domain and their allocations to jobs.
 
     Attributes:
-        free: Free room of the usable workers.
-        lendable: The same with the room of loans that may be called in.
+        free: Free capacity of the usable workers.
+        free_or_preemptible: Free capacity of the usable workers plus that of
+            jobs which paying work outside guarantees may preempt.
     """
 
     def __init__(self) -> None:
@@ -175,12 +183,12 @@
         return tuple(self._listed)
 
     def capacity(self, worker: ids.WorkerId) -> jobs.Resources:
-        """Returns the capacity of a worker, none if it is not listed."""
+        """Returns the capacity of a worker, zero if it is not listed."""
         listed = self._listed.get(worker)
         return listed.capacity if listed else resources.NONE
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId:
-        """Returns the rack of a worker."""
+        """Returns the rack of a worker, empty if it is not listed."""
         listed = self._listed.get(worker)
         return listed.rack if listed else ids.RackId("")
 
@@ -193,19 +201,19 @@
         )
 
     def jobs_on(self, worker: ids.WorkerId) -> dict[ids.JobId, int]:
-        """Returns the tasks of each job that holds room on a worker."""
+        """Returns the number of tasks of each job allocated on a worker."""
         return self._jobs.get(worker, {})
 
     def update_workers(
         self, listed: tuple[messages.ListedTarget, ...]
     ) -> list[ids.WorkerId]:
-        """Takes over the platform's list.
+        """Replaces the list of workers.
 
         Args:
-            listed: The workers.
+            listed: The workers as listed by the platform.
 
         Returns:
-            The workers that changed.
+            The workers that were added, removed or changed.
         """
         new_list = {ids.WorkerId(target.name): target for target in listed}
         changed = [
@@ -227,7 +235,7 @@
     def set_state(
         self, worker: ids.WorkerId, state: states.TargetState
     ) -> bool:
-        """Notes the state of a worker and returns whether it changed."""
+        """Sets the state of a worker and returns whether it changed."""
         if self._states.get(worker) is state:
             return False
         self._states[worker] = state
@@ -235,7 +243,7 @@
         return True
 
     def set_closed(self, worker: ids.WorkerId, closed: bool) -> None:
-        """Closes a worker to new tasks whatever its state, or opens it."""
+        """Sets whether a worker is closed to new tasks whatever its state."""
         if closed:
             self._closed.add(worker)
         else:
@@ -248,7 +256,11 @@
         per_task: jobs.Resources,
         groups: tuple[jobs.TaskGroup, ...],
     ) -> None:
-        """Gives room to a job; free room may become negative."""
+        """Allocates resources to a job.
+
+        The free capacity may become negative: a running attempt that is taken
+        over keeps its resources.
+        """
         for group in groups:
             self._jobs[group.worker][job] = group.tasks
             self._add_usage(
@@ -261,7 +273,7 @@
         per_task: jobs.Resources,
         groups: tuple[jobs.TaskGroup, ...],
     ) -> None:
-        """Takes back the room that `take` gave."""
+        """Frees the resources that `allocate` gave to a job."""
         for group in groups:
             self._jobs[group.worker].pop(job, None)
             self._add_usage(
@@ -271,7 +283,12 @@
     def add_preemptible(
         self, per_task: jobs.Resources, groups: tuple[jobs.TaskGroup, ...]
     ) -> None:
-        """Notes that room in use may be taken back, or not if negative."""
+        """Adds allocated resources to the preemptible ones.
+
+        Args:
+            per_task: Resources of each task; negative ones are subtracted.
+            groups: The tasks on each worker.
+        """
         for group in groups:
             preemptible = self._preemptible.get(group.worker, resources.NONE)
             amount = resources.scaled(per_task, group.tasks)
--- a/citronmount/core/preemption.py
+++ b/citronmount/core/preemption.py
@@ -1,4 +1,8 @@
-"""Chooses which jobs to evict: fewest victims, then least lost work."""
+"""Preemption: chooses which jobs to evict.
+
+Paying jobs are spared first, then jobs that are not idempotent; after that the
+victims should be few and lose little work.
+"""
 
 from collections.abc import Mapping
 
@@ -13,8 +17,8 @@
     "GRACE_MS",
     "URGENT_GRACE_MS",
     "choose_victims",
-    "eviction_cost",
     "evict",
+    "eviction_cost",
     "shortfall",
     "stopping_jobs",
 ]
@@ -28,7 +32,7 @@
 def stopping_jobs(
     domain: domain_state.DomainState, worker: ids.WorkerId
 ) -> dict[ids.JobId, int]:
-    """Returns the jobs on a worker that were told to stop, with tasks."""
+    """Returns the number of tasks on a worker of each job being evicted."""
     return {
         job: tasks
         for job, tasks in domain.pool.jobs_on(worker).items()
@@ -40,16 +44,16 @@
     domain: domain_state.DomainState,
     need: Mapping[ids.WorkerId, jobs.Resources],
 ) -> _Shortage:
-    """Returns what has to be evicted of each worker for a gang.
+    """Returns the resources that must be freed on each worker for a gang.
 
-    Room of jobs that are stopping already counts as free.
+    Resources of jobs that are already being evicted count as free.
 
     Args:
-        domain: The failure domain.
-        need: What the gang needs of each worker.
+        domain: State of the failure domain.
+        need: Resources that the gang needs on each worker.
 
     Returns:
-        What is missing of each worker where anything is.
+        The missing resources, for workers on which any are missing.
     """
     shortage = {}
     for worker, needed in need.items():
@@ -70,16 +74,17 @@
     need: Mapping[ids.WorkerId, jobs.Resources],
     victims: list[ids.JobId],
 ) -> tuple[list[decisions.EvictJob], set[ids.JobId]]:
-    """Tells victims to stop for a job.
+    """Evicts victims for a job.
 
     Args:
-        domain: The failure domain.
-        entry: The job that needs the room.
-        need: What it needs of each worker.
-        victims: The jobs to stop.
+        domain: State of the failure domain.
+        entry: The job for which they are evicted.
+        need: Resources that it needs on each worker.
+        victims: The jobs to evict.
 
     Returns:
-        The decisions, and all jobs that have to end before the room is free.
+        The eviction decisions, and all jobs that must end before the needed
+        resources are free.
     """
     for victim in victims:
         domain.mark_evicting(victim)
@@ -107,20 +112,21 @@
     *,
     preemptible_only: bool = False,
 ) -> list[ids.JobId] | None:
-    """Chooses victims that free what is short.
+    """Chooses victims that free the missing resources.
 
-    Trials go before paying work, work that can run again before work that
-    cannot. A greedy cover takes the victim that frees most of what is short;
-    victims that later ones made needless are dropped.
+    Trial jobs are chosen before paying ones, idempotent jobs before others.
+    Among equals a greedy cover takes the job that frees most of the missing
+    accelerators, then the one that loses least work. Victims that later ones
+    make unnecessary are dropped.
 
     Args:
-        domain: The failure domain.
-        short: What is missing of each worker.
+        domain: State of the failure domain.
+        shortage: Missing resources on each worker.
         now_ms: Monotonic time.
-        lent_only: Whether only trials that can run again may be chosen.
+        preemptible_only: Whether only idempotent trial jobs may be chosen.
 
     Returns:
-        The victims, or None if revocable work is not enough.
+        The victims, or None if the revocable jobs do not free enough.
     """
     victims: list[ids.JobId] = []
     remaining = dict(shortage)
@@ -135,11 +141,11 @@
         }
         if not candidates:
             return None
-        ranked = {
+        ranks = {
             job: _victim_rank(domain, job, remaining, now_ms)
             for job in candidates
         }
-        best = min(candidates, key=ranked.get)
+        best = min(candidates, key=ranks.get)
         victims.append(best)
         remaining = _shortage_after(domain, remaining, [best])
     return _drop_needless(domain, shortage, victims)
@@ -148,26 +154,29 @@
 def eviction_cost(
     domain: domain_state.DomainState, victims: list[ids.JobId], now_ms: int
 ) -> tuple[int, int, int, int]:
-    """Ranks sets of victims; the smallest is the least harm.
+    """Returns the cost of evicting a set of jobs, for comparison.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         victims: Jobs that would be evicted.
         now_ms: Monotonic time.
 
     Returns:
-        Paying jobs, jobs that cannot run again, all jobs, and lost work in
-        accelerator milliseconds.
+        Number of paying jobs, number of jobs that are not idempotent, number
+        of jobs, and lost work in accelerator milliseconds.
     """
-    placed = [domain.placed[job] for job in victims]
+    placed_jobs = [domain.placed[job] for job in victims]
     return (
         sum(
             not domain.is_trial(placed_job.entry.spec.account)
-            for placed_job in placed
+            for placed_job in placed_jobs
+        ),
+        sum(not placed_job.entry.spec.idempotent for placed_job in placed_jobs),
+        len(placed_jobs),
+        sum(
+            _lost_accelerator_ms(placed_job, now_ms)
+            for placed_job in placed_jobs
         ),
-        sum(not placed_job.entry.spec.idempotent for placed_job in placed),
-        len(placed),
-        sum(_lost_accelerator_ms(placed_job, now_ms) for placed_job in placed),
     )
 
 
--- a/citronmount/core/ranking.py
+++ b/citronmount/core/ranking.py
@@ -1,9 +1,9 @@
 """Ranks workers for a gang by the fragmentation it adds while it runs.
 
-The gradient of Weng et al. (USENIX ATC 2023) looks at one moment. Here it is
-averaged over the expected run time of the gang, with the room of each worker
-as it will be when the jobs that run there have ended: long jobs gather on
-workers that stay broken up for long, short ones fill the gaps.
+The fragmentation gradient of Weng et al. (USENIX ATC 2023) considers one point
+in time. Here it is averaged over the expected run time of the gang, taking
+into account the capacity that other jobs free when they end. Long jobs thus
+gather on workers that stay fragmented for long, and short ones fill the gaps.
 """
 
 from collections.abc import Callable
@@ -16,13 +16,15 @@
 
 __all__ = ["FragmentationRanking", "Timeline"]
 
+# Returns the times in ms at which jobs on a worker are expected to end and the
+# resources that each frees, sorted by time.
 Timeline = Callable[[ids.WorkerId], list[tuple[int, jobs.Resources]]]
 
-_MIN_RUN_MS = 1_000
+_MIN_RUN_TIME_MS = 1_000
 
 
 class FragmentationRanking:
-    """The ranking of workers for one gang at one moment."""
+    """Ranking of workers for one gang at one point in time."""
 
     def __init__(
         self,
@@ -35,16 +37,15 @@
         """Initializes the ranking.
 
         Args:
-            mix: Typical gangs.
-            timeline: When room of a worker is expected to become free, and
-                how much, by time.
+            mix: Typical gangs of the workload.
+            timeline: Expected ends of the jobs on each worker.
             now_ms: Monotonic time.
-            run_ms: How long the gang is expected to run.
+            run_ms: Expected run time of the gang.
         """
         self._mix = mix
         self._timeline = timeline
         self._now_ms = now_ms
-        self._run_ms = max(run_ms, _MIN_RUN_MS)
+        self._run_ms = max(run_ms, _MIN_RUN_TIME_MS)
 
     def key(
         self,
@@ -53,7 +54,7 @@
         per_task: jobs.Resources,
         tasks: int,
     ) -> tuple:
-        """Ranks a worker, as `placement.Key`."""
+        """Returns the sort key of a worker; a `placement.WorkerKey`."""
         used = resources.scaled(per_task, tasks)
         available = index.available(worker)
         gradient = self._mean_gradient(worker, available, used)
@@ -71,17 +72,17 @@
         used: jobs.Resources,
     ) -> float:
         end_ms = self._now_ms + self._run_ms
-        at_ms = self._now_ms
+        from_ms = self._now_ms
         total = 0.0
-        for free_ms, freed in self._timeline(worker):
-            if free_ms >= end_ms:
+        for end_of_job_ms, freed in self._timeline(worker):
+            if end_of_job_ms >= end_ms:
                 break
             total += self._mix.fragmentation_change(available, used) * (
-                free_ms - at_ms
+                end_of_job_ms - from_ms
             )
-            at_ms = free_ms
+            from_ms = end_of_job_ms
             available = resources.plus(available, freed)
         total += self._mix.fragmentation_change(available, used) * (
-            end_ms - at_ms
+            end_ms - from_ms
         )
         return total / self._run_ms
--- a/citronmount/core/scheduler.py
+++ b/citronmount/core/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one failure domain: which job runs where, and when."""
+"""Schedules the jobs of one failure domain onto its workers."""
 
 import heapq
 import itertools
@@ -26,11 +26,14 @@
 
 
 class DomainScheduler:
-    """Decides for the workers and jobs of one failure domain.
+    """Decides which jobs of a failure domain run where and when.
 
-    It does no input or output and reads no clock: every call carries the
-    monotonic time in ms. Callers report what happened and carry out what
-    `decide` returns.
+    Does no input or output and reads no clock: callers pass the monotonic time
+    in ms, report events and carry out the decisions that `decide` returns.
+
+    Attributes:
+        failure_domain: The failure domain.
+        policy: Name of the scheduling policy.
     """
 
     def __init__(
@@ -39,11 +42,11 @@
         failure_domain: ids.FailureDomainId,
         policy: str = "citron",
     ) -> None:
-        """Initializes a scheduler with no workers and no configuration.
+        """Initializes a scheduler without workers and configuration.
 
         Args:
-            failure_domain: The failure domain to decide for.
-            policy: Name of a registered policy.
+            failure_domain: The failure domain.
+            policy: Name of a registered policy; see `policies`.
         """
         self.failure_domain = failure_domain
         self.policy = policy
@@ -56,14 +59,14 @@
         self._changed = True
 
     def set_wall_clock(self, *, now_ms: int, wall_ms: int) -> None:
-        """Notes what wall-clock time a monotonic time is, for deadlines.
+        """Sets the Unix time that a monotonic time corresponds to.
 
-        Without this call the wall clock is inferred from the acceptance times
-        of submitted jobs.
+        Deadlines are checked against it. Without this call it is inferred from
+        the acceptance times of submitted jobs.
 
         Args:
             now_ms: Monotonic time.
-            wall_ms: Wall-clock time in ms since the epoch.
+            wall_ms: Unix time in ms.
         """
         self._wall_offset_ms = wall_ms - now_ms
         self._wall_is_set = True
@@ -71,7 +74,7 @@
     def set_configuration(
         self, configuration: configuration_lib.Configuration
     ) -> None:
-        """Takes over a new version of the configuration.
+        """Applies a new version of the configuration.
 
         Args:
             configuration: The version in force.
@@ -80,7 +83,7 @@
         self._domain.configure(configuration, self.failure_domain, self._now_ms)
 
     def set_workers(self, workers: tuple[messages.ListedTarget, ...]) -> None:
-        """Takes over the list of workers of the failure domain.
+        """Replaces the list of the failure domain's workers.
 
         Workers that are no longer listed keep their jobs until these end but
         get no new ones.
@@ -98,11 +101,11 @@
     def set_worker_state(
         self, worker: ids.WorkerId, state: states.TargetState, now_ms: int
     ) -> None:
-        """Notes whether a worker may get new tasks.
+        """Sets the state of a worker.
 
         Args:
             worker: The worker.
-            state: Only UP lets new tasks be placed.
+            state: Its state; new tasks are placed only on workers that are UP.
             now_ms: Monotonic time.
         """
         self._advance_clock(now_ms)
@@ -111,15 +114,17 @@
             self._domain.refresh_worker(worker, self._now_ms)
 
     def submit(self, spec: jobs.JobSpec, now_ms: int) -> jobs.JobResult | None:
-        """Checks a new job and queues it.
+        """Validates a new job and queues it.
+
+        Submitting a job that is already known has no effect.
 
         Args:
             spec: The job.
             now_ms: Monotonic time.
 
         Returns:
-            None if the job is queued, otherwise why it can never run or
-            cannot be queued now. A refusal changes nothing.
+            None if the job is queued, otherwise the refusal: the job can never
+            run or cannot be queued now. A refusal changes nothing.
         """
         self._advance_clock(now_ms)
         self._infer_wall_clock(spec)
@@ -136,12 +141,12 @@
     def restore(
         self, spec: jobs.JobSpec, now_ms: int, *, progress: float = 0.0
     ) -> None:
-        """Queues a job that was accepted before, without any check.
+        """Queues a job that was accepted earlier, without validation.
 
         Args:
             spec: The job.
             now_ms: Monotonic time.
-            progress: Saved share of its work, between 0 and 1.
+            progress: Checkpointed share of its work, between 0 and 1.
         """
         self._advance_clock(now_ms)
         if not self._is_known(spec.job):
@@ -155,13 +160,13 @@
         *,
         running_ms: int = 0,
     ) -> None:
-        """Takes over an attempt that already holds room at the workers.
+        """Adopts an attempt that already holds resources at workers.
 
         Args:
             spec: The job.
-            placement: Where it runs.
+            placement: Where the attempt runs.
             now_ms: Monotonic time.
-            running_ms: How long it has run.
+            running_ms: How long the attempt has run, in ms.
         """
         self._advance_clock(now_ms)
         domain = self._domain
@@ -173,7 +178,7 @@
         self._changed = True
 
     def attempt_started(self, job: ids.JobId, now_ms: int) -> None:
-        """Notes that every task of a placed job has started.
+        """Records that every task of a placed job has started.
 
         Args:
             job: The job.
@@ -195,20 +200,19 @@
         requeue: bool = False,
         progress: float = 0.0,
     ) -> jobs.JobResult | None:
-        """Notes that an attempt has ended and frees its room.
+        """Records the end of an attempt and frees its resources.
 
         Args:
             job: The job.
-            how: How it ended.
+            attempt_end: How the attempt ended.
             now_ms: Monotonic time.
-            culprits: Workers at which it failed or refused to start.
-            requeue: Whether the job may run again and goes back to the queue.
-            progress: Saved share of its work, between 0 and 1.
+            culprits: Workers on which it failed or could not start.
+            requeue: Whether to put the job back into the queue.
+            progress: Checkpointed share of its work, between 0 and 1.
 
         Returns:
-            A final result if the job was to be queued again but must not run
-            again, because it failed on several distinct workers; otherwise
-            None.
+            A final result if the job was to be requeued but must not run again
+            because it failed on several distinct workers; otherwise None.
         """
         self._advance_clock(now_ms)
         self._changed = True
@@ -232,13 +236,13 @@
         return None
 
     def cancel(self, job: ids.JobId) -> bool:
-        """Removes a job from the queue.
+        """Removes a job from the queue, with its pending placement if any.
 
         Args:
             job: The job.
 
         Returns:
-            Whether it was queued; a placed job is not touched.
+            Whether the job was queued; a placed job is left as it is.
         """
         if job in self._domain.pending_placements:
             self._domain.cancel_pending(job, self._now_ms, requeue=False)
@@ -250,24 +254,23 @@
         return True
 
     def would_start(self, spec: jobs.JobSpec, now_ms: int) -> bool:
-        """Returns whether a new job would start or get room evicted now.
+        """Returns whether a new job would now be placed or evict other work.
+
+        See `start_prediction.would_start`.
 
         Args:
             spec: The job, not submitted yet.
             now_ms: Monotonic time.
-
-        Returns:
-            See `start_prediction.would_start`.
         """
         self._advance_clock(now_ms)
         entry = self._new_entry(spec, 0.0)
         return start_prediction.would_start(self._domain, entry, self._now_ms)
 
     def decide(self, now_ms: int) -> list[decisions.Decision]:
-        """Returns what to do now.
+        """Decides what to place, evict and end now.
 
-        Room for every `PlaceJob` is set aside until `ended` is called; every
-        `EvictJob` is returned once.
+        The resources of each `PlaceJob` stay allocated until `attempt_ended`
+        is called. Each `EvictJob` is returned once.
 
         Args:
             now_ms: Monotonic time.
@@ -292,43 +295,45 @@
         ]
 
     def queued(self) -> tuple[ids.JobId, ...]:
-        """Returns the queued jobs, first in line first."""
-        waiting = (entry.spec.job for entry in self._domain.queue)
-        return (*self._domain.pending_placements, *waiting)
+        """Returns the queued jobs, those with pending placements first."""
+        queued_jobs = (entry.spec.job for entry in self._domain.queue)
+        return (*self._domain.pending_placements, *queued_jobs)
 
     def queued_without_placement(self) -> tuple[ids.JobId, ...]:
-        """Returns the queued jobs for which no room is being cleared."""
+        """Returns the queued jobs that have no pending placement."""
         return tuple(entry.spec.job for entry in self._domain.queue)
 
     def revocable(self, job: ids.JobId) -> bool:
-        """Returns whether a placed job may be evicted for another."""
+        """Returns whether a job is placed and may be evicted for another."""
         return self._domain.revocable(job)
 
     def quarantined(self) -> tuple[ids.WorkerId, ...]:
-        """Returns the workers that fail the jobs placed on them."""
+        """Returns the workers quarantined for failing distinct jobs."""
         return self._domain.health.quarantined()
 
     def unplanned_cells(self) -> int:
-        """Returns how many guaranteed gangs have no room in the pool."""
+        """Returns the number of guaranteed gangs that the pool cannot hold."""
         self._domain.plan_cells()
         return len(self._domain.plan.unplanned())
 
     def fragmentation(self) -> float:
         """Returns the share of free accelerators that queued jobs cannot use.
 
-        See `fragmentation.share_unusable`.
+        See `fragmentation.unusable_share`.
         """
-        pending: dict[shapes.Shape, int] = {}
+        queued_gangs: dict[shapes.Shape, int] = {}
         for entry in self._domain.queue:
-            pending[entry.shape] = pending.get(entry.shape, 0) + 1
-        return fragmentation.unusable_share(self._domain.pool.free, pending)
+            queued_gangs[entry.shape] = queued_gangs.get(entry.shape, 0) + 1
+        return fragmentation.unusable_share(
+            self._domain.pool.free, queued_gangs
+        )
 
     def free_accelerators(self) -> int:
-        """Returns how many accelerators of usable workers no job holds."""
+        """Returns the number of unallocated accelerators of usable workers."""
         return self._domain.pool.free.total
 
     def queued_accelerators(self) -> int:
-        """Returns how many accelerators the queued jobs ask for."""
+        """Returns the number of accelerators requested by queued jobs."""
         pending_accelerators = sum(
             pending.entry.shape.accelerators
             for pending in self._domain.pending_placements.values()
@@ -336,7 +341,10 @@
         return pending_accelerators + self._domain.queue.accelerators
 
     def largest_gang(self) -> int:
-        """Returns the accelerators of the failure domain's usable workers."""
+        """Returns the total number of accelerators of usable workers.
+
+        No gang larger than that can be placed in the failure domain.
+        """
         pool = self._domain.pool
         return sum(pool.capacity(worker).accelerators for worker in pool.free)
 
--- a/citronmount/core/start_prediction.py
+++ b/citronmount/core/start_prediction.py
@@ -1,4 +1,4 @@
-"""Tells whether a job would start at once, without deciding anything."""
+"""Predicts whether a job would start now, without deciding anything."""
 
 from citronmount.core import domain_state
 from citronmount.core import opportunistic_placement
@@ -10,16 +10,17 @@
 def would_start(
     domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
 ) -> bool:
-    """Returns whether a new job would be placed or get room evicted now.
+    """Returns whether a new job would now be placed or evict other work.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         entry: The job; it need not be queued.
         now_ms: Monotonic time.
 
     Returns:
-        Whether the account has nothing queued before it, and its guarantee
-        can hold the gang or room is free that no job ahead has reserved.
+        Whether the failure domain is in service, the account has no queued
+        job, and the gang fits into the account's cells or into free capacity
+        that is not reserved for a job ahead of it.
     """
     account = entry.spec.account
     if not domain.in_service or domain.queue.size(account):
--- a/citronmount/core/tests/fixtures.py
+++ b/citronmount/core/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Small pools, configurations and jobs for tests of the core."""
+"""Builders of small pools, configurations and jobs for tests."""
 
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import ids
@@ -6,22 +6,29 @@
 from citronmount.core import states
 from citronmount.services import messages
 
-ZONE = ids.FailureDomainId("kr-a")
+FAILURE_DOMAIN = ids.FailureDomainId("kr-a")
 
 
-def worker(number, *, accelerators=8, rack=None, zone=ZONE, per_rack=4):
-    """Returns one listed worker."""
+def worker(
+    number,
+    *,
+    accelerators=8,
+    rack=None,
+    failure_domain=FAILURE_DOMAIN,
+    per_rack=4,
+):
+    """Returns a worker as listed by the platform."""
     return messages.ListedTarget(
-        name=f"{zone}-w{number}",
+        name=f"{failure_domain}-w{number}",
         address="127.0.0.1:1",
-        failure_domain=zone,
-        rack=ids.RackId(rack or f"{zone}-r{number // per_rack}"),
-        capacity=needs(accelerators),
+        failure_domain=failure_domain,
+        rack=ids.RackId(rack or f"{failure_domain}-r{number // per_rack}"),
+        capacity=resource_amounts(accelerators),
     )
 
 
-def needs(accelerators, cores=None, memory_gb=None):
-    """Returns resources with cores and memory in proportion."""
+def resource_amounts(accelerators, cores=None, memory_gb=None):
+    """Returns resources; cores and memory default to a fixed ratio."""
     return jobs.Resources(
         accelerators=accelerators,
         cores=8 * accelerators if cores is None else cores,
@@ -30,33 +37,45 @@
 
 
 def guarantee(
-    account, copies, tasks, accelerators, adjacency="worker", zone=ZONE
+    account,
+    copies,
+    tasks,
+    accelerators,
+    adjacency="worker",
+    failure_domain=FAILURE_DOMAIN,
 ):
-    """Returns a guarantee row."""
+    """Returns a guarantee of a configuration."""
     return configuration_lib.Guarantee(
         account=account,
-        failure_domain=zone,
+        failure_domain=failure_domain,
         copies=copies,
         tasks=tasks,
-        per_task=needs(accelerators),
+        per_task=resource_amounts(accelerators),
         adjacency=states.Adjacency(adjacency),
     )
 
 
 def configuration(
-    *, guarantees=(), paying=(), allowances=None, zones=(ZONE,), out=()
+    *,
+    guarantees=(),
+    paying=(),
+    allowances=None,
+    failure_domains=(FAILURE_DOMAIN,),
+    out=(),
 ):
-    """Returns a configuration; accounts come from its parts."""
+    """Returns a configuration with every account that its parts name."""
     allowances = allowances or {}
     names = sorted({*paying, *(g.account for g in guarantees), *allowances})
     return configuration_lib.Configuration(
         version=ids.Version(1),
         failure_domains=tuple(
             configuration_lib.FailureDomain(
-                name=zone,
-                state=states.FailureDomainState("out" if zone in out else "in"),
+                name=failure_domain,
+                state=states.FailureDomainState(
+                    "out" if failure_domain in out else "in"
+                ),
             )
-            for zone in zones
+            for failure_domain in failure_domains
         ),
         accounts=tuple(
             configuration_lib.Account(
@@ -76,12 +95,12 @@
 
 
 def spec(name, account, tasks=1, accelerators=1, adjacency="worker", **more):
-    """Returns a job."""
+    """Returns the specification of a job."""
     return jobs.JobSpec(
-        job=ids.job_id(ZONE, name),
+        job=ids.job_id(FAILURE_DOMAIN, name),
         account=account,
         tasks=tasks,
-        per_task=needs(accelerators),
+        per_task=resource_amounts(accelerators),
         adjacency=states.Adjacency(adjacency),
         **more,
     )
--- a/citronmount/core/tests/packing_oracle.py
+++ b/citronmount/core/tests/packing_oracle.py
@@ -1,4 +1,4 @@
-"""Exhaustive packing of gangs into small pools, to check the planner."""
+"""Packs gangs into small pools by exhaustive search, to check the planner."""
 
 import collections
 
@@ -6,64 +6,71 @@
 from citronmount.core import states
 
 
-def fits(rooms, racks, gangs):
+def fits(capacities, racks, gangs):
     """Returns whether all gangs fit at once.
 
     Args:
-        rooms: Room of each worker.
+        capacities: Capacity of each worker.
         racks: Rack of each worker.
-        gangs: Shapes, one for each gang.
+        gangs: Shape of each gang.
     """
-    order = sorted(
+    ordered_gangs = sorted(
         gangs,
-        key=lambda g: (g.adjacency.value, -g.accelerators, repr(g)),
+        key=lambda gang: (gang.adjacency.value, -gang.accelerators, repr(gang)),
     )
-    return _pack(dict(rooms), racks, tuple(order), {})
+    return _pack(dict(capacities), racks, tuple(ordered_gangs), {})
 
 
-def _pack(rooms, racks, gangs, seen):
+def _pack(capacities, racks, gangs, results):
     if not gangs:
         return True
-    key = (tuple(sorted(rooms.items(), key=repr)), len(gangs))
-    if key not in seen:
-        seen[key] = any(
-            _pack(_less(rooms, gangs[0], slots), racks, gangs[1:], seen)
-            for slots in _ways(rooms, racks, gangs[0])
+    key = (tuple(sorted(capacities.items(), key=repr)), len(gangs))
+    if key not in results:
+        results[key] = any(
+            _pack(
+                _subtract(capacities, gangs[0], slots),
+                racks,
+                gangs[1:],
+                results,
+            )
+            for slots in _slot_choices(capacities, racks, gangs[0])
         )
-    return seen[key]
+    return results[key]
 
 
-def _ways(rooms, racks, gang):
-    enclosures = collections.defaultdict(list)
-    for worker in rooms:
+def _slot_choices(capacities, racks, gang):
+    workers_by_scope = collections.defaultdict(list)
+    for worker in capacities:
         scope = {
             states.Adjacency.WORKER: worker,
             states.Adjacency.RACK: racks[worker],
         }.get(gang.adjacency)
-        enclosures[scope].append(worker)
-    for workers in enclosures.values():
-        yield from _spread(rooms, workers, gang, gang.tasks)
+        workers_by_scope[scope].append(worker)
+    for workers in workers_by_scope.values():
+        yield from _distributions(capacities, workers, gang, gang.tasks)
 
 
-def _spread(rooms, workers, gang, tasks):
+def _distributions(capacities, workers, gang, tasks):
     if not tasks:
         yield {}
         return
     if not workers:
         return
-    first, *others = workers
-    most = min(resources.count(rooms[first], gang.per_task), tasks)
-    for here in range(most, -1, -1):
-        for slots in _spread(rooms, others, gang, tasks - here):
-            yield {first: here, **slots} if here else slots
+    worker, *others = workers
+    max_tasks = min(resources.count(capacities[worker], gang.per_task), tasks)
+    for tasks_here in range(max_tasks, -1, -1):
+        for slots in _distributions(
+            capacities, others, gang, tasks - tasks_here
+        ):
+            yield {worker: tasks_here, **slots} if tasks_here else slots
 
 
-def _less(rooms, gang, slots):
-    taken = {
+def _subtract(capacities, gang, slots):
+    used = {
         worker: resources.scaled(gang.per_task, tasks)
         for worker, tasks in slots.items()
     }
     return {
-        worker: resources.minus(available, taken.get(worker, resources.NONE))
-        for worker, available in rooms.items()
+        worker: resources.minus(available, used.get(worker, resources.NONE))
+        for worker, available in capacities.items()
     }
--- a/citronmount/core/tests/test_guarantees.py
+++ b/citronmount/core/tests/test_guarantees.py
@@ -12,13 +12,13 @@
 from citronmount.core.tests import fixtures
 from citronmount.core.tests import packing_oracle
 
-END = decisions.AttemptEnd
-STEPS = 16
-ADJACENCIES = tuple(each.value for each in states.Adjacency)
+AttemptEnd = decisions.AttemptEnd
+STEPS_PER_SEED = 16
+ADJACENCIES = tuple(adjacency.value for adjacency in states.Adjacency)
 
 
-class World:
-    """A small random pool under random load, checked at every step."""
+class RandomCluster:
+    """A small random pool under random load, checked after every event."""
 
     def __init__(self, seed, *, faults):
         self.rng = random.Random(seed)
@@ -26,30 +26,32 @@
         self.now_ms = 0
         self.running = {}
         self.evicting = set()
-        self.missed = 0
-        self.seen = collections.Counter()
+        self.missed_packings = 0
+        self.counts = collections.Counter()
         self.workers = self._workers()
         self.configuration = self._configuration()
         while guarantee_feasibility.infeasible_guarantees(
             self.configuration, self.workers
         ):
             self.configuration = self._configuration()
-        self.scheduler = scheduler.DomainScheduler(failure_domain=fixtures.ZONE)
+        self.scheduler = scheduler.DomainScheduler(
+            failure_domain=fixtures.FAILURE_DOMAIN
+        )
         self.scheduler.set_configuration(self.configuration)
         self.scheduler.set_workers(self.workers)
 
     def run(self):
-        for number in range(STEPS):
+        for number in range(STEPS_PER_SEED):
             self.now_ms += self.rng.randint(1, 5_000)
-            self._step(number)
-            self._carry_out(self.scheduler.decide(self.now_ms))
+            self._random_event(number)
+            self._apply(self.scheduler.decide(self.now_ms))
             self.check()
 
     def check(self):
-        """Packs the free cells beside the held ones, by exhaustion."""
+        """Compares the cell plan with an exhaustive packing of free cells."""
         domain = self.scheduler._domain
         usable = [w for w in self.workers if domain.pool.usable(w.name)]
-        rooms = {w.name: domain.pool.capacity(w.name) for w in usable}
+        capacities = {w.name: domain.pool.capacity(w.name) for w in usable}
         free = []
         for cell in domain.plan.all_cells():
             assert sum(cell.slots.values()) in (0, cell.shape.tasks)
@@ -57,70 +59,80 @@
                 free.append(cell.shape)
                 continue
             for worker, tasks in cell.slots.items():
-                taken = resources.scaled(cell.shape.per_task, tasks)
-                if worker in rooms:
-                    rooms[worker] = resources.minus(rooms[worker], taken)
+                occupied = resources.scaled(cell.shape.per_task, tasks)
+                if worker in capacities:
+                    capacities[worker] = resources.minus(
+                        capacities[worker], occupied
+                    )
         racks = {w.name: w.rack for w in usable}
-        packs = packing_oracle.fits(rooms, racks, free)
+        fits = packing_oracle.fits(capacities, racks, free)
         cells_planned = not self.scheduler.unplanned_cells()
         if not self.faults:
-            assert packs
+            assert fits
             assert cells_planned
-        assert packs or not cells_planned
-        self.missed += packs and not cells_planned
+        assert fits or not cells_planned
+        self.missed_packings += fits and not cells_planned
 
-    def reclaim_everything(self):
-        """Asks for every unused gang of all accounts at once.
+    def reclaim_all_guarantees(self):
+        """Submits a job for every free cell of all accounts at once.
 
-        Placed work of an account first counts against its own guarantee.
+        Placed jobs of an account are first bound to its own cells.
         """
-        self._settle()
+        self._drain_queue_and_evictions()
         accounts = [a.name for a in self.configuration.accounts]
         guaranteed_placement._bind_jobs_of(
             self.scheduler._domain, accounts, no_wider_cells=False
         )
         self._reclaim(accounts)
 
-    def reclaim_of_one_account(self):
-        """Asks for every unused gang of one account at once."""
-        self._settle()
+    def reclaim_guarantees_of_one_account(self):
+        """Submits a job for every free cell of one account at once."""
+        self._drain_queue_and_evictions()
         row = self.rng.choice(self.configuration.guarantees)
         self._reclaim([row.account])
 
     def _reclaim(self, accounts):
-        made = self.scheduler
-        revocable = {job for job in self.running if made.revocable(job)}
-        wanted = {
+        domain_scheduler = self.scheduler
+        revocable = {
+            job for job in self.running if domain_scheduler.revocable(job)
+        }
+        submitted = {
             spec.job: spec
-            for number, cell in enumerate(made._domain.plan.all_cells())
+            for number, cell in enumerate(
+                domain_scheduler._domain.plan.all_cells()
+            )
             if not cell.occupied and cell.account in accounts
-            for spec in [self._probe(number, cell)]
+            for spec in [self._guaranteed_job(number, cell)]
         }
-        for spec in wanted.values():
-            assert made.submit(spec, self.now_ms) is None
-        first = made.decide(self.now_ms)
+        for spec in submitted.values():
+            assert domain_scheduler.submit(spec, self.now_ms) is None
+        first_decisions = domain_scheduler.decide(self.now_ms)
         victims = {
-            each.job for each in first if isinstance(each, decisions.EvictJob)
+            decision.job
+            for decision in first_decisions
+            if isinstance(decision, decisions.EvictJob)
         }
         assert victims <= revocable
         for job in victims:
-            made.attempt_ended(job, END.EVICTED, self.now_ms)
-        placed = [*first, *made.decide(self.now_ms)]
-        assert set(wanted) <= {
-            each.job for each in placed if isinstance(each, decisions.PlaceJob)
+            domain_scheduler.attempt_ended(job, AttemptEnd.EVICTED, self.now_ms)
+        placed = [*first_decisions, *domain_scheduler.decide(self.now_ms)]
+        assert set(submitted) <= {
+            decision.job
+            for decision in placed
+            if isinstance(decision, decisions.PlaceJob)
         }
-        self.seen["reclaimed"] += len(wanted)
+        self.counts["reclaimed"] += len(submitted)
 
-    def _settle(self):
+    def _drain_queue_and_evictions(self):
         for job in self.scheduler.queued():
             assert self.scheduler.cancel(job)
         for job in sorted(self.evicting):
-            self.scheduler.attempt_ended(job, END.EVICTED, self.now_ms)
+            self.scheduler.attempt_ended(job, AttemptEnd.EVICTED, self.now_ms)
             del self.running[job]
         self.evicting.clear()
         assert not self.scheduler.decide(self.now_ms)
 
-    def _probe(self, number, cell):
+    def _guaranteed_job(self, number, cell):
         return fixtures.spec(
             f"probe{number}",
             cell.account,
@@ -133,12 +145,14 @@
         rng = self.rng
         number = rng.randint(2, 5)
         per_rack = rng.choice((1, 2, 3))
-        even = rng.choice((2, 4))
-        mixed = rng.random() < 0.3
+        common_size = rng.choice((2, 4))
+        mixed_sizes = rng.random() < 0.3
         return tuple(
             fixtures.worker(
                 n,
-                accelerators=rng.choice((2, 4, 8)) if mixed else even,
+                accelerators=rng.choice((2, 4, 8))
+                if mixed_sizes
+                else common_size,
                 per_rack=per_rack,
             )
             for n in range(number)
@@ -157,7 +171,11 @@
             for account in range(rng.randint(1, 3))
             for _ in range(rng.randint(1, 2))
         ]
-        out = [fixtures.ZONE] if self.faults and rng.random() < 0.1 else []
+        out = (
+            [fixtures.FAILURE_DOMAIN]
+            if self.faults and rng.random() < 0.1
+            else []
+        )
         return fixtures.configuration(
             guarantees=rows, paying=["x"], allowances={"t": 64}, out=out
         )
@@ -186,40 +204,47 @@
             urgent=rng.random() < 0.2,
         )
 
-    def _step(self, number):
-        dice = self.rng.random()
-        if dice < 0.55:
+    def _random_event(self, number):
+        draw = self.rng.random()
+        if draw < 0.55:
             self.scheduler.submit(self._spec(f"{number}"), self.now_ms)
-        elif dice < 0.85 and self.running:
-            self._end(self.rng.choice(sorted(self.running)))
-        elif dice < 0.9 and self.scheduler.queued():
+        elif draw < 0.85 and self.running:
+            self._end_attempt(self.rng.choice(sorted(self.running)))
+        elif draw < 0.9 and self.scheduler.queued():
             self.scheduler.cancel(self.rng.choice(self.scheduler.queued()))
         elif self.faults:
             self.rng.choice(
-                (self._worker_fault, self._adopt, self._publish, self._resize)
+                (
+                    self._change_worker_state,
+                    self._adopt_attempt,
+                    self._change_configuration,
+                    self._replace_workers,
+                )
             )(number)
 
-    def _end(self, job):
-        how = END.EVICTED
+    def _end_attempt(self, job):
+        attempt_end = AttemptEnd.EVICTED
         if job not in self.evicting:
-            how = self.rng.choice((END.DONE, END.FAILED_BY_JOB))
+            attempt_end = self.rng.choice(
+                (AttemptEnd.DONE, AttemptEnd.FAILED_BY_JOB)
+            )
         culprit = self.running.pop(job)[0].worker
         self.scheduler.attempt_ended(
             job,
-            how,
+            attempt_end,
             self.now_ms,
-            requeue=how is END.EVICTED,
+            requeue=attempt_end is AttemptEnd.EVICTED,
             culprits=(culprit,) if self.faults else (),
         )
         self.evicting.discard(job)
 
-    def _worker_fault(self, number):
+    def _change_worker_state(self, number):
         del number
         worker = self.rng.choice(self.workers).name
         state = self.rng.choice(list(states.TargetState))
         self.scheduler.set_worker_state(worker, state, self.now_ms)
 
-    def _adopt(self, number):
+    def _adopt_attempt(self, number):
         spec = self._spec(f"adopted{number}")
         worker = self.rng.choice(self.workers).name
         groups = (jobs.TaskGroup(worker=worker, tasks=spec.tasks),)
@@ -228,61 +253,61 @@
         )
         self.running[spec.job] = groups
 
-    def _publish(self, number):
+    def _change_configuration(self, number):
         del number
         self.configuration = self._configuration()
         self.scheduler.set_configuration(self.configuration)
 
-    def _resize(self, number):
+    def _replace_workers(self, number):
         del number
         self.workers = self._workers()
         self.scheduler.set_workers(self.workers)
 
-    def _carry_out(self, made):
-        for each in made:
-            self.seen[type(each).__name__] += 1
-            if isinstance(each, decisions.PlaceJob):
-                assert each.job not in self.running
-                self.running[each.job] = each.placement.groups
-                self._check_place(each)
+    def _apply(self, made_decisions):
+        for decision in made_decisions:
+            self.counts[type(decision).__name__] += 1
+            if isinstance(decision, decisions.PlaceJob):
+                assert decision.job not in self.running
+                self.running[decision.job] = decision.placement.groups
+                self._check_placement(decision)
             else:
-                assert each.job in self.running
-                assert each.job not in self.evicting
-                self.evicting.add(each.job)
+                assert decision.job in self.running
+                assert decision.job not in self.evicting
+                self.evicting.add(decision.job)
 
-    def _check_place(self, made):
+    def _check_placement(self, decision):
         pool = self.scheduler._domain.pool
-        for group in made.placement.groups:
+        for group in decision.placement.groups:
             assert pool.usable(group.worker)
 
 
 class GuaranteesHoldTest(unittest.TestCase):
-    def test_unused_guarantees_can_always_be_placed_at_once(self):
-        seen = collections.Counter()
+    def test_unused_guarantees_can_always_be_reclaimed_at_once(self):
+        counts = collections.Counter()
         for seed in (*range(1_700), 13_827):
             with self.subTest(seed=seed):
-                world = World(seed, faults=False)
-                world.run()
+                cluster = RandomCluster(seed, faults=False)
+                cluster.run()
                 if seed % 2:
-                    world.reclaim_everything()
+                    cluster.reclaim_all_guarantees()
                 else:
-                    world.reclaim_of_one_account()
-                seen.update(world.seen)
-        self.assertGreater(seen["reclaimed"], 1_000)
-        self.assertGreater(seen["EvictJob"], 500)
+                    cluster.reclaim_guarantees_of_one_account()
+                counts.update(cluster.counts)
+        self.assertGreater(counts["reclaimed"], 1_000)
+        self.assertGreater(counts["EvictJob"], 500)
 
-    def test_faults_never_break_a_guarantee_that_counts_as_secured(self):
-        missed = 0
+    def test_planned_cells_always_fit_despite_faults(self):
+        missed_packings = 0
         for seed in (*range(500), 10_963):
             with self.subTest(seed=seed):
-                world = World(seed, faults=True)
-                world.run()
-                missed += world.missed
-        self.assertEqual(missed, 0)
+                cluster = RandomCluster(seed, faults=True)
+                cluster.run()
+                missed_packings += cluster.missed_packings
+        self.assertEqual(missed_packings, 0)
 
 
-class UnplaceableTest(unittest.TestCase):
-    def test_rows_that_do_not_fit_are_named(self):
+class InfeasibleGuaranteesTest(unittest.TestCase):
+    def test_guarantees_that_do_not_fit_are_reported(self):
         workers = tuple(map(fixtures.worker, range(4)))
         rows = [
             fixtures.guarantee("a", 2, 1, 8),
@@ -295,31 +320,31 @@
             (),
         )
         configuration = fixtures.configuration(guarantees=rows)
-        faults = guarantee_feasibility.infeasible_guarantees(
+        infeasible = guarantee_feasibility.infeasible_guarantees(
             configuration, workers
         )
-        self.assertTrue(faults)
-        self.assertNotEqual(faults, (0, 1, 2))
+        self.assertTrue(infeasible)
+        self.assertNotEqual(infeasible, (0, 1, 2))
 
-    def test_check_agrees_with_exhaustive_packing(self):
-        wrong = 0
+    def test_result_agrees_with_exhaustive_packing(self):
+        missed_packings = 0
         for seed in range(200):
-            world = World(seed, faults=False)
-            configuration = world._configuration()
-            fits = not guarantee_feasibility.infeasible_guarantees(
-                configuration, world.workers
+            cluster = RandomCluster(seed, faults=False)
+            configuration = cluster._configuration()
+            feasible = not guarantee_feasibility.infeasible_guarantees(
+                configuration, cluster.workers
             )
-            rooms = {w.name: w.capacity for w in world.workers}
-            racks = {w.name: w.rack for w in world.workers}
+            capacities = {w.name: w.capacity for w in cluster.workers}
+            racks = {w.name: w.rack for w in cluster.workers}
             gangs = [
                 guarantee_feasibility.shapes.of_guarantee(row)
                 for row in configuration.guarantees
                 for _ in range(row.copies)
             ]
-            packs = packing_oracle.fits(rooms, racks, gangs)
-            self.assertTrue(packs or not fits, seed)
-            wrong += packs and not fits
-        self.assertEqual(wrong, 0)
+            fits = packing_oracle.fits(capacities, racks, gangs)
+            self.assertTrue(fits or not feasible, seed)
+            missed_packings += fits and not feasible
+        self.assertEqual(missed_packings, 0)
 
 
 if __name__ == "__main__":
--- a/citronmount/core/tests/test_shares.py
+++ b/citronmount/core/tests/test_shares.py
@@ -4,36 +4,36 @@
 from citronmount.core import shares
 from citronmount.core.tests import fixtures
 
-ZONES = ("z-a", "z-b", "z-c")
+FAILURE_DOMAINS = ("z-a", "z-b", "z-c")
 
 
 def random_configuration(rng):
-    rows = [
+    guarantees = [
         fixtures.guarantee(
             f"p{rng.randrange(6)}",
             rng.randint(1, 7),
             rng.randint(1, 4),
             rng.choice((1, 2, 8)),
             "failure_domain",
-            zone=rng.choice((None, None, *ZONES)),
+            failure_domain=rng.choice((None, None, *FAILURE_DOMAINS)),
         )
         for _ in range(rng.randint(1, 12))
     ]
     return fixtures.configuration(
-        guarantees=rows,
+        guarantees=guarantees,
         allowances={f"t{n}": rng.randrange(100) for n in range(3)},
-        zones=ZONES,
-        out=rng.sample(ZONES, rng.randrange(4)),
+        failure_domains=FAILURE_DOMAINS,
+        out=rng.sample(FAILURE_DOMAINS, rng.randrange(4)),
     )
 
 
 class SplitTest(unittest.TestCase):
-    def test_parts_add_up_to_the_whole(self):
+    def test_shares_add_up_to_configuration(self):
         rng = random.Random(1)
         for _ in range(300):
-            made = random_configuration(rng)
-            split = shares.split(made)
-            for row, guarantee in enumerate(made.guarantees):
+            configuration = random_configuration(rng)
+            split = shares.split(configuration)
+            for row, guarantee in enumerate(configuration.guarantees):
                 copies = [
                     part.copies
                     for share in split.values()
@@ -41,37 +41,47 @@
                     if part.row == row
                 ]
                 self.assertEqual(sum(copies), guarantee.copies)
-            for allowance in made.allowances:
+            for allowance in configuration.allowances:
                 parts = [
                     share.allowances.get(allowance.account, 0)
                     for share in split.values()
                 ]
                 self.assertEqual(sum(parts), allowance.accelerators)
 
-    def test_remaining_copies_are_spread(self):
-        rows = [
-            fixtures.guarantee(f"p{n}", 1, 4, 8, "rack", zone=None)
+    def test_remaining_copies_are_spread_evenly(self):
+        guarantees = [
+            fixtures.guarantee(f"p{n}", 1, 4, 8, "rack", failure_domain=None)
             for n in range(6)
         ]
-        made = fixtures.configuration(guarantees=rows, zones=ZONES)
-        held = [len(s.guarantees) for s in shares.split(made).values()]
-        self.assertEqual(held, [2, 2, 2])
+        configuration = fixtures.configuration(
+            guarantees=guarantees, failure_domains=FAILURE_DOMAINS
+        )
+        copies_held = [
+            len(s.guarantees) for s in shares.split(configuration).values()
+        ]
+        self.assertEqual(copies_held, [2, 2, 2])
 
-    def test_failure_domain_out_passes_its_copies_on(self):
-        rows = [fixtures.guarantee("p", 3, 1, 8, zone=None)]
-        made = fixtures.configuration(guarantees=rows, zones=ZONES, out=["z-b"])
-        split = shares.split(made)
+    def test_failure_domain_out_of_service_gets_no_copies(self):
+        guarantees = [fixtures.guarantee("p", 3, 1, 8, failure_domain=None)]
+        configuration = fixtures.configuration(
+            guarantees=guarantees, failure_domains=FAILURE_DOMAINS, out=["z-b"]
+        )
+        split = shares.split(configuration)
         self.assertEqual(split["z-b"].guarantees, ())
 
-    def test_homes_hold_the_job(self):
-        rows = [fixtures.guarantee("p", 1, 4, 8, "rack", zone="z-c")]
-        made = fixtures.configuration(
-            guarantees=rows, allowances={"t": 8}, zones=ZONES
+    def test_home_domains_can_hold_the_job(self):
+        guarantees = [
+            fixtures.guarantee("p", 1, 4, 8, "rack", failure_domain="z-c")
+        ]
+        configuration = fixtures.configuration(
+            guarantees=guarantees,
+            allowances={"t": 8},
+            failure_domains=FAILURE_DOMAINS,
         )
         gang = fixtures.spec("g", "p", 4, 8, "rack")
-        self.assertEqual(shares.homes(made, gang)[0], "z-c")
+        self.assertEqual(shares.homes(configuration, gang)[0], "z-c")
         trial = fixtures.spec("t", "t", 1, 8)
-        self.assertEqual(len(shares.homes(made, trial)), 1)
+        self.assertEqual(len(shares.homes(configuration, trial)), 1)
 
 
 if __name__ == "__main__":
