--- a/citronmount/core/cells.py
+++ b/citronmount/core/cells.py
@@ -1,8 +1,8 @@
 """Maintains a plan of where each guaranteed gang can run.
 
 Each copy of a guarantee is a cell: slots on concrete workers, like the virtual
-cells of HiveD (Zhao et al., OSDI 2020). The cells on a worker never exceed its
-capacity together. Guaranteed work runs only in the cells of its own account,
+cells of HiveD (Zhao et al., OSDI 2020). Together, the cells on a worker never
+exceed its capacity. Guaranteed work runs only in the cells of its own account,
 so the capacity of a cell without jobs can be reclaimed at any time by evicting
 work that runs outside cells. A cell is occupied while jobs run in it and free
 otherwise; free cells may be moved to other workers.
@@ -150,15 +150,15 @@
         self.uncommitted.drop(worker)
         self._clear_free_cells(self._cells_on.get(worker, ()))
 
-    def require(
-        self, wanted: Mapping[tuple[ids.AccountId, shapes.Shape], int]
+    def set_required(
+        self, required: Mapping[tuple[ids.AccountId, shapes.Shape], int]
     ) -> list[ids.JobId]:
         """Adds and deletes cells to match a new configuration.
 
         Cells with the fewest jobs are deleted first.
 
         Args:
-            wanted: Required number of cells for each account and shape.
+            required: Required number of cells for each account and shape.
 
         Returns:
             The jobs whose cell was deleted; they are revocable from now on.
@@ -170,11 +170,11 @@
             )
         unbound: list[ids.JobId] = []
         for kind, cells in cells_by_kind.items():
-            excess = len(cells) - wanted.get(kind, 0)
+            excess = len(cells) - required.get(kind, 0)
             cells.sort(key=lambda cell: len(cell.jobs))
             for cell in cells[: max(excess, 0)]:
                 unbound.extend(self._delete_cell(cell))
-        for (account, shape), copies in wanted.items():
+        for (account, shape), copies in required.items():
             missing = copies - len(cells_by_kind.get((account, shape), ()))
             for _ in range(missing):
                 cell = Cell(account=account, shape=shape)
@@ -287,7 +287,7 @@
         account: ids.AccountId,
         shape: shapes.Shape,
         groups: tuple[jobs.TaskGroup, ...],
-        widest: int | None = None,
+        max_free_cell_accelerators: int | None = None,
     ) -> tuple[CellUse, ...] | None:
         """Moves cells of an account onto the workers of a placed gang.
 
@@ -295,15 +295,17 @@
             account: The account.
             shape: Shape of the gang.
             groups: Placement of the gang.
-            widest: Maximum number of accelerators of a free cell that may be
-                used; None for no limit.
+            max_free_cell_accelerators: Largest free cell that may be used;
+                None for no limit.
 
         Returns:
             The cell uses to bind, or None if the cells cannot cover the gang;
             every cell is then left as it was.
         """
         self._undo_log = {}
-        uses = self._cover_placed(account, shape, groups, widest)
+        uses = self._cover_placed(
+            account, shape, groups, max_free_cell_accelerators
+        )
         if uses is None:
             self._roll_back(self._undo_log)
         self._undo_log = None
@@ -446,15 +448,15 @@
         account: ids.AccountId,
         shape: shapes.Shape,
         groups: tuple[jobs.TaskGroup, ...],
-        widest: int | None,
+        max_free_cell_accelerators: int | None,
     ) -> tuple[CellUse, ...] | None:
         uses: list[CellUse] = []
         usable = [
             cell
             for cell in self.cells(account)
-            if widest is None
+            if max_free_cell_accelerators is None
             or cell.occupied
-            or cell.shape.accelerators <= widest
+            or cell.shape.accelerators <= max_free_cell_accelerators
         ]
         remaining = {group.worker: group.tasks for group in groups}
         chosen: set[Cell] = set()
--- a/citronmount/core/domain_state.py
+++ b/citronmount/core/domain_state.py
@@ -466,7 +466,7 @@
             )
 
     def _update_cells(self, share: shares.Share, now_ms: int) -> None:
-        wanted = {
+        required = {
             (account, shape): copies
             for (
                 account,
@@ -477,10 +477,10 @@
         guaranteed_copies: collections.Counter[shapes.Shape] = (
             collections.Counter()
         )
-        for (_, shape), copies in wanted.items():
+        for (_, shape), copies in required.items():
             guaranteed_copies[shape] += copies
         self.mix.set_guaranteed(guaranteed_copies)
-        for job in self.plan.require(wanted):
+        for job in self.plan.set_required(required):
             if job in self.pending_placements:
                 self.cancel_pending(job, now_ms)
         self.cells_planned = False
--- a/citronmount/core/guarantee_feasibility.py
+++ b/citronmount/core/guarantee_feasibility.py
@@ -57,7 +57,7 @@
                 plan.set_worker(
                     ids.WorkerId(worker.name), worker.rack, worker.capacity
                 )
-        plan.require(cell_copies(share))
+        plan.set_required(cell_copies(share))
         plan.plan_cells()
         unplanned = {(cell.account, cell.shape) for cell in plan.unplanned()}
         infeasible.update(
--- a/citronmount/core/guaranteed_placement.py
+++ b/citronmount/core/guaranteed_placement.py
@@ -41,21 +41,21 @@
     ]
     domain.accounts_to_bind.clear()
     if accounts:
-        _bind_jobs_of(domain, accounts, no_wider_cells=True)
+        _bind_jobs_of(domain, accounts, no_larger_cells=True)
 
 
 def _bind_jobs_of(
     domain: domain_state.DomainState,
     accounts: Iterable[ids.AccountId],
     *,
-    no_wider_cells: bool,
+    no_larger_cells: bool,
 ) -> bool:
     """Binds revocable jobs of some accounts to the accounts' cells.
 
     Args:
         domain: State of the failure domain.
         accounts: The accounts.
-        no_wider_cells: Whether to leave free cells that are larger than the
+        no_larger_cells: Whether to leave free cells that are larger than the
             job unused.
 
     Returns:
@@ -73,21 +73,21 @@
     for jobs_of_account in revocable_jobs.values():
         jobs_of_account.sort(key=lambda placed: placed.entry.sequence)
         for placed in jobs_of_account[:SCAN_LIMIT_JOBS]:
-            bound |= _bind_job(domain, placed, no_wider_cells)
+            bound |= _bind_job(domain, placed, no_larger_cells)
     return bound
 
 
 def _bind_job(
     domain: domain_state.DomainState,
     placed: domain_state.PlacedJob,
-    no_wider_cells: bool,
+    no_larger_cells: bool,
 ) -> bool:
     entry = placed.entry
     uses = domain.plan.cover_placed(
         entry.spec.account,
         entry.shape,
         placed.groups,
-        entry.shape.accelerators if no_wider_cells else None,
+        entry.shape.accelerators if no_larger_cells else None,
     )
     if uses is not None:
         domain.plan.bind(entry.spec.job, uses)
@@ -179,7 +179,7 @@
         uses = _find_by_demotion(domain, entry, now_ms)
     if uses is None:
         return None
-    if _opens_wider_cell(uses):
+    if _uses_larger_free_cell(uses):
         groups = _find_outside_cells(domain, entry, now_ms)
         if groups is not None:
             domain.place(entry, groups, now_ms)
@@ -260,7 +260,7 @@
     )
 
 
-def _opens_wider_cell(uses: tuple[cells.CellUse, ...]) -> bool:
+def _uses_larger_free_cell(uses: tuple[cells.CellUse, ...]) -> bool:
     """Returns whether a free cell would be used that is larger than needed."""
     accelerators_used: dict[cells.Cell, int] = {}
     for use in uses:
@@ -303,9 +303,9 @@
 ) -> list[decisions.Decision] | None:
     """Evicts work from the cells of a job, which becomes pending.
 
-    Paying jobs among the victims are first bound to cells of their own
-    accounts where they fit, larger cells included; the victims are then chosen
-    again.
+    If some victims belong to other paying accounts, the jobs of those accounts
+    are first bound to free cells of their own, larger ones included; if any
+    could be bound, the victims are chosen again.
 
     Returns:
         The evictions, or None if revocable work does not free enough.
@@ -316,7 +316,7 @@
         entry.spec.account
     }
     if paying_accounts and _bind_jobs_of(
-        domain, paying_accounts, no_wider_cells=False
+        domain, paying_accounts, no_larger_cells=False
     ):
         uses = _find_uses(domain, entry, now_ms)
         domain.cancel_pending_outside_cells(_need_by_worker(uses or ()), now_ms)
--- a/citronmount/core/tests/test_guarantees.py
+++ b/citronmount/core/tests/test_guarantees.py
@@ -81,7 +81,7 @@
         self._drain_queue_and_evictions()
         accounts = [a.name for a in self.configuration.accounts]
         guaranteed_placement._bind_jobs_of(
-            self.scheduler._domain, accounts, no_wider_cells=False
+            self.scheduler._domain, accounts, no_larger_cells=False
         )
         self._reclaim(accounts)
 
