--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -385,7 +385,7 @@
         if heartbeat.failure_domain != self.settings.failure_domain:
             return
         self.ownership.learn_token(heartbeat.token)
-        self.requests.router.peer_free_slots(sender, heartbeat.free_slots)
+        self.requests.router.set_peer_free_slots(sender, heartbeat.free_slots)
         if heartbeat.domain is not None:
             self.keeping.owner_heard()
 
--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -110,7 +110,7 @@
             domain=None if domain is None else domain.summary(),
             token=self._ownership.token,
             free_slots=router.free_slots(),
-            queued_requests=router.queued(),
+            queued_requests=router.queued_count(),
             physical_ms=physical_ms,
             logical=logical,
         )
--- a/citronmount/agent/homes.py
+++ b/citronmount/agent/homes.py
@@ -115,7 +115,7 @@
     Returns:
         Failure domains in service.
     """
-    allowed = shares.homes(current, spec) or tuple(
+    allowed = shares.rank_homes(current, spec) or tuple(
         domain.name
         for domain in current.failure_domains
         if domain.state is states.FailureDomainState.IN
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -75,7 +75,7 @@
     def _submit_patiently(self, spec: jobs.JobSpec, respond: Respond) -> None:
         """Submits a job while no owner of a failure domain is known yet."""
         own = self._ctx.settings.failure_domain
-        allowed = shares.homes(self._configuration.fold.current, spec)
+        allowed = shares.rank_homes(self._configuration.fold.current, spec)
         if not allowed:
             respond(call_answers.failure(codes.ResultCode.HOME_UNREACHABLE))
             return
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -145,7 +145,7 @@
             for guarantee in self._configuration.fold.current.guarantees
             if guarantee.account == spec.account
         }
-        allowed = shares.homes(self._configuration.fold.current, spec)
+        allowed = shares.rank_homes(self._configuration.fold.current, spec)
         hopeful = [
             name
             for name, room in rooms.items()
--- a/citronmount/agent/request_desk.py
+++ b/citronmount/agent/request_desk.py
@@ -17,7 +17,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import request_decisions
-from citronmount.core import short_requests
+from citronmount.core import request_router
 from citronmount.membership import rendezvous
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
@@ -65,7 +65,7 @@
             configuration_keeper: The configuration in force.
             claims: Claims keys.
         """
-        self.router = short_requests.RequestRouter(vm=ctx.settings.vm)
+        self.router = request_router.RequestRouter(vm=ctx.settings.vm)
         self._ctx = ctx
         self._view = view
         self._configuration = configuration_keeper
@@ -376,7 +376,7 @@
         opened = self._open.get(decision.request)
         runner = self._runners.get(decision.runner)
         if opened is None or runner is None:
-            self.router.answered(
+            self.router.record_answer(
                 decision.request,
                 decision.runner,
                 None,
@@ -401,7 +401,7 @@
         )
 
         def answered(event: events.RunnerAnswered) -> None:
-            self.router.answered(
+            self.router.record_answer(
                 decision.request,
                 decision.runner,
                 event.answer,
@@ -426,7 +426,7 @@
         )
 
         def answered(result: jobs.RequestResult | None) -> None:
-            self.router.peer_answered(
+            self.router.record_peer_answer(
                 decision.request, result, self._ctx.now_ms
             )
 
--- a/citronmount/bench/replay_routing.py
+++ b/citronmount/bench/replay_routing.py
@@ -115,7 +115,7 @@
         """Returns other homes with a guarantee or room, most room first."""
         key = (self.configuration.version, spec.account, spec.accelerators)
         if key not in self._allowed:
-            self._allowed[key] = shares.homes(self.configuration, spec)
+            self._allowed[key] = shares.rank_homes(self.configuration, spec)
         holding = self._holding[spec.account]
         rooms = {
             name: self._room(name)
--- a/citronmount/bench/request_replay.py
+++ b/citronmount/bench/request_replay.py
@@ -11,7 +11,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import request_decisions
-from citronmount.core import short_requests
+from citronmount.core import request_router
 from citronmount.services import messages
 
 __all__ = ["Answered", "RouterReplay", "random_runner", "single_queue"]
@@ -141,7 +141,7 @@
         site: request_workload.RequestSite,
         trace: tuple[request_workload.TracedRequest, ...],
         offers: bool = True,
-        hedge_share: float = short_requests.HEDGE_SHARE,
+        hedge_share: float = request_router.HEDGE_SHARE,
         slow: dict[str, float] | None = None,
     ) -> None:
         """Initializes a replay at time 0.
@@ -166,7 +166,7 @@
         self._offered_by: dict[ids.RequestId, ids.VmId] = {}
         self._used: dict[ids.RunnerId, int] = {}
         self._slots: dict[ids.RunnerId, int] = {}
-        self._routers: dict[ids.VmId, short_requests.RequestRouter] = {}
+        self._routers: dict[ids.VmId, request_router.RequestRouter] = {}
         self._heap: list[tuple[int, int, Callable[[int], None]]] = []
         self._sequence = itertools.count()
         self._wakes: dict[ids.VmId, int] = {}
@@ -202,7 +202,7 @@
     def _add_domain(self, domain: str, hedge_share: float) -> None:
         vms = self._site.vms[domain]
         for index, vm in enumerate(vms):
-            router = short_requests.RequestRouter(
+            router = request_router.RequestRouter(
                 vm=vm, hedge_share=hedge_share
             )
             router.set_runners(self._site.runners[domain])
@@ -226,7 +226,7 @@
         free = self._routers[vm].free_slots()
         self._at(
             now_ms + LINK_MS,
-            lambda _: self._routers[peer].peer_free_slots(vm, free),
+            lambda _: self._routers[peer].set_peer_free_slots(vm, free),
         )
 
     def _arrive(
@@ -292,7 +292,7 @@
         answer = messages.RunnerAnswer(request=send.request, outcome=outcome)
 
         def receive(at_ms: int) -> None:
-            self._routers[vm].answered(
+            self._routers[vm].record_answer(
                 send.request,
                 send.runner,
                 answer,
@@ -329,7 +329,7 @@
     ) -> None:
         def receive(at_ms: int) -> None:
             router = self._routers[vm]
-            router.peer_answered(result.request, result, at_ms)
+            router.record_peer_answer(result.request, result, at_ms)
             self._decide(vm, at_ms)
 
         self._at(now_ms + LINK_MS, receive)
--- a/citronmount/core/verdicts.py
+++ b/citronmount/core/attempt_outcomes.py
@@ -6,10 +6,10 @@
 from citronmount.core import decisions
 from citronmount.core import domain as domain_lib
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
-from citronmount.core import queueing
 
-__all__ = ["expired", "failed_everywhere", "learn"]
+__all__ = ["deadline_result", "failed_everywhere", "record_outcome"]
 
 FAILED_EVERYWHERE_WORKERS = 3
 FAILED_EVERYWHERE_ATTEMPTS = 2
@@ -25,7 +25,7 @@
 )
 
 
-def learn(
+def record_outcome(
     domain: domain_lib.Domain,
     placed: domain_lib.Placed,
     how: decisions.AttemptEnd,
@@ -45,13 +45,15 @@
     spec = entry.spec
     ran_ms = max(now_ms - placed.since_ms, 0)
     entry.attained_ms += ran_ms * entry.shape.accelerators
-    changed = set(domain.health.released(spec.job))
+    changed = set(domain.health.release_probes(spec.job))
     if how is decisions.AttemptEnd.DONE:
         domain.estimator.observe(spec, entry.progress, ran_ms)
         changed |= {
             group.worker
             for group in placed.groups
-            if domain.health.succeeded(spec.job, spec.account, group.worker)
+            if domain.health.record_success(
+                spec.job, spec.account, group.worker
+            )
         }
     elif how in _FAILURES and culprits:
         own = how is decisions.AttemptEnd.FAILED_BY_JOB
@@ -59,7 +61,9 @@
         changed |= {
             worker
             for worker in culprits
-            if domain.health.failed(spec.job, spec.account, worker, now_ms)
+            if domain.health.record_failure(
+                spec.job, spec.account, worker, now_ms
+            )
         }
     for worker in sorted(changed):
         domain.refresh_worker(worker, now_ms)
@@ -67,22 +71,22 @@
 
 def _note_failure(
     domain: domain_lib.Domain,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     culprits: tuple[ids.WorkerId, ...],
     now_ms: int,
     *,
     own: bool,
 ) -> None:
     """Counts a failure; one to start speaks of the worker, not of the job."""
-    wait_ms = min(RETRY_MS << entry.setbacks, RETRY_MAX_MS)
-    entry.setbacks += 1
-    entry.failures += own
-    entry.failed_on |= set(culprits)
-    entry.retry_ms = now_ms + wait_ms
-    heapq.heappush(domain.wake_ups, entry.retry_ms)
+    wait_ms = min(RETRY_MS << entry.failed_attempts, RETRY_MAX_MS)
+    entry.failed_attempts += 1
+    entry.failed_runs += own
+    entry.failed_workers |= set(culprits)
+    entry.retry_at_ms = now_ms + wait_ms
+    heapq.heappush(domain.wake_ups, entry.retry_at_ms)
 
 
-def failed_everywhere(entry: queueing.Entry) -> bool:
+def failed_everywhere(entry: job_queue.JobEntry) -> bool:
     """Returns whether a job has failed too widely to run again.
 
     A job that fails again and again at too few workers to tell is given up
@@ -91,21 +95,21 @@
     Args:
         entry: The job.
     """
-    if entry.failures >= MAX_FAILED_ATTEMPTS:
+    if entry.failed_runs >= MAX_FAILED_ATTEMPTS:
         return True
     return (
-        entry.setbacks >= FAILED_EVERYWHERE_ATTEMPTS
-        and len(entry.failed_on) >= FAILED_EVERYWHERE_WORKERS
+        entry.failed_attempts >= FAILED_EVERYWHERE_ATTEMPTS
+        and len(entry.failed_workers) >= FAILED_EVERYWHERE_WORKERS
     )
 
 
-def expired(entry: queueing.Entry) -> jobs.JobResult:
+def deadline_result(entry: job_queue.JobEntry) -> jobs.JobResult:
     """Returns the result of a queued job whose deadline has passed.
 
     Args:
         entry: The job; if it ran before, the result does not deny it.
     """
-    if entry.ran:
+    if entry.has_started:
         return jobs.JobResult(
             code=codes.ResultCode.INTERRUPTED,
             detail="the deadline passed before it could run again",
--- a/citronmount/core/backfill.py
+++ b/citronmount/core/backfill.py
@@ -10,10 +10,10 @@
 
 from citronmount.core import domain as domain_lib
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import policy as policy_lib
 from citronmount.core import pool
-from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 from citronmount.core import states
@@ -34,15 +34,15 @@
         self._domain = domain
         self._account = account
         self._now_ms = now_ms
-        self._blocked: queueing.Entry | None = None
+        self._blocked: job_queue.JobEntry | None = None
         self._start_ms: int | None = None
 
-    def block(self, entry: queueing.Entry) -> None:
+    def block(self, entry: job_queue.JobEntry) -> None:
         """Notes a job that waits for room in the cells of its account."""
         if self._blocked is None:
             self._blocked = entry
 
-    def lets(self, entry: queueing.Entry) -> bool:
+    def lets(self, entry: job_queue.JobEntry) -> bool:
         """Returns whether a later job may use the cells now."""
         if self._blocked is None:
             return True
@@ -51,7 +51,9 @@
             return backfill is policy_lib.Backfill.ANY
         if self._start_ms is None:
             self._start_ms = self._start_of_blocked()
-        run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
+        run_ms = self._domain.estimator.expected_run_ms(
+            entry.spec, entry.progress
+        )
         return self._now_ms + run_ms <= self._start_ms
 
     def _start_of_blocked(self) -> int:
@@ -115,7 +117,7 @@
 
 
 def reserve(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_lib.Domain, entry: job_queue.JobEntry, now_ms: int
 ) -> Reservation | None:
     """Finds when and where a blocked job can start.
 
@@ -169,7 +171,7 @@
         if worker not in self._index:
             return
         before = self._count(worker)
-        freed = self._freed.get(worker, resources.NONE)
+        freed = self._freed.get(worker, resources.ZERO)
         self._freed[worker] = resources.plus(freed, amount)
         if self._total is not None:
             self._total += self._count(worker) - before
@@ -214,7 +216,7 @@
 
     def _count(self, worker: ids.WorkerId) -> int:
         room = self._index.room(worker)
-        freed = self._freed.get(worker, resources.NONE)
-        return resources.count(
+        freed = self._freed.get(worker, resources.ZERO)
+        return resources.task_capacity(
             resources.plus(room, freed), self._shape.per_task
         )
--- a/citronmount/core/cells.py
+++ b/citronmount/core/cells.py
@@ -111,8 +111,8 @@
     def room_beside_held(self, worker: ids.WorkerId) -> jobs.Resources:
         """Returns the capacity of a worker less cells in which jobs run."""
         if worker not in self.room:
-            return resources.NONE
-        held = self._held.get(worker, resources.NONE)
+            return resources.ZERO
+        held = self._held.get(worker, resources.ZERO)
         return resources.minus(self._capacity[worker], held)
 
     def set_worker(
@@ -295,17 +295,17 @@
                 place = (use.cell, use.worker)
                 need = resources.scaled(use.per_task, use.tasks)
                 kept[place] = resources.plus(
-                    kept.get(place, resources.NONE), need
+                    kept.get(place, resources.ZERO), need
                 )
         fits: dict[object, int] = {}
         for cell in self.cells(account):
             for worker, slots in cell.slots.items():
                 rest = resources.minus(
                     resources.scaled(cell.shape.per_task, slots),
-                    kept.get((cell, worker), resources.NONE),
+                    kept.get((cell, worker), resources.ZERO),
                 )
                 scope = self._scope(worker, shape.adjacency)
-                tasks = resources.count(rest, shape.per_task)
+                tasks = resources.task_capacity(rest, shape.per_task)
                 fits[scope] = fits.get(scope, 0) + tasks
         return any(tasks >= shape.tasks for tasks in fits.values())
 
@@ -366,7 +366,7 @@
         for cell in self.cells(account):
             spare = cell.spare_accelerators
             for worker, rest in cell.rest.items():
-                tasks = resources.count(rest, shape.per_task)
+                tasks = resources.task_capacity(rest, shape.per_task)
                 if not tasks or worker in avoid or worker not in self.room:
                     continue
                 use = Use(
@@ -375,7 +375,9 @@
                     tasks=min(tasks, shape.tasks),
                     per_task=shape.per_task,
                 )
-                at_once = resources.count(free.room(worker), shape.per_task)
+                at_once = resources.task_capacity(
+                    free.room(worker), shape.per_task
+                )
                 rank = (
                     not cell.held,
                     cell.shape != shape,
@@ -436,7 +438,7 @@
                 if (cell, worker) in seen:
                     continue
                 rest = cell.rest[worker]
-                fits = resources.count(rest, shape.per_task)
+                fits = resources.task_capacity(rest, shape.per_task)
                 tasks = min(left[worker], fits)
                 if not tasks:
                     continue
@@ -493,7 +495,7 @@
         shape: shapes.Shape,
         left: Mapping[ids.WorkerId, int],
     ) -> tuple[jobs.TaskGroup, ...]:
-        each = resources.count(cell.shape.per_task, shape.per_task)
+        each = resources.task_capacity(cell.shape.per_task, shape.per_task)
         if not each:
             return ()
         groups = []
@@ -518,7 +520,8 @@
         left = cell.shape.tasks - sum(slots.values())
         per_task = cell.shape.per_task
         if any(
-            resources.count(self.room_beside_held(worker), per_task) < tasks
+            resources.task_capacity(self.room_beside_held(worker), per_task)
+            < tasks
             for worker, tasks in slots.items()
         ):
             return None
@@ -527,7 +530,7 @@
         for worker in self._near(next(iter(slots)), cell.shape.adjacency):
             room = self.room_beside_held(worker)
             used = slots.get(worker, 0)
-            more = min(resources.count(room, per_task) - used, left)
+            more = min(resources.task_capacity(room, per_task) - used, left)
             if more > 0:
                 slots[worker] = used + more
                 left -= more
@@ -645,17 +648,17 @@
     def _hold(self, cell: Cell, sign: int) -> None:
         for worker, tasks in cell.slots.items():
             amount = resources.scaled(cell.shape.per_task, sign * tasks)
-            held = self._held.get(worker, resources.NONE)
+            held = self._held.get(worker, resources.ZERO)
             self._held[worker] = resources.plus(held, amount)
 
     def _commit(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
-        committed = self._committed.get(worker, resources.NONE)
+        committed = self._committed.get(worker, resources.ZERO)
         self._committed[worker] = resources.plus(committed, amount)
         self.room.set_room(worker, self._room(worker))
 
     def _room(self, worker: ids.WorkerId) -> jobs.Resources:
-        committed = self._committed.get(worker, resources.NONE)
-        capacity = self._capacity.get(worker, resources.NONE)
+        committed = self._committed.get(worker, resources.ZERO)
+        capacity = self._capacity.get(worker, resources.ZERO)
         return resources.minus(capacity, committed)
 
 
@@ -684,7 +687,7 @@
     uses: tuple[Use, ...], shape: shapes.Shape, free: pool.RoomIndex
 ) -> tuple:
     short = sum(
-        resources.count(free.room(use.worker), use.per_task) < use.tasks
+        resources.task_capacity(free.room(use.worker), use.per_task) < use.tasks
         for use in uses
     )
     opened = len({use.cell for use in uses if not use.cell.held})
--- a/citronmount/core/domain.py
+++ b/citronmount/core/domain.py
@@ -9,14 +9,14 @@
 from citronmount.core import estimates
 from citronmount.core import fragmentation
 from citronmount.core import guarantees
-from citronmount.core import health
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import ledger
 from citronmount.core import placement
 from citronmount.core import policy as policy_lib
 from citronmount.core import pool
-from citronmount.core import queueing
+from citronmount.core import quarantine
 from citronmount.core import ranking
 from citronmount.core import resources
 from citronmount.core import shapes
@@ -43,7 +43,7 @@
     def __init__(
         self,
         *,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         since_ms: int,
     ) -> None:
@@ -69,7 +69,7 @@
     def __init__(
         self,
         *,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         victims: set[ids.JobId],
     ) -> None:
@@ -103,12 +103,12 @@
         self.policy = policy_lib.get(policy)
         self.pool = pool.Pool()
         self.plan = cells.CellPlan()
-        self.queue = queueing.JobQueue()
+        self.queue = job_queue.JobQueue()
         self.placed: dict[ids.JobId, Placed] = {}
         self.claims: dict[ids.JobId, Claim] = {}
         self.ledger = ledger.Ledger()
         self.estimator = estimates.Estimator()
-        self.health = health.Health()
+        self.health = quarantine.Quarantine()
         self.mix = fragmentation.Mix()
         self.in_service = False
         self.unsettled: set[ids.AccountId] = set()
@@ -137,7 +137,7 @@
         """Returns the accelerators that a trial account may use here."""
         return self._allowances.get(account, 0)
 
-    def allows(self, entry: queueing.Entry) -> bool:
+    def allows(self, entry: job_queue.JobEntry) -> bool:
         """Returns whether an allowance leaves room for a trial job."""
         account = entry.spec.account
         used = self._trial_use[account] + entry.shape.accelerators
@@ -173,7 +173,7 @@
         self._classes = {
             a.name: a.account_class for a in configuration.accounts
         }
-        share = shares.share(configuration, failure_domain)
+        share = shares.share_of(configuration, failure_domain)
         self._allowances = share.allowances
         self._weigh(configuration, share, now_ms)
         if self.policy.guarantees:
@@ -192,7 +192,7 @@
             worker: A worker whose state or capacity may have changed.
             now_ms: Monotonic time.
         """
-        self.pool.set_closed(worker, not self.health.is_open(worker))
+        self.pool.set_closed(worker, not self.health.accepts_jobs(worker))
         self.secured = False
         if self.pool.usable(worker):
             self.plan.set_worker(
@@ -207,7 +207,7 @@
 
     def place(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
         uses: tuple[cells.Use, ...] = (),
@@ -223,7 +223,7 @@
 
     def claim(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
         uses: tuple[cells.Use, ...],
@@ -281,28 +281,28 @@
 
     def enqueue(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         now_ms: int,
         press_at_ms: int | None = None,
     ) -> None:
         """Queues an entry."""
         account = entry.spec.account
         entry.queued_ms = now_ms
-        entry.patient_until_ms = None
+        entry.delay_until_ms = None
         if not self.queue.size(account):
-            self.ledger.wake(account, self.queue.accounts(), now_ms)
-        self.queue.add(entry, press_at_ms=press_at_ms)
+            self.ledger.resume(account, self.queue.accounts(), now_ms)
+        self.queue.add(entry, promote_at_ms=press_at_ms)
 
     def end_of(self, placed: Placed, now_ms: int) -> int:
         """Returns when a placed job is expected to end."""
-        left_ms = self.estimator.left_ms(
+        left_ms = self.estimator.remaining_ms(
             placed.entry.spec,
             placed.entry.progress,
             max(now_ms - placed.since_ms, 0),
         )
         return now_ms + left_ms
 
-    def key(self, entry: queueing.Entry, now_ms: int) -> placement.Key:
+    def key(self, entry: job_queue.JobEntry, now_ms: int) -> placement.Key:
         """Returns the ranking of workers for a job.
 
         Args:
@@ -313,7 +313,7 @@
             mix=self.mix,
             timeline=functools.partial(self._timeline, now_ms),
             now_ms=now_ms,
-            run_ms=self.estimator.run_ms(entry.spec, entry.progress),
+            run_ms=self.estimator.expected_run_ms(entry.spec, entry.progress),
         )
         return self.policy.key(ranked)
 
@@ -368,35 +368,35 @@
 
     def _take(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
         uses: tuple[cells.Use, ...],
     ) -> None:
         spec = entry.spec
-        entry.tried = True
+        entry.placed_before = True
         self._forget_timelines(groups)
         self.pool.take(spec.job, spec.per_task, groups)
-        self.ledger.change(spec.account, entry.shape.accelerators, now_ms)
+        self.ledger.add_held(spec.account, entry.shape.accelerators, now_ms)
         if self.is_trial(spec.account):
             self._trial_use[spec.account] += entry.shape.accelerators
-            entry.counted_as_trial = True
+            entry.counts_against_allowance = True
         if uses:
             self.plan.bind(spec.job, uses)
 
     def _give_back(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
     ) -> None:
         spec = entry.spec
         self._forget_timelines(groups)
         self.pool.give_back(spec.job, spec.per_task, groups)
-        self.ledger.change(spec.account, -entry.shape.accelerators, now_ms)
-        if entry.counted_as_trial:
+        self.ledger.add_held(spec.account, -entry.shape.accelerators, now_ms)
+        if entry.counts_against_allowance:
             self._trial_use[spec.account] -= entry.shape.accelerators
-            entry.counted_as_trial = False
+            entry.counts_against_allowance = False
         if self.plan.holds(spec.job):
             self.plan.release(spec.job)
             self.unsettled.add(spec.account)
@@ -425,13 +425,13 @@
         now_ms: int,
     ) -> None:
         for group in groups:
-            if self.health.placed(job, group.worker):
+            if self.health.record_placement(job, group.worker):
                 self.refresh_worker(group.worker, now_ms)
 
     def _weigh(
         self,
         configuration: configuration_lib.Configuration,
-        share: shares.Share,
+        share: shares.DomainShare,
         now_ms: int,
     ) -> None:
         weights: collections.Counter[ids.AccountId] = collections.Counter()
@@ -442,14 +442,14 @@
         for part in share.guarantees:
             here[part.account] += part.copies * part.shape.accelerators
         for account in self._classes:
-            self.ledger.set_due(
+            self.ledger.set_entitlement(
                 account,
                 weight=weights[account],
                 guaranteed=here[account],
                 now_ms=now_ms,
             )
 
-    def _require(self, share: shares.Share, now_ms: int) -> None:
+    def _require(self, share: shares.DomainShare, now_ms: int) -> None:
         wanted = {
             (account, shape): copies
             for (account, shape), copies in guarantees.cells_wanted(
--- a/citronmount/core/estimates.py
+++ b/citronmount/core/estimates.py
@@ -23,7 +23,7 @@
         """Initializes an estimator that believes every declaration."""
         self._log2_ratio: dict[ids.AccountId, float] = {}
 
-    def run_ms(self, spec: jobs.JobSpec, progress: float = 0.0) -> int:
+    def expected_run_ms(self, spec: jobs.JobSpec, progress: float = 0.0) -> int:
         """Returns the expected run time of a job from a saved state.
 
         Args:
@@ -37,7 +37,9 @@
         whole_ms = max(spec.run_time_s, 0.0) * 1000 * ratio
         return max(1, int(whole_ms * (1 - min(max(progress, 0.0), 1.0))))
 
-    def left_ms(self, spec: jobs.JobSpec, progress: float, ran_ms: int) -> int:
+    def remaining_ms(
+        self, spec: jobs.JobSpec, progress: float, ran_ms: int
+    ) -> int:
         """Returns how long a running job is expected to go on.
 
         A job that has overrun is expected to go on for a share of the time
@@ -51,7 +53,7 @@
         Returns:
             Milliseconds, at least 1.
         """
-        left_ms = self.run_ms(spec, progress) - ran_ms
+        left_ms = self.expected_run_ms(spec, progress) - ran_ms
         return max(1, left_ms, int(ran_ms * _OVERRUN_SHARE))
 
     def observe(
--- a/citronmount/core/fragmentation.py
+++ b/citronmount/core/fragmentation.py
@@ -117,7 +117,7 @@
     free = max(room.accelerators, 0)
     if not unit.accelerators:
         return 0
-    return free - resources.count(room, unit) * unit.accelerators
+    return free - resources.task_capacity(room, unit) * unit.accelerators
 
 
 def share_unusable(
@@ -156,7 +156,10 @@
     else:
         groups = [list(index)]
     gangs = sum(
-        sum(resources.count(index.room(w), shape.per_task) for w in group)
+        sum(
+            resources.task_capacity(index.room(w), shape.per_task)
+            for w in group
+        )
         // shape.tasks
         for group in groups
     )
--- a/citronmount/core/guaranteed.py
+++ b/citronmount/core/guaranteed.py
@@ -8,10 +8,10 @@
 from citronmount.core import decisions
 from citronmount.core import domain as domain_lib
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import placement
 from citronmount.core import policy as policy_lib
-from citronmount.core import queueing
 from citronmount.core import reclaim
 from citronmount.core import resources
 from citronmount.core import shapes
@@ -119,7 +119,7 @@
     found: list[decisions.Decision] = []
     failed: set[shapes.Shape] = set()
     passing = backfill.OwnRoom(domain, account, now_ms)
-    scan = itertools.islice(domain.queue.of_account(account), SCAN_LIMIT)
+    scan = itertools.islice(domain.queue.account_entries(account), SCAN_LIMIT)
     for entry in list(scan):
         if entry.shape in failed or not passing.lets(entry):
             continue
@@ -136,7 +136,7 @@
 
 
 def _place_entry(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_lib.Domain, entry: job_queue.JobEntry, now_ms: int
 ) -> list[decisions.Decision] | None:
     """Returns None if the job found no room in its account's cells."""
     uses = _find(domain, entry, now_ms)
@@ -158,17 +158,17 @@
 
 
 def _find(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_lib.Domain, entry: job_queue.JobEntry, now_ms: int
 ) -> tuple[cells.Use, ...] | None:
     tries = (
         siting.find(domain, entry, avoid, now_ms)
-        for avoid in entry.avoidances(now_ms)
+        for avoid in entry.avoided_worker_sets(now_ms)
     )
     return next((uses for uses in tries if uses is not None), None)
 
 
 def _find_by_demotion(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_lib.Domain, entry: job_queue.JobEntry, now_ms: int
 ) -> tuple[cells.Use, ...] | None:
     """Gives an urgent job the cells of later jobs of its account.
 
@@ -188,7 +188,7 @@
 
 
 def _demotable(
-    domain: domain_lib.Domain, entry: queueing.Entry
+    domain: domain_lib.Domain, entry: job_queue.JobEntry
 ) -> list[ids.JobId]:
     """Returns small jobs in the account's cells, the latest first."""
     widest = _MAX_DEMOTED_SIZE * entry.shape.accelerators
@@ -211,13 +211,13 @@
 
 
 def _find_outside(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_lib.Domain, entry: job_queue.JobEntry, now_ms: int
 ) -> tuple[jobs.TaskGroup, ...] | None:
     return placement.find(
         domain.pool.free,
         entry.shape,
         key=domain.key(entry, now_ms),
-        avoid=entry.avoidances(now_ms)[0],
+        avoid=entry.avoided_worker_sets(now_ms)[0],
     )
 
 
@@ -237,7 +237,7 @@
     need: dict[ids.WorkerId, jobs.Resources] = {}
     for use in uses:
         amount = resources.scaled(use.per_task, use.tasks)
-        before = need.get(use.worker, resources.NONE)
+        before = need.get(use.worker, resources.ZERO)
         need[use.worker] = resources.plus(before, amount)
     return need
 
@@ -254,7 +254,7 @@
 
 def _reclaim(
     domain: domain_lib.Domain,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     uses: tuple[cells.Use, ...],
     now_ms: int,
 ) -> list[decisions.Decision] | None:
@@ -296,7 +296,7 @@
 
 
 def _decision(
-    entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+    entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
 ) -> decisions.PlaceJob:
     return decisions.PlaceJob(
         job=entry.spec.job, placement=jobs.Placement(groups=groups)
--- a/citronmount/core/guarantees.py
+++ b/citronmount/core/guarantees.py
@@ -13,7 +13,7 @@
 
 
 def cells_wanted(
-    share: shares.Share,
+    share: shares.DomainShare,
 ) -> dict[tuple[ids.AccountId, shapes.Shape], int]:
     """Counts the cells that a failure domain must keep reclaimable.
 
--- a/citronmount/core/queueing.py
+++ b/citronmount/core/job_queue.py
@@ -10,62 +10,62 @@
 from citronmount.core import jobs
 from citronmount.core import shapes
 
-__all__ = ["Entry", "JobQueue", "Lane"]
+__all__ = ["JobEntry", "JobQueue", "Priority"]
 
 _ATTAINED_LIMITS_MS = (8 * 3_600_000, 128 * 3_600_000)
 _COMPACT_AT = 1_024
 
 
-class Lane(enum.IntEnum):
+class Priority(enum.IntEnum):
     """Lanes of an account's queue, first served first."""
 
     URGENT = 0
-    PRESSED = 1
+    NEAR_DEADLINE = 1
     NEW = 2
-    SERVED = 3
+    PARTLY_SERVED = 3
     LONG_SERVED = 4
 
 
-class Entry:
+class JobEntry:
     """A job in the queue or placed, with what its attempts have shown.
 
     Attributes:
         spec: The job.
         shape: Its gang.
         sequence: Its place in the order of submission.
-        look_again_ms: When a job that so waits is looked at again.
-        patient_until_ms: Until when it waits for a less scattered place.
+        next_check_ms: When a job that so waits is looked at again.
+        delay_until_ms: Until when it waits for a less scattered place.
         progress: Saved share of its work.
         attained_ms: Accelerator milliseconds that it was served.
-        failed_on: Workers at which it failed.
-        failures: Attempts that ran and failed.
-        setbacks: Attempts that failed, those that never started included.
-        retry_ms: When it may be tried again at workers at which it failed.
+        failed_workers: Workers at which it failed.
+        failed_runs: Attempts that ran and failed.
+        failed_attempts: Failed attempts, including those that never started.
+        retry_at_ms: When it may be tried again at workers at which it failed.
         queued_ms: When it came into the queue last.
-        ran: Whether a task of it ever started.
-        reclaim_ms: When it may take room back from trials.
-        tried: Whether it was placed before.
-        counted_as_trial: Whether it counts against an allowance at present.
+        has_started: Whether a task of it ever started.
+        reclaim_from_ms: When it may take room back from trials.
+        placed_before: Whether it was placed before.
+        counts_against_allowance: Whether a trial allowance is charged now.
     """
 
     __slots__ = (
         "attained_ms",
-        "counted_as_trial",
-        "failed_on",
-        "failures",
-        "lane",
-        "look_again_ms",
-        "patient_until_ms",
+        "counts_against_allowance",
+        "delay_until_ms",
+        "failed_attempts",
+        "failed_runs",
+        "failed_workers",
+        "has_started",
+        "next_check_ms",
+        "placed_before",
+        "priority",
         "progress",
         "queued_ms",
-        "ran",
-        "reclaim_ms",
-        "retry_ms",
+        "reclaim_from_ms",
+        "retry_at_ms",
         "sequence",
-        "setbacks",
         "shape",
         "spec",
-        "tried",
     )
 
     def __init__(
@@ -77,28 +77,30 @@
         self.sequence = sequence
         self.progress = progress
         self.attained_ms = 0
-        self.failed_on: frozenset[ids.WorkerId] = frozenset()
-        self.failures = 0
-        self.setbacks = 0
-        self.retry_ms = 0
+        self.failed_workers: frozenset[ids.WorkerId] = frozenset()
+        self.failed_runs = 0
+        self.failed_attempts = 0
+        self.retry_at_ms = 0
         self.queued_ms = 0
-        self.reclaim_ms = 0
-        self.ran = progress > 0
-        self.tried = self.ran
-        self.counted_as_trial = False
-        self.lane = Lane.NEW
-        self.patient_until_ms: int | None = None
-        self.look_again_ms = 0
-
-    def avoidances(self, now_ms: int) -> tuple[frozenset[ids.WorkerId], ...]:
+        self.reclaim_from_ms = 0
+        self.has_started = progress > 0
+        self.placed_before = self.has_started
+        self.counts_against_allowance = False
+        self.priority = Priority.NEW
+        self.delay_until_ms: int | None = None
+        self.next_check_ms = 0
+
+    def avoided_worker_sets(
+        self, now_ms: int
+    ) -> tuple[frozenset[ids.WorkerId], ...]:
         """Returns sets of workers to avoid, to be tried in order.
 
         Args:
             now_ms: Monotonic time.
         """
-        if not self.failed_on or now_ms < self.retry_ms:
-            return (self.failed_on,)
-        return (self.failed_on, frozenset())
+        if not self.failed_workers or now_ms < self.retry_at_ms:
+            return (self.failed_workers,)
+        return (self.failed_workers, frozenset())
 
 
 class JobQueue:
@@ -112,16 +114,16 @@
 
     def __init__(self) -> None:
         """Initializes an empty queue."""
-        self._entries: collections.OrderedDict[ids.JobId, Entry] = (
+        self._entries: collections.OrderedDict[ids.JobId, JobEntry] = (
             collections.OrderedDict()
         )
         self._lanes: dict[
             ids.AccountId,
-            dict[Lane, collections.OrderedDict[ids.JobId, Entry]],
+            dict[Priority, collections.OrderedDict[ids.JobId, JobEntry]],
         ] = {}
         self._sizes: collections.Counter[ids.AccountId] = collections.Counter()
-        self._deadlines: list[tuple[int, int, Entry]] = []
-        self._presses: list[tuple[int, int, Entry]] = []
+        self._deadlines: list[tuple[int, int, JobEntry]] = []
+        self._presses: list[tuple[int, int, JobEntry]] = []
         self._counter = itertools.count()
         self.accelerators = 0
 
@@ -133,13 +135,13 @@
         """Returns whether a job is queued."""
         return job in self._entries
 
-    def __iter__(self) -> Iterator[Entry]:
+    def __iter__(self) -> Iterator[JobEntry]:
         """Iterates over all entries, accounts in turn, each in its order."""
         return itertools.chain.from_iterable(
-            self.of_account(account) for account in self._lanes
+            self.account_entries(account) for account in self._lanes
         )
 
-    def get(self, job: ids.JobId) -> Entry | None:
+    def get(self, job: ids.JobId) -> JobEntry | None:
         """Returns the entry of a queued job."""
         return self._entries.get(job)
 
@@ -151,25 +153,25 @@
         """Returns the accounts that have queued jobs."""
         return list(self._lanes)
 
-    def of_account(self, account: ids.AccountId) -> Iterator[Entry]:
+    def account_entries(self, account: ids.AccountId) -> Iterator[JobEntry]:
         """Iterates over the entries of an account in their order."""
         lanes = self._lanes.get(account, {})
-        for lane in Lane:
+        for lane in Priority:
             yield from lanes.get(lane, {}).values()
 
-    def by_submission(self) -> Iterator[Entry]:
+    def by_submission(self) -> Iterator[JobEntry]:
         """Iterates over all entries in the order of submission."""
         return iter(self._entries.values())
 
-    def add(self, entry: Entry, *, press_at_ms: int | None = None) -> None:
+    def add(self, entry: JobEntry, *, promote_at_ms: int | None = None) -> None:
         """Queues an entry; one that was queued before goes to the front.
 
         Args:
             entry: The entry.
-            press_at_ms: Wall-clock time from which its deadline presses.
+            promote_at_ms: Wall-clock time from which its deadline presses.
         """
         job = entry.spec.job
-        again = entry.tried
+        again = entry.placed_before
         self._entries[job] = entry
         self._sizes[entry.spec.account] += 1
         self.accelerators += entry.shape.accelerators
@@ -179,11 +181,11 @@
         if entry.spec.deadline_ms is not None:
             item = (entry.spec.deadline_ms, next(self._counter), entry)
             heapq.heappush(self._deadlines, item)
-        if press_at_ms is not None:
-            item = (press_at_ms, next(self._counter), entry)
+        if promote_at_ms is not None:
+            item = (promote_at_ms, next(self._counter), entry)
             heapq.heappush(self._presses, item)
 
-    def remove(self, job: ids.JobId) -> Entry | None:
+    def remove(self, job: ids.JobId) -> JobEntry | None:
         """Takes a job out of the queue.
 
         Args:
@@ -205,7 +207,7 @@
         self._compact()
         return entry
 
-    def expired(self, wall_ms: int) -> list[Entry]:
+    def pop_expired(self, wall_ms: int) -> list[JobEntry]:
         """Removes and returns the jobs whose deadline has passed."""
         return [
             entry
@@ -213,7 +215,7 @@
             if self.remove(entry.spec.job)
         ]
 
-    def press(self, wall_ms: int) -> bool:
+    def promote_near_deadline(self, wall_ms: int) -> bool:
         """Moves jobs whose deadline presses to their lane.
 
         Args:
@@ -224,14 +226,14 @@
         """
         due = self._due(self._presses, wall_ms)
         for entry in due:
-            if entry.lane > Lane.PRESSED:
+            if entry.priority > Priority.NEAR_DEADLINE:
                 self._take_from_lane(entry)
-                self._put(entry, Lane.PRESSED, False)
+                self._put(entry, Priority.NEAR_DEADLINE, False)
         return bool(due)
 
     def _due(
-        self, heap: list[tuple[int, int, Entry]], wall_ms: int
-    ) -> list[Entry]:
+        self, heap: list[tuple[int, int, JobEntry]], wall_ms: int
+    ) -> list[JobEntry]:
         due = []
         while heap and heap[0][0] <= wall_ms:
             entry = heapq.heappop(heap)[2]
@@ -239,16 +241,16 @@
                 due.append(entry)
         return due
 
-    def _put(self, entry: Entry, lane: Lane, first: bool) -> None:
-        entry.lane = lane
+    def _put(self, entry: JobEntry, lane: Priority, first: bool) -> None:
+        entry.priority = lane
         lanes = self._lanes.setdefault(entry.spec.account, {})
         jobs_of_lane = lanes.setdefault(lane, collections.OrderedDict())
         jobs_of_lane[entry.spec.job] = entry
         if first:
             jobs_of_lane.move_to_end(entry.spec.job, last=False)
 
-    def _take_from_lane(self, entry: Entry) -> None:
-        del self._lanes[entry.spec.account][entry.lane][entry.spec.job]
+    def _take_from_lane(self, entry: JobEntry) -> None:
+        del self._lanes[entry.spec.account][entry.priority][entry.spec.job]
 
     def _compact(self) -> None:
         for heap in (self._deadlines, self._presses):
@@ -261,8 +263,8 @@
                 heapq.heapify(heap)
 
 
-def _lane(entry: Entry) -> Lane:
+def _lane(entry: JobEntry) -> Priority:
     if entry.spec.urgent:
-        return Lane.URGENT
+        return Priority.URGENT
     served = sum(entry.attained_ms >= limit for limit in _ATTAINED_LIMITS_MS)
-    return Lane(Lane.NEW + served)
+    return Priority(Priority.NEW + served)
--- a/citronmount/core/ledger.py
+++ b/citronmount/core/ledger.py
@@ -41,7 +41,7 @@
         """Initializes an empty ledger."""
         self._served: dict[ids.AccountId, _Served] = {}
 
-    def set_due(
+    def set_entitlement(
         self,
         account: ids.AccountId,
         *,
@@ -61,13 +61,13 @@
         served.weight = max(weight, 1)
         served.guaranteed = guaranteed
 
-    def change(
+    def add_held(
         self, account: ids.AccountId, accelerators: int, now_ms: int
     ) -> None:
         """Adds to the accelerators that an account holds at present."""
         self._settle(account, now_ms).accelerators += accelerators
 
-    def wake(
+    def resume(
         self,
         account: ids.AccountId,
         others: list[ids.AccountId],
--- a/citronmount/core/leftover.py
+++ b/citronmount/core/leftover.py
@@ -9,11 +9,11 @@
 from citronmount.core import decisions
 from citronmount.core import domain as domain_lib
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import patience
 from citronmount.core import placement
 from citronmount.core import policy as policy_lib
-from citronmount.core import queueing
 from citronmount.core import reclaim
 from citronmount.core import resources
 from citronmount.core import shapes
@@ -44,7 +44,7 @@
 
 
 def would_place(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_lib.Domain, entry: job_queue.JobEntry, now_ms: int
 ) -> bool:
     """Returns whether `place` would start a job that is not queued yet.
 
@@ -82,7 +82,7 @@
         ] = {}
         self._reservation: backfill.Reservation | None = None
 
-    def visit(self, entry: queueing.Entry) -> Sequence[decisions.Decision]:
+    def visit(self, entry: job_queue.JobEntry) -> Sequence[decisions.Decision]:
         """Places a job, makes room for it or notes that it is blocked."""
         if not self._may_start(entry):
             return ()
@@ -99,30 +99,30 @@
         """Whether a blocked job has reserved room."""
         return self._reservation is not None
 
-    def note_blocked(self, entry: queueing.Entry) -> None:
+    def note_blocked(self, entry: job_queue.JobEntry) -> None:
         """Notes that a job is blocked, if it finds no room."""
         if self._may_start(entry) and self._find(entry) is None:
             self._block(entry)
 
-    def fits(self, entry: queueing.Entry) -> bool:
+    def fits(self, entry: job_queue.JobEntry) -> bool:
         """Returns whether a job would be placed at once."""
         groups = self._find(entry) if self._may_start(entry) else None
         return groups is not None and not (
             self._is_patient(entry) and self._waits(entry, groups)
         )
 
-    def _may_start(self, entry: queueing.Entry) -> bool:
+    def _may_start(self, entry: job_queue.JobEntry) -> bool:
         domain = self._domain
         if domain.is_trial(entry.spec.account) and not domain.allows(entry):
             return False
         return not patience.rests(entry, self._now_ms)
 
-    def _is_patient(self, entry: queueing.Entry) -> bool:
+    def _is_patient(self, entry: job_queue.JobEntry) -> bool:
         domain = self._domain
         return domain.policy.patient and domain.is_trial(entry.spec.account)
 
     def _place(
-        self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+        self, entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
     ) -> Sequence[decisions.PlaceJob]:
         domain = self._domain
         if self._is_patient(entry) and self._waits(entry, groups):
@@ -134,11 +134,13 @@
         return (decisions.PlaceJob(job=entry.spec.job, placement=placed),)
 
     def _waits(
-        self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+        self, entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
     ) -> bool:
         return patience.waits(self._domain, entry, groups, self._now_ms)
 
-    def _find(self, entry: queueing.Entry) -> tuple[jobs.TaskGroup, ...] | None:
+    def _find(
+        self, entry: job_queue.JobEntry
+    ) -> tuple[jobs.TaskGroup, ...] | None:
         limited = self._may_delay(entry)
         if {(entry.shape, False), (entry.shape, limited)} & self._failed:
             return None
@@ -147,21 +149,23 @@
             self._failed.add((entry.shape, limited))
         return groups
 
-    def _may_delay(self, entry: queueing.Entry) -> bool:
+    def _may_delay(self, entry: job_queue.JobEntry) -> bool:
         if self._reservation is None:
             return False
-        run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
+        run_ms = self._domain.estimator.expected_run_ms(
+            entry.spec, entry.progress
+        )
         return self._now_ms + run_ms > self._reservation.start_ms
 
     def _search(
-        self, entry: queueing.Entry, limited: bool, *, narrow: bool = False
+        self, entry: job_queue.JobEntry, limited: bool, *, narrow: bool = False
     ) -> tuple[jobs.TaskGroup, ...] | None:
         domain = self._domain
         key = domain.key(entry, self._now_ms)
         if narrow:
             key = placement.fewest_workers(key)
         limit = self._limit if limited else None
-        for avoid in entry.avoidances(self._now_ms):
+        for avoid in entry.avoided_worker_sets(self._now_ms):
             groups = placement.find(
                 domain.pool.free,
                 entry.shape,
@@ -177,7 +181,7 @@
         return self._reservation.limit(self._domain, worker, self._now_ms)
 
     def _reclaim(
-        self, entry: queueing.Entry
+        self, entry: job_queue.JobEntry
     ) -> list[decisions.EvictJob] | None:
         """Evicts work of less right; None if the job gets no room by it."""
         domain = self._domain
@@ -194,7 +198,7 @@
         return made
 
     def _from_trials(
-        self, entry: queueing.Entry
+        self, entry: job_queue.JobEntry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
         if entry.shape in self._unreclaimable:
             return (), None
@@ -203,7 +207,7 @@
             entry.shape,
             key=placement.best_fit,
             limit=self._unreserved,
-            avoid=entry.avoidances(self._now_ms)[0],
+            avoid=entry.avoided_worker_sets(self._now_ms)[0],
         )
         victims = None
         if groups:
@@ -216,7 +220,7 @@
         return groups or (), victims
 
     def _from_own_jobs(
-        self, entry: queueing.Entry
+        self, entry: job_queue.JobEntry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
         """Finds a later job of the account on one worker to give way."""
         total = entry.shape.total
@@ -250,23 +254,23 @@
             if self._domain.revocable(pair[0])
         ]
 
-    def _waited(self, entry: queueing.Entry) -> bool:
+    def _waited(self, entry: job_queue.JobEntry) -> bool:
         if not self._domain.policy.guarantees:
             return False
         if entry.spec.urgent:
             return True
         due_ms = entry.queued_ms + RECLAIM_AFTER_MS
-        if self._now_ms < due_ms and entry.reclaim_ms != due_ms:
-            entry.reclaim_ms = due_ms
+        if self._now_ms < due_ms and entry.reclaim_from_ms != due_ms:
+            entry.reclaim_from_ms = due_ms
             heapq.heappush(self._domain.wake_ups, due_ms)
         return self._now_ms >= due_ms
 
     def _unreserved(self, worker: ids.WorkerId) -> jobs.Resources:
         if self._reservation and worker in self._reservation.need:
-            return resources.NONE
+            return resources.ZERO
         return self._domain.pool.lendable.room(worker)
 
-    def _block(self, entry: queueing.Entry) -> None:
+    def _block(self, entry: job_queue.JobEntry) -> None:
         backfills = self._domain.policy.backfill
         if backfills is policy_lib.Backfill.NONE:
             self.over = True
@@ -279,7 +283,7 @@
 
 
 def _need(
-    entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+    entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
 ) -> dict[ids.WorkerId, jobs.Resources]:
     per_task = entry.spec.per_task
     return {
@@ -290,7 +294,7 @@
 
 def _in_order(
     domain: domain_lib.Domain, now_ms: int
-) -> Iterator[queueing.Entry]:
+) -> Iterator[job_queue.JobEntry]:
     if domain.policy.order is policy_lib.Order.SUBMISSION:
         return iter(
             list(itertools.islice(domain.queue.by_submission(), SCAN_LIMIT))
@@ -300,11 +304,15 @@
 
 def _fair_order(
     domain: domain_lib.Domain, now_ms: int
-) -> Iterator[queueing.Entry]:
+) -> Iterator[job_queue.JobEntry]:
     """Yields the next job of the account furthest behind, paying first."""
     scans = {
         account: iter(
-            list(itertools.islice(domain.queue.of_account(account), SCAN_LIMIT))
+            list(
+                itertools.islice(
+                    domain.queue.account_entries(account), SCAN_LIMIT
+                )
+            )
         )
         for account in domain.queue.accounts()
     }
@@ -327,15 +335,15 @@
 def _item(
     domain: domain_lib.Domain,
     account: ids.AccountId,
-    scan: Iterator[queueing.Entry],
+    scan: Iterator[job_queue.JobEntry],
     now_ms: int,
-) -> tuple[tuple, ids.AccountId, queueing.Entry] | None:
+) -> tuple[tuple, ids.AccountId, job_queue.JobEntry] | None:
     entry = next(scan, None)
     if entry is None:
         return None
     rank = (
         domain.is_trial(account),
-        min(entry.lane, queueing.Lane.NEW),
+        min(entry.priority, job_queue.Priority.NEW),
         domain.ledger.rank(account, now_ms),
     )
     return (rank, account, entry)
--- a/citronmount/core/outlook.py
+++ b/citronmount/core/outlook.py
@@ -1,14 +1,14 @@
 """Tells whether a job would start at once, without deciding anything."""
 
 from citronmount.core import domain as domain_lib
+from citronmount.core import job_queue
 from citronmount.core import leftover
-from citronmount.core import queueing
 
 __all__ = ["would_start"]
 
 
 def would_start(
-    domain: domain_lib.Domain, entry: queueing.Entry, now_ms: int
+    domain: domain_lib.Domain, entry: job_queue.JobEntry, now_ms: int
 ) -> bool:
     """Returns whether a new job would be placed or get room evicted now.
 
--- a/citronmount/core/patience.py
+++ b/citronmount/core/patience.py
@@ -11,8 +11,8 @@
 
 from citronmount.core import domain as domain_lib
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
-from citronmount.core import queueing
 from citronmount.core import resources
 
 __all__ = ["rests", "waits"]
@@ -25,19 +25,19 @@
 _WORKERS_SEEN = 64
 
 
-def rests(entry: queueing.Entry, now_ms: int) -> bool:
+def rests(entry: job_queue.JobEntry, now_ms: int) -> bool:
     """Returns whether a waiting job was looked at a moment ago."""
-    waiting = entry.patient_until_ms is not None
+    waiting = entry.delay_until_ms is not None
     return (
         waiting
-        and now_ms < entry.patient_until_ms
-        and now_ms < entry.look_again_ms
+        and now_ms < entry.delay_until_ms
+        and now_ms < entry.next_check_ms
     )
 
 
 def waits(
     domain: domain_lib.Domain,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
 ) -> bool:
@@ -49,22 +49,22 @@
         groups: Where it could start.
         now_ms: Monotonic time.
     """
-    run_ms = domain.estimator.run_ms(entry.spec, entry.progress)
-    if entry.lane < queueing.Lane.NEW or run_ms < MIN_RUN_MS:
+    run_ms = domain.estimator.expected_run_ms(entry.spec, entry.progress)
+    if entry.priority < job_queue.Priority.NEW or run_ms < MIN_RUN_MS:
         return False
     if not _scatters(domain, entry, groups, now_ms, run_ms):
         return False
-    if entry.patient_until_ms is None:
+    if entry.delay_until_ms is None:
         wait_ms = min(int(run_ms * RUN_TIME_SHARE), MAX_WAIT_MS)
-        entry.patient_until_ms = now_ms + wait_ms
-        heapq.heappush(domain.wake_ups, entry.patient_until_ms)
-    entry.look_again_ms = now_ms + LOOK_AGAIN_MS
-    return now_ms < entry.patient_until_ms
+        entry.delay_until_ms = now_ms + wait_ms
+        heapq.heappush(domain.wake_ups, entry.delay_until_ms)
+    entry.next_check_ms = now_ms + LOOK_AGAIN_MS
+    return now_ms < entry.delay_until_ms
 
 
 def _scatters(
     domain: domain_lib.Domain,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
     run_ms: int,
@@ -81,14 +81,14 @@
         for worker in itertools.islice(domain.pool.free, _WORKERS_SEEN)
     )
     capacity = domain.pool.capacity(groups[0].worker)
-    each = max(resources.count(capacity, entry.shape.per_task), 1)
+    each = max(resources.task_capacity(capacity, entry.shape.per_task), 1)
     alone = max(entry.shape.tasks - joined, 0)
     return outlasted > -(-alone // each)
 
 
 def _room_beside_long_jobs(
     domain: domain_lib.Domain,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     worker: ids.WorkerId,
     now_ms: int,
     late_ms: int,
@@ -97,4 +97,4 @@
     if domain.busy_until(worker, now_ms) < late_ms:
         return 0
     room = domain.room_at(worker, now_ms, late_ms)
-    return resources.count(room, entry.shape.per_task)
+    return resources.task_capacity(room, entry.shape.per_task)
--- a/citronmount/core/placement.py
+++ b/citronmount/core/placement.py
@@ -160,8 +160,8 @@
             return 0
         room = self._index.room(worker)
         if self._limit is not None:
-            room = resources.smaller(room, self._limit(worker))
-        return resources.count(room, self._shape.per_task)
+            room = resources.minimum(room, self._limit(worker))
+        return resources.task_capacity(room, self._shape.per_task)
 
     def _fill(
         self, found: list[tuple[ids.WorkerId, int]]
--- a/citronmount/core/pool.py
+++ b/citronmount/core/pool.py
@@ -42,7 +42,7 @@
 
     def room(self, worker: ids.WorkerId) -> jobs.Resources:
         """Returns the room of a worker, none if it is not in the index."""
-        return self._room.get(worker, resources.NONE)
+        return self._room.get(worker, resources.ZERO)
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId | None:
         """Returns the rack of a worker of the index."""
@@ -171,7 +171,7 @@
     def capacity(self, worker: ids.WorkerId) -> jobs.Resources:
         """Returns the capacity of a worker, none if it is not listed."""
         listed = self._listed.get(worker)
-        return listed.capacity if listed else resources.NONE
+        return listed.capacity if listed else resources.ZERO
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId:
         """Returns the rack of a worker."""
@@ -263,15 +263,15 @@
     ) -> None:
         """Notes that room in use may be taken back, or not if negative."""
         for group in groups:
-            lent = self._lent.get(group.worker, resources.NONE)
+            lent = self._lent.get(group.worker, resources.ZERO)
             amount = resources.scaled(per_task, group.tasks)
             self._lent[group.worker] = resources.plus(lent, amount)
-            if self._lent[group.worker] == resources.NONE:
+            if self._lent[group.worker] == resources.ZERO:
                 del self._lent[group.worker]
             self._index(group.worker)
 
     def _use(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
-        used = self._used.get(worker, resources.NONE)
+        used = self._used.get(worker, resources.ZERO)
         self._used[worker] = resources.plus(used, amount)
         if not self._jobs[worker]:
             del self._jobs[worker]
@@ -280,12 +280,12 @@
 
     def _index(self, worker: ids.WorkerId) -> None:
         free = self._free(worker)
-        lent = self._lent.get(worker, resources.NONE)
+        lent = self._lent.get(worker, resources.ZERO)
         self.free.set_room(worker, free)
         self.lendable.set_room(worker, resources.plus(free, lent))
 
     def _free(self, worker: ids.WorkerId) -> jobs.Resources:
-        used = self._used.get(worker, resources.NONE)
+        used = self._used.get(worker, resources.ZERO)
         return resources.minus(self.capacity(worker), used)
 
     def _refresh(self, worker: ids.WorkerId) -> None:
--- a/citronmount/core/health.py
+++ b/citronmount/core/quarantine.py
@@ -5,7 +5,7 @@
 
 from citronmount.core import ids
 
-__all__ = ["Health"]
+__all__ = ["Quarantine"]
 
 QUARANTINE_JOBS = 3
 QUARANTINE_MS = 60_000
@@ -31,7 +31,7 @@
         self.probe: ids.JobId | None = None
 
 
-class Health:
+class Quarantine:
     """Quarantines workers at which distinct jobs fail.
 
     Failures of an account whose jobs fail on most workers that they reach say
@@ -55,14 +55,14 @@
             if record.gate is not None
         )
 
-    def is_open(self, worker: ids.WorkerId) -> bool:
+    def accepts_jobs(self, worker: ids.WorkerId) -> bool:
         """Returns whether the worker may get a job now."""
         record = self._records.get(worker)
         if record is None or record.gate is None:
             return True
         return record.gate is _Gate.PROBING and record.probe is None
 
-    def placed(self, job: ids.JobId, worker: ids.WorkerId) -> bool:
+    def record_placement(self, job: ids.JobId, worker: ids.WorkerId) -> bool:
         """Notes that a job was placed; returns whether it is a probe."""
         record = self._records.get(worker)
         if record is None or record.gate is not _Gate.PROBING:
@@ -70,7 +70,7 @@
         record.probe = job
         return True
 
-    def succeeded(
+    def record_success(
         self, job: ids.JobId, account: ids.AccountId, worker: ids.WorkerId
     ) -> bool:
         """Notes that tasks of a job ran well at a worker.
@@ -93,7 +93,7 @@
         del self._records[worker]
         return record.gate is not None
 
-    def failed(
+    def record_failure(
         self,
         job: ids.JobId,
         account: ids.AccountId,
@@ -124,13 +124,13 @@
             return True
         return False
 
-    def retract(self, job: ids.JobId) -> None:
+    def discard_failures(self, job: ids.JobId) -> None:
         """Forgets the failures of a job that fails everywhere."""
         for record in self._records.values():
             if record.gate is None:
                 record.failed_jobs.discard(job)
 
-    def released(self, job: ids.JobId) -> list[ids.WorkerId]:
+    def release_probes(self, job: ids.JobId) -> list[ids.WorkerId]:
         """Notes that a job ended without a verdict.
 
         Args:
@@ -146,7 +146,7 @@
                 freed.append(worker)
         return freed
 
-    def due(self, now_ms: int) -> list[ids.WorkerId]:
+    def start_due_probes(self, now_ms: int) -> list[ids.WorkerId]:
         """Opens workers whose quarantine is over for a probe.
 
         Args:
--- a/citronmount/core/reclaim.py
+++ b/citronmount/core/reclaim.py
@@ -5,8 +5,8 @@
 from citronmount.core import decisions
 from citronmount.core import domain as domain_lib
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
-from citronmount.core import queueing
 from citronmount.core import resources
 
 __all__ = [
@@ -63,7 +63,7 @@
 
 def evict(
     domain: domain_lib.Domain,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     need: Mapping[ids.WorkerId, jobs.Resources],
     victims: list[ids.JobId],
 ) -> tuple[list[decisions.EvictJob], set[ids.JobId]]:
@@ -193,7 +193,7 @@
     return {
         worker: missing
         for worker, missing in left.items()
-        if not resources.covers(resources.NONE, _positive(missing))
+        if not resources.covers(resources.ZERO, _positive(missing))
     }
 
 
--- a/citronmount/core/request_decisions.py
+++ b/citronmount/core/request_decisions.py
@@ -40,7 +40,7 @@
     """Pass the request to a peer VM that has free slots.
 
     The request has left the queue. What the peer answered, or that it did
-    not, is told by `RequestRouter.peer_answered`.
+    not, is told by `RequestRouter.record_peer_answer`.
 
     Attributes:
         request: The request.
--- a/citronmount/core/short_requests.py
+++ b/citronmount/core/request_router.py
@@ -153,7 +153,7 @@
         """
         self._queue.set_class(account, account_class)
 
-    def peer_free_slots(self, vm: ids.VmId, free: int) -> None:
+    def set_peer_free_slots(self, vm: ids.VmId, free: int) -> None:
         """Notes how many slots a peer of the failure domain has free.
 
         Args:
@@ -214,7 +214,7 @@
         out.extend(request_decisions.Finish(result=r) for r in finished)
         return out
 
-    def answered(
+    def record_answer(
         self,
         request: ids.RequestId,
         runner: ids.RunnerId,
@@ -258,7 +258,7 @@
         else:
             self._not_run(live, held)
 
-    def peer_answered(
+    def record_peer_answer(
         self,
         request: ids.RequestId,
         result: jobs.RequestResult | None,
@@ -315,11 +315,11 @@
             return 0
         return self._slots.free(self._now_ms)
 
-    def queued(self) -> int:
+    def queued_count(self) -> int:
         """Returns how many requests wait for a slot."""
         return len(self._queue)
 
-    def outstanding(self) -> int:
+    def outstanding_count(self) -> int:
         """Returns how many sends hold a slot."""
         return self._outstanding
 
--- a/citronmount/core/request_slots.py
+++ b/citronmount/core/request_slots.py
@@ -16,7 +16,7 @@
 from citronmount.core import states
 from citronmount.services import messages
 
-__all__ = ["RunnerSlots", "deal_shares"]
+__all__ = ["RunnerSlots", "split_evenly"]
 
 EJECT_AFTER_FAILURES = 3
 EJECT_ONE_ACCOUNT_AFTER_FAILURES = 9
@@ -28,7 +28,7 @@
 HEDGE_SPARE_SHARE = 0.2
 
 
-def deal_shares(
+def split_evenly(
     amounts: tuple[int, ...], index: int, count: int
 ) -> tuple[int, ...]:
     """Returns one VM's share of each amount.
@@ -45,7 +45,7 @@
         The share of each amount.
 
     Example:
-        >>> [deal_shares((8, 8), i, 3) for i in range(3)]
+        >>> [split_evenly((8, 8), i, 3) for i in range(3)]
         [(3, 3), (3, 2), (2, 3)]
     """
     starts = itertools.accumulate(
@@ -320,8 +320,8 @@
         connections = tuple(target.connections for target in self._listed)
         shares = zip(
             self._listed,
-            deal_shares(slots, self._index, self._count),
-            deal_shares(connections, self._index, self._count),
+            split_evenly(slots, self._index, self._count),
+            split_evenly(connections, self._index, self._count),
             strict=True,
         )
         for target, slot_share, connection_share in shares:
--- a/citronmount/core/resources.py
+++ b/citronmount/core/resources.py
@@ -2,9 +2,17 @@
 
 from citronmount.core import jobs
 
-__all__ = ["NONE", "count", "covers", "minus", "plus", "scaled", "smaller"]
-
-NONE = jobs.Resources()
+__all__ = [
+    "ZERO",
+    "covers",
+    "minimum",
+    "minus",
+    "plus",
+    "scaled",
+    "task_capacity",
+]
+
+ZERO = jobs.Resources()
 _UNBOUNDED = 1 << 30
 
 
@@ -37,7 +45,7 @@
     return _make(a.accelerators * times, a.cores * times, a.memory_gb * times)
 
 
-def smaller(a: jobs.Resources, b: jobs.Resources) -> jobs.Resources:
+def minimum(a: jobs.Resources, b: jobs.Resources) -> jobs.Resources:
     """Returns the smaller of two vectors in each part."""
     return _make(
         min(a.accelerators, b.accelerators),
@@ -55,7 +63,7 @@
     )
 
 
-def count(have: jobs.Resources, per_task: jobs.Resources) -> int:
+def task_capacity(have: jobs.Resources, per_task: jobs.Resources) -> int:
     """Returns how many tasks fit into a vector.
 
     Args:
@@ -66,7 +74,7 @@
         The number of tasks, at least 0.
 
     Example:
-        >>> count(
+        >>> task_capacity(
         ...     jobs.Resources(accelerators=8, cores=10),
         ...     jobs.Resources(accelerators=2, cores=4),
         ... )
--- a/citronmount/core/scheduler.py
+++ b/citronmount/core/scheduler.py
@@ -5,19 +5,19 @@
 
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import admission
+from citronmount.core import attempt_outcomes
 from citronmount.core import codes
 from citronmount.core import decisions
 from citronmount.core import domain as domain_lib
 from citronmount.core import fragmentation
 from citronmount.core import guaranteed
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import leftover
 from citronmount.core import outlook
-from citronmount.core import queueing
 from citronmount.core import shapes
 from citronmount.core import states
-from citronmount.core import verdicts
 from citronmount.services import messages
 
 __all__ = ["DomainScheduler"]
@@ -164,7 +164,7 @@
         self._advance(now_ms)
         domain = self._domain
         entry = self._forget(spec.job) or self._entry(spec, 0.0)
-        entry.ran = True
+        entry.has_started = True
         domain.place(entry, placement.groups, self._now_ms)
         domain.placed[spec.job].since_ms = self._now_ms - running_ms
         domain.unsettled.add(spec.account)
@@ -180,7 +180,7 @@
         self._advance(now_ms)
         placed = self._domain.placed.get(job)
         if placed is not None:
-            placed.entry.ran = True
+            placed.entry.has_started = True
             placed.since_ms = self._now_ms
 
     def ended(
@@ -213,15 +213,17 @@
         placed = self._domain.remove(job, self._now_ms)
         if placed is None:
             return None
-        verdicts.learn(self._domain, placed, how, culprits, self._now_ms)
+        attempt_outcomes.record_outcome(
+            self._domain, placed, how, culprits, self._now_ms
+        )
         if not requeue:
             return None
         entry = placed.entry
-        if verdicts.failed_everywhere(entry):
-            self._domain.health.retract(job)
+        if attempt_outcomes.failed_everywhere(entry):
+            self._domain.health.discard_failures(job)
             return jobs.JobResult(
                 code=codes.ResultCode.FAILED_EVERYWHERE,
-                detail=", ".join(sorted(entry.failed_on)),
+                detail=", ".join(sorted(entry.failed_workers)),
             )
         entry.progress = min(max(entry.progress, progress), 1.0)
         self._enqueue(entry)
@@ -358,23 +360,25 @@
             job in domain.queue or job in domain.placed or job in domain.claims
         )
 
-    def _entry(self, spec: jobs.JobSpec, progress: float) -> queueing.Entry:
-        return queueing.Entry(
+    def _entry(self, spec: jobs.JobSpec, progress: float) -> job_queue.JobEntry:
+        return job_queue.JobEntry(
             spec=spec, sequence=next(self._sequence), progress=progress
         )
 
-    def _forget(self, job: ids.JobId) -> queueing.Entry | None:
+    def _forget(self, job: ids.JobId) -> job_queue.JobEntry | None:
         domain = self._domain
         if job in domain.claims:
             domain.release_claim(job, self._now_ms)
         placed = domain.remove(job, self._now_ms)
         return placed.entry if placed else domain.queue.remove(job)
 
-    def _enqueue(self, entry: queueing.Entry) -> None:
+    def _enqueue(self, entry: job_queue.JobEntry) -> None:
         self._changed = True
         press_at_ms = None
         if entry.spec.deadline_ms is not None:
-            run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
+            run_ms = self._domain.estimator.expected_run_ms(
+                entry.spec, entry.progress
+            )
             press_at_ms = entry.spec.deadline_ms - _PRESS_RUN_TIMES * run_ms
         self._domain.enqueue(entry, self._now_ms, press_at_ms)
 
@@ -382,13 +386,16 @@
         wall_ms = self._wall_ms()
         if wall_ms is None:
             return []
-        if self._domain.queue.press(wall_ms):
+        if self._domain.queue.promote_near_deadline(wall_ms):
             self._changed = True
-        expired = self._domain.queue.expired(wall_ms)
+        expired = self._domain.queue.pop_expired(wall_ms)
         if expired:
             self._changed = True
         return [
-            decisions.EndJob(job=entry.spec.job, result=verdicts.expired(entry))
+            decisions.EndJob(
+                job=entry.spec.job,
+                result=attempt_outcomes.deadline_result(entry),
+            )
             for entry in expired
         ]
 
@@ -397,6 +404,6 @@
         while wake_ups and wake_ups[0] <= self._now_ms:
             heapq.heappop(wake_ups)
             self._changed = True
-        for worker in self._domain.health.due(self._now_ms):
+        for worker in self._domain.health.start_due_probes(self._now_ms):
             self._changed = True
             self._domain.refresh_worker(worker, self._now_ms)
--- a/citronmount/core/shares.py
+++ b/citronmount/core/shares.py
@@ -18,12 +18,18 @@
 from citronmount.core import shapes
 from citronmount.core import states
 
-__all__ = ["Share", "SharedShape", "homes", "share", "split"]
+__all__ = [
+    "DomainShare",
+    "GuaranteeShare",
+    "rank_homes",
+    "share_of",
+    "split",
+]
 
 ALLOWANCE_UNIT_ACCELERATORS = 8
 
 
-class SharedShape(msgspec.Struct, frozen=True, kw_only=True):
+class GuaranteeShare(msgspec.Struct, frozen=True, kw_only=True):
     """Copies of a guarantee that one failure domain must keep reclaimable.
 
     Attributes:
@@ -39,7 +45,7 @@
     copies: int
 
 
-class Share(msgspec.Struct, frozen=True, kw_only=True):
+class DomainShare(msgspec.Struct, frozen=True, kw_only=True):
     """What one failure domain has to honour.
 
     Attributes:
@@ -47,13 +53,13 @@
         allowances: The most accelerators of each trial account.
     """
 
-    guarantees: tuple[SharedShape, ...] = ()
+    guarantees: tuple[GuaranteeShare, ...] = ()
     allowances: dict[ids.AccountId, int] = {}
 
 
 def split(
     configuration: configuration_lib.Configuration,
-) -> dict[ids.FailureDomainId, Share]:
+) -> dict[ids.FailureDomainId, DomainShare]:
     """Splits all guarantees and allowances.
 
     Copies bound to a failure domain stay there. The others are divided by
@@ -70,9 +76,9 @@
     copies = _split_guarantees(configuration)
     allowances = _split_allowances(configuration)
     return {
-        domain.name: Share(
+        domain.name: DomainShare(
             guarantees=tuple(
-                SharedShape(
+                GuaranteeShare(
                     row=row,
                     account=guarantee.account,
                     shape=shapes.of_guarantee(guarantee),
@@ -87,10 +93,10 @@
     }
 
 
-def share(
+def share_of(
     configuration: configuration_lib.Configuration,
     failure_domain: ids.FailureDomainId,
-) -> Share:
+) -> DomainShare:
     """Returns the share of one failure domain.
 
     Args:
@@ -100,10 +106,10 @@
     Returns:
         Its share; empty if the configuration does not name it.
     """
-    return split(configuration).get(failure_domain, Share())
+    return split(configuration).get(failure_domain, DomainShare())
 
 
-def homes(
+def rank_homes(
     configuration: configuration_lib.Configuration, spec: jobs.JobSpec
 ) -> tuple[ids.FailureDomainId, ...]:
     """Ranks the failure domains in service as homes of a new job.
@@ -135,7 +141,7 @@
     )
 
 
-def _held(part: Share, spec: jobs.JobSpec, trial: bool) -> int | None:
+def _held(part: DomainShare, spec: jobs.JobSpec, trial: bool) -> int | None:
     if trial:
         allowed = part.allowances.get(spec.account, 0)
         return allowed if allowed >= spec.accelerators else None
--- a/citronmount/core/siting.py
+++ b/citronmount/core/siting.py
@@ -6,8 +6,8 @@
 from citronmount.core import cells
 from citronmount.core import domain as domain_lib
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
-from citronmount.core import queueing
 from citronmount.core import reclaim
 from citronmount.core import resources
 from citronmount.core import shapes
@@ -21,7 +21,7 @@
 
 def find(
     domain: domain_lib.Domain,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     avoid: Collection[ids.WorkerId],
     now_ms: int,
 ) -> tuple[cells.Use, ...] | None:
@@ -57,7 +57,7 @@
 
 def _part(cell: cells.Cell, shape: shapes.Shape) -> shapes.Shape | None:
     """Returns the slots of a cell that a gang would use."""
-    each = resources.count(cell.shape.per_task, shape.per_task)
+    each = resources.task_capacity(cell.shape.per_task, shape.per_task)
     if each:
         tasks = min(-(-shape.tasks // each), cell.shape.tasks)
     elif cell.shape.adjacency is states.Adjacency.WORKER:
@@ -120,7 +120,7 @@
     groups = []
     for worker in workers:
         room = domain.plan.room_beside_held(worker)
-        tasks = min(resources.count(room, part.per_task), left)
+        tasks = min(resources.task_capacity(room, part.per_task), left)
         if tasks and worker not in avoid:
             groups.append(jobs.TaskGroup(worker=worker, tasks=tasks))
             left -= tasks
--- a/citronmount/core/tests/oracle.py
+++ b/citronmount/core/tests/oracle.py
@@ -52,7 +52,7 @@
     if not workers:
         return
     first, *others = workers
-    most = min(resources.count(rooms[first], gang.per_task), tasks)
+    most = min(resources.task_capacity(rooms[first], gang.per_task), tasks)
     for here in range(most, -1, -1):
         for slots in _spread(rooms, others, gang, tasks - here):
             yield {first: here, **slots} if here else slots
@@ -64,6 +64,6 @@
         for worker, tasks in slots.items()
     }
     return {
-        worker: resources.minus(room, taken.get(worker, resources.NONE))
+        worker: resources.minus(room, taken.get(worker, resources.ZERO))
         for worker, room in rooms.items()
     }
--- a/citronmount/core/tests/test_placement.py
+++ b/citronmount/core/tests/test_placement.py
@@ -126,13 +126,15 @@
             for _ in range(100):
                 made.observe(spec, 0.0, max(1, int(factor * 100_000)))
             expected = 100_000 * min(max(factor, 1 / 8), 8)
-            self.assertAlmostEqual(made.run_ms(spec) / expected, 1, places=2)
+            self.assertAlmostEqual(
+                made.expected_run_ms(spec) / expected, 1, places=2
+            )
 
     def test_overrun_is_expected_to_go_on(self):
         made = estimates.Estimator()
         spec = fixtures.spec("j", "a", run_time_s=10.0)
-        self.assertEqual(made.left_ms(spec, 0.0, 4_000), 6_000)
-        self.assertEqual(made.left_ms(spec, 0.0, 40_000), 10_000)
+        self.assertEqual(made.remaining_ms(spec, 0.0, 4_000), 6_000)
+        self.assertEqual(made.remaining_ms(spec, 0.0, 40_000), 10_000)
 
 
 if __name__ == "__main__":
--- a/citronmount/core/tests/test_short_requests.py
+++ b/citronmount/core/tests/test_request_router.py
@@ -11,8 +11,8 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import request_decisions
+from citronmount.core import request_router
 from citronmount.core import request_slots
-from citronmount.core import short_requests
 from citronmount.core import states
 from citronmount.services import messages
 
@@ -36,8 +36,8 @@
 
 def _router(
     *, runners: int = 2, slots: int = 1
-) -> short_requests.RequestRouter:
-    router = short_requests.RequestRouter(vm=ids.VmId("vm-1"))
+) -> request_router.RequestRouter:
+    router = request_router.RequestRouter(vm=ids.VmId("vm-1"))
     router.set_runners(tuple(_runner(f"r{i}", slots) for i in range(runners)))
     return router
 
@@ -74,7 +74,7 @@
     @hypothesis.settings(derandomize=True, deadline=None)
     def test_shares_add_up_and_are_even(self, amounts, count):
         shares = [
-            request_slots.deal_shares(tuple(amounts), index, count)
+            request_slots.split_evenly(tuple(amounts), index, count)
             for index in range(count)
         ]
         self.assertEqual([sum(s) for s in zip(*shares, strict=True)], amounts)
@@ -97,13 +97,13 @@
         used = collections.Counter(send.runner for send in sends)
         self.assertEqual(len(sends), 8)
         self.assertLessEqual(max(used.values()), 3)
-        self.assertEqual(router.queued(), 22)
+        self.assertEqual(router.queued_count(), 22)
 
     def test_only_the_first_of_late_and_doubled_answers_counts(self):
         router = _router()
         send = self._send_one(router, _spec("q"))
         for payload in ("first", "second"):
-            router.answered(
+            router.record_answer(
                 send.request,
                 send.runner,
                 _answer("q", payload=payload),
@@ -112,13 +112,13 @@
             )
         (result,) = _results(router.decide(9))
         self.assertEqual(result.payload, "first")
-        self.assertEqual(router.outstanding(), 0)
+        self.assertEqual(router.outstanding_count(), 0)
         self.assertEqual(router.free_slots(), 2)
 
     def test_answer_to_another_request_is_never_handed_out(self):
         router = _router()
         send = self._send_one(router, _spec("q", idempotent=False))
-        router.answered(send.request, send.runner, _answer("x"), True, 9)
+        router.record_answer(send.request, send.runner, _answer("x"), True, 9)
         (result,) = _results(router.decide(9))
         self.assertIs(result.code, codes.ResultCode.OUTCOME_UNKNOWN)
 
@@ -143,7 +143,7 @@
         send = self._send_one(router, _spec("q", timeout_ms=100))
         self.assertEqual(len(_results(router.decide(100))), 1)
         self.assertEqual(router.free_slots(), 0)
-        router.answered(send.request, send.runner, None, True, 200)
+        router.record_answer(send.request, send.runner, None, True, 200)
         self.assertEqual(router.free_slots(), 1)
         self.assertEqual(_results(router.decide(200)), [])
 
@@ -157,7 +157,9 @@
             with self.subTest(answer=answer):
                 router = _router()
                 first = self._send_one(router, _spec("q", idempotent=False))
-                router.answered(first.request, first.runner, answer, sent, 1)
+                router.record_answer(
+                    first.request, first.runner, answer, sent, 1
+                )
                 (second,) = _sends(router.decide(1))
                 self.assertNotEqual(first.runner, second.runner)
 
@@ -166,7 +168,7 @@
             with self.subTest(idempotent=idempotent):
                 router = _router()
                 send = self._send_one(router, _spec("q", idempotent=idempotent))
-                router.answered(send.request, send.runner, None, True, 1)
+                router.record_answer(send.request, send.runner, None, True, 1)
                 decisions = router.decide(1)
                 self.assertEqual(len(_sends(decisions)), int(idempotent))
                 self.assertEqual(
@@ -182,14 +184,16 @@
             while batch := _sends(router.decide(i)):
                 sends += len(batch)
                 for send in batch:
-                    router.answered(send.request, send.runner, None, True, i)
+                    router.record_answer(
+                        send.request, send.runner, None, True, i
+                    )
         runs_each = sends / 400
         self.assertLess(runs_each, 1.2)
 
     def test_leaving_runner_gets_nothing_though_the_list_says_up(self):
         router = _router(runners=1, slots=4)
         send = self._send_one(router, _spec("q"))
-        router.answered(
+        router.record_answer(
             send.request, send.runner, _answer("q", _OUTCOME.LEAVING), True, 1
         )
         router.set_runners((_runner("r0", 4),))
@@ -205,7 +209,9 @@
             if results:
                 break
             for send in _sends(decisions):
-                router.answered(send.request, send.runner, None, False, now_ms)
+                router.record_answer(
+                    send.request, send.runner, None, False, now_ms
+                )
         self.assertIs(results[0].code, codes.ResultCode.TARGET_REFUSED)
 
     def test_failing_runner_is_ejected_then_probed_then_used_again(self):
@@ -220,7 +226,7 @@
                     bad = send.runner == "r0" and not healthy
                     seen[send.runner, healthy] += 1
                     outcome = _OUTCOME.FAILED if bad else _OUTCOME.DONE
-                    router.answered(
+                    router.record_answer(
                         send.request,
                         send.runner,
                         _answer(send.request, outcome),
@@ -239,7 +245,7 @@
             for send in _sends(router.decide(i)):
                 good = int(send.request[1:]) % 2 == 0
                 outcome = _OUTCOME.DONE if good else _OUTCOME.FAILED
-                router.answered(
+                router.record_answer(
                     send.request,
                     send.runner,
                     _answer(send.request, outcome),
@@ -255,7 +261,7 @@
                 send = self._send_one(
                     router, _spec(f"w{i}", idempotent=idempotent), 20 * i
                 )
-                router.answered(
+                router.record_answer(
                     send.request,
                     send.runner,
                     _answer(f"w{i}"),
@@ -272,7 +278,7 @@
                     self.assertEqual(hedges, [])
                     continue
                 self.assertTrue(0 < len(hedges) <= 6)
-                router.answered(
+                router.record_answer(
                     hedges[0].request,
                     hedges[0].runner,
                     _answer(hedges[0].request, payload="hedge"),
@@ -291,7 +297,7 @@
             router.submit(_spec(f"d{i}", "door"), 1)
         order = []
         for now_ms in range(50, 1_050, 50):
-            router.answered(
+            router.record_answer(
                 send.request, send.runner, _answer(send.request), True, now_ms
             )
             send = _sends(router.decide(now_ms))[0]
@@ -318,7 +324,7 @@
         self.assertIs(result.code, codes.ResultCode.FAILURE_DOMAIN_OUT)
         for offered in (True, False):
             self.assertIsNotNone(router.submit(_spec("x"), 1, offered=offered))
-        router.answered(send.request, send.runner, _answer("q"), True, 2)
+        router.record_answer(send.request, send.runner, _answer("q"), True, 2)
         (result,) = _results(router.decide(2))
         self.assertIs(result.code, codes.ResultCode.DONE)
         self.assertEqual(router.free_slots(), 0)
@@ -329,7 +335,7 @@
         router = _router(runners=1, slots=0)
         results = [router.submit(_spec(f"b{i}", "b"), 0) for i in range(300)]
         refused = [r for r in results if r is not None]
-        self.assertEqual(len(refused), 300 - short_requests.QUEUE_BOUND)
+        self.assertEqual(len(refused), 300 - request_router.QUEUE_BOUND)
         self.assertTrue(all(r.retry_after_ms for r in refused))
         self.assertTrue(all(codes.info(r.code).proves_not_run for r in refused))
         self.assertIsNone(router.submit(_spec("d", "door"), 0))
@@ -340,7 +346,7 @@
         router.submit(_spec("w"), 0)
         self.assertTrue(router.cancel(ids.RequestId("w")))
         self.assertFalse(router.cancel(send.request))
-        router.answered(send.request, send.runner, _answer("q"), True, 1)
+        router.record_answer(send.request, send.runner, _answer("q"), True, 1)
         self.assertEqual(router.decide(1), [])
         self.assertEqual(router.free_slots(), 1)
 
@@ -350,16 +356,18 @@
         super().setUp()
         self.router = _router(runners=1, slots=0)
         self.peer = ids.VmId("vm-2")
-        self.router.peer_free_slots(self.peer, 3)
+        self.router.set_peer_free_slots(self.peer, 3)
 
     def _offered(self, **fields):
         self.router.submit(_spec("q", **fields), 0)
         (offer,) = self.router.decide(0)
         self.assertEqual(offer.vm, self.peer)
-        self.assertEqual(self.router.queued(), 0)
+        self.assertEqual(self.router.queued_count(), 0)
 
     def _after(self, result, *, sent=True, now_ms=2):
-        self.router.peer_answered(ids.RequestId("q"), result, now_ms, sent=sent)
+        self.router.record_peer_answer(
+            ids.RequestId("q"), result, now_ms, sent=sent
+        )
         return self.router.decide(now_ms)
 
     def test_peer_result_is_the_answer(self):
@@ -375,7 +383,7 @@
             request=ids.RequestId("q"), code=codes.ResultCode.NO_SLOT
         )
         self.assertEqual(self._after(refusal), [])
-        self.assertEqual(self.router.queued(), 1)
+        self.assertEqual(self.router.queued_count(), 1)
 
     def test_peer_that_dies_leaves_the_outcome_unknown(self):
         self._offered(idempotent=False)
@@ -385,7 +393,7 @@
     def test_offer_that_never_left_waits_here_again(self):
         self._offered(idempotent=False)
         self.assertEqual(self._after(None, sent=False), [])
-        self.assertEqual(self.router.queued(), 1)
+        self.assertEqual(self.router.queued_count(), 1)
 
     def test_takes_an_offer_only_with_a_free_slot(self):
         router = _router(runners=1, slots=1)
@@ -412,7 +420,7 @@
             self.answers[result.request] += 1
             if codes.info(result.code).proves_not_run:
                 self.test.assertEqual(self.runs[result.request], 0)
-        self.test.assertLessEqual(self.router.outstanding(), 6)
+        self.test.assertLessEqual(self.router.outstanding_count(), 6)
 
     def submit(self, pick, flag):
         spec = _spec(
@@ -431,7 +439,7 @@
         sent = flag or pick % 2 == 0
         ran = outcome in (_OUTCOME.DONE, _OUTCOME.FAILED) if flag else sent
         self.runs[send.request] += ran
-        self.router.answered(
+        self.router.record_answer(
             send.request, send.runner, answer, sent, self.now_ms
         )
 
@@ -467,10 +475,10 @@
         world.now_ms += 1_000
         world.act()
         for send in world.flight:
-            world.router.answered(
+            world.router.record_answer(
                 send.request, send.runner, None, True, world.now_ms
             )
-        self.assertEqual(world.router.outstanding(), 0)
+        self.assertEqual(world.router.outstanding_count(), 0)
         self.assertEqual(set(world.answers.values()) - {1}, set())
         self.assertEqual(set(world.answers), world.taken - world.cancelled)
         self.assertTrue(all(world.runs[r] <= 1 for r in world.once))
--- a/citronmount/core/tests/test_shares.py
+++ b/citronmount/core/tests/test_shares.py
@@ -69,9 +69,9 @@
             guarantees=rows, allowances={"t": 8}, zones=ZONES
         )
         gang = fixtures.spec("g", "p", 4, 8, "rack")
-        self.assertEqual(shares.homes(made, gang)[0], "z-c")
+        self.assertEqual(shares.rank_homes(made, gang)[0], "z-c")
         trial = fixtures.spec("t", "t", 1, 8)
-        self.assertEqual(len(shares.homes(made, trial)), 1)
+        self.assertEqual(len(shares.rank_homes(made, trial)), 1)
 
 
 if __name__ == "__main__":
