--- a/citronmount/core/codes.py
+++ b/citronmount/core/codes.py
@@ -1,4 +1,4 @@
-"""The numbered result codes that every answer of the system carries."""
+"""Result codes of all responses, and what each of them means to a caller."""
 
 import enum
 
@@ -8,12 +8,12 @@
 
 
 class ResultCode(enum.IntEnum):
-    """Every result code, by family.
+    """Result code of a request, a job or a configuration change.
 
-    1xxx are good results, 2xxx final refusals, 3xxx refusals worth a later
-    retry, 4xxx ends of work that was accepted, 5xxx faults of a sheet, 6xxx
-    faults of settings, 7xxx results of a configuration change and 9xxx faults
-    of the system.
+    The thousands digit is the family: 1xxx success, 2xxx permanent refusal,
+    3xxx refusal that may be retried later, 4xxx outcome of accepted work,
+    5xxx error in a configuration sheet, 6xxx error in the settings file, 7xxx
+    result of a configuration change, 9xxx internal or communication error.
     """
 
     OK = 1000
@@ -87,11 +87,11 @@
 
 
 class CodeInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """What a result code tells its receiver.
+    """Description of a result code for its receiver.
 
     Attributes:
-        code: The result code.
-        proves_not_run: Whether the code proves that the work was not run.
+        code: Result code.
+        proves_not_run: Whether the code guarantees that the work did not run.
         retry: Whether the same request may succeed later.
         meaning: What happened.
         action: What the caller should do.
@@ -104,7 +104,7 @@
     action: str
 
 
-def _row(
+def _code_info(
     code: ResultCode,
     proves_not_run: bool,
     retry: bool,
@@ -120,293 +120,295 @@
     )
 
 
-_C = ResultCode
+_Code = ResultCode
 _FIX_SHEET = "Correct the named row and publish again."
 _FIX_SETTING = "Correct the named key and start again."
-_LATER = "Send the request again after retry_after_ms."
+_RETRY_LATER = "Send the request again after retry_after_ms."
 
 CODES: dict[ResultCode, CodeInfo] = {
     row.code: row
     for row in (
-        _row(_C.OK, False, False, "The call succeeded.", "Nothing."),
-        _row(
-            _C.ACCEPTED,
+        _code_info(_Code.OK, False, False, "The call succeeded.", "Nothing."),
+        _code_info(
+            _Code.ACCEPTED,
             False,
             False,
             "The job is recorded and will be run or refused.",
             "Ask for the job's status.",
         ),
-        _row(_C.DONE, False, False, "The work completed whole.", "Nothing."),
-        _row(
-            _C.IN_PROGRESS,
+        _code_info(
+            _Code.DONE, False, False, "The work completed whole.", "Nothing."
+        ),
+        _code_info(
+            _Code.IN_PROGRESS,
             False,
             False,
             "The job has no final result yet.",
             "Ask again, with wait_ms to wait.",
         ),
-        _row(
-            _C.UNKNOWN_ACCOUNT,
+        _code_info(
+            _Code.UNKNOWN_ACCOUNT,
             True,
             False,
             "The configuration has no such client account.",
             "Check the account name or publish a sheet that has it.",
         ),
-        _row(
-            _C.INVALID_REQUEST,
+        _code_info(
+            _Code.INVALID_REQUEST,
             True,
             False,
             "A field of the request is missing or wrong.",
             "Correct the named field.",
         ),
-        _row(
-            _C.NEVER_FITS,
+        _code_info(
+            _Code.NEVER_FITS,
             True,
             False,
             "No failure domain could ever hold the gang.",
             "Ask for fewer or smaller tasks or a wider adjacency.",
         ),
-        _row(
-            _C.OVER_ALLOWANCE,
+        _code_info(
+            _Code.OVER_ALLOWANCE,
             True,
             False,
             "The gang is larger than the trial account's allowance.",
             "Ask for fewer accelerators or a larger allowance.",
         ),
-        _row(
-            _C.KEY_REUSED,
+        _code_info(
+            _Code.KEY_REUSED,
             True,
             False,
             "The idempotency key was used with another body.",
             "Use a new key for new work.",
         ),
-        _row(
-            _C.TOO_LARGE,
+        _code_info(
+            _Code.TOO_LARGE,
             True,
             False,
             "The body is larger than the daemon accepts.",
             "Send a smaller body.",
         ),
-        _row(
-            _C.UNKNOWN_JOB,
+        _code_info(
+            _Code.UNKNOWN_JOB,
             False,
             False,
             "No record of the job is left or it never existed.",
             "Check the id; old jobs end with the log's retention.",
         ),
-        _row(
-            _C.DEADLINE_PASSED,
+        _code_info(
+            _Code.DEADLINE_PASSED,
             True,
             False,
             "The deadline passed before the work could start.",
             "Send it again with a later deadline.",
         ),
-        _row(
-            _C.DECLARED_TIME_TOO_LONG,
+        _code_info(
+            _Code.DECLARED_TIME_TOO_LONG,
             True,
             False,
             "The declared run time cannot end before the deadline.",
             "Declare a shorter time or a later deadline.",
         ),
-        _row(
-            _C.QUEUE_FULL,
+        _code_info(
+            _Code.QUEUE_FULL,
             True,
             True,
             "The account's queue is at its bound.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.NO_CONFIGURATION,
+        _code_info(
+            _Code.NO_CONFIGURATION,
             True,
             True,
             "The VM has no trustworthy configuration.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.DRAINING,
+        _code_info(
+            _Code.DRAINING,
             True,
             True,
             "The VM is stopping and takes no new work.",
             "Send it again; the balancer picks another VM.",
         ),
-        _row(
-            _C.HOME_UNREACHABLE,
+        _code_info(
+            _Code.HOME_UNREACHABLE,
             True,
             True,
             "The home failure domain of the work cannot be reached.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.NOT_DURABLE,
+        _code_info(
+            _Code.NOT_DURABLE,
             True,
             True,
             "Neither the log nor enough peers could keep the record.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.RATE_LIMITED,
+        _code_info(
+            _Code.RATE_LIMITED,
             True,
             True,
             "The account sends faster than its limit.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.NO_SLOT,
+        _code_info(
+            _Code.NO_SLOT,
             True,
             True,
             "No runner had a free slot before the time limit.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.REBUILDING,
+        _code_info(
+            _Code.REBUILDING,
             True,
             True,
             "The scheduler of the failure domain is rebuilding its state.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.FAILURE_DOMAIN_OUT,
+        _code_info(
+            _Code.FAILURE_DOMAIN_OUT,
             True,
             True,
             "The failure domain is out of service.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.TARGET_REFUSED,
+        _code_info(
+            _Code.TARGET_REFUSED,
             True,
             True,
             "Every target tried refused the work before it ran.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.FAILED_BY_JOB,
+        _code_info(
+            _Code.FAILED_BY_JOB,
             False,
             False,
             "The work ran and ended with its own failure.",
             "Read exit_code and the job's own logs.",
         ),
-        _row(
-            _C.CANCELLED_NOT_RUN,
+        _code_info(
+            _Code.CANCELLED_NOT_RUN,
             True,
             False,
             "The job was cancelled before any task started.",
             "Nothing.",
         ),
-        _row(
-            _C.CANCELLED_AFTER_START,
+        _code_info(
+            _Code.CANCELLED_AFTER_START,
             False,
             False,
             "The job was cancelled after a start; tasks may have run.",
             "Expect partial effects.",
         ),
-        _row(
-            _C.INTERRUPTED,
+        _code_info(
+            _Code.INTERRUPTED,
             False,
             False,
             "The job started, was stopped and must not be repeated.",
             "Check its effects before sending new work.",
         ),
-        _row(
-            _C.OUTCOME_UNKNOWN,
+        _code_info(
+            _Code.OUTCOME_UNKNOWN,
             False,
             False,
             "The work may have run; no proof either way is left.",
             "Check its effects before sending new work.",
         ),
-        _row(
-            _C.FAILED_EVERYWHERE,
+        _code_info(
+            _Code.FAILED_EVERYWHERE,
             False,
             False,
             "The job failed on several distinct workers.",
             "Correct the job; the workers are healthy.",
         ),
         *(
-            _row(code, True, False, meaning, _FIX_SHEET)
+            _code_info(code, True, False, meaning, _FIX_SHEET)
             for code, meaning in (
-                (_C.SHEET_HEADER, "The header is not the expected one."),
-                (_C.SHEET_ENCODING, "The file is not valid UTF-8."),
-                (_C.SHEET_COLUMNS, "The row has too few or many cells."),
-                (_C.SHEET_KIND, "The kind is not known."),
-                (_C.SHEET_NAME, "The name is empty or malformed."),
-                (_C.SHEET_CLASS, "The class is not paying or trial."),
-                (_C.SHEET_STATE, "The state is not in or out."),
-                (_C.SHEET_NUMBER, "A number is missing or out of range."),
-                (_C.SHEET_ADJACENCY, "The adjacency is not known."),
-                (_C.SHEET_NOT_EMPTY, "A cell that does not apply is set."),
-                (_C.SHEET_DUPLICATE, "An earlier row states the same."),
-                (_C.SHEET_UNKNOWN_REFERENCE, "The row names an absent row."),
-                (_C.SHEET_DOES_NOT_FIT, "The guarantees do not fit."),
-                (_C.SHEET_TOO_LARGE, "The sheet is larger than allowed."),
-                (_C.SHEET_FORMULA, "A cell holds a formula, not a value."),
-                (_C.SHEET_EMPTY, "The sheet has no rows."),
+                (_Code.SHEET_HEADER, "The header is not the expected one."),
+                (_Code.SHEET_ENCODING, "The file is not valid UTF-8."),
+                (_Code.SHEET_COLUMNS, "The row has too few or many cells."),
+                (_Code.SHEET_KIND, "The kind is not known."),
+                (_Code.SHEET_NAME, "The name is empty or malformed."),
+                (_Code.SHEET_CLASS, "The class is not paying or trial."),
+                (_Code.SHEET_STATE, "The state is not in or out."),
+                (_Code.SHEET_NUMBER, "A number is missing or out of range."),
+                (_Code.SHEET_ADJACENCY, "The adjacency is not known."),
+                (_Code.SHEET_NOT_EMPTY, "A cell that does not apply is set."),
+                (_Code.SHEET_DUPLICATE, "An earlier row states the same."),
+                (_Code.SHEET_UNKNOWN_REFERENCE, "The row names an absent row."),
+                (_Code.SHEET_DOES_NOT_FIT, "The guarantees do not fit."),
+                (_Code.SHEET_TOO_LARGE, "The sheet is larger than allowed."),
+                (_Code.SHEET_FORMULA, "A cell holds a formula, not a value."),
+                (_Code.SHEET_EMPTY, "The sheet has no rows."),
                 (
-                    _C.SHEET_CLASS_CONFLICT,
+                    _Code.SHEET_CLASS_CONFLICT,
                     "The row does not suit the account's class.",
                 ),
             )
         ),
         *(
-            _row(code, True, False, meaning, _FIX_SETTING)
+            _code_info(code, True, False, meaning, _FIX_SETTING)
             for code, meaning in (
-                (_C.SETTING_UNKNOWN, "The key is not known."),
-                (_C.SETTING_MISSING, "A required key is missing."),
-                (_C.SETTING_TYPE, "The value has the wrong type."),
-                (_C.SETTING_RANGE, "The value is out of range."),
-                (_C.SETTING_ADDRESS, "The host is not an IP number."),
-                (_C.SETTING_SYNTAX, "The file is not valid TOML."),
-                (_C.SETTING_FILE, "The file cannot be read."),
+                (_Code.SETTING_UNKNOWN, "The key is not known."),
+                (_Code.SETTING_MISSING, "A required key is missing."),
+                (_Code.SETTING_TYPE, "The value has the wrong type."),
+                (_Code.SETTING_RANGE, "The value is out of range."),
+                (_Code.SETTING_ADDRESS, "The host is not an IP number."),
+                (_Code.SETTING_SYNTAX, "The file is not valid TOML."),
+                (_Code.SETTING_FILE, "The file cannot be read."),
             )
         ),
-        _row(
-            _C.CONFIGURATION_ACCEPTED,
+        _code_info(
+            _Code.CONFIGURATION_ACCEPTED,
             False,
             False,
             "The change is in the log and will be in force everywhere.",
             "Nothing.",
         ),
-        _row(
-            _C.CONFIGURATION_STALE_BASE,
+        _code_info(
+            _Code.CONFIGURATION_STALE_BASE,
             True,
             False,
             "Another change came first; nothing was changed.",
             "Compare with the version in force and publish again.",
         ),
-        _row(
-            _C.CONFIGURATION_INVALID,
+        _code_info(
+            _Code.CONFIGURATION_INVALID,
             True,
             False,
             "The change is not valid on its base; nothing was changed.",
             "Correct the named rows.",
         ),
-        _row(
-            _C.CONFIGURATION_OUTCOME_UNKNOWN,
+        _code_info(
+            _Code.CONFIGURATION_OUTCOME_UNKNOWN,
             False,
             True,
             "The log did not answer; the change may be in it.",
             "Ask for the version; publish again with the same record id.",
         ),
-        _row(
-            _C.INTERNAL,
+        _code_info(
+            _Code.INTERNAL,
             False,
             False,
             "The system met an error of its own.",
             "Report it with the request id.",
         ),
-        _row(
-            _C.UNREACHABLE,
+        _code_info(
+            _Code.UNREACHABLE,
             False,
             True,
             "The peer or service could not be reached.",
-            _LATER,
+            _RETRY_LATER,
         ),
-        _row(
-            _C.TIMED_OUT,
+        _code_info(
+            _Code.TIMED_OUT,
             False,
             True,
             "The answer did not come in time; the work may have run.",
             "Ask for the status before sending new work.",
         ),
-        _row(
-            _C.PEER_KEY_REFUSED,
+        _code_info(
+            _Code.PEER_KEY_REFUSED,
             False,
             False,
             "A peer connection was refused for its key.",
@@ -417,13 +419,13 @@
 
 
 def info(code: ResultCode) -> CodeInfo:
-    """Returns the description of a result code.
+    """Looks up the description of a result code.
 
     Args:
         code: Any result code.
 
     Returns:
-        Its row of the table.
+        The entry of `CODES` for the code.
 
     Example:
         >>> info(ResultCode.QUEUE_FULL).proves_not_run
--- a/citronmount/core/decisions.py
+++ b/citronmount/core/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions that a scheduler hands to the agent to carry out."""
+"""Scheduling decisions that the agent carries out."""
 
 import enum
 
@@ -17,7 +17,7 @@
 
 
 class AttemptEnd(enum.Enum):
-    """How an attempt came to its end, as far as scheduling is concerned."""
+    """Outcome of an attempt, as far as the scheduler distinguishes it."""
 
     DONE = "done"
     FAILED_BY_JOB = "failed_by_job"
@@ -30,11 +30,11 @@
 
 
 class PlaceJob(msgspec.Struct, frozen=True, kw_only=True):
-    """Run a queued job here now; the scheduler has set the room aside.
+    """Starts a queued job for which the scheduler has allocated capacity.
 
     Attributes:
-        job: The job.
-        placement: Where the whole gang runs.
+        job: Job to start.
+        placement: Workers that run the gang.
     """
 
     job: ids.JobId
@@ -42,12 +42,12 @@
 
 
 class EvictJob(msgspec.Struct, frozen=True, kw_only=True):
-    """Stop a running job to reclaim its room; it goes back to the queue.
+    """Stops a running job to reclaim its capacity; the job is requeued.
 
     Attributes:
-        job: The job to stop.
-        beneficiary: The job that needs the room.
-        grace_ms: How long its tasks may take to save their work.
+        job: Job to stop.
+        beneficiary: Job that needs the capacity.
+        grace_ms: Time that the tasks have to save a checkpoint.
     """
 
     job: ids.JobId
@@ -56,11 +56,11 @@
 
 
 class EndJob(msgspec.Struct, frozen=True, kw_only=True):
-    """End a queued job that cannot run any more; it was not run.
+    """Ends a queued job that will not be started again.
 
     Attributes:
-        job: The job.
-        result: The final result.
+        job: Job to end.
+        result: Final result of the job.
     """
 
     job: ids.JobId
--- a/citronmount/core/errors.py
+++ b/citronmount/core/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of the package, all derived from one base."""
+"""Exceptions of the package."""
 
 from citronmount.core import codes
 
@@ -6,10 +6,10 @@
 
 
 class CitronmountError(Exception):
-    """Base of every exception that the package raises on purpose.
+    """Base class of the exceptions that the package defines.
 
     Attributes:
-        code: The numbered result code.
+        code: Result code that is reported to the caller.
     """
 
     def __init__(
@@ -21,16 +21,16 @@
         """Initializes the error.
 
         Args:
-            message: What went wrong, for a person.
-            code: The result code that callers get.
+            message: Human-readable description of the error.
+            code: Result code that is reported to the caller.
         """
         super().__init__(message)
         self.code = code
 
 
 class InvalidInputError(CitronmountError):
-    """Input from outside that does not keep its format."""
+    """Raised for external input that violates its format."""
 
 
 class UnreachableError(CitronmountError):
-    """A service or peer that did not answer."""
+    """Raised if a service or peer does not answer."""
--- a/citronmount/core/estimates.py
+++ b/citronmount/core/estimates.py
@@ -1,4 +1,4 @@
-"""Corrects declared run times by what an account's jobs really took."""
+"""Estimates run times from declared ones and the account's past jobs."""
 
 import math
 
@@ -7,73 +7,74 @@
 
 __all__ = ["Estimator"]
 
-_WEIGHT_OF_NEWEST = 0.2
+_SMOOTHING_FACTOR = 0.2
 _MAX_LOG2_CORRECTION = 3.0
-_OVERRUN_SHARE = 0.25
+_OVERRUN_FRACTION = 0.25
 
 
 class Estimator:
-    """Expected run times, by a moving mean of log ratios for each account.
+    """Estimates run times by exponential smoothing, per account.
 
-    The correction is bounded to a factor of eight both ways, so that no
-    history makes an account's jobs look endless or free.
+    The smoothed value is the logarithm of the ratio of actual to declared run
+    time. The correction is limited to a factor of eight in both directions, so
+    that past jobs cannot make an account's jobs look endless or free.
     """
 
     def __init__(self) -> None:
-        """Initializes an estimator that believes every declaration."""
+        """Initializes an estimator that returns declared run times."""
         self._log2_ratio: dict[ids.AccountId, float] = {}
 
     def expected_run_ms(self, spec: jobs.JobSpec, progress: float = 0.0) -> int:
-        """Returns the expected run time of a job from a saved state.
+        """Estimates the run time of a job from its last checkpoint.
 
         Args:
-            spec: The job.
-            progress: Saved share of its work, between 0 and 1.
+            spec: Job.
+            progress: Fraction of the work that is checkpointed, 0 to 1.
 
         Returns:
-            Milliseconds, at least 1.
+            Run time in milliseconds, at least 1.
         """
         ratio = 2.0 ** self._log2_ratio.get(spec.account, 0.0)
-        whole_ms = max(spec.run_time_s, 0.0) * 1000 * ratio
-        return max(1, int(whole_ms * (1 - min(max(progress, 0.0), 1.0))))
+        full_run_ms = max(spec.run_time_s, 0.0) * 1000 * ratio
+        return max(1, int(full_run_ms * (1 - min(max(progress, 0.0), 1.0))))
 
     def remaining_ms(
-        self, spec: jobs.JobSpec, progress: float, ran_ms: int
+        self, spec: jobs.JobSpec, progress: float, elapsed_ms: int
     ) -> int:
-        """Returns how long a running job is expected to go on.
+        """Estimates the remaining run time of a running job.
 
-        A job that has overrun is expected to go on for a share of the time
-        that it has run.
+        A job that has run for longer than its estimate is expected to run for
+        a further fraction of its elapsed time.
 
         Args:
-            spec: The job.
-            progress: Saved share of its work when it started.
-            ran_ms: How long it has run since.
+            spec: Job.
+            progress: Fraction of the work that was checkpointed at the start
+                of the attempt.
+            elapsed_ms: Time since the start of the attempt.
 
         Returns:
-            Milliseconds, at least 1.
+            Remaining time in milliseconds, at least 1.
         """
-        left_ms = self.expected_run_ms(spec, progress) - ran_ms
-        return max(1, left_ms, int(ran_ms * _OVERRUN_SHARE))
+        remaining_ms = self.expected_run_ms(spec, progress) - elapsed_ms
+        return max(1, remaining_ms, int(elapsed_ms * _OVERRUN_FRACTION))
 
-    def observe(
-        self, spec: jobs.JobSpec, progress: float, took_ms: int
-    ) -> None:
-        """Learns from a job that ran to its end.
+    def observe(self, spec: jobs.JobSpec, progress: float, run_ms: int) -> None:
+        """Updates the estimate by a job that ran to completion.
 
         Args:
-            spec: The job.
-            progress: Saved share of its work when it started.
-            took_ms: How long it then ran.
+            spec: Job.
+            progress: Fraction of the work that was checkpointed at the start
+                of the attempt.
+            run_ms: Run time of the attempt.
         """
         declared_ms = spec.run_time_s * 1000 * (1 - progress)
-        if declared_ms <= 0 or took_ms <= 0:
+        if declared_ms <= 0 or run_ms <= 0:
             return
-        log2_ratio = _bounded(math.log2(took_ms / declared_ms))
-        before = self._log2_ratio.get(spec.account, 0.0)
-        change = _WEIGHT_OF_NEWEST * (log2_ratio - before)
-        self._log2_ratio[spec.account] = _bounded(before + change)
+        log2_ratio = _clamp(math.log2(run_ms / declared_ms))
+        previous = self._log2_ratio.get(spec.account, 0.0)
+        change = _SMOOTHING_FACTOR * (log2_ratio - previous)
+        self._log2_ratio[spec.account] = _clamp(previous + change)
 
 
-def _bounded(log2_ratio: float) -> float:
+def _clamp(log2_ratio: float) -> float:
     return min(max(log2_ratio, -_MAX_LOG2_CORRECTION), _MAX_LOG2_CORRECTION)
--- a/citronmount/core/ids.py
+++ b/citronmount/core/ids.py
@@ -1,4 +1,4 @@
-"""Identifier types shared by every subpackage."""
+"""Identifier types shared by all subpackages."""
 
 import typing
 
@@ -43,11 +43,11 @@
 
 
 def job_id(failure_domain: FailureDomainId, unique: str) -> JobId:
-    """Returns a job id that names the home failure domain of the job.
+    """Builds a job id, which contains the home failure domain of the job.
 
     Args:
-        failure_domain: The failure domain that schedules the job.
-        unique: A part that no other job of the failure domain uses.
+        failure_domain: Failure domain that schedules the job.
+        unique: Text that is unique among the jobs of the failure domain.
 
     Returns:
         The id, for example ``kr-a/7f3c``.
@@ -56,27 +56,27 @@
 
 
 def home_of_job(job: JobId) -> FailureDomainId:
-    """Returns the home failure domain named by a job id.
+    """Extracts the home failure domain from a job id.
 
     Args:
-        job: An id made by `job_id`.
+        job: Id made by `job_id`.
 
     Returns:
-        The failure domain part of the id.
+        The failure domain that schedules the job.
     """
     return FailureDomainId(job.partition("/")[0])
 
 
 def attempt_id(job: JobId, number: int, token: FenceToken) -> AttemptId:
-    """Returns the id of one attempt to run a job.
+    """Builds the id of an attempt to run a job.
 
-    The fencing token is part of the id, so that two schedulers can never make
+    The id contains the fencing token, so that two schedulers can never use
     the same attempt id for different placements.
 
     Args:
-        job: The job that the attempt runs.
-        number: Counts the attempts of the job from 1.
-        token: The fencing token of the scheduler that made the attempt.
+        job: Job that the attempt runs.
+        number: Number of the attempt, counted from 1 for each job.
+        token: Fencing token of the scheduler that created the attempt.
 
     Returns:
         The id, for example ``kr-a/7f3c#1.5``.
--- a/citronmount/core/job_queue.py
+++ b/citronmount/core/job_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one failure domain: lanes of each account, in order."""
+"""Job queue of a failure domain, ordered by priority within each account."""
 
 import collections
 from collections.abc import Iterator
@@ -12,12 +12,15 @@
 
 __all__ = ["JobEntry", "JobQueue", "Priority"]
 
-_ATTAINED_LIMITS_MS = (8 * 3_600_000, 128 * 3_600_000)
-_COMPACT_AT = 1_024
+_ATTAINED_SERVICE_LIMITS_MS = (8 * 3_600_000, 128 * 3_600_000)
+_COMPACT_MIN_ITEMS = 1_024
 
 
 class Priority(enum.IntEnum):
-    """Lanes of an account's queue, first served first."""
+    """Priority of a job among those of its account; the smallest goes first.
+
+    The last three levels are by attained service.
+    """
 
     URGENT = 0
     NEAR_DEADLINE = 1
@@ -27,25 +30,34 @@
 
 
 class JobEntry:
-    """A job in the queue or placed, with what its attempts have shown.
+    """Scheduling state of a queued or placed job.
+
+    Times are monotonic.
 
     Attributes:
-        spec: The job.
-        shape: Its gang.
-        sequence: Its place in the order of submission.
-        next_check_ms: When a job that so waits is looked at again.
-        delay_until_ms: Until when it waits for a less scattered place.
-        progress: Saved share of its work.
-        attained_ms: Accelerator milliseconds that it was served.
-        failed_workers: Workers at which it failed.
-        failed_runs: Attempts that ran and failed.
-        failed_attempts: Failed attempts, including those that never started.
-        retry_at_ms: When it may be tried again at workers at which it failed.
-        queued_ms: When it came into the queue last.
-        has_started: Whether a task of it ever started.
-        reclaim_from_ms: When it may take room back from trials.
-        placed_before: Whether it was placed before.
-        counts_against_allowance: Whether a trial allowance is charged now.
+        spec: Job.
+        shape: Gang of the job.
+        sequence: Position in the order of submission.
+        priority: Priority level among the jobs of the account.
+        next_check_ms: Time of the next placement attempt while the job is
+            delayed.
+        delay_until_ms: Time until which the job waits for a less scattered
+            placement, or None if it is not delayed.
+        progress: Fraction of the work that is checkpointed.
+        attained_ms: Attained service in accelerator milliseconds.
+        failed_workers: Workers at which the job failed.
+        failed_runs: Number of attempts that ran and failed.
+        failed_attempts: Number of failed attempts, including those that did
+            not start.
+        retry_at_ms: Time from which the job may be retried on
+            `failed_workers`.
+        queued_ms: Time at which the job was last queued.
+        has_started: Whether any task of the job has ever started.
+        reclaim_from_ms: Time from which the job may reclaim capacity from
+            trial accounts.
+        placed_before: Whether the job has been placed before.
+        counts_against_allowance: Whether the job is now counted against the
+            allowance of a trial account.
     """
 
     __slots__ = (
@@ -71,7 +83,14 @@
     def __init__(
         self, *, spec: jobs.JobSpec, sequence: int, progress: float = 0.0
     ) -> None:
-        """Initializes an entry that has not been tried."""
+        """Initializes the entry of a job without attempts.
+
+        Args:
+            spec: Job.
+            sequence: Position in the order of submission.
+            progress: Fraction of the work that is checkpointed. A job with
+                progress counts as placed and started before.
+        """
         self.spec = spec
         self.shape = shapes.of_job(spec)
         self.sequence = sequence
@@ -93,10 +112,14 @@
     def avoided_worker_sets(
         self, now_ms: int
     ) -> tuple[frozenset[ids.WorkerId], ...]:
-        """Returns sets of workers to avoid, to be tried in order.
+        """Returns sets of workers to avoid, in the order to try them.
 
         Args:
             now_ms: Monotonic time.
+
+        Returns:
+            The workers at which the job failed and, once it may be retried
+            there, the empty set.
         """
         if not self.failed_workers or now_ms < self.retry_at_ms:
             return (self.failed_workers,)
@@ -104,12 +127,15 @@
 
 
 class JobQueue:
-    """Queued jobs by account and lane; adding and removing cost O(1).
+    """Queued jobs by account and priority.
+
+    Within an account, urgent jobs come first, then jobs whose deadline is
+    near, then jobs by attained service in coarse steps (discretized least
+    attained service, Gu et al., "Tiresias", NSDI 2019). Jobs of the same level
+    are in the order of submission. Adding and removing a job cost O(1).
 
-    Within an account urgent jobs come first, then jobs whose deadline
-    presses, then jobs by attained service in coarse steps (discretized
-    least attained service, Gu et al., "Tiresias", NSDI 2019), each in the
-    order of submission.
+    Attributes:
+        accelerators: Accelerators requested by all queued jobs.
     """
 
     def __init__(self) -> None:
@@ -117,18 +143,18 @@
         self._entries: collections.OrderedDict[ids.JobId, JobEntry] = (
             collections.OrderedDict()
         )
-        self._lanes: dict[
+        self._levels: dict[
             ids.AccountId,
             dict[Priority, collections.OrderedDict[ids.JobId, JobEntry]],
         ] = {}
         self._sizes: collections.Counter[ids.AccountId] = collections.Counter()
         self._deadlines: list[tuple[int, int, JobEntry]] = []
-        self._presses: list[tuple[int, int, JobEntry]] = []
-        self._counter = itertools.count()
+        self._promotions: list[tuple[int, int, JobEntry]] = []
+        self._tie_breakers = itertools.count()
         self.accelerators = 0
 
     def __len__(self) -> int:
-        """Returns the number of queued jobs."""
+        """Returns the number of queued jobs of all accounts."""
         return len(self._entries)
 
     def __contains__(self, job: ids.JobId) -> bool:
@@ -136,63 +162,64 @@
         return job in self._entries
 
     def __iter__(self) -> Iterator[JobEntry]:
-        """Iterates over all entries, accounts in turn, each in its order."""
+        """Iterates over all entries, account by account, by priority."""
         return itertools.chain.from_iterable(
-            self.account_entries(account) for account in self._lanes
+            self.account_entries(account) for account in self._levels
         )
 
     def get(self, job: ids.JobId) -> JobEntry | None:
-        """Returns the entry of a queued job."""
+        """Returns the entry of a queued job, or None if it is not queued."""
         return self._entries.get(job)
 
     def size(self, account: ids.AccountId) -> int:
-        """Returns how many jobs of an account are queued."""
+        """Returns the number of queued jobs of an account."""
         return self._sizes[account]
 
     def accounts(self) -> list[ids.AccountId]:
         """Returns the accounts that have queued jobs."""
-        return list(self._lanes)
+        return list(self._levels)
 
     def account_entries(self, account: ids.AccountId) -> Iterator[JobEntry]:
-        """Iterates over the entries of an account in their order."""
-        lanes = self._lanes.get(account, {})
-        for lane in Priority:
-            yield from lanes.get(lane, {}).values()
+        """Iterates over the entries of an account by priority."""
+        levels = self._levels.get(account, {})
+        for priority in Priority:
+            yield from levels.get(priority, {}).values()
 
     def by_submission(self) -> Iterator[JobEntry]:
-        """Iterates over all entries in the order of submission."""
+        """Iterates over all entries by submission, requeued jobs first."""
         return iter(self._entries.values())
 
     def add(self, entry: JobEntry, *, promote_at_ms: int | None = None) -> None:
-        """Queues an entry; one that was queued before goes to the front.
+        """Queues an entry; a job that was placed before goes to the front.
 
         Args:
-            entry: The entry.
-            promote_at_ms: Wall-clock time from which its deadline presses.
+            entry: Entry of the job.
+            promote_at_ms: Unix time at which the job gets the priority
+                `NEAR_DEADLINE`, or None for never.
         """
         job = entry.spec.job
-        again = entry.placed_before
+        requeued = entry.placed_before
         self._entries[job] = entry
         self._sizes[entry.spec.account] += 1
         self.accelerators += entry.shape.accelerators
-        self._put(entry, _lane(entry), again)
-        if again:
+        self._insert(entry, _initial_priority(entry), requeued)
+        if requeued:
             self._entries.move_to_end(job, last=False)
         if entry.spec.deadline_ms is not None:
-            item = (entry.spec.deadline_ms, next(self._counter), entry)
+            item = (entry.spec.deadline_ms, next(self._tie_breakers), entry)
             heapq.heappush(self._deadlines, item)
         if promote_at_ms is not None:
-            item = (promote_at_ms, next(self._counter), entry)
-            heapq.heappush(self._presses, item)
+            item = (promote_at_ms, next(self._tie_breakers), entry)
+            heapq.heappush(self._promotions, item)
 
     def remove(self, job: ids.JobId) -> JobEntry | None:
-        """Takes a job out of the queue.
+        """Removes a job from the queue.
 
         Args:
-            job: The job.
+            job: Job.
 
         Returns:
-            Its entry, or None if it was not queued.
+            The entry of the job, or None if it was not queued.
         """
         entry = self._entries.pop(job, None)
         if entry is None:
@@ -200,15 +227,15 @@
         account = entry.spec.account
         self._sizes[account] -= 1
         self.accelerators -= entry.shape.accelerators
-        self._take_from_lane(entry)
+        self._remove_from_level(entry)
         if not self._sizes[account]:
             del self._sizes[account]
-            del self._lanes[account]
+            del self._levels[account]
         self._compact()
         return entry
 
     def pop_expired(self, wall_ms: int) -> list[JobEntry]:
-        """Removes and returns the jobs whose deadline has passed."""
+        """Removes the jobs whose deadline has passed, and returns them."""
         return [
             entry
             for entry in self._due(self._deadlines, wall_ms)
@@ -216,19 +243,19 @@
         ]
 
     def promote_near_deadline(self, wall_ms: int) -> bool:
-        """Moves jobs whose deadline presses to their lane.
+        """Raises the priority of jobs whose deadline has come near.
 
         Args:
-            wall_ms: Wall-clock time.
+            wall_ms: Unix time.
 
         Returns:
-            Whether any job was moved.
+            Whether the promotion time of any queued job has been reached.
         """
-        due = self._due(self._presses, wall_ms)
+        due = self._due(self._promotions, wall_ms)
         for entry in due:
             if entry.priority > Priority.NEAR_DEADLINE:
-                self._take_from_lane(entry)
-                self._put(entry, Priority.NEAR_DEADLINE, False)
+                self._remove_from_level(entry)
+                self._insert(entry, Priority.NEAR_DEADLINE, False)
         return bool(due)
 
     def _due(
@@ -241,20 +268,24 @@
                 due.append(entry)
         return due
 
-    def _put(self, entry: JobEntry, lane: Priority, first: bool) -> None:
-        entry.priority = lane
-        lanes = self._lanes.setdefault(entry.spec.account, {})
-        jobs_of_lane = lanes.setdefault(lane, collections.OrderedDict())
-        jobs_of_lane[entry.spec.job] = entry
-        if first:
-            jobs_of_lane.move_to_end(entry.spec.job, last=False)
+    def _insert(
+        self, entry: JobEntry, priority: Priority, at_front: bool
+    ) -> None:
+        entry.priority = priority
+        levels = self._levels.setdefault(entry.spec.account, {})
+        level = levels.setdefault(priority, collections.OrderedDict())
+        level[entry.spec.job] = entry
+        if at_front:
+            level.move_to_end(entry.spec.job, last=False)
 
-    def _take_from_lane(self, entry: JobEntry) -> None:
-        del self._lanes[entry.spec.account][entry.priority][entry.spec.job]
+    def _remove_from_level(self, entry: JobEntry) -> None:
+        del self._levels[entry.spec.account][entry.priority][entry.spec.job]
 
     def _compact(self) -> None:
-        for heap in (self._deadlines, self._presses):
-            if len(heap) > _COMPACT_AT and len(heap) > 2 * len(self._entries):
+        for heap in (self._deadlines, self._promotions):
+            if len(heap) > _COMPACT_MIN_ITEMS and len(heap) > 2 * len(
+                self._entries
+            ):
                 heap[:] = [
                     item
                     for item in heap
@@ -263,8 +294,10 @@
                 heapq.heapify(heap)
 
 
-def _lane(entry: JobEntry) -> Priority:
+def _initial_priority(entry: JobEntry) -> Priority:
     if entry.spec.urgent:
         return Priority.URGENT
-    served = sum(entry.attained_ms >= limit for limit in _ATTAINED_LIMITS_MS)
-    return Priority(Priority.NEW + served)
+    limits_reached = sum(
+        entry.attained_ms >= limit for limit in _ATTAINED_SERVICE_LIMITS_MS
+    )
+    return Priority(Priority.NEW + limits_reached)
--- a/citronmount/core/jobs.py
+++ b/citronmount/core/jobs.py
@@ -1,4 +1,4 @@
-"""Typed descriptions of jobs, short requests and their results."""
+"""Specifications, placements and results of jobs and short requests."""
 
 import msgspec
 
@@ -19,11 +19,11 @@
 
 
 class Resources(msgspec.Struct, frozen=True, kw_only=True):
-    """An amount of worker resources.
+    """Resource vector of a worker or a task.
 
     Attributes:
-        accelerators: Whole accelerators.
-        cores: Processor cores.
+        accelerators: Number of whole accelerators.
+        cores: Number of processor cores.
         memory_gb: Memory in gigabytes.
     """
 
@@ -33,21 +33,21 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """One job as accepted by the system.
+    """Specification of an accepted job.
 
     Attributes:
-        job: The id, which names the home failure domain.
-        account: The client account that is served.
-        tasks: Gang size; all tasks run together or none does.
+        job: Job id, which contains the home failure domain.
+        account: Client account that submitted the job.
+        tasks: Gang size; either all tasks run at the same time or none.
         per_task: Resources of each task.
-        adjacency: The smallest enclosure that must hold the gang.
-        run_time_s: Declared run time in seconds; often wrong.
-        deadline_ms: Wall-clock end limit in ms since the epoch, if any.
-        urgent: Whether the job goes before others of its account.
-        idempotent: Whether the job may be run again after a start.
-        idempotency_key: The caller's key, or empty.
-        command: What the tasks run, opaque to the scheduler.
-        submitted_ms: Wall-clock time of acceptance in ms.
+        adjacency: Topology level within which all tasks must be placed.
+        run_time_s: Declared run time in seconds, which is often wrong.
+        deadline_ms: Unix time in ms by which the job must end, if any.
+        urgent: Whether the job precedes other jobs of its account.
+        idempotent: Whether the job may be run again once it has started.
+        idempotency_key: Idempotency key set by the caller, or empty.
+        command: Command of the tasks, opaque to the scheduler.
+        submitted_ms: Unix time of acceptance in ms.
     """
 
     job: ids.JobId
@@ -70,11 +70,11 @@
 
 
 class TaskGroup(msgspec.Struct, frozen=True, kw_only=True):
-    """The tasks of one attempt that one worker runs.
+    """Tasks of an attempt that are placed on the same worker.
 
     Attributes:
-        worker: The worker.
-        tasks: How many tasks of the gang it runs.
+        worker: Worker that runs the tasks.
+        tasks: Number of tasks.
     """
 
     worker: ids.WorkerId
@@ -82,22 +82,22 @@
 
 
 class Placement(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the whole gang of one attempt runs.
+    """Assignment of all tasks of an attempt to workers.
 
     Attributes:
-        groups: One group for each worker, each worker once.
+        groups: One group per worker; no worker occurs twice.
     """
 
     groups: tuple[TaskGroup, ...]
 
 
 class JobResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The final result of a job.
+    """Final result of a job.
 
     Attributes:
-        code: What happened; see the table of result codes.
-        detail: More for a person.
-        exit_code: The job's own exit code, if it ran to an end.
+        code: Result code, described in `codes.CODES`.
+        detail: Human-readable details.
+        exit_code: Exit code of the job, if it ran until it exited.
     """
 
     code: codes.ResultCode
@@ -106,16 +106,16 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What callers see of a job.
+    """Status of a job as reported to callers.
 
     Attributes:
-        job: The job.
-        account: Its client account.
-        state: Its present state.
-        attempts: How many attempts were started.
-        durability: Where its acceptance is recorded.
-        result: The final result once there is one.
-        workers: Where it runs at present.
+        job: Job id.
+        account: Client account of the job.
+        state: Current state.
+        attempts: Number of attempts started so far.
+        durability: Where the acceptance of the job is recorded.
+        result: Final result, or None while the job has not ended.
+        workers: Workers on which the job runs now.
     """
 
     job: ids.JobId
@@ -128,15 +128,15 @@
 
 
 class RequestSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """One short request to a runner.
+    """Short request to a runner.
 
     Attributes:
-        request: The id; answers are matched by it.
-        account: The client account that is served.
-        payload: The body, opaque to the scheduler.
-        timeout_ms: How long the caller waits, from arrival.
-        idempotent: Whether it may be sent to a second runner.
-        idempotency_key: The caller's key, or empty.
+        request: Request id, by which answers are matched to requests.
+        account: Client account that sent the request.
+        payload: Request body, opaque to the scheduler.
+        timeout_ms: Time that the caller waits, counted from arrival.
+        idempotent: Whether the request may be sent to a second runner.
+        idempotency_key: Idempotency key set by the caller, or empty.
     """
 
     request: ids.RequestId
@@ -148,14 +148,14 @@
 
 
 class RequestResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a short request.
+    """Answer to a short request.
 
     Attributes:
-        request: The id of the request that is answered.
-        code: What happened; see the table of result codes.
-        payload: The runner's answer, whole, when the code is DONE.
-        detail: More for a person.
-        retry_after_ms: When to come back, for retryable refusals.
+        request: Id of the request.
+        code: Result code, described in `codes.CODES`.
+        payload: Response of the runner; complete if the code is DONE.
+        detail: Human-readable details.
+        retry_after_ms: Delay before a retry, for refusals that may be retried.
     """
 
     request: ids.RequestId
--- a/citronmount/core/ledger.py
+++ b/citronmount/core/ledger.py
@@ -1,45 +1,45 @@
-"""Keeps what each account was served against its due share."""
+"""Accounting of the service that accounts get beyond their guarantees."""
 
 from citronmount.core import ids
 
 __all__ = ["Ledger"]
 
-_LOOKAHEAD_MS = 600_000
+_RANK_LOOKAHEAD_MS = 600_000
 
 
-class _Served:
+class _AccountService:
     __slots__ = (
         "accelerators",
-        "as_of_ms",
         "guaranteed",
-        "virtual_ms",
+        "updated_ms",
+        "virtual_time_ms",
         "weight",
     )
 
     def __init__(self, now_ms: int) -> None:
         self.accelerators = 0
         self.guaranteed = 0
-        self.as_of_ms = now_ms
-        self.virtual_ms = 0.0
+        self.updated_ms = now_ms
+        self.virtual_time_ms = 0.0
         self.weight = 1
 
     @property
-    def extra(self) -> int:
+    def beyond_guarantee(self) -> int:
         return max(self.accelerators - self.guaranteed, 0)
 
 
 class Ledger:
-    """Accelerator time served beyond guarantees, over the account's weight.
+    """Accelerator time beyond guarantees per account, divided by its weight.
 
-    What an account uses of its guarantee is its own and is not counted.
-    An account that comes back after a pause starts at the smallest served
-    share of the accounts with demand, so that a pause earns no credit
-    (start-time fair queueing, Goyal et al., SIGCOMM 1996).
+    Use within an account's guarantee is not counted. An account that has
+    demand again after a pause starts at the smallest virtual time of the
+    accounts with demand, so that a pause earns no credit (start-time fair
+    queueing, Goyal et al., SIGCOMM 1996).
     """
 
     def __init__(self) -> None:
         """Initializes an empty ledger."""
-        self._served: dict[ids.AccountId, _Served] = {}
+        self._services: dict[ids.AccountId, _AccountService] = {}
 
     def set_entitlement(
         self,
@@ -49,66 +49,77 @@
         guaranteed: int,
         now_ms: int,
     ) -> None:
-        """Sets what an account is due.
+        """Sets the weight and the guarantee of an account.
 
         Args:
-            account: The account.
-            weight: Its share beyond guarantees, relative to others.
-            guaranteed: Accelerators guaranteed to it in the failure domain.
+            account: Client account.
+            weight: Weight of the account in sharing accelerators beyond
+                guarantees.
+            guaranteed: Accelerators guaranteed to the account in the failure
+                domain.
             now_ms: Monotonic time.
         """
-        served = self._settle(account, now_ms)
-        served.weight = max(weight, 1)
-        served.guaranteed = guaranteed
+        service = self._advance(account, now_ms)
+        service.weight = max(weight, 1)
+        service.guaranteed = guaranteed
 
     def add_held(
         self, account: ids.AccountId, accelerators: int, now_ms: int
     ) -> None:
-        """Adds to the accelerators that an account holds at present."""
-        self._settle(account, now_ms).accelerators += accelerators
+        """Adds accelerators to those that an account holds; may be negative."""
+        self._advance(account, now_ms).accelerators += accelerators
 
     def resume(
         self,
         account: ids.AccountId,
-        others: list[ids.AccountId],
+        active_accounts: list[ids.AccountId],
         now_ms: int,
     ) -> None:
-        """Notes that an account without demand has demand again.
+        """Records that an account without demand has demand again.
 
         Args:
-            account: The account.
-            others: Accounts that have demand already.
+            account: Client account.
+            active_accounts: Accounts that already have demand.
             now_ms: Monotonic time.
         """
-        served = self._settle(account, now_ms)
-        floor = min(
-            (self._settle(other, now_ms).virtual_ms for other in others),
-            default=served.virtual_ms,
+        service = self._advance(account, now_ms)
+        min_virtual_time_ms = min(
+            (
+                self._advance(other, now_ms).virtual_time_ms
+                for other in active_accounts
+            ),
+            default=service.virtual_time_ms,
+        )
+        service.virtual_time_ms = max(
+            service.virtual_time_ms, min_virtual_time_ms
         )
-        served.virtual_ms = max(served.virtual_ms, floor)
 
     def rank(self, account: ids.AccountId, now_ms: int) -> float:
-        """Ranks an account; the one furthest behind has the smallest rank.
+        """Ranks an account; the least served account has the smallest rank.
 
-        The accelerators held at present count for a time ahead, so that one
-        pass over a free pool already divides it by weight.
+        Accelerators in use count as if held for a further lookahead period,
+        so that a single scheduling pass over a free pool divides it by weight.
 
         Args:
-            account: The account.
+            account: Client account.
             now_ms: Monotonic time.
 
         Returns:
-            Its served share, in accelerator milliseconds over weight.
+            Accelerator milliseconds beyond the guarantee, divided by weight.
         """
-        served = self._settle(account, now_ms)
-        ahead = served.extra * _LOOKAHEAD_MS / served.weight
-        return served.virtual_ms + ahead
-
-    def _settle(self, account: ids.AccountId, now_ms: int) -> _Served:
-        served = self._served.get(account)
-        if served is None:
-            served = self._served[account] = _Served(now_ms)
-        elapsed_ms = max(now_ms - served.as_of_ms, 0)
-        served.virtual_ms += elapsed_ms * served.extra / served.weight
-        served.as_of_ms = max(now_ms, served.as_of_ms)
-        return served
+        service = self._advance(account, now_ms)
+        lookahead = (
+            service.beyond_guarantee * _RANK_LOOKAHEAD_MS / service.weight
+        )
+        return service.virtual_time_ms + lookahead
+
+    def _advance(self, account: ids.AccountId, now_ms: int) -> _AccountService:
+        service = self._services.get(account)
+        if service is None:
+            service = self._services[account] = _AccountService(now_ms)
+        elapsed_ms = max(now_ms - service.updated_ms, 0)
+        service.virtual_time_ms += (
+            elapsed_ms * service.beyond_guarantee / service.weight
+        )
+        service.updated_ms = max(now_ms, service.updated_ms)
+        return service
