--- a/citronmount/core/request_decisions.py
+++ b/citronmount/core/request_decisions.py
@@ -1,4 +1,4 @@
-"""What the router of short requests asks the agent to do."""
+"""Decisions of the request router that the agent carries out."""
 
 import msgspec
 
@@ -9,14 +9,14 @@
 
 
 class Send(msgspec.Struct, frozen=True, kw_only=True):
-    """Send the request to this runner now; a slot is set aside.
+    """Sends a request to a runner, at which a slot is already allocated.
 
     Attributes:
-        request: The request.
-        runner: The runner.
-        attempt: Counts the sends of the request from 1.
-        hedge: Whether another attempt is still in flight.
-        timeout_ms: What is left of the caller's time limit.
+        request: Request id.
+        runner: Runner.
+        attempt: Number of the attempt, counted from 1 for each request.
+        hedge: Whether another attempt of the request is in flight.
+        timeout_ms: Time left until the caller's timeout.
     """
 
     request: ids.RequestId
@@ -27,25 +27,25 @@
 
 
 class Finish(msgspec.Struct, frozen=True, kw_only=True):
-    """Give the caller this final answer.
+    """Answers the caller with the final result.
 
     Attributes:
-        result: The answer.
+        result: Final result.
     """
 
     result: jobs.RequestResult
 
 
 class Offer(msgspec.Struct, frozen=True, kw_only=True):
-    """Pass the request to a peer VM that has free slots.
+    """Offers a request to a peer VM.
 
-    The request has left the queue. What the peer answered, or that it did
-    not, is told by `RequestRouter.record_peer_answer`.
+    The request is no longer queued. The agent reports the answer of the peer,
+    or its absence, to `RequestRouter.record_peer_answer`.
 
     Attributes:
-        request: The request.
-        vm: The peer.
-        timeout_ms: What is left of the caller's time limit.
+        request: Request id.
+        vm: Peer.
+        timeout_ms: Time left until the caller's timeout.
     """
 
     request: ids.RequestId
--- a/citronmount/core/request_peers.py
+++ b/citronmount/core/request_peers.py
@@ -1,14 +1,14 @@
-"""What a VM believes of the free runner slots of its peers."""
+"""A VM's estimate of the free runner slots of its peers."""
 
 import msgspec
 
 from citronmount.core import ids
 
-__all__ = ["PeerSlots"]
+__all__ = ["PeerSlotTable"]
 
-PEER_VIEW_TTL_MS = 1_500
-PEER_REFUSED_PAUSE_MS = 5
-PEER_UNSURE_OFFERS = 4
+PEER_REPORT_TTL_MS = 1_500
+PEER_REFUSAL_BACKOFF_MS = 5
+PEER_SPECULATIVE_OFFERS = 4
 
 
 class _Peer(msgspec.Struct, kw_only=True):
@@ -18,84 +18,88 @@
     paused_until_ms: int = 0
 
 
-class PeerSlots:
-    """Beliefs about peers, corrected by what they answer to offers."""
+class PeerSlotTable:
+    """Estimates of free slots by peer.
+
+    The numbers that peers report are corrected by the offers made since and
+    by the answers to them.
+    """
 
     def __init__(self) -> None:
-        """Initializes without peers."""
+        """Initializes an empty table."""
         self._peers: dict[ids.VmId, _Peer] = {}
 
-    def heard(self, vm: ids.VmId, free: int, now_ms: int) -> None:
-        """Notes how many slots a peer says that it has free.
+    def update_free_slots(self, vm: ids.VmId, free: int, now_ms: int) -> None:
+        """Records the number of free slots that a peer reports.
 
         Args:
-            vm: The peer.
-            free: Its free slots.
+            vm: Peer.
+            free: Number of free slots.
             now_ms: Monotonic time.
         """
         peer = self._peers.setdefault(vm, _Peer(free=free, heard_ms=now_ms))
         peer.free = free
         peer.heard_ms = now_ms
 
-    def offered(self, vm: ids.VmId) -> None:
-        """Notes that a request was offered to a peer.
+    def record_offer(self, vm: ids.VmId) -> None:
+        """Records that a request was offered to a peer.
 
         Args:
-            vm: The peer.
+            vm: Peer.
         """
         peer = self._peers[vm]
         peer.free -= 1
         peer.pending += 1
 
-    def refused(self, vm: ids.VmId, now_ms: int) -> None:
-        """Notes that a peer had no slot for an offered request.
+    def record_refusal(self, vm: ids.VmId, now_ms: int) -> None:
+        """Records that a peer had no slot for an offered request.
 
         Args:
-            vm: The peer.
+            vm: Peer.
             now_ms: Monotonic time.
         """
         peer = self._peers.get(vm)
         if peer is not None:
             peer.free = 0
             peer.pending = max(0, peer.pending - 1)
-            peer.paused_until_ms = now_ms + PEER_REFUSED_PAUSE_MS
+            peer.paused_until_ms = now_ms + PEER_REFUSAL_BACKOFF_MS
 
-    def served(self, vm: ids.VmId) -> None:
-        """Notes that a peer served an offered request.
+    def record_served(self, vm: ids.VmId) -> None:
+        """Records that a peer served an offered request.
 
         Args:
-            vm: The peer.
+            vm: Peer.
         """
         peer = self._peers.get(vm)
         if peer is not None:
             peer.pending = max(0, peer.pending - 1)
 
-    def gone(self, vm: ids.VmId) -> None:
-        """Forgets a peer that does not answer.
+    def remove(self, vm: ids.VmId) -> None:
+        """Removes a peer that does not answer.
 
         Args:
-            vm: The peer.
+            vm: Peer.
         """
         self._peers.pop(vm, None)
 
     def choose(self, now_ms: int) -> ids.VmId | None:
-        """Returns the peer that is believed to have most free slots.
+        """Chooses the peer with the most estimated free slots.
 
-        A peer that is believed to have none is still asked for a few
-        requests at a time, because its reports come seldom beside the time
-        that a request takes; after a refusal it is left alone a while.
+        A peer without estimated free slots still gets a few offers at a time,
+        because the interval of its reports is long compared with the duration
+        of a request. After a refusal it gets no offers for a short time.
 
         Args:
             now_ms: Monotonic time.
 
         Returns:
-            The peer, or None if none may be asked now.
+            The peer, or None if no peer may get an offer now.
         """
-        able = [
+        candidates = [
             (peer.free, vm)
             for vm, peer in self._peers.items()
-            if peer.heard_ms + PEER_VIEW_TTL_MS > now_ms
+            if peer.heard_ms + PEER_REPORT_TTL_MS > now_ms
             and peer.paused_until_ms <= now_ms
-            and (peer.free > 0 or peer.pending < PEER_UNSURE_OFFERS)
+            and (peer.free > 0 or peer.pending < PEER_SPECULATIVE_OFFERS)
         ]
-        return max(able)[1] if able else None
+        return max(candidates)[1] if candidates else None
--- a/citronmount/core/request_queue.py
+++ b/citronmount/core/request_queue.py
@@ -1,9 +1,9 @@
-"""The fair queue of short requests over client accounts.
+"""Fair queue of short requests across client accounts.
 
 Accounts share by start-time fair queueing: Goyal, Vin and Cheng, "Start-time
-Fair Queueing", SIGCOMM 1996. A request costs what requests of its account
-took of late, so that long requests count for more. Trial accounts come after
-all paying ones.
+Fair Queueing", SIGCOMM 1996. The cost of a request is the recent average
+duration of the requests of its account, so that long requests count for more.
+Requests of trial accounts come after those of all paying accounts.
 """
 
 import collections
@@ -17,207 +17,217 @@
 
 __all__ = ["FairQueue"]
 
-DEFAULT_COST_MS = 50.0
-COST_WEIGHT = 0.1
-REMOVED_KEPT = 32
+INITIAL_COST_MS = 50.0
+COST_SMOOTHING_FACTOR = 0.1
+COMPACTION_SLACK = 32
 
 
-class _Lane(msgspec.Struct, kw_only=True):
-    """The waiting requests of one account."""
+class _AccountQueue(msgspec.Struct, kw_only=True):
+    """Waiting requests of an account.
+
+    Removed requests stay in `waiting` until they are skipped or compacted;
+    `live` counts the others. `entry` is the number of the heap entry that is
+    valid, or -1.
+    """
 
     account: ids.AccountId
     waiting: collections.deque[ids.RequestId]
     live: int = 0
     finish_tag: float = 0.0
-    cost_ms: float = DEFAULT_COST_MS
+    cost_ms: float = INITIAL_COST_MS
     trial: bool = False
     entry: int = -1
 
 
 class FairQueue:
-    """Waiting requests, bounded for each account."""
+    """Waiting requests, limited in number for each account."""
 
-    def __init__(self, *, bound: int) -> None:
+    def __init__(self, *, max_waiting: int) -> None:
         """Initializes an empty queue.
 
         Args:
-            bound: The most requests of one account that may wait.
+            max_waiting: Maximum number of waiting requests of an account.
         """
-        self._bound = bound
-        self._lanes: dict[ids.AccountId, _Lane] = {}
-        self._owner: dict[ids.RequestId, ids.AccountId] = {}
+        self._max_waiting = max_waiting
+        self._queues: dict[ids.AccountId, _AccountQueue] = {}
+        self._account_of: dict[ids.RequestId, ids.AccountId] = {}
         self._heap: list[tuple[bool, float, int, ids.AccountId]] = []
-        self._entries = itertools.count()
-        self._virtual_ms = {False: 0.0, True: 0.0}
+        self._entry_numbers = itertools.count()
+        self._virtual_time_ms = {False: 0.0, True: 0.0}
 
     def __len__(self) -> int:
-        """Returns how many requests wait."""
-        return len(self._owner)
+        """Returns the number of waiting requests."""
+        return len(self._account_of)
 
-    def set_class(
+    def set_account_class(
         self, account: ids.AccountId, account_class: states.AccountClass
     ) -> None:
-        """Notes whether an account pays or tries.
+        """Sets the class of an account.
 
         Args:
-            account: The account.
-            account_class: Its class; accounts not noted count as paying.
+            account: Client account.
+            account_class: Class; accounts without one count as paying.
         """
-        lane = self._lane(account)
+        queue = self._account_queue(account)
         trial = account_class is states.AccountClass.TRIAL
-        if lane.trial == trial:
+        if queue.trial == trial:
             return
-        lane.trial = trial
-        lane.finish_tag = self._virtual_ms[trial]
-        if lane.live:
-            self._push(lane)
+        queue.trial = trial
+        queue.finish_tag = self._virtual_time_ms[trial]
+        if queue.live:
+            self._push_heap_entry(queue)
 
-    def waiting(self, account: ids.AccountId) -> int:
-        """Returns how many requests of an account wait.
+    def waiting_count(self, account: ids.AccountId) -> int:
+        """Counts the waiting requests of an account.
 
         Args:
-            account: The account.
+            account: Client account.
 
         Returns:
             The number of its waiting requests.
         """
-        lane = self._lanes.get(account)
-        return lane.live if lane else 0
+        queue = self._queues.get(account)
+        return queue.live if queue else 0
 
     def cost_ms(self, account: ids.AccountId) -> float:
-        """Returns how long requests of an account took of late.
+        """Returns the recent average duration of an account's requests.
 
         Args:
-            account: The account.
+            account: Client account.
 
         Returns:
-            A moving average in ms.
+            Exponential moving average in ms.
         """
-        return self._lane(account).cost_ms
+        return self._account_queue(account).cost_ms
 
-    def observe(self, account: ids.AccountId, took_ms: float) -> None:
-        """Notes how long a request of an account held a slot.
+    def observe(self, account: ids.AccountId, duration_ms: float) -> None:
+        """Records how long a request of an account held a slot.
 
         Args:
-            account: The account.
-            took_ms: The time from dispatch to answer.
+            account: Client account.
+            duration_ms: Time from dispatch to answer.
         """
-        lane = self._lane(account)
-        lane.cost_ms += COST_WEIGHT * (max(1.0, took_ms) - lane.cost_ms)
+        queue = self._account_queue(account)
+        queue.cost_ms += COST_SMOOTHING_FACTOR * (
+            max(1.0, duration_ms) - queue.cost_ms
+        )
 
     def push(self, request: ids.RequestId, account: ids.AccountId) -> bool:
-        """Adds a request at the end of its account's line.
+        """Appends a request to the queue of its account.
 
         Args:
-            request: The request.
-            account: Its account.
+            request: Request id.
+            account: Client account of the request.
 
         Returns:
-            Whether there was room.
+            False if the account already has the maximum number of waiting
+            requests, otherwise True.
         """
-        lane = self._lane(account)
-        if lane.live >= self._bound:
+        queue = self._account_queue(account)
+        if queue.live >= self._max_waiting:
             return False
-        lane.waiting.append(request)
-        self._added(lane, request)
+        queue.waiting.append(request)
+        self._record_added(queue, request)
         return True
 
     def push_front(
         self, request: ids.RequestId, account: ids.AccountId
     ) -> None:
-        """Puts a request that was taken before back to the front.
+        """Returns a popped request to the front of the queue of its account.
 
         Args:
-            request: The request.
-            account: Its account.
+            request: Request id.
+            account: Client account of the request.
         """
-        lane = self._lane(account)
-        lane.waiting.appendleft(request)
-        lane.finish_tag -= lane.cost_ms
-        self._added(lane, request)
+        queue = self._account_queue(account)
+        queue.waiting.appendleft(request)
+        queue.finish_tag -= queue.cost_ms
+        self._record_added(queue, request)
 
     def remove(self, request: ids.RequestId) -> bool:
-        """Removes a request wherever it waits.
+        """Removes a request from any position.
 
         Args:
-            request: The request.
+            request: Request id.
 
         Returns:
-            Whether it waited.
+            Whether the request was waiting.
         """
-        account = self._owner.pop(request, None)
+        account = self._account_of.pop(request, None)
         if account is None:
             return False
-        lane = self._lanes[account]
-        lane.live -= 1
-        if len(lane.waiting) > 2 * lane.live + REMOVED_KEPT:
-            lane.waiting = collections.deque(
-                other for other in lane.waiting if other in self._owner
+        queue = self._queues[account]
+        queue.live -= 1
+        if len(queue.waiting) > 2 * queue.live + COMPACTION_SLACK:
+            queue.waiting = collections.deque(
+                queued for queued in queue.waiting if queued in self._account_of
             )
         return True
 
     def peek(self) -> ids.RequestId | None:
-        """Returns the request that is next, without taking it.
+        """Returns the next request without removing it.
 
         Returns:
-            The request, or None if none waits.
+            The request id, or None if no request waits.
         """
-        lane = self._head()
-        return lane.waiting[0] if lane else None
+        queue = self._next_queue()
+        return queue.waiting[0] if queue else None
 
     def pop(self) -> ids.RequestId | None:
-        """Takes the request that is next.
+        """Removes the next request.
 
         Returns:
-            The request, or None if none waits.
+            The request id, or None if no request waits.
         """
-        lane = self._head()
-        if lane is None:
+        queue = self._next_queue()
+        if queue is None:
             return None
-        request = lane.waiting.popleft()
+        request = queue.waiting.popleft()
         self.remove(request)
-        start = max(lane.finish_tag, self._virtual_ms[lane.trial])
-        self._virtual_ms[lane.trial] = start
-        lane.finish_tag = start + lane.cost_ms
+        start = max(queue.finish_tag, self._virtual_time_ms[queue.trial])
+        self._virtual_time_ms[queue.trial] = start
+        queue.finish_tag = start + queue.cost_ms
         heapq.heappop(self._heap)
-        lane.entry = -1
-        if lane.live:
-            self._push(lane)
+        queue.entry = -1
+        if queue.live:
+            self._push_heap_entry(queue)
         return request
 
-    def _lane(self, account: ids.AccountId) -> _Lane:
-        if account not in self._lanes:
-            self._lanes[account] = _Lane(
+    def _account_queue(self, account: ids.AccountId) -> _AccountQueue:
+        if account not in self._queues:
+            self._queues[account] = _AccountQueue(
                 account=account, waiting=collections.deque()
             )
-        return self._lanes[account]
+        return self._queues[account]
 
-    def _added(self, lane: _Lane, request: ids.RequestId) -> None:
-        self._owner[request] = lane.account
-        lane.live += 1
-        if lane.live == 1 or lane.entry < 0:
-            self._push(lane)
-
-    def _push(self, lane: _Lane) -> None:
-        lane.entry = next(self._entries)
-        start = max(lane.finish_tag, self._virtual_ms[lane.trial])
+    def _record_added(
+        self, queue: _AccountQueue, request: ids.RequestId
+    ) -> None:
+        self._account_of[request] = queue.account
+        queue.live += 1
+        if queue.live == 1 or queue.entry < 0:
+            self._push_heap_entry(queue)
+
+    def _push_heap_entry(self, queue: _AccountQueue) -> None:
+        queue.entry = next(self._entry_numbers)
+        start = max(queue.finish_tag, self._virtual_time_ms[queue.trial])
         heapq.heappush(
-            self._heap, (lane.trial, start, lane.entry, lane.account)
+            self._heap, (queue.trial, start, queue.entry, queue.account)
         )
 
-    def _head(self) -> _Lane | None:
+    def _next_queue(self) -> _AccountQueue | None:
         while self._heap:
             *_, entry, account = self._heap[0]
-            lane = self._lanes[account]
-            if lane.entry == entry and lane.live:
-                _skip_removed(lane, self._owner)
-                return lane
+            queue = self._queues[account]
+            if queue.entry == entry and queue.live:
+                _skip_removed(queue, self._account_of)
+                return queue
             heapq.heappop(self._heap)
         return None
 
 
 def _skip_removed(
-    lane: _Lane, owner: dict[ids.RequestId, ids.AccountId]
+    queue: _AccountQueue, account_of: dict[ids.RequestId, ids.AccountId]
 ) -> None:
-    while lane.waiting[0] not in owner:
-        lane.waiting.popleft()
+    while queue.waiting[0] not in account_of:
+        queue.waiting.popleft()
--- a/citronmount/core/request_router.py
+++ b/citronmount/core/request_router.py
@@ -84,20 +84,20 @@
             hedge_share: Hedges allowed for each request; 0 for none.
         """
         self._slots = request_slots.RunnerSlots(seed=zlib.crc32(vm.encode()))
-        self._queue = request_queue.FairQueue(bound=QUEUE_BOUND)
-        self._peers = request_peers.PeerSlots()
+        self._queue = request_queue.FairQueue(max_waiting=QUEUE_BOUND)
+        self._peers = request_peers.PeerSlotTable()
         self._live: dict[ids.RequestId, _Live] = {}
         self._attempts: dict[ids.RequestId, list[_Attempt]] = {}
         self._outstanding = 0
         self._deadlines: list[tuple[int, ids.RequestId]] = []
         self._hedges: list[tuple[int, ids.RequestId]] = []
         self._finished: list[jobs.RequestResult] = []
-        self._rates: dict[ids.AccountId, request_hedging.RateLimit] = {}
+        self._rates: dict[ids.AccountId, request_hedging.TokenBucket] = {}
         self._delays: dict[ids.AccountId, request_hedging.HedgeDelay] = {}
-        self._retries = request_hedging.Budget(
+        self._retry_budget = request_hedging.RetryBudget(
             share=RETRY_SHARE, burst=RETRY_BURST
         )
-        self._hedge_budget = request_hedging.Budget(
+        self._hedge_budget = request_hedging.RetryBudget(
             share=hedge_share, burst=HEDGE_BURST if hedge_share else 0.0
         )
         self._now_ms = 0
@@ -151,7 +151,7 @@
             account: The account.
             account_class: Its class; accounts not noted count as paying.
         """
-        self._queue.set_class(account, account_class)
+        self._queue.set_account_class(account, account_class)
 
     def set_peer_free_slots(self, vm: ids.VmId, free: int) -> None:
         """Notes how many slots a peer of the failure domain has free.
@@ -160,7 +160,7 @@
             vm: The peer.
             free: Its free slots.
         """
-        self._peers.heard(vm, free, self._now_ms)
+        self._peers.update_free_slots(vm, free, self._now_ms)
 
     def submit(
         self, spec: jobs.RequestSpec, now_ms: int, *, offered: bool = False
@@ -281,15 +281,15 @@
         vm = live.offered_to
         live.offered_to = None
         if result is None:
-            self._peers.gone(vm)
+            self._peers.remove(vm)
             self._peer_lost(live, sent)
             return
         info = codes.info(result.code)
         if info.proves_not_run and info.retry:
-            self._peers.refused(vm, now_ms)
+            self._peers.record_refusal(vm, now_ms)
             self._queue.push_front(request, live.spec.account)
             return
-        self._peers.served(vm)
+        self._peers.record_served(vm)
         self._close(live, result)
 
     def cancel(self, request: ids.RequestId) -> bool:
@@ -358,13 +358,13 @@
                 code=codes.ResultCode.FAILURE_DOMAIN_OUT,
                 retry_after_ms=RETRY_AFTER_MAX_MS,
             )
-        if self._queue.waiting(spec.account) >= QUEUE_BOUND:
+        if self._queue.waiting_count(spec.account) >= QUEUE_BOUND:
             return jobs.RequestResult(
                 request=spec.request,
                 code=codes.ResultCode.QUEUE_FULL,
                 retry_after_ms=self._drain_ms(spec.account),
             )
-        wait_ms = self._rate(spec.account).admit(now_ms)
+        wait_ms = self._rate(spec.account).try_take(now_ms)
         if wait_ms:
             return jobs.RequestResult(
                 request=spec.request,
@@ -373,9 +373,9 @@
             )
         return None
 
-    def _rate(self, account: ids.AccountId) -> request_hedging.RateLimit:
+    def _rate(self, account: ids.AccountId) -> request_hedging.TokenBucket:
         if account not in self._rates:
-            self._rates[account] = request_hedging.RateLimit(
+            self._rates[account] = request_hedging.TokenBucket(
                 rate_per_s=RATE_PER_S, burst=RATE_BURST
             )
         return self._rates[account]
@@ -386,7 +386,9 @@
         return self._delays[account]
 
     def _drain_ms(self, account: ids.AccountId) -> int:
-        work_ms = self._queue.waiting(account) * self._queue.cost_ms(account)
+        work_ms = self._queue.waiting_count(account) * self._queue.cost_ms(
+            account
+        )
         drain_ms = math.ceil(work_ms / max(1, self._outstanding))
         return min(RETRY_AFTER_MAX_MS, max(RETRY_AFTER_MIN_MS, drain_ms))
 
@@ -435,8 +437,8 @@
                 break
             self._queue.pop()
             if not live.sends:
-                self._retries.earn()
-                self._hedge_budget.earn()
+                self._retry_budget.deposit()
+                self._hedge_budget.deposit()
             sends.append(self._send(live, runner, now_ms))
         return sends
 
@@ -504,7 +506,7 @@
         runner = self._slots.choose(
             now_ms, exclude=live.runners, avoid_probe=True
         )
-        if runner is None or not self._hedge_budget.spend():
+        if runner is None or not self._hedge_budget.try_withdraw():
             return None
         return self._send(live, runner, now_ms)
 
@@ -520,7 +522,7 @@
             self._queue.pop()
             live.offers += 1
             live.offered_to = vm
-            self._peers.offered(vm)
+            self._peers.record_offer(vm)
             offers.append(
                 request_decisions.Offer(
                     request=request,
@@ -623,7 +625,7 @@
         return (
             live.spec.idempotent
             and live.failed_runs < MAX_RUNS
-            and self._retries.spend()
+            and self._retry_budget.try_withdraw()
         )
 
     def _finish(
