--- a/citronmount/core/request_peers.py
+++ b/citronmount/core/request_peers.py
@@ -74,7 +74,7 @@
         if peer is not None:
             peer.pending = max(0, peer.pending - 1)
 
-    def remove(self, vm: ids.VmId) -> None:
+    def forget(self, vm: ids.VmId) -> None:
         """Removes a peer that does not answer.
 
         Args:
--- a/citronmount/core/request_router.py
+++ b/citronmount/core/request_router.py
@@ -1,8 +1,8 @@
-"""The router of short requests at one VM.
+"""Router for the short requests that one VM receives.
 
-Requests wait at the VM, never at a runner, so that a queued request can still
-be cancelled, offered to a peer or refused with the proof that it was not run;
-Sparrow (Ousterhout et al., SOSP 2013) calls this late binding.
+Requests are queued at the VM, never at a runner, so that a queued request can
+still be cancelled, offered to a peer or refused with the guarantee that it did
+not run. Sparrow (Ousterhout et al., SOSP 2013) calls this late binding.
 """
 
 import heapq
@@ -24,24 +24,24 @@
 
 __all__ = ["RequestRouter"]
 
-QUEUE_BOUND = 256
+MAX_QUEUED_PER_ACCOUNT = 256
 RATE_PER_S = 1_000.0
 RATE_BURST = 500.0
 RETRY_SHARE = 0.1
 RETRY_BURST = 10.0
 HEDGE_SHARE = 0.05
 HEDGE_BURST = 5.0
-HEDGE_AGAIN_MS = 50
-MAX_UNSENT_ATTEMPTS = 8
+HEDGE_RETRY_MS = 50
+MAX_SENDS = 8
 MAX_RUNS = 3
 MAX_OFFERS = 8
-DEADLINES_KEPT = 1_024
+DEADLINE_HEAP_SLACK = 1_024
 RETRY_AFTER_MIN_MS = 50
 RETRY_AFTER_MAX_MS = 5_000
 
 
 class _Attempt(msgspec.Struct, kw_only=True):
-    """One send of a request that holds a slot until it is answered."""
+    """Sending of a request to a runner; holds a slot until it is answered."""
 
     request: ids.RequestId
     runner: ids.RunnerId
@@ -50,8 +50,8 @@
     sent_ms: int
 
 
-class _Live(msgspec.Struct, kw_only=True):
-    """A request that the caller still waits for."""
+class _LiveRequest(msgspec.Struct, kw_only=True):
+    """Request whose caller still waits for an answer."""
 
     spec: jobs.RequestSpec
     arrived_ms: int
@@ -67,11 +67,11 @@
 
 
 class RequestRouter:
-    """Decides for the short requests that callers send to one VM.
+    """Decides where and when the short requests at one VM are sent.
 
-    It does no input or output and reads no clock. A request is live from
-    `submit` until its `Finish` or `cancel`; an attempt holds its slot until
-    `answered`, also when the caller has had an answer before.
+    The router does no I/O and reads no clock. A request is live from `submit`
+    until its `Finish` or `cancel`. An attempt holds its slot until
+    `record_answer`, even if the caller has been answered before.
     """
 
     def __init__(
@@ -80,20 +80,25 @@
         """Initializes a router without runners.
 
         Args:
-            vm: The VM, which seeds the choice between runners.
-            hedge_share: Hedges allowed for each request; 0 for none.
+            vm: VM of the router; its id seeds the random choice of runners.
+            hedge_share: Number of hedges allowed per request; 0 disables
+                hedging.
         """
         self._slots = request_slots.RunnerSlots(seed=zlib.crc32(vm.encode()))
-        self._queue = request_queue.FairQueue(max_waiting=QUEUE_BOUND)
+        self._queue = request_queue.FairQueue(
+            max_waiting=MAX_QUEUED_PER_ACCOUNT
+        )
         self._peers = request_peers.PeerSlotTable()
-        self._live: dict[ids.RequestId, _Live] = {}
+        self._live: dict[ids.RequestId, _LiveRequest] = {}
         self._attempts: dict[ids.RequestId, list[_Attempt]] = {}
         self._outstanding = 0
         self._deadlines: list[tuple[int, ids.RequestId]] = []
-        self._hedges: list[tuple[int, ids.RequestId]] = []
+        self._hedge_times: list[tuple[int, ids.RequestId]] = []
         self._finished: list[jobs.RequestResult] = []
-        self._rates: dict[ids.AccountId, request_hedging.TokenBucket] = {}
-        self._delays: dict[ids.AccountId, request_hedging.HedgeDelay] = {}
+        self._token_buckets: dict[
+            ids.AccountId, request_hedging.TokenBucket
+        ] = {}
+        self._hedge_delays: dict[ids.AccountId, request_hedging.HedgeDelay] = {}
         self._retry_budget = request_hedging.RetryBudget(
             share=RETRY_SHARE, burst=RETRY_BURST
         )
@@ -104,84 +109,84 @@
         self._in_service = True
 
     def set_runners(self, runners: tuple[messages.ListedTarget, ...]) -> None:
-        """Takes over the list of runners of the failure domain.
+        """Replaces the list of runners of the failure domain.
 
         Args:
-            runners: The runners, with slots and connections.
+            runners: Runners with their slots and connections.
         """
         self._slots.set_runners(runners)
 
     def set_runner_state(
         self, runner: ids.RunnerId, state: states.TargetState
     ) -> None:
-        """Notes whether a runner may get new requests.
+        """Sets the state of a runner.
 
         Args:
-            runner: The runner.
-            state: Only UP lets requests be sent.
+            runner: Runner.
+            state: State; requests are sent only to a runner that is UP.
         """
         self._slots.set_state(runner, state)
 
     def set_in_service(self, in_service: bool) -> None:
-        """Notes whether the failure domain is in service.
+        """Sets whether the failure domain is in service.
 
-        Out of service nothing is sent any more; the next `decide` ends the
-        requests that wait, and sends in flight are finished.
+        While it is out of service, nothing is sent. The next `decide` ends the
+        queued requests; attempts in flight may complete.
 
         Args:
-            in_service: Whether requests may start.
+            in_service: Whether requests may be sent.
         """
         self._in_service = in_service
 
     def set_share(self, index: int, count: int) -> None:
-        """Notes which share of every runner this VM may use.
+        """Sets the share of every runner's slots that this VM may use.
 
         Args:
-            index: The number of this VM among the live ones, from 0.
-            count: How many live VMs the failure domain has.
+            index: Index of this VM among the live VMs, from 0.
+            count: Number of live VMs in the failure domain.
         """
         self._slots.set_share(index, count)
 
     def set_account_class(
         self, account: ids.AccountId, account_class: states.AccountClass
     ) -> None:
-        """Notes whether an account pays or tries.
+        """Sets the class of an account.
 
         Args:
-            account: The account.
-            account_class: Its class; accounts not noted count as paying.
+            account: Client account.
+            account_class: Class; accounts without one count as paying.
         """
         self._queue.set_account_class(account, account_class)
 
     def set_peer_free_slots(self, vm: ids.VmId, free: int) -> None:
-        """Notes how many slots a peer of the failure domain has free.
+        """Sets the number of free slots of a peer of the failure domain.
 
         Args:
-            vm: The peer.
-            free: Its free slots.
+            vm: Peer.
+            free: Number of free slots.
         """
         self._peers.update_free_slots(vm, free, self._now_ms)
 
     def submit(
         self, spec: jobs.RequestSpec, now_ms: int, *, offered: bool = False
     ) -> jobs.RequestResult | None:
-        """Takes a new request or refuses it.
+        """Accepts or refuses a new request.
 
         Args:
-            spec: The request.
+            spec: Request.
             now_ms: Monotonic time.
-            offered: Whether a peer offers it; it is then taken only if a
-                slot is free for it now, and never offered on.
+            offered: Whether a peer offers the request. It is then accepted
+                only if a slot is free for it now, and is not offered again.
 
         Returns:
-            None if it is taken; otherwise a refusal, which proves that it
-            was not run and changes nothing.
+            None if the request is accepted, otherwise a refusal. A refusal
+            guarantees that the request did not run, and leaves no state.
         """
         self._now_ms = now_ms
-        refusal = self._refusal(spec, now_ms, offered=offered)
+        refusal = self._check_admission(spec, now_ms, offered=offered)
         if refusal is not None:
             return refusal
-        live = _Live(
+        live = _LiveRequest(
             spec=spec,
             arrived_ms=now_ms,
             deadline_ms=now_ms + spec.timeout_ms,
@@ -190,29 +195,29 @@
         self._live[spec.request] = live
         self._queue.push(spec.request, spec.account)
         heapq.heappush(self._deadlines, (live.deadline_ms, spec.request))
-        self._drop_old_deadlines()
+        self._compact_deadlines()
         return None
 
     def decide(self, now_ms: int) -> list[request_decisions.RequestDecision]:
-        """Returns what to do now.
+        """Makes all decisions that are due.
 
         Args:
             now_ms: Monotonic time.
 
         Returns:
-            The decisions, in the order in which to carry them out.
+            Decisions in the order in which to carry them out.
         """
         self._now_ms = now_ms
         self._expire(now_ms)
         if not self._in_service:
-            self._end_queued()
-        out: list[request_decisions.RequestDecision] = []
-        out.extend(self._dispatch(now_ms))
-        out.extend(self._offer(now_ms))
-        out.extend(self._hedge(now_ms))
+            self._finish_queued()
+        decisions: list[request_decisions.RequestDecision] = []
+        decisions.extend(self._dispatch_queued(now_ms))
+        decisions.extend(self._offer_to_peers(now_ms))
+        decisions.extend(self._send_hedges(now_ms))
         finished, self._finished = self._finished, []
-        out.extend(request_decisions.Finish(result=r) for r in finished)
-        return out
+        decisions.extend(request_decisions.Finish(result=r) for r in finished)
+        return decisions
 
     def record_answer(
         self,
@@ -224,39 +229,40 @@
         *,
         attempt: int | None = None,
     ) -> None:
-        """Notes what became of a send.
+        """Records the outcome of an attempt.
 
-        Late and doubled answers change nothing but the state of the runner.
+        A late answer only updates the state of the runner; a duplicate answer
+        is ignored.
 
         Args:
-            request: The request.
-            runner: The runner.
-            answer: Its answer, or None if there was none.
+            request: Request id.
+            runner: Runner.
+            answer: Answer of the runner, or None if there was none.
             sent: Whether the request may have reached the runner.
             now_ms: Monotonic time.
-            attempt: The number of the send; the oldest open one of the
-                request at the runner if it is not known.
+            attempt: Number of the attempt. If None, the oldest open attempt
+                of the request at the runner is meant.
         """
         self._now_ms = now_ms
-        held = self._end_attempt(request, runner, attempt)
-        if held is None:
+        ended = self._end_attempt(request, runner, attempt)
+        if ended is None:
             return
         if answer is not None and answer.request != request:
             answer = None
             sent = True
-        self._note_runner(held, answer, sent, now_ms)
+        self._update_runner(ended, answer, sent, now_ms)
         live = self._live.get(request)
         if live is None:
             return
         live.active -= 1
         if answer is None:
-            self._lost(live, held, sent)
+            self._handle_lost_answer(live, ended, sent)
         elif answer.outcome is messages.RunnerOutcome.DONE:
             self._finish(live, codes.ResultCode.DONE, payload=answer.payload)
         elif answer.outcome is messages.RunnerOutcome.FAILED:
-            self._failed(live, held, answer.payload)
+            self._handle_failed_run(live, ended, answer.payload)
         else:
-            self._not_run(live, held)
+            self._handle_not_run(live, ended)
 
     def record_peer_answer(
         self,
@@ -266,11 +272,11 @@
         *,
         sent: bool = True,
     ) -> None:
-        """Notes what became of an offered request.
+        """Records the outcome of an offered request.
 
         Args:
-            request: The request.
-            result: The peer's final answer, or None if there was none.
+            request: Request id.
+            result: Final answer of the peer, or None if there was none.
             now_ms: Monotonic time.
             sent: Whether the offer may have reached the peer.
         """
@@ -281,8 +287,8 @@
         vm = live.offered_to
         live.offered_to = None
         if result is None:
-            self._peers.remove(vm)
-            self._peer_lost(live, sent)
+            self._peers.forget(vm)
+            self._handle_lost_offer(live, sent)
             return
         info = codes.info(result.code)
         if info.proves_not_run and info.retry:
@@ -290,59 +296,61 @@
             self._queue.push_front(request, live.spec.account)
             return
         self._peers.record_served(vm)
-        self._close(live, result)
+        self._complete(live, result)
 
     def cancel(self, request: ids.RequestId) -> bool:
-        """Forgets a request whose caller has left.
+        """Removes a request whose caller no longer waits.
 
-        No `Finish` follows. A send that is in flight is not stopped.
+        No `Finish` follows. An attempt in flight is not stopped.
 
         Args:
-            request: The request.
+            request: Request id.
 
         Returns:
-            Whether it is proved that the request was not run.
+            Whether the request certainly did not run.
         """
         live = self._live.pop(request, None)
         if live is None:
             return False
         self._queue.remove(request)
-        return not self._in_doubt(live)
+        return not self._may_have_executed(live)
 
     def free_slots(self) -> int:
-        """Returns how many more requests could be sent now."""
+        """Returns the number of requests that could be sent now."""
         if not self._in_service:
             return 0
-        return self._slots.free(self._now_ms)
+        return self._slots.free_slots(self._now_ms)
 
     def queued_count(self) -> int:
-        """Returns how many requests wait for a slot."""
+        """Returns the number of requests that wait for a slot."""
         return len(self._queue)
 
     def outstanding_count(self) -> int:
-        """Returns how many sends hold a slot."""
+        """Returns the number of attempts that hold a slot."""
         return self._outstanding
 
     def next_wake_ms(self) -> int | None:
-        """Returns when `decide` should be called if nothing else happens.
+        """Returns when to call `decide` if no other event happens before.
 
         Returns:
-            Monotonic time, or None if nothing is due.
+            Monotonic time, or None if no decision is pending.
         """
-        due = [heap[0][0] for heap in (self._deadlines, self._hedges) if heap]
+        due = [
+            heap[0][0] for heap in (self._deadlines, self._hedge_times) if heap
+        ]
         if self._queue.peek() is not None:
-            opens_ms = self._slots.next_open_ms(self._now_ms)
+            opens_ms = self._slots.next_available_ms(self._now_ms)
             due.extend([] if opens_ms is None else [opens_ms])
         return min(due, default=None)
 
-    def _refusal(
+    def _check_admission(
         self, spec: jobs.RequestSpec, now_ms: int, *, offered: bool
     ) -> jobs.RequestResult | None:
         if spec.request in self._live or spec.request in self._attempts:
             return jobs.RequestResult(
                 request=spec.request,
                 code=codes.ResultCode.INVALID_REQUEST,
-                detail="the request id is in use",
+                detail="another request with this id is in progress",
             )
         if offered:
             if self.free_slots() > len(self._queue):
@@ -358,13 +366,13 @@
                 code=codes.ResultCode.FAILURE_DOMAIN_OUT,
                 retry_after_ms=RETRY_AFTER_MAX_MS,
             )
-        if self._queue.waiting_count(spec.account) >= QUEUE_BOUND:
+        if self._queue.waiting_count(spec.account) >= MAX_QUEUED_PER_ACCOUNT:
             return jobs.RequestResult(
                 request=spec.request,
                 code=codes.ResultCode.QUEUE_FULL,
-                retry_after_ms=self._drain_ms(spec.account),
+                retry_after_ms=self._queue_drain_ms(spec.account),
             )
-        wait_ms = self._rate(spec.account).try_take(now_ms)
+        wait_ms = self._token_bucket(spec.account).try_take(now_ms)
         if wait_ms:
             return jobs.RequestResult(
                 request=spec.request,
@@ -373,19 +381,23 @@
             )
         return None
 
-    def _rate(self, account: ids.AccountId) -> request_hedging.TokenBucket:
-        if account not in self._rates:
-            self._rates[account] = request_hedging.TokenBucket(
+    def _token_bucket(
+        self, account: ids.AccountId
+    ) -> request_hedging.TokenBucket:
+        if account not in self._token_buckets:
+            self._token_buckets[account] = request_hedging.TokenBucket(
                 rate_per_s=RATE_PER_S, burst=RATE_BURST
             )
-        return self._rates[account]
+        return self._token_buckets[account]
 
-    def _delay(self, account: ids.AccountId) -> request_hedging.HedgeDelay:
-        if account not in self._delays:
-            self._delays[account] = request_hedging.HedgeDelay()
-        return self._delays[account]
+    def _hedge_delay(
+        self, account: ids.AccountId
+    ) -> request_hedging.HedgeDelay:
+        if account not in self._hedge_delays:
+            self._hedge_delays[account] = request_hedging.HedgeDelay()
+        return self._hedge_delays[account]
 
-    def _drain_ms(self, account: ids.AccountId) -> int:
+    def _queue_drain_ms(self, account: ids.AccountId) -> int:
         work_ms = self._queue.waiting_count(account) * self._queue.cost_ms(
             account
         )
@@ -400,39 +412,39 @@
                 self._queue.remove(request)
                 self._finish(live, self._timeout_code(live))
 
-    def _end_queued(self) -> None:
+    def _finish_queued(self) -> None:
         while (request := self._queue.pop()) is not None:
             live = self._live[request]
             code = codes.ResultCode.FAILURE_DOMAIN_OUT
-            if self._in_doubt(live):
+            if self._may_have_executed(live):
                 code = self._timeout_code(live)
             self._finish(live, code)
 
-    def _drop_old_deadlines(self) -> None:
-        if len(self._deadlines) <= 2 * len(self._live) + DEADLINES_KEPT:
+    def _compact_deadlines(self) -> None:
+        if len(self._deadlines) <= 2 * len(self._live) + DEADLINE_HEAP_SLACK:
             return
         self._deadlines = [
             entry for entry in self._deadlines if entry[1] in self._live
         ]
         heapq.heapify(self._deadlines)
 
-    def _timeout_code(self, live: _Live) -> codes.ResultCode:
-        if not self._in_doubt(live):
+    def _timeout_code(self, live: _LiveRequest) -> codes.ResultCode:
+        if not self._may_have_executed(live):
             return codes.ResultCode.NO_SLOT
         if live.spec.idempotent:
             return codes.ResultCode.TIMED_OUT
         return codes.ResultCode.OUTCOME_UNKNOWN
 
-    def _in_doubt(self, live: _Live) -> bool:
+    def _may_have_executed(self, live: _LiveRequest) -> bool:
         return bool(
             live.may_have_run or live.active or live.offered_to is not None
         )
 
-    def _dispatch(self, now_ms: int) -> list[request_decisions.Send]:
+    def _dispatch_queued(self, now_ms: int) -> list[request_decisions.Send]:
         sends = []
         while (request := self._queue.peek()) is not None:
             live = self._live[request]
-            runner = self._choose(live, now_ms)
+            runner = self._choose_runner(live, now_ms)
             if runner is None:
                 break
             self._queue.pop()
@@ -442,23 +454,25 @@
             sends.append(self._send(live, runner, now_ms))
         return sends
 
-    def _choose(self, live: _Live, now_ms: int) -> ids.RunnerId | None:
-        avoid_probe = not live.spec.idempotent
-        fresh = self._slots.choose(
-            now_ms, exclude=live.runners, avoid_probe=avoid_probe
+    def _choose_runner(
+        self, live: _LiveRequest, now_ms: int
+    ) -> ids.RunnerId | None:
+        prefer_healthy = not live.spec.idempotent
+        untried = self._slots.choose(
+            now_ms, exclude=live.runners, prefer_healthy=prefer_healthy
         )
-        if fresh is not None or not live.runners:
-            return fresh
-        return self._slots.choose(now_ms, avoid_probe=avoid_probe)
+        if untried is not None or not live.runners:
+            return untried
+        return self._slots.choose(now_ms, prefer_healthy=prefer_healthy)
 
     def _send(
-        self, live: _Live, runner: ids.RunnerId, now_ms: int
+        self, live: _LiveRequest, runner: ids.RunnerId, now_ms: int
     ) -> request_decisions.Send:
         live.sends += 1
         live.active += 1
         live.runners |= {runner}
         spec = live.spec
-        self._slots.take(runner)
+        self._slots.acquire(runner)
         self._outstanding += 1
         self._attempts.setdefault(spec.request, []).append(
             _Attempt(
@@ -469,9 +483,9 @@
                 sent_ms=now_ms,
             )
         )
-        delay_ms = self._delay(spec.account).delay_ms
+        delay_ms = self._hedge_delay(spec.account).delay_ms
         if spec.idempotent and live.sends == 1 and delay_ms is not None:
-            heapq.heappush(self._hedges, (now_ms + delay_ms, spec.request))
+            heapq.heappush(self._hedge_times, (now_ms + delay_ms, spec.request))
         return request_decisions.Send(
             request=spec.request,
             runner=runner,
@@ -480,10 +494,10 @@
             timeout_ms=live.deadline_ms - now_ms,
         )
 
-    def _hedge(self, now_ms: int) -> list[request_decisions.Send]:
+    def _send_hedges(self, now_ms: int) -> list[request_decisions.Send]:
         sends = []
-        while self._hedges and self._hedges[0][0] <= now_ms:
-            _, request = heapq.heappop(self._hedges)
+        while self._hedge_times and self._hedge_times[0][0] <= now_ms:
+            _, request = heapq.heappop(self._hedge_times)
             live = self._live.get(request)
             if live is None or live.active != 1 or live.sends != 1:
                 continue
@@ -491,26 +505,26 @@
             if send is not None:
                 sends.append(send)
                 continue
-            delay_ms = self._delay(live.spec.account).delay_ms
-            due_ms = now_ms + (delay_ms or HEDGE_AGAIN_MS)
-            heapq.heappush(self._hedges, (due_ms, request))
+            delay_ms = self._hedge_delay(live.spec.account).delay_ms
+            due_ms = now_ms + (delay_ms or HEDGE_RETRY_MS)
+            heapq.heappush(self._hedge_times, (due_ms, request))
         return sends
 
     def _try_hedge(
-        self, live: _Live, now_ms: int
+        self, live: _LiveRequest, now_ms: int
     ) -> request_decisions.Send | None:
         if not self._in_service or len(self._queue):
             return None
-        if not self._slots.has_spare(now_ms):
+        if not self._slots.has_hedge_capacity(now_ms):
             return None
         runner = self._slots.choose(
-            now_ms, exclude=live.runners, avoid_probe=True
+            now_ms, exclude=live.runners, prefer_healthy=True
         )
         if runner is None or not self._hedge_budget.try_withdraw():
             return None
         return self._send(live, runner, now_ms)
 
-    def _offer(self, now_ms: int) -> list[request_decisions.Offer]:
+    def _offer_to_peers(self, now_ms: int) -> list[request_decisions.Offer]:
         offers = []
         while (request := self._queue.peek()) is not None:
             live = self._live[request]
@@ -539,7 +553,7 @@
         number: int | None,
     ) -> _Attempt | None:
         open_attempts = self._attempts.get(request, [])
-        held = next(
+        ended = next(
             (
                 attempt
                 for attempt in open_attempts
@@ -547,81 +561,85 @@
             ),
             None,
         )
-        if held is None:
+        if ended is None:
             return None
-        open_attempts.remove(held)
+        open_attempts.remove(ended)
         if not open_attempts:
             del self._attempts[request]
         self._outstanding -= 1
         self._slots.release(runner)
-        return held
+        return ended
 
-    def _note_runner(
+    def _update_runner(
         self,
-        held: _Attempt,
+        attempt: _Attempt,
         answer: messages.RunnerAnswer | None,
         sent: bool,
         now_ms: int,
     ) -> None:
         if answer is None and not sent:
-            self._slots.unreachable(held.runner, now_ms)
+            self._slots.record_unreachable(attempt.runner, now_ms)
         elif answer is None or (
             answer.outcome is messages.RunnerOutcome.FAILED
         ):
-            self._slots.failed(held.runner, held.account, now_ms)
+            self._slots.record_failure(attempt.runner, attempt.account, now_ms)
         elif answer.outcome is messages.RunnerOutcome.DONE:
-            self._slots.succeeded(held.runner)
-            self._queue.observe(held.account, now_ms - held.sent_ms)
-            self._delay(held.account).observe(now_ms - held.sent_ms)
+            self._slots.record_success(attempt.runner)
+            self._queue.observe(attempt.account, now_ms - attempt.sent_ms)
+            self._hedge_delay(attempt.account).observe(now_ms - attempt.sent_ms)
         elif answer.outcome is messages.RunnerOutcome.BUSY:
-            self._slots.busy(held.runner, now_ms)
+            self._slots.record_busy(attempt.runner, now_ms)
         else:
-            self._slots.leaving(held.runner, now_ms)
+            self._slots.record_leaving(attempt.runner, now_ms)
 
-    def _not_run(self, live: _Live, held: _Attempt) -> None:
+    def _handle_not_run(self, live: _LiveRequest, attempt: _Attempt) -> None:
         if live.active:
             return
-        if live.sends >= MAX_UNSENT_ATTEMPTS:
+        if live.sends >= MAX_SENDS:
             code = codes.ResultCode.TARGET_REFUSED
             if live.may_have_run:
                 code = codes.ResultCode.OUTCOME_UNKNOWN
             self._finish(live, code)
             return
-        self._queue.push_front(held.request, held.account)
+        self._queue.push_front(attempt.request, attempt.account)
 
-    def _lost(self, live: _Live, held: _Attempt, sent: bool) -> None:
+    def _handle_lost_answer(
+        self, live: _LiveRequest, attempt: _Attempt, sent: bool
+    ) -> None:
         if not sent:
-            self._not_run(live, held)
+            self._handle_not_run(live, attempt)
             return
         live.may_have_run = True
         live.failed_runs += 1
         if live.active:
             return
-        if self._may_run_again(live):
-            self._queue.push_front(held.request, held.account)
+        if self._try_take_retry(live):
+            self._queue.push_front(attempt.request, attempt.account)
         else:
             self._finish(live, codes.ResultCode.OUTCOME_UNKNOWN)
 
-    def _failed(self, live: _Live, held: _Attempt, payload: str) -> None:
+    def _handle_failed_run(
+        self, live: _LiveRequest, attempt: _Attempt, payload: str
+    ) -> None:
         live.may_have_run = True
         live.failed_runs += 1
         if live.active:
             return
-        if live.failed_runs < MAX_RUNS - 1 and self._may_run_again(live):
-            self._queue.push_front(held.request, held.account)
+        if live.failed_runs < MAX_RUNS - 1 and self._try_take_retry(live):
+            self._queue.push_front(attempt.request, attempt.account)
         else:
             self._finish(live, codes.ResultCode.FAILED_BY_JOB, payload=payload)
 
-    def _peer_lost(self, live: _Live, sent: bool) -> None:
+    def _handle_lost_offer(self, live: _LiveRequest, sent: bool) -> None:
         if sent:
             live.may_have_run = True
             live.failed_runs += 1
-        if not sent or self._may_run_again(live):
+        if not sent or self._try_take_retry(live):
             self._queue.push_front(live.spec.request, live.spec.account)
         else:
             self._finish(live, codes.ResultCode.OUTCOME_UNKNOWN)
 
-    def _may_run_again(self, live: _Live) -> bool:
+    def _try_take_retry(self, live: _LiveRequest) -> bool:
         return (
             live.spec.idempotent
             and live.failed_runs < MAX_RUNS
@@ -629,7 +647,7 @@
         )
 
     def _finish(
-        self, live: _Live, code: codes.ResultCode, *, payload: str = ""
+        self, live: _LiveRequest, code: codes.ResultCode, *, payload: str = ""
     ) -> None:
         retry = codes.info(code).proves_not_run
         result = jobs.RequestResult(
@@ -637,11 +655,11 @@
             code=code,
             payload=payload,
             retry_after_ms=(
-                self._drain_ms(live.spec.account) if retry else None
+                self._queue_drain_ms(live.spec.account) if retry else None
             ),
         )
-        self._close(live, result)
+        self._complete(live, result)
 
-    def _close(self, live: _Live, result: jobs.RequestResult) -> None:
+    def _complete(self, live: _LiveRequest, result: jobs.RequestResult) -> None:
         del self._live[live.spec.request]
         self._finished.append(result)
--- a/citronmount/core/request_slots.py
+++ b/citronmount/core/request_slots.py
@@ -1,8 +1,8 @@
-"""Shares of runner slots, choice of runners and their health.
+"""Slot shares, load balancing and outlier ejection of runners.
 
 Each VM of a failure domain may use a fixed share of the slots of every
-runner, so that no exchange between VMs is needed for a dispatch and a runner
-is never overrun while the VMs agree on their number. Runners are chosen by
+runner. A dispatch therefore needs no communication between VMs, and no runner
+is overloaded as long as the VMs agree on their number. Runners are chosen by
 the power of two choices: Mitzenmacher, "The Power of Two Choices in
 Randomized Load Balancing", IEEE TPDS 2001.
 """
@@ -19,30 +19,30 @@
 __all__ = ["RunnerSlots", "split_evenly"]
 
 EJECT_AFTER_FAILURES = 3
-EJECT_ONE_ACCOUNT_AFTER_FAILURES = 9
-EJECT_MS = 1_000
-EJECT_MAX_MS = 30_000
-EJECTED_MAX_SHARE = 0.5
+EJECT_AFTER_SINGLE_ACCOUNT_FAILURES = 9
+EJECTION_BASE_MS = 1_000
+EJECTION_MAX_MS = 30_000
+MAX_EJECTED_SHARE = 0.5
 BUSY_BACKOFF_MS = 20
-LEAVING_HOLD_MS = 15_000
-HEDGE_SPARE_SHARE = 0.2
+LEAVING_BACKOFF_MS = 15_000
+HEDGE_MIN_FREE_SHARE = 0.2
 
 
 def split_evenly(
     amounts: tuple[int, ...], index: int, count: int
 ) -> tuple[int, ...]:
-    """Returns one VM's share of each amount.
+    """Returns the share of one VM in each amount.
 
-    The remainders are dealt in rotation, so that the shares of all VMs add
-    up to the amounts and the totals of two VMs differ by at most one.
+    Remainders are assigned round-robin, so that the shares of all VMs add up
+    to the amounts, and the total shares of two VMs differ by at most one.
 
     Args:
-        amounts: One amount for each runner.
-        index: The number of the VM, from 0.
-        count: How many VMs share.
+        amounts: One amount per runner.
+        index: Index of the VM, from 0.
+        count: Number of VMs.
 
     Returns:
-        The share of each amount.
+        The VM's share of each amount.
 
     Example:
         >>> [split_evenly((8, 8), i, 3) for i in range(3)]
@@ -57,8 +57,8 @@
     )
 
 
-class _Runner(msgspec.Struct, kw_only=True):
-    """What is known of one runner."""
+class _RunnerRecord(msgspec.Struct, kw_only=True):
+    """State of a runner; `ejections` counts those since its last success."""
 
     name: ids.RunnerId
     state: states.TargetState
@@ -71,7 +71,7 @@
 
     @property
     def free(self) -> int:
-        """Slots of the share that no request holds."""
+        """Free slots of the VM's share; an ejected runner has at most one."""
         if self.state is not states.TargetState.UP:
             return 0
         limit = min(1, self.limit) if self.ejections else self.limit
@@ -79,28 +79,28 @@
 
 
 class RunnerSlots:
-    """The slots that one VM may use at the runners of its failure domain."""
+    """Runner slots that one VM may use in its failure domain."""
 
     def __init__(self, *, seed: int) -> None:
-        """Initializes with no runners and the whole share.
+        """Initializes without runners, as if there were no other VM.
 
         Args:
-            seed: Seed of the random choice between runners.
+            seed: Seed of the random choice of runners.
         """
         self._random = random.Random(seed)
-        self._runners: dict[ids.RunnerId, _Runner] = {}
+        self._runners: dict[ids.RunnerId, _RunnerRecord] = {}
         self._listed: tuple[messages.ListedTarget, ...] = ()
-        self._usable: list[_Runner] = []
+        self._usable: list[_RunnerRecord] = []
         self._index = 0
         self._count = 1
 
     def set_runners(self, listed: tuple[messages.ListedTarget, ...]) -> None:
-        """Takes over the list of runners.
+        """Replaces the list of runners.
 
         A runner that is no longer listed gets no new requests.
 
         Args:
-            listed: The runners of the failure domain.
+            listed: Runners of the failure domain.
         """
         self._listed = tuple(sorted(listed, key=lambda target: target.name))
         names = {ids.RunnerId(target.name) for target in listed}
@@ -108,44 +108,46 @@
             if runner.name not in names:
                 runner.state = states.TargetState.LOST
         for target in self._listed:
-            self._runner(ids.RunnerId(target.name)).state = target.state
-        self._deal()
+            self._get_or_add(ids.RunnerId(target.name)).state = target.state
+        self._update_limits()
 
     def set_state(
         self, runner: ids.RunnerId, state: states.TargetState
     ) -> None:
-        """Notes whether a runner may get new requests.
+        """Sets the state of a runner.
 
         Args:
-            runner: The runner.
-            state: Only UP lets requests be sent.
+            runner: Runner.
+            state: State; requests are sent only to a runner that is UP.
         """
-        self._runner(runner).state = state
+        self._get_or_add(runner).state = state
 
     def set_share(self, index: int, count: int) -> None:
-        """Notes which share of the slots this VM may use.
+        """Sets the share of the slots that this VM may use.
 
         Args:
-            index: The number of the VM among the live ones, from 0.
-            count: How many live VMs the failure domain has.
+            index: Index of the VM among the live VMs, from 0.
+            count: Number of live VMs in the failure domain.
 
         Raises:
-            ValueError: If the index is not below the count.
+            ValueError: If the index is negative or not less than the count.
         """
         if not 0 <= index < count:
-            raise ValueError(f"share {index} of {count}")
+            raise ValueError(
+                f"share index {index} is out of range for {count} VMs"
+            )
         self._index = index
         self._count = count
-        self._deal()
+        self._update_limits()
 
-    def free(self, now_ms: int) -> int:
-        """Returns how many requests could be sent now.
+    def free_slots(self, now_ms: int) -> int:
+        """Counts the slots to which requests can be sent now.
 
         Args:
             now_ms: Monotonic time.
 
         Returns:
-            Free slots of the share at runners that take requests.
+            Free slots of the VM's share at runners that accept requests.
         """
         return sum(
             runner.free
@@ -153,141 +155,145 @@
             if runner.closed_until_ms <= now_ms
         )
 
-    def has_spare(self, now_ms: int) -> bool:
-        """Returns whether enough of the share is free to spend on hedges.
+    def has_hedge_capacity(self, now_ms: int) -> bool:
+        """Returns whether enough slots are free to send hedged requests.
 
         Args:
             now_ms: Monotonic time.
         """
         limit = sum(runner.limit for runner in self._usable)
-        return self.free(now_ms) > HEDGE_SPARE_SHARE * limit
+        return self.free_slots(now_ms) > HEDGE_MIN_FREE_SHARE * limit
 
     def choose(
         self,
         now_ms: int,
         *,
         exclude: frozenset[ids.RunnerId] = frozenset(),
-        avoid_probe: bool = False,
+        prefer_healthy: bool = False,
     ) -> ids.RunnerId | None:
         """Chooses the less loaded of two random runners with a free slot.
 
         Args:
             now_ms: Monotonic time.
             exclude: Runners that must not be chosen.
-            avoid_probe: Whether to prefer runners that are not on probation.
+            prefer_healthy: Whether to prefer runners that have served a
+                request since their last ejection.
 
         Returns:
             The runner, or None if no slot is free.
         """
-        able = [
+        candidates = [
             runner
             for runner in self._usable
             if runner.free
             and runner.closed_until_ms <= now_ms
             and runner.name not in exclude
         ]
-        if avoid_probe:
-            able = [r for r in able if not r.ejections] or able
-        if not able:
+        if prefer_healthy:
+            candidates = [
+                r for r in candidates if not r.ejections
+            ] or candidates
+        if not candidates:
             return None
-        pair = self._random.sample(able, min(2, len(able)))
-        return min(pair, key=_load).name
+        sampled = self._random.sample(candidates, min(2, len(candidates)))
+        return min(sampled, key=_load).name
 
-    def take(self, runner: ids.RunnerId) -> None:
-        """Takes a slot for a request that is sent.
+    def acquire(self, runner: ids.RunnerId) -> None:
+        """Allocates a slot to a request that is sent.
 
         Args:
-            runner: The runner.
+            runner: Runner.
         """
         self._runners[runner].outstanding += 1
 
     def release(self, runner: ids.RunnerId) -> None:
-        """Frees the slot of a request that was answered or given up.
+        """Frees the slot of a request that was answered or abandoned.
 
         Args:
-            runner: The runner.
+            runner: Runner.
         """
         self._runners[runner].outstanding -= 1
 
-    def succeeded(self, runner: ids.RunnerId) -> None:
-        """Notes that a runner served a request.
+    def record_success(self, runner: ids.RunnerId) -> None:
+        """Records that a runner served a request.
 
         Args:
-            runner: The runner.
+            runner: Runner.
         """
-        known = self._runners[runner]
-        known.failures = 0
-        known.ejections = 0
-        known.failed_accounts.clear()
+        record = self._runners[runner]
+        record.failures = 0
+        record.ejections = 0
+        record.failed_accounts.clear()
 
-    def failed(
+    def record_failure(
         self, runner: ids.RunnerId, account: ids.AccountId, now_ms: int
     ) -> None:
-        """Notes that a runner failed a request and ejects it if it must.
+        """Records a failed request, which may eject the runner.
 
-        Failures of one account alone weigh less, so that an account whose
-        requests all fail does not take runners from the others.
+        The threshold is higher if all failures are of the same account, so
+        that an account whose requests all fail does not take runners from the
+        others.
 
         Args:
-            runner: The runner.
-            account: The account of the request.
+            runner: Runner.
+            account: Client account of the request.
             now_ms: Monotonic time.
         """
-        known = self._runners[runner]
-        known.failures += 1
-        known.failed_accounts.add(account)
-        bound = (
+        record = self._runners[runner]
+        record.failures += 1
+        record.failed_accounts.add(account)
+        threshold = (
             EJECT_AFTER_FAILURES
-            if len(known.failed_accounts) > 1
-            else EJECT_ONE_ACCOUNT_AFTER_FAILURES
+            if len(record.failed_accounts) > 1
+            else EJECT_AFTER_SINGLE_ACCOUNT_FAILURES
         )
-        if known.ejections or known.failures >= bound:
-            self._eject(known, now_ms)
+        if record.ejections or record.failures >= threshold:
+            self._eject(record, now_ms)
 
-    def unreachable(self, runner: ids.RunnerId, now_ms: int) -> None:
-        """Notes that a request did not reach its runner.
+    def record_unreachable(self, runner: ids.RunnerId, now_ms: int) -> None:
+        """Records that a request did not reach its runner.
 
         Args:
-            runner: The runner.
+            runner: Runner.
             now_ms: Monotonic time.
         """
-        known = self._runners[runner]
-        known.failures += 1
-        if known.ejections or known.failures >= EJECT_AFTER_FAILURES:
-            self._eject(known, now_ms)
+        record = self._runners[runner]
+        record.failures += 1
+        if record.ejections or record.failures >= EJECT_AFTER_FAILURES:
+            self._eject(record, now_ms)
 
-    def busy(self, runner: ids.RunnerId, now_ms: int) -> None:
-        """Notes that a runner had no slot free and leaves it alone a while.
+    def record_busy(self, runner: ids.RunnerId, now_ms: int) -> None:
+        """Records that a runner had no free slot, and backs off from it.
 
         Args:
-            runner: The runner.
+            runner: Runner.
             now_ms: Monotonic time.
         """
-        known = self._runners[runner]
-        known.closed_until_ms = max(
-            known.closed_until_ms, now_ms + BUSY_BACKOFF_MS
+        record = self._runners[runner]
+        record.closed_until_ms = max(
+            record.closed_until_ms, now_ms + BUSY_BACKOFF_MS
         )
 
-    def leaving(self, runner: ids.RunnerId, now_ms: int) -> None:
-        """Notes that a runner itself says that it is leaving.
+    def record_leaving(self, runner: ids.RunnerId, now_ms: int) -> None:
+        """Records that a runner has answered that it is leaving.
 
-        It gets no new requests for a while, also if the platform's list,
-        which lags, still has it as up.
+        It gets no new requests for a while, even if the platform's list, which
+        lags behind, still shows it as up.
 
         Args:
-            runner: The runner.
+            runner: Runner.
             now_ms: Monotonic time.
         """
-        self._runners[runner].closed_until_ms = now_ms + LEAVING_HOLD_MS
+        self._runners[runner].closed_until_ms = now_ms + LEAVING_BACKOFF_MS
 
-    def next_open_ms(self, now_ms: int) -> int | None:
-        """Returns when the next runner that is left alone opens again.
+    def next_available_ms(self, now_ms: int) -> int | None:
+        """Returns when the next backoff or ejection of a runner ends.
 
         Args:
             now_ms: Monotonic time.
 
         Returns:
-            The time, or None if no runner is left alone.
+            Monotonic time, or None if no runner is in backoff or ejected.
         """
         return min(
             (
@@ -298,24 +304,28 @@
             default=None,
         )
 
-    def _eject(self, runner: _Runner, now_ms: int) -> None:
-        ejected = sum(1 for r in self._usable if r.ejections and r != runner)
-        if ejected + 1 > len(self._usable) * EJECTED_MAX_SHARE:
+    def _eject(self, runner: _RunnerRecord, now_ms: int) -> None:
+        ejected_count = sum(
+            1 for r in self._usable if r.ejections and r != runner
+        )
+        if ejected_count + 1 > len(self._usable) * MAX_EJECTED_SHARE:
             return
-        delay_ms = min(EJECT_MAX_MS, EJECT_MS << min(runner.ejections, 8))
+        delay_ms = min(
+            EJECTION_MAX_MS, EJECTION_BASE_MS << min(runner.ejections, 8)
+        )
         runner.ejections += 1
         runner.failures = 0
         runner.failed_accounts.clear()
         runner.closed_until_ms = now_ms + delay_ms
 
-    def _runner(self, name: ids.RunnerId) -> _Runner:
+    def _get_or_add(self, name: ids.RunnerId) -> _RunnerRecord:
         if name not in self._runners:
-            self._runners[name] = _Runner(
+            self._runners[name] = _RunnerRecord(
                 name=name, state=states.TargetState.UP, failed_accounts=set()
             )
         return self._runners[name]
 
-    def _deal(self) -> None:
+    def _update_limits(self) -> None:
         slots = tuple(target.slots for target in self._listed)
         connections = tuple(target.connections for target in self._listed)
         shares = zip(
@@ -338,5 +348,5 @@
         }
 
 
-def _load(runner: _Runner) -> float:
+def _load(runner: _RunnerRecord) -> float:
     return runner.outstanding / runner.limit
--- a/citronmount/core/resources.py
+++ b/citronmount/core/resources.py
@@ -13,10 +13,10 @@
 ]
 
 ZERO = jobs.Resources()
-_UNBOUNDED = 1 << 30
+_MAX_TASKS = 1 << 30
 
 
-def _make(accelerators: int, cores: int, memory_gb: int) -> jobs.Resources:
+def _vector(accelerators: int, cores: int, memory_gb: int) -> jobs.Resources:
     return jobs.Resources(
         accelerators=accelerators, cores=cores, memory_gb=memory_gb
     )
@@ -24,7 +24,7 @@
 
 def plus(a: jobs.Resources, b: jobs.Resources) -> jobs.Resources:
     """Returns the sum of two vectors."""
-    return _make(
+    return _vector(
         a.accelerators + b.accelerators,
         a.cores + b.cores,
         a.memory_gb + b.memory_gb,
@@ -32,46 +32,57 @@
 
 
 def minus(a: jobs.Resources, b: jobs.Resources) -> jobs.Resources:
-    """Returns the difference of two vectors; parts may be negative."""
-    return _make(
+    """Returns the difference of two vectors; components may be negative."""
+    return _vector(
         a.accelerators - b.accelerators,
         a.cores - b.cores,
         a.memory_gb - b.memory_gb,
     )
 
 
-def scaled(a: jobs.Resources, times: int) -> jobs.Resources:
-    """Returns a vector multiplied by a whole number."""
-    return _make(a.accelerators * times, a.cores * times, a.memory_gb * times)
+def scaled(a: jobs.Resources, factor: int) -> jobs.Resources:
+    """Returns a vector multiplied by an integer."""
+    return _vector(
+        a.accelerators * factor, a.cores * factor, a.memory_gb * factor
+    )
 
 
 def minimum(a: jobs.Resources, b: jobs.Resources) -> jobs.Resources:
-    """Returns the smaller of two vectors in each part."""
-    return _make(
+    """Returns the component-wise minimum of two vectors."""
+    return _vector(
         min(a.accelerators, b.accelerators),
         min(a.cores, b.cores),
         min(a.memory_gb, b.memory_gb),
     )
 
 
-def covers(have: jobs.Resources, need: jobs.Resources) -> bool:
-    """Returns whether `have` is at least `need` where anything is needed."""
+def covers(available: jobs.Resources, required: jobs.Resources) -> bool:
+    """Returns whether `available` covers all nonzero parts of `required`.
+
+    A negative component of `available` does not matter where nothing is
+    required.
+    """
     return (
-        (not need.accelerators or have.accelerators >= need.accelerators)
-        and (not need.cores or have.cores >= need.cores)
-        and (not need.memory_gb or have.memory_gb >= need.memory_gb)
+        (
+            not required.accelerators
+            or available.accelerators >= required.accelerators
+        )
+        and (not required.cores or available.cores >= required.cores)
+        and (
+            not required.memory_gb or available.memory_gb >= required.memory_gb
+        )
     )
 
 
-def task_capacity(have: jobs.Resources, per_task: jobs.Resources) -> int:
-    """Returns how many tasks fit into a vector.
+def task_capacity(available: jobs.Resources, per_task: jobs.Resources) -> int:
+    """Returns the number of tasks that fit into a resource vector.
 
     Args:
-        have: The room; negative parts count as none.
-        per_task: What one task needs.
+        available: Available resources; negative components count as zero.
+        per_task: Resources of each task.
 
     Returns:
-        The number of tasks, at least 0.
+        Number of tasks, at least 0.
 
     Example:
         >>> task_capacity(
@@ -80,11 +91,11 @@
         ... )
         2
     """
-    tasks = _UNBOUNDED
+    tasks = _MAX_TASKS
     if per_task.accelerators:
-        tasks = have.accelerators // per_task.accelerators
+        tasks = available.accelerators // per_task.accelerators
     if per_task.cores:
-        tasks = min(tasks, have.cores // per_task.cores)
+        tasks = min(tasks, available.cores // per_task.cores)
     if per_task.memory_gb:
-        tasks = min(tasks, have.memory_gb // per_task.memory_gb)
+        tasks = min(tasks, available.memory_gb // per_task.memory_gb)
     return max(tasks, 0)
--- a/citronmount/core/shapes.py
+++ b/citronmount/core/shapes.py
@@ -1,4 +1,4 @@
-"""The shape of a gang: what a job asks for and what a guarantee promises."""
+"""Gang shapes, which jobs request and guarantees promise."""
 
 import msgspec
 
@@ -11,12 +11,12 @@
 
 
 class Shape(msgspec.Struct, frozen=True, kw_only=True):
-    """Tasks that must be placed together.
+    """Size, resources and adjacency of a gang.
 
     Attributes:
-        tasks: How many.
-        per_task: Resources of each.
-        adjacency: The smallest enclosure that must hold all.
+        tasks: Number of tasks, which are placed all at once.
+        per_task: Resources of each task.
+        adjacency: Topology level within which all tasks must be placed.
     """
 
     tasks: int
@@ -25,17 +25,17 @@
 
     @property
     def accelerators(self) -> int:
-        """Accelerators of all tasks."""
+        """Total number of accelerators."""
         return self.tasks * self.per_task.accelerators
 
     @property
     def total(self) -> jobs.Resources:
-        """Resources of all tasks."""
+        """Total resources."""
         return resources.scaled(self.per_task, self.tasks)
 
 
 def of_job(spec: jobs.JobSpec) -> Shape:
-    """Returns the shape that a job asks for."""
+    """Returns the shape that a job requests."""
     return Shape(
         tasks=spec.tasks, per_task=spec.per_task, adjacency=spec.adjacency
     )
--- a/citronmount/core/states.py
+++ b/citronmount/core/states.py
@@ -1,4 +1,4 @@
-"""Enumerations of the states that messages and decisions carry."""
+"""Enumerations used in messages and decisions."""
 
 import enum
 
@@ -15,14 +15,14 @@
 
 
 class AccountClass(enum.Enum):
-    """Whether a client account pays or tries."""
+    """Class of a client account."""
 
     PAYING = "paying"
     TRIAL = "trial"
 
 
 class Adjacency(enum.Enum):
-    """The smallest enclosure that must hold all tasks of a gang."""
+    """Topology level within which all tasks of a gang must be placed."""
 
     WORKER = "worker"
     RACK = "rack"
@@ -30,21 +30,21 @@
 
 
 class Durability(enum.Enum):
-    """Where an accepted record was kept before the caller was answered."""
+    """Where an accepted record was stored before the caller got its answer."""
 
     LOG = "log"
     PEERS = "peers"
 
 
 class FailureDomainState(enum.Enum):
-    """Whether operators let tasks start in a failure domain."""
+    """Whether operators allow tasks to start in a failure domain."""
 
     IN = "in"
     OUT = "out"
 
 
 class JobState(enum.Enum):
-    """The states of a job as callers see them."""
+    """State of a job as reported to callers."""
 
     QUEUED = "queued"
     STARTING = "starting"
@@ -58,7 +58,7 @@
 
     @property
     def final(self) -> bool:
-        """Whether no later state can follow."""
+        """Whether the job cannot change its state any more."""
         return self in _FINAL_JOB_STATES
 
 
@@ -74,7 +74,7 @@
 
 
 class LeaseState(enum.Enum):
-    """The states of one attempt at one worker."""
+    """State of an attempt at a worker."""
 
     RESERVED = "reserved"
     RUNNING = "running"
@@ -85,12 +85,12 @@
 
     @property
     def holds_resources(self) -> bool:
-        """Whether the worker keeps accelerators for the attempt."""
+        """Whether accelerators of the worker are allocated to the attempt."""
         return self in (LeaseState.RESERVED, LeaseState.RUNNING)
 
 
 class TargetState(enum.Enum):
-    """What a scheduler knows of a worker or runner."""
+    """State of a worker or runner as known to a scheduler."""
 
     UP = "up"
     LEAVING = "leaving"
@@ -99,7 +99,7 @@
 
 
 class VmState(enum.Enum):
-    """The state of a VM in the platform's VM list."""
+    """State of a VM in the platform's VM list."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/citronmount/core/tests/test_request_router.py
+++ b/citronmount/core/tests/test_request_router.py
@@ -335,7 +335,9 @@
         router = _router(runners=1, slots=0)
         results = [router.submit(_spec(f"b{i}", "b"), 0) for i in range(300)]
         refused = [r for r in results if r is not None]
-        self.assertEqual(len(refused), 300 - request_router.QUEUE_BOUND)
+        self.assertEqual(
+            len(refused), 300 - request_router.MAX_QUEUED_PER_ACCOUNT
+        )
         self.assertTrue(all(r.retry_after_ms for r in refused))
         self.assertTrue(all(codes.info(r.code).proves_not_run for r in refused))
         self.assertIsNone(router.submit(_spec("d", "door"), 0))
