--- a/citronmount/core/attempt_outcomes.py
+++ b/citronmount/core/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Draws conclusions from ended attempts: run times, workers, jobs."""
+"""Updates run-time estimates, quarantine and jobs after ended attempts."""
 
 import heapq
 
@@ -11,10 +11,10 @@
 
 __all__ = ["deadline_result", "failed_everywhere", "record_outcome"]
 
-FAILED_EVERYWHERE_WORKERS = 3
-FAILED_EVERYWHERE_ATTEMPTS = 2
-MAX_FAILED_ATTEMPTS = 6
-RETRY_MS = 2_000
+FAILED_EVERYWHERE_MIN_WORKERS = 3
+FAILED_EVERYWHERE_MIN_ATTEMPTS = 2
+MAX_FAILED_RUNS = 6
+RETRY_BASE_MS = 2_000
 RETRY_MAX_MS = 16_000
 
 _FAILURES = frozenset(
@@ -28,78 +28,82 @@
 def record_outcome(
     domain: domain_lib.Domain,
     placed: domain_lib.Placed,
-    how: decisions.AttemptEnd,
-    culprits: tuple[ids.WorkerId, ...],
+    end: decisions.AttemptEnd,
+    failed_workers: tuple[ids.WorkerId, ...],
     now_ms: int,
 ) -> None:
-    """Updates estimates, health and the entry by an ended attempt.
+    """Updates the state of the scheduler after the end of an attempt.
 
     Args:
-        domain: The failure domain.
-        placed: The attempt, which holds no room any more.
-        how: How it ended.
-        culprits: Workers at which it failed.
+        domain: Failure domain.
+        placed: Attempt, whose capacity has been released.
+        end: Outcome of the attempt.
+        failed_workers: Workers at which the attempt failed.
         now_ms: Monotonic time.
     """
     entry = placed.entry
     spec = entry.spec
-    ran_ms = max(now_ms - placed.since_ms, 0)
-    entry.attained_ms += ran_ms * entry.shape.accelerators
-    changed = set(domain.health.release_probes(spec.job))
-    if how is decisions.AttemptEnd.DONE:
-        domain.estimator.observe(spec, entry.progress, ran_ms)
-        changed |= {
+    run_ms = max(now_ms - placed.since_ms, 0)
+    entry.attained_ms += run_ms * entry.shape.accelerators
+    workers_to_refresh = set(domain.health.release_probes(spec.job))
+    if end is decisions.AttemptEnd.DONE:
+        domain.estimator.observe(spec, entry.progress, run_ms)
+        workers_to_refresh |= {
             group.worker
             for group in placed.groups
             if domain.health.record_success(
                 spec.job, spec.account, group.worker
             )
         }
-    elif how in _FAILURES and culprits:
-        own = how is decisions.AttemptEnd.FAILED_BY_JOB
-        _note_failure(domain, entry, culprits, now_ms, own=own)
-        changed |= {
+    elif end in _FAILURES and failed_workers:
+        has_run = end is decisions.AttemptEnd.FAILED_BY_JOB
+        _record_failure(domain, entry, failed_workers, now_ms, has_run=has_run)
+        workers_to_refresh |= {
             worker
-            for worker in culprits
+            for worker in failed_workers
             if domain.health.record_failure(
                 spec.job, spec.account, worker, now_ms
             )
         }
-    for worker in sorted(changed):
+    for worker in sorted(workers_to_refresh):
         domain.refresh_worker(worker, now_ms)
 
 
-def _note_failure(
+def _record_failure(
     domain: domain_lib.Domain,
     entry: job_queue.JobEntry,
-    culprits: tuple[ids.WorkerId, ...],
+    failed_workers: tuple[ids.WorkerId, ...],
     now_ms: int,
     *,
-    own: bool,
+    has_run: bool,
 ) -> None:
-    """Counts a failure; one to start speaks of the worker, not of the job."""
-    wait_ms = min(RETRY_MS << entry.failed_attempts, RETRY_MAX_MS)
+    """Counts a failed attempt of a job and delays its retry.
+
+    A failure to start (`has_run` is False) is attributed to the workers, not
+    to the job.
+    """
+    backoff_ms = min(RETRY_BASE_MS << entry.failed_attempts, RETRY_MAX_MS)
     entry.failed_attempts += 1
-    entry.failed_runs += own
-    entry.failed_workers |= set(culprits)
-    entry.retry_at_ms = now_ms + wait_ms
+    entry.failed_runs += has_run
+    entry.failed_workers |= set(failed_workers)
+    entry.retry_at_ms = now_ms + backoff_ms
     heapq.heappush(domain.wake_ups, entry.retry_at_ms)
 
 
 def failed_everywhere(entry: job_queue.JobEntry) -> bool:
     """Returns whether a job has failed too widely to run again.
 
-    A job that fails again and again at too few workers to tell is given up
-    after a number of attempts, between which it waits longer and longer.
+    A job that keeps failing on too few workers to attribute the failures to
+    it is abandoned after a number of runs, with a growing delay between them.
 
     Args:
-        entry: The job.
+        entry: Entry of the job.
     """
-    if entry.failed_runs >= MAX_FAILED_ATTEMPTS:
+    if entry.failed_runs >= MAX_FAILED_RUNS:
         return True
     return (
-        entry.failed_attempts >= FAILED_EVERYWHERE_ATTEMPTS
-        and len(entry.failed_workers) >= FAILED_EVERYWHERE_WORKERS
+        entry.failed_attempts >= FAILED_EVERYWHERE_MIN_ATTEMPTS
+        and len(entry.failed_workers) >= FAILED_EVERYWHERE_MIN_WORKERS
     )
 
 
@@ -107,7 +111,8 @@
     """Returns the result of a queued job whose deadline has passed.
 
     Args:
-        entry: The job; if it ran before, the result does not deny it.
+        entry: Entry of the job. If the job has started before, the result
+            does not claim that it did not run.
     """
     if entry.has_started:
         return jobs.JobResult(
--- a/citronmount/core/shares.py
+++ b/citronmount/core/shares.py
@@ -1,10 +1,10 @@
-"""Splits guarantees and allowances over failure domains.
+"""Splits guarantees and allowances across failure domains.
 
-The split is a pure function of the accepted configuration. Every VM computes
-the same one, so failure domains that are cut off from each other never
-promise the same copy twice (escrow, as in O'Neil, "The Escrow Transactional
-Method", TODS 1986). Failure domains out of service get no share while another
-is in service.
+The split is a pure function of the accepted configuration. All VMs compute
+the same split, so partitioned failure domains never promise the same copy
+twice (escrow, as in O'Neil, "The Escrow Transactional Method", TODS 1986).
+Failure domains that are out of service get no share while another one is in
+service.
 """
 
 from collections.abc import Sequence
@@ -34,9 +34,9 @@
 
     Attributes:
         row: Index into the guarantees of the configuration.
-        account: The paying account.
-        shape: The shape of one copy.
-        copies: How many copies.
+        account: Paying account that owns the guarantee.
+        shape: Gang shape of each copy.
+        copies: Number of copies.
     """
 
     row: int
@@ -46,11 +46,11 @@
 
 
 class DomainShare(msgspec.Struct, frozen=True, kw_only=True):
-    """What one failure domain has to honour.
+    """Guarantees and allowances assigned to one failure domain.
 
     Attributes:
-        guarantees: Its part of each guarantee, parts without copies left out.
-        allowances: The most accelerators of each trial account.
+        guarantees: Guarantees with at least one copy in the failure domain.
+        allowances: Maximum number of accelerators by trial account.
     """
 
     guarantees: tuple[GuaranteeShare, ...] = ()
@@ -62,16 +62,17 @@
 ) -> dict[ids.FailureDomainId, DomainShare]:
     """Splits all guarantees and allowances.
 
-    Copies bound to a failure domain stay there. The others are divided by
-    largest remainder; a remaining copy goes to a failure domain whose load is
-    not above the mean, chosen by rendezvous hashing (bounded loads, as in
-    Mirrokni et al., "Consistent Hashing with Bounded Loads", SODA 2018).
+    Copies bound to a failure domain stay there. The others are divided by the
+    largest remainder method; each remaining copy goes to a failure domain
+    whose load does not exceed the mean, chosen by rendezvous hashing (bounded
+    loads, as in Mirrokni et al., "Consistent Hashing with Bounded Loads",
+    SODA 2018).
 
     Args:
-        configuration: The accepted configuration.
+        configuration: Accepted configuration.
 
     Returns:
-        The share of every failure domain of the configuration.
+        Share of each failure domain in the configuration.
     """
     copies = _split_guarantees(configuration)
     allowances = _split_allowances(configuration)
@@ -100,11 +101,12 @@
     """Returns the share of one failure domain.
 
     Args:
-        configuration: The accepted configuration.
-        failure_domain: The failure domain.
+        configuration: Accepted configuration.
+        failure_domain: Failure domain.
 
     Returns:
-        Its share; empty if the configuration does not name it.
+        The share, which is empty if the configuration does not contain the
+        failure domain.
     """
     return split(configuration).get(failure_domain, DomainShare())
 
@@ -115,13 +117,14 @@
     """Ranks the failure domains in service as homes of a new job.
 
     Args:
-        configuration: The accepted configuration.
-        spec: The job; its id is not read.
+        configuration: Accepted configuration.
+        spec: Job; its id is not read.
 
     Returns:
-        Failure domains that hold more of the account's guarantee or allowance
-        first; those whose allowance share is too small for the job are left
-        out. Ties are in the order of the configuration.
+        Failure domains by decreasing share of the account's allowance or of
+        its guarantees that are large enough for the job, ties in the order of
+        the configuration. For a trial account, failure domains whose share is
+        too small for the job are omitted.
     """
     by_domain = split(configuration)
     trial = any(
@@ -129,25 +132,31 @@
         and account.account_class is states.AccountClass.TRIAL
         for account in configuration.accounts
     )
-    held = {
-        domain: _held(by_domain[domain], spec, trial)
+    amounts = {
+        domain: _home_amount(by_domain[domain], spec, trial)
         for domain in _in_service(configuration)
     }
     return tuple(
         sorted(
-            (d for d, amount in held.items() if amount is not None),
-            key=lambda d: -held[d],
+            (
+                domain
+                for domain, amount in amounts.items()
+                if amount is not None
+            ),
+            key=lambda domain: -amounts[domain],
         )
     )
 
 
-def _held(part: DomainShare, spec: jobs.JobSpec, trial: bool) -> int | None:
+def _home_amount(
+    domain_share: DomainShare, spec: jobs.JobSpec, trial: bool
+) -> int | None:
     if trial:
-        allowed = part.allowances.get(spec.account, 0)
+        allowed = domain_share.allowances.get(spec.account, 0)
         return allowed if allowed >= spec.accelerators else None
     return sum(
         shared.copies * shared.shape.accelerators
-        for shared in part.guarantees
+        for shared in domain_share.guarantees
         if shared.account == spec.account
         and shared.copies * shared.shape.accelerators >= spec.accelerators
     )
@@ -163,7 +172,7 @@
     ]
 
 
-def _sharing(
+def _share_holders(
     configuration: configuration_lib.Configuration,
 ) -> list[ids.FailureDomainId]:
     return _in_service(configuration) or [
@@ -174,63 +183,65 @@
 def _split_guarantees(
     configuration: configuration_lib.Configuration,
 ) -> dict[ids.FailureDomainId, dict[int, int]]:
-    domains = _sharing(configuration)
+    domains = _share_holders(configuration)
     copies: dict[ids.FailureDomainId, dict[int, int]] = {
         domain.name: {} for domain in configuration.failure_domains
     }
     load = dict.fromkeys(copies, 0)
-    spread = []
+    unbound = []
     for row, guarantee in enumerate(configuration.guarantees):
         if guarantee.failure_domain is None:
-            spread.append((row, guarantee))
+            unbound.append((row, guarantee))
         elif guarantee.failure_domain in copies:
             copies[guarantee.failure_domain][row] = guarantee.copies
-            load[guarantee.failure_domain] += _weight(guarantee) * (
+            load[guarantee.failure_domain] += _copy_weight(guarantee) * (
                 guarantee.copies
             )
-    for row, guarantee in spread:
+    for row, guarantee in unbound:
         key = f"{guarantee.account}/{row}"
         parts = _divide(
-            guarantee.copies, key, _weight(guarantee), domains, load
+            guarantee.copies, key, _copy_weight(guarantee), domains, load
         )
-        for domain, part in parts.items():
-            copies[domain][row] = part
+        for domain, amount in parts.items():
+            copies[domain][row] = amount
     return copies
 
 
-def _weight(guarantee: configuration_lib.Guarantee) -> int:
+def _copy_weight(guarantee: configuration_lib.Guarantee) -> int:
     return max(1, shapes.of_guarantee(guarantee).accelerators)
 
 
 def _split_allowances(
     configuration: configuration_lib.Configuration,
 ) -> dict[ids.FailureDomainId, dict[ids.AccountId, int]]:
-    domains = _sharing(configuration)
+    domains = _share_holders(configuration)
     result: dict[ids.FailureDomainId, dict[ids.AccountId, int]] = {
         domain.name: {} for domain in configuration.failure_domains
     }
     load = dict.fromkeys(result, 0)
     for allowance in configuration.allowances:
-        units, rest = divmod(
+        units, remainder = divmod(
             allowance.accelerators, ALLOWANCE_UNIT_ACCELERATORS
         )
         parts = _divide(
             units, allowance.account, ALLOWANCE_UNIT_ACCELERATORS, domains, load
         )
-        for domain, part in parts.items():
+        for domain, amount in parts.items():
             result[domain][allowance.account] = (
-                part * ALLOWANCE_UNIT_ACCELERATORS
+                amount * ALLOWANCE_UNIT_ACCELERATORS
+            )
+        if remainder and domains:
+            domain = _choose_underloaded(
+                allowance.account + "/rest", domains, load
             )
-        if rest and domains:
-            domain = _lightest(allowance.account + "/rest", domains, load)
-            load[domain] += rest
+            load[domain] += remainder
             before = result[domain].get(allowance.account, 0)
-            result[domain][allowance.account] = before + rest
+            result[domain][allowance.account] = before + remainder
     return result
 
 
 def _divide(
-    copies: int,
+    units: int,
     key: str,
     weight: int,
     domains: Sequence[ids.FailureDomainId],
@@ -238,20 +249,20 @@
 ) -> dict[ids.FailureDomainId, int]:
     if not domains:
         return {}
-    each, remainder = divmod(copies, len(domains))
-    parts = dict.fromkeys(domains, each)
+    base, remainder = divmod(units, len(domains))
+    parts = dict.fromkeys(domains, base)
     for domain in domains:
-        load[domain] += each * weight
-    left = list(domains)
+        load[domain] += base * weight
+    candidates = list(domains)
     for number in range(remainder):
-        domain = _lightest(f"{key}/{number}", left, load)
-        left.remove(domain)
+        domain = _choose_underloaded(f"{key}/{number}", candidates, load)
+        candidates.remove(domain)
         parts[domain] += 1
         load[domain] += weight
-    return {domain: part for domain, part in parts.items() if part}
+    return {domain: amount for domain, amount in parts.items() if amount}
 
 
-def _lightest(
+def _choose_underloaded(
     key: str,
     domains: Sequence[ids.FailureDomainId],
     load: dict[ids.FailureDomainId, int],
--- a/citronmount/core/tests/test_request_router.py
+++ b/citronmount/core/tests/test_request_router.py
@@ -1,4 +1,4 @@
-"""Tests of the router of short requests, failures included."""
+"""Tests of the request router, including failures of runners and peers."""
 
 import collections
 import itertools
@@ -16,10 +16,10 @@
 from citronmount.core import states
 from citronmount.services import messages
 
-_OUTCOME = messages.RunnerOutcome
+_Outcome = messages.RunnerOutcome
 
 
-def _runner(
+def _listed_runner(
     name: str,
     slots: int = 8,
     state: states.TargetState = states.TargetState.UP,
@@ -38,7 +38,9 @@
     *, runners: int = 2, slots: int = 1
 ) -> request_router.RequestRouter:
     router = request_router.RequestRouter(vm=ids.VmId("vm-1"))
-    router.set_runners(tuple(_runner(f"r{i}", slots) for i in range(runners)))
+    router.set_runners(
+        tuple(_listed_runner(f"r{i}", slots) for i in range(runners))
+    )
     return router
 
 
@@ -49,7 +51,7 @@
 
 
 def _answer(
-    request: str, outcome: _OUTCOME = _OUTCOME.DONE, payload: str = "ok"
+    request: str, outcome: _Outcome = _Outcome.DONE, payload: str = "ok"
 ) -> messages.RunnerAnswer:
     return messages.RunnerAnswer(
         request=ids.RequestId(request), outcome=outcome, payload=payload
@@ -66,13 +68,13 @@
     ]
 
 
-class SharesTest(unittest.TestCase):
+class SplitEvenlyTest(unittest.TestCase):
     @hypothesis.given(
         strategies.lists(strategies.integers(0, 70), max_size=30),
         strategies.integers(1, 41),
     )
     @hypothesis.settings(derandomize=True, deadline=None)
-    def test_shares_add_up_and_are_even(self, amounts, count):
+    def test_shares_add_up_and_differ_by_at_most_one(self, amounts, count):
         shares = [
             request_slots.split_evenly(tuple(amounts), index, count)
             for index in range(count)
@@ -88,7 +90,7 @@
         (send,) = _sends(router.decide(now_ms))
         return send
 
-    def test_never_exceeds_the_share(self):
+    def test_sends_never_exceed_the_slot_share(self):
         router = _router(runners=3, slots=8)
         router.set_share(0, 3)
         for i in range(30):
@@ -99,7 +101,7 @@
         self.assertLessEqual(max(used.values()), 3)
         self.assertEqual(router.queued_count(), 22)
 
-    def test_only_the_first_of_late_and_doubled_answers_counts(self):
+    def test_only_the_first_of_duplicate_answers_counts(self):
         router = _router()
         send = self._send_one(router, _spec("q"))
         for payload in ("first", "second"):
@@ -115,14 +117,14 @@
         self.assertEqual(router.outstanding_count(), 0)
         self.assertEqual(router.free_slots(), 2)
 
-    def test_answer_to_another_request_is_never_handed_out(self):
+    def test_answer_for_another_request_is_never_delivered(self):
         router = _router()
         send = self._send_one(router, _spec("q", idempotent=False))
         router.record_answer(send.request, send.runner, _answer("x"), True, 9)
         (result,) = _results(router.decide(9))
         self.assertIs(result.code, codes.ResultCode.OUTCOME_UNKNOWN)
 
-    def test_timeout_tells_whether_it_may_have_run(self):
+    def test_timeout_code_tells_whether_request_may_have_run(self):
         cases = [
             (0, True, codes.ResultCode.NO_SLOT),
             (0, False, codes.ResultCode.NO_SLOT),
@@ -138,7 +140,7 @@
                 (result,) = _results(router.decide(100))
                 self.assertIs(result.code, code)
 
-    def test_slot_stays_taken_until_a_given_up_send_is_answered(self):
+    def test_timed_out_request_holds_its_slot_until_answered(self):
         router = _router(runners=1)
         send = self._send_one(router, _spec("q", timeout_ms=100))
         self.assertEqual(len(_results(router.decide(100))), 1)
@@ -147,13 +149,13 @@
         self.assertEqual(router.free_slots(), 1)
         self.assertEqual(_results(router.decide(200)), [])
 
-    def test_request_that_was_not_run_goes_to_another_runner(self):
-        endings = [
-            (_answer("q", _OUTCOME.BUSY), True),
-            (_answer("q", _OUTCOME.LEAVING), True),
+    def test_request_that_did_not_run_is_sent_to_another_runner(self):
+        answers = [
+            (_answer("q", _Outcome.BUSY), True),
+            (_answer("q", _Outcome.LEAVING), True),
             (None, False),
         ]
-        for answer, sent in endings:
+        for answer, sent in answers:
             with self.subTest(answer=answer):
                 router = _router()
                 first = self._send_one(router, _spec("q", idempotent=False))
@@ -163,7 +165,7 @@
                 (second,) = _sends(router.decide(1))
                 self.assertNotEqual(first.runner, second.runner)
 
-    def test_lost_answer_repeats_idempotent_requests_only(self):
+    def test_only_idempotent_requests_are_retried_after_lost_answer(self):
         for idempotent in (True, False):
             with self.subTest(idempotent=idempotent):
                 router = _router()
@@ -176,7 +178,7 @@
                     [] if idempotent else [codes.ResultCode.OUTCOME_UNKNOWN],
                 )
 
-    def test_retry_budget_ends_a_storm_of_lost_answers(self):
+    def test_retry_budget_limits_retries_when_all_answers_are_lost(self):
         router = _router(runners=4, slots=8)
         sends = 0
         for i in range(400):
@@ -190,16 +192,16 @@
         runs_each = sends / 400
         self.assertLess(runs_each, 1.2)
 
-    def test_leaving_runner_gets_nothing_though_the_list_says_up(self):
+    def test_leaving_runner_gets_no_requests_while_still_listed_as_up(self):
         router = _router(runners=1, slots=4)
         send = self._send_one(router, _spec("q"))
         router.record_answer(
-            send.request, send.runner, _answer("q", _OUTCOME.LEAVING), True, 1
+            send.request, send.runner, _answer("q", _Outcome.LEAVING), True, 1
         )
-        router.set_runners((_runner("r0", 4),))
+        router.set_runners((_listed_runner("r0", 4),))
         self.assertEqual(_sends(router.decide(3_000)), [])
 
-    def test_refused_everywhere_proves_not_run(self):
+    def test_request_that_no_runner_receives_is_reported_as_not_run(self):
         router = _router(runners=4, slots=8)
         router.submit(_spec("q", idempotent=False, timeout_ms=60_000), 0)
         results = []
@@ -214,18 +216,18 @@
                 )
         self.assertIs(results[0].code, codes.ResultCode.TARGET_REFUSED)
 
-    def test_failing_runner_is_ejected_then_probed_then_used_again(self):
+    def test_failing_runner_is_ejected_and_used_again_after_recovery(self):
         router = _router(runners=4, slots=8)
-        healthy = False
-        seen = collections.Counter()
+        recovered = False
+        send_counts = collections.Counter()
         for i in range(600):
             now_ms = 10 * i
             router.submit(_spec(f"q{i}", f"a{i % 3}"), now_ms)
             while batch := _sends(router.decide(now_ms)):
                 for send in batch:
-                    bad = send.runner == "r0" and not healthy
-                    seen[send.runner, healthy] += 1
-                    outcome = _OUTCOME.FAILED if bad else _OUTCOME.DONE
+                    fails = send.runner == "r0" and not recovered
+                    send_counts[send.runner, recovered] += 1
+                    outcome = _Outcome.FAILED if fails else _Outcome.DONE
                     router.record_answer(
                         send.request,
                         send.runner,
@@ -233,18 +235,18 @@
                         True,
                         now_ms,
                     )
-            healthy = i >= 300
-        self.assertLess(seen["r0", False], 8)
-        self.assertGreater(seen["r0", True], 20)
+            recovered = i >= 300
+        self.assertLess(send_counts["r0", False], 8)
+        self.assertGreater(send_counts["r0", True], 20)
 
-    def test_one_failing_account_does_not_take_runners_from_others(self):
+    def test_failures_of_one_account_do_not_eject_runners(self):
         router = _router(runners=4, slots=8)
         for i in range(200):
             account = "poison" if i % 2 else "door"
             router.submit(_spec(f"q{i}", account, idempotent=False), i)
             for send in _sends(router.decide(i)):
-                good = int(send.request[1:]) % 2 == 0
-                outcome = _OUTCOME.DONE if good else _OUTCOME.FAILED
+                succeeds = int(send.request[1:]) % 2 == 0
+                outcome = _Outcome.DONE if succeeds else _Outcome.FAILED
                 router.record_answer(
                     send.request,
                     send.runner,
@@ -254,7 +256,7 @@
                 )
         self.assertEqual(router.free_slots(), 32)
 
-    def test_hedges_only_idempotent_requests_within_the_budget(self):
+    def test_only_idempotent_requests_are_hedged_within_budget(self):
         for idempotent in (True, False):
             router = _router(runners=4, slots=50)
             for i in range(128):
@@ -304,17 +306,17 @@
             order.append(send.request[0])
         self.assertEqual(order[:12].count("d"), 5)
 
-    def test_trial_accounts_come_after_paying_ones(self):
+    def test_paying_accounts_are_served_before_trial_accounts(self):
         router = _router(runners=1, slots=0)
         trial = ids.AccountId("trial")
         router.set_account_class(trial, states.AccountClass.TRIAL)
         router.submit(_spec("t", "trial"), 0)
         router.submit(_spec("p", "door"), 0)
-        router.set_runners((_runner("r0", 2),))
+        router.set_runners((_listed_runner("r0", 2),))
         sends = _sends(router.decide(1))
         self.assertEqual([s.request for s in sends], ["p", "t"])
 
-    def test_out_of_service_nothing_is_sent_and_the_queue_ends(self):
+    def test_out_of_service_ends_queued_requests_and_sends_nothing(self):
         router = _router(runners=1)
         send = self._send_one(router, _spec("q"))
         router.submit(_spec("w"), 0)
@@ -331,7 +333,7 @@
         router.set_in_service(True)
         self._send_one(router, _spec("y"), 3)
 
-    def test_queue_is_bounded_for_each_account(self):
+    def test_queue_length_is_limited_per_account(self):
         router = _router(runners=1, slots=0)
         results = [router.submit(_spec(f"b{i}", "b"), 0) for i in range(300)]
         refused = [r for r in results if r is not None]
@@ -342,7 +344,7 @@
         self.assertTrue(all(codes.info(r.code).proves_not_run for r in refused))
         self.assertIsNone(router.submit(_spec("d", "door"), 0))
 
-    def test_cancel_forgets_a_queued_request_and_a_late_answer(self):
+    def test_cancelled_request_gets_no_answer_and_frees_its_slot(self):
         router = _router(runners=1)
         send = self._send_one(router, _spec("q"))
         router.submit(_spec("w"), 0)
@@ -360,103 +362,111 @@
         self.peer = ids.VmId("vm-2")
         self.router.set_peer_free_slots(self.peer, 3)
 
-    def _offered(self, **fields):
+    def _offer(self, **fields):
         self.router.submit(_spec("q", **fields), 0)
         (offer,) = self.router.decide(0)
         self.assertEqual(offer.vm, self.peer)
         self.assertEqual(self.router.queued_count(), 0)
 
-    def _after(self, result, *, sent=True, now_ms=2):
+    def _decide_after_peer_answer(self, result, *, sent=True, now_ms=2):
         self.router.record_peer_answer(
             ids.RequestId("q"), result, now_ms, sent=sent
         )
         return self.router.decide(now_ms)
 
-    def test_peer_result_is_the_answer(self):
-        self._offered()
+    def test_result_of_peer_is_returned(self):
+        self._offer()
         result = jobs.RequestResult(
             request=ids.RequestId("q"), code=codes.ResultCode.DONE
         )
-        self.assertEqual(_results(self._after(result)), [result])
+        self.assertEqual(
+            _results(self._decide_after_peer_answer(result)), [result]
+        )
 
-    def test_refused_offer_waits_here_again(self):
-        self._offered()
+    def test_refused_offer_is_requeued(self):
+        self._offer()
         refusal = jobs.RequestResult(
             request=ids.RequestId("q"), code=codes.ResultCode.NO_SLOT
         )
-        self.assertEqual(self._after(refusal), [])
+        self.assertEqual(self._decide_after_peer_answer(refusal), [])
         self.assertEqual(self.router.queued_count(), 1)
 
-    def test_peer_that_dies_leaves_the_outcome_unknown(self):
-        self._offered(idempotent=False)
-        (result,) = _results(self._after(None))
+    def test_lost_peer_leaves_outcome_of_non_idempotent_request_unknown(self):
+        self._offer(idempotent=False)
+        (result,) = _results(self._decide_after_peer_answer(None))
         self.assertIs(result.code, codes.ResultCode.OUTCOME_UNKNOWN)
 
-    def test_offer_that_never_left_waits_here_again(self):
-        self._offered(idempotent=False)
-        self.assertEqual(self._after(None, sent=False), [])
+    def test_offer_that_was_not_sent_is_requeued(self):
+        self._offer(idempotent=False)
+        self.assertEqual(self._decide_after_peer_answer(None, sent=False), [])
         self.assertEqual(self.router.queued_count(), 1)
 
-    def test_takes_an_offer_only_with_a_free_slot(self):
+    def test_offer_is_accepted_only_with_a_free_slot(self):
         router = _router(runners=1, slots=1)
         self.assertIsNone(router.submit(_spec("a"), 0, offered=True))
         refusal = router.submit(_spec("b"), 0, offered=True)
         self.assertIs(refusal.code, codes.ResultCode.NO_SLOT)
 
 
-class _World:
-    """A router, the sends in flight and what was seen of each request."""
+class _RouterHarness:
+    """A router with its attempts in flight and the outcomes of each request."""
 
     def __init__(self, test):
         self.test = test
         self.router = _router(runners=3, slots=2)
         self.now_ms = 0
-        self.taken, self.cancelled, self.once = set(), set(), set()
-        self.answers, self.runs = collections.Counter(), collections.Counter()
-        self.flight = []
+        self.accepted, self.cancelled, self.non_idempotent = set(), set(), set()
+        self.answer_counts, self.run_counts = (
+            collections.Counter(),
+            collections.Counter(),
+        )
+        self.in_flight = []
 
-    def act(self):
+    def apply_decisions(self):
         decisions = self.router.decide(self.now_ms)
-        self.flight.extend(_sends(decisions))
+        self.in_flight.extend(_sends(decisions))
         for result in _results(decisions):
-            self.answers[result.request] += 1
+            self.answer_counts[result.request] += 1
             if codes.info(result.code).proves_not_run:
-                self.test.assertEqual(self.runs[result.request], 0)
+                self.test.assertEqual(self.run_counts[result.request], 0)
         self.test.assertLessEqual(self.router.outstanding_count(), 6)
 
-    def submit(self, pick, flag):
+    def submit(self, choice, idempotent):
         spec = _spec(
-            f"q{len(self.taken)}", f"a{pick}", idempotent=flag, timeout_ms=40
+            f"q{len(self.accepted)}",
+            f"a{choice}",
+            idempotent=idempotent,
+            timeout_ms=40,
         )
         if self.router.submit(spec, self.now_ms) is None:
-            self.taken.add(spec.request)
-            self.once |= set() if flag else {spec.request}
+            self.accepted.add(spec.request)
+            self.non_idempotent |= set() if idempotent else {spec.request}
 
-    def end(self, pick, flag):
-        if not self.flight:
+    def end(self, choice, answered):
+        if not self.in_flight:
             return
-        send = self.flight.pop(pick % len(self.flight))
-        outcome = list(_OUTCOME)[pick % 4]
-        answer = _answer(send.request, outcome) if flag else None
-        sent = flag or pick % 2 == 0
-        ran = outcome in (_OUTCOME.DONE, _OUTCOME.FAILED) if flag else sent
-        self.runs[send.request] += ran
+        send = self.in_flight.pop(choice % len(self.in_flight))
+        outcome = list(_Outcome)[choice % 4]
+        answer = _answer(send.request, outcome) if answered else None
+        sent = answered or choice % 2 == 0
+        ran = outcome in (_Outcome.DONE, _Outcome.FAILED) if answered else sent
+        self.run_counts[send.request] += ran
         self.router.record_answer(
             send.request, send.runner, answer, sent, self.now_ms
         )
 
-    def cancel(self, pick, flag):
-        if not self.taken:
+    def cancel(self, choice, flag):
+        if not self.accepted:
             return
-        request = sorted(self.taken)[pick % len(self.taken)]
-        self.cancelled |= set() if self.answers[request] else {request}
+        request = sorted(self.accepted)[choice % len(self.accepted)]
+        self.cancelled |= set() if self.answer_counts[request] else {request}
         self.router.cancel(request)
 
-    def wait(self, pick, flag):
-        self.now_ms += 10 * pick
+    def wait(self, choice, flag):
+        self.now_ms += 10 * choice
 
 
-class AnyOrderTest(unittest.TestCase):
+class EventOrderTest(unittest.TestCase):
     @hypothesis.given(
         strategies.lists(
             strategies.tuples(
@@ -468,19 +478,23 @@
         )
     )
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
-    def test_every_request_gets_one_answer_and_no_slot_leaks(self, steps):
-        world = _World(self)
-        for kind, pick, flag in steps:
-            world.now_ms += pick
-            getattr(world, kind)(pick, flag)
-            world.act()
-        world.now_ms += 1_000
-        world.act()
-        for send in world.flight:
-            world.router.record_answer(
-                send.request, send.runner, None, True, world.now_ms
+    def test_every_request_is_answered_once_and_no_slot_leaks(self, events):
+        harness = _RouterHarness(self)
+        for event, choice, flag in events:
+            harness.now_ms += choice
+            getattr(harness, event)(choice, flag)
+            harness.apply_decisions()
+        harness.now_ms += 1_000
+        harness.apply_decisions()
+        for send in harness.in_flight:
+            harness.router.record_answer(
+                send.request, send.runner, None, True, harness.now_ms
             )
-        self.assertEqual(world.router.outstanding_count(), 0)
-        self.assertEqual(set(world.answers.values()) - {1}, set())
-        self.assertEqual(set(world.answers), world.taken - world.cancelled)
-        self.assertTrue(all(world.runs[r] <= 1 for r in world.once))
+        self.assertEqual(harness.router.outstanding_count(), 0)
+        self.assertEqual(set(harness.answer_counts.values()) - {1}, set())
+        self.assertEqual(
+            set(harness.answer_counts), harness.accepted - harness.cancelled
+        )
+        self.assertTrue(
+            all(harness.run_counts[r] <= 1 for r in harness.non_idempotent)
+        )
