--- a/citronmount/core/shares.py
+++ b/citronmount/core/shares.py
@@ -138,12 +138,8 @@
     }
     return tuple(
         sorted(
-            (
-                domain
-                for domain, amount in amounts.items()
-                if amount is not None
-            ),
-            key=lambda domain: -amounts[domain],
+            (home for home, amount in amounts.items() if amount is not None),
+            key=lambda home: -amounts[home],
         )
     )
 
