--- a/citronmount/core/request_peers.py
+++ b/citronmount/core/request_peers.py
@@ -8,7 +8,7 @@
 
 PEER_REPORT_TTL_MS = 1_500
 PEER_REFUSAL_BACKOFF_MS = 5
-PEER_SPECULATIVE_OFFERS = 4
+MAX_SPECULATIVE_OFFERS = 4
 
 
 class _Peer(msgspec.Struct, kw_only=True):
@@ -100,6 +100,6 @@
             for vm, peer in self._peers.items()
             if peer.heard_ms + PEER_REPORT_TTL_MS > now_ms
             and peer.paused_until_ms <= now_ms
-            and (peer.free > 0 or peer.pending < PEER_SPECULATIVE_OFFERS)
+            and (peer.free > 0 or peer.pending < MAX_SPECULATIVE_OFFERS)
         ]
         return max(candidates)[1] if candidates else None
--- a/citronmount/core/request_router.py
+++ b/citronmount/core/request_router.py
@@ -339,8 +339,8 @@
             heap[0][0] for heap in (self._deadlines, self._hedge_times) if heap
         ]
         if self._queue.peek() is not None:
-            opens_ms = self._slots.next_available_ms(self._now_ms)
-            due.extend([] if opens_ms is None else [opens_ms])
+            available_ms = self._slots.next_available_ms(self._now_ms)
+            due.extend([] if available_ms is None else [available_ms])
         return min(due, default=None)
 
     def _check_admission(
@@ -649,13 +649,13 @@
     def _finish(
         self, live: _LiveRequest, code: codes.ResultCode, *, payload: str = ""
     ) -> None:
-        retry = codes.info(code).proves_not_run
+        not_run = codes.info(code).proves_not_run
         result = jobs.RequestResult(
             request=live.spec.request,
             code=code,
             payload=payload,
             retry_after_ms=(
-                self._queue_drain_ms(live.spec.account) if retry else None
+                self._queue_drain_ms(live.spec.account) if not_run else None
             ),
         )
         self._complete(live, result)
