--- a/citronmount/core/backfill.py
+++ b/citronmount/core/backfill.py
@@ -10,10 +10,10 @@
 
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import policies
 from citronmount.core import pool
-from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 from citronmount.core import states
@@ -46,15 +46,15 @@
         self._domain = domain
         self._account = account
         self._now_ms = now_ms
-        self._blocked: queueing.Entry | None = None
+        self._blocked: job_queue.JobEntry | None = None
         self._start_ms: int | None = None
 
-    def set_blocked(self, entry: queueing.Entry) -> None:
+    def set_blocked(self, entry: job_queue.JobEntry) -> None:
         """Records a blocked job, unless an earlier one is blocked already."""
         if self._blocked is None:
             self._blocked = entry
 
-    def allows(self, entry: queueing.Entry) -> bool:
+    def allows(self, entry: job_queue.JobEntry) -> bool:
         """Returns whether a later job may use the account's cells now."""
         if self._blocked is None:
             return True
@@ -63,7 +63,9 @@
             return backfill is policies.Backfill.ANY
         if self._start_ms is None:
             self._start_ms = self._blocked_start_ms()
-        run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
+        run_ms = self._domain.estimator.expected_run_ms(
+            entry.spec, entry.progress
+        )
         return self._now_ms + run_ms <= self._start_ms
 
     def _blocked_start_ms(self) -> int:
@@ -138,7 +140,7 @@
 
 
 def reserve(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> Reservation | None:
     """Finds when and where a blocked job can start.
 
@@ -197,7 +199,7 @@
         if worker not in self._index:
             return
         before = self._tasks_on(worker)
-        freed = self._freed.get(worker, resources.NONE)
+        freed = self._freed.get(worker, resources.ZERO)
         self._freed[worker] = resources.plus(freed, amount)
         if self._total_tasks is not None:
             self._total_tasks += self._tasks_on(worker) - before
@@ -251,7 +253,7 @@
 
     def _tasks_on(self, worker: ids.WorkerId) -> int:
         available = self._index.available(worker)
-        freed = self._freed.get(worker, resources.NONE)
-        return resources.count(
+        freed = self._freed.get(worker, resources.ZERO)
+        return resources.task_capacity(
             resources.plus(available, freed), self._shape.per_task
         )
--- a/citronmount/core/cell_selection.py
+++ b/citronmount/core/cell_selection.py
@@ -6,9 +6,9 @@
 from citronmount.core import cells
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import preemption
-from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 from citronmount.core import states
@@ -21,7 +21,7 @@
 
 def find(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     avoid: Collection[ids.WorkerId],
     now_ms: int,
 ) -> tuple[cells.CellUse, ...] | None:
@@ -64,7 +64,9 @@
     Returns None if a slot holds no task of the gang, unless all slots of the
     cell are on one worker: the gang may then use them together.
     """
-    tasks_per_slot = resources.count(cell.shape.per_task, shape.per_task)
+    tasks_per_slot = resources.task_capacity(
+        cell.shape.per_task, shape.per_task
+    )
     if tasks_per_slot:
         tasks = min(-(-shape.tasks // tasks_per_slot), cell.shape.tasks)
     elif cell.shape.adjacency is states.Adjacency.WORKER:
@@ -138,7 +140,9 @@
     groups = []
     for worker in workers:
         available = domain.plan.capacity_outside_occupied(worker)
-        tasks = min(resources.count(available, part.per_task), remaining)
+        tasks = min(
+            resources.task_capacity(available, part.per_task), remaining
+        )
         if tasks and worker not in avoid:
             groups.append(jobs.TaskGroup(worker=worker, tasks=tasks))
             remaining -= tasks
--- a/citronmount/core/cells.py
+++ b/citronmount/core/cells.py
@@ -118,8 +118,8 @@
     def capacity_outside_occupied(self, worker: ids.WorkerId) -> jobs.Resources:
         """Returns the capacity of a worker minus that of occupied cells."""
         if worker not in self.uncommitted:
-            return resources.NONE
-        occupied = self._occupied_capacity.get(worker, resources.NONE)
+            return resources.ZERO
+        occupied = self._occupied_capacity.get(worker, resources.ZERO)
         return resources.minus(self._capacity[worker], occupied)
 
     def set_worker(
@@ -331,17 +331,17 @@
                 location = (use.cell, use.worker)
                 need = resources.scaled(use.per_task, use.tasks)
                 used_by_remaining[location] = resources.plus(
-                    used_by_remaining.get(location, resources.NONE), need
+                    used_by_remaining.get(location, resources.ZERO), need
                 )
         fits: dict[object, int] = {}
         for cell in self.cells(account):
             for worker, slots in cell.slots.items():
                 unused = resources.minus(
                     resources.scaled(cell.shape.per_task, slots),
-                    used_by_remaining.get((cell, worker), resources.NONE),
+                    used_by_remaining.get((cell, worker), resources.ZERO),
                 )
                 scope = self._scope(worker, shape.adjacency)
-                tasks = resources.count(unused, shape.per_task)
+                tasks = resources.task_capacity(unused, shape.per_task)
                 fits[scope] = fits.get(scope, 0) + tasks
         return any(tasks >= shape.tasks for tasks in fits.values())
 
@@ -404,7 +404,7 @@
         for cell in self.cells(account):
             spare = cell.spare_accelerators
             for worker, unused in cell.unused.items():
-                tasks = resources.count(unused, shape.per_task)
+                tasks = resources.task_capacity(unused, shape.per_task)
                 if (
                     not tasks
                     or worker in avoid
@@ -417,7 +417,7 @@
                     tasks=min(tasks, shape.tasks),
                     per_task=shape.per_task,
                 )
-                free_tasks = resources.count(
+                free_tasks = resources.task_capacity(
                     free.available(worker), shape.per_task
                 )
                 rank = (
@@ -483,7 +483,7 @@
                 if (cell, worker) in seen:
                     continue
                 unused = cell.unused[worker]
-                fits = resources.count(unused, shape.per_task)
+                fits = resources.task_capacity(unused, shape.per_task)
                 tasks = min(remaining[worker], fits)
                 if not tasks:
                     continue
@@ -543,7 +543,9 @@
         shape: shapes.Shape,
         remaining: Mapping[ids.WorkerId, int],
     ) -> tuple[jobs.TaskGroup, ...]:
-        tasks_per_slot = resources.count(cell.shape.per_task, shape.per_task)
+        tasks_per_slot = resources.task_capacity(
+            cell.shape.per_task, shape.per_task
+        )
         if not tasks_per_slot:
             return ()
         groups = []
@@ -571,7 +573,9 @@
         remaining = cell.shape.tasks - sum(slots.values())
         per_task = cell.shape.per_task
         if any(
-            resources.count(self.capacity_outside_occupied(worker), per_task)
+            resources.task_capacity(
+                self.capacity_outside_occupied(worker), per_task
+            )
             < tasks
             for worker, tasks in slots.items()
         ):
@@ -583,7 +587,9 @@
         ):
             available = self.capacity_outside_occupied(worker)
             used = slots.get(worker, 0)
-            extra = min(resources.count(available, per_task) - used, remaining)
+            extra = min(
+                resources.task_capacity(available, per_task) - used, remaining
+            )
             if extra > 0:
                 slots[worker] = used + extra
                 remaining -= extra
@@ -725,19 +731,19 @@
     def _add_occupied(self, cell: Cell, sign: int) -> None:
         for worker, tasks in cell.slots.items():
             amount = resources.scaled(cell.shape.per_task, sign * tasks)
-            occupied = self._occupied_capacity.get(worker, resources.NONE)
+            occupied = self._occupied_capacity.get(worker, resources.ZERO)
             self._occupied_capacity[worker] = resources.plus(occupied, amount)
 
     def _add_committed(
         self, worker: ids.WorkerId, amount: jobs.Resources
     ) -> None:
-        committed = self._committed.get(worker, resources.NONE)
+        committed = self._committed.get(worker, resources.ZERO)
         self._committed[worker] = resources.plus(committed, amount)
         self.uncommitted.set_available(worker, self._uncommitted_on(worker))
 
     def _uncommitted_on(self, worker: ids.WorkerId) -> jobs.Resources:
-        committed = self._committed.get(worker, resources.NONE)
-        capacity = self._capacity.get(worker, resources.NONE)
+        committed = self._committed.get(worker, resources.ZERO)
+        capacity = self._capacity.get(worker, resources.ZERO)
         return resources.minus(capacity, committed)
 
 
@@ -767,7 +773,8 @@
     uses: tuple[CellUse, ...], shape: shapes.Shape, free: pool.CapacityIndex
 ) -> tuple:
     not_free = sum(
-        resources.count(free.available(use.worker), use.per_task) < use.tasks
+        resources.task_capacity(free.available(use.worker), use.per_task)
+        < use.tasks
         for use in uses
     )
     opened = len({use.cell for use in uses if not use.cell.occupied})
--- a/citronmount/core/delay_scheduling.py
+++ b/citronmount/core/delay_scheduling.py
@@ -11,8 +11,8 @@
 
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
-from citronmount.core import queueing
 from citronmount.core import resources
 
 __all__ = ["recently_checked", "should_wait"]
@@ -25,19 +25,19 @@
 _MAX_WORKERS_SCANNED = 64
 
 
-def recently_checked(entry: queueing.Entry, now_ms: int) -> bool:
+def recently_checked(entry: job_queue.JobEntry, now_ms: int) -> bool:
     """Returns whether a waiting job was checked less than the interval ago."""
-    waiting = entry.patient_until_ms is not None
+    waiting = entry.delay_until_ms is not None
     return (
         waiting
-        and now_ms < entry.patient_until_ms
-        and now_ms < entry.look_again_ms
+        and now_ms < entry.delay_until_ms
+        and now_ms < entry.next_check_ms
     )
 
 
 def should_wait(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
 ) -> bool:
@@ -51,22 +51,22 @@
         groups: Placement at which it could start now.
         now_ms: Monotonic time.
     """
-    run_ms = domain.estimator.run_ms(entry.spec, entry.progress)
-    if entry.lane < queueing.Lane.NEW or run_ms < MIN_RUN_TIME_MS:
+    run_ms = domain.estimator.expected_run_ms(entry.spec, entry.progress)
+    if entry.priority < job_queue.Priority.NEW or run_ms < MIN_RUN_TIME_MS:
         return False
     if not _spreads_too_wide(domain, entry, groups, now_ms, run_ms):
         return False
-    if entry.patient_until_ms is None:
+    if entry.delay_until_ms is None:
         wait_ms = min(int(run_ms * MAX_WAIT_RUN_TIME_SHARE), MAX_WAIT_MS)
-        entry.patient_until_ms = now_ms + wait_ms
-        heapq.heappush(domain.wake_up_times_ms, entry.patient_until_ms)
-    entry.look_again_ms = now_ms + RECHECK_INTERVAL_MS
-    return now_ms < entry.patient_until_ms
+        entry.delay_until_ms = now_ms + wait_ms
+        heapq.heappush(domain.wake_up_times_ms, entry.delay_until_ms)
+    entry.next_check_ms = now_ms + RECHECK_INTERVAL_MS
+    return now_ms < entry.delay_until_ms
 
 
 def _spreads_too_wide(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
     run_ms: int,
@@ -89,14 +89,16 @@
         for worker in itertools.islice(domain.pool.free, _MAX_WORKERS_SCANNED)
     )
     capacity = domain.pool.capacity(groups[0].worker)
-    tasks_per_worker = max(resources.count(capacity, entry.shape.per_task), 1)
+    tasks_per_worker = max(
+        resources.task_capacity(capacity, entry.shape.per_task), 1
+    )
     tasks_alone = max(entry.shape.tasks - tasks_beside_long_jobs, 0)
     return outlasted > -(-tasks_alone // tasks_per_worker)
 
 
 def _tasks_beside_long_jobs(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     worker: ids.WorkerId,
     now_ms: int,
     horizon_ms: int,
@@ -108,4 +110,4 @@
     if domain.busy_until_ms(worker, now_ms) < horizon_ms:
         return 0
     available = domain.available_at(worker, now_ms, horizon_ms)
-    return resources.count(available, entry.shape.per_task)
+    return resources.task_capacity(available, entry.shape.per_task)
--- a/citronmount/core/domain_state.py
+++ b/citronmount/core/domain_state.py
@@ -12,14 +12,14 @@
 from citronmount.core import estimates
 from citronmount.core import fragmentation
 from citronmount.core import guarantee_feasibility
-from citronmount.core import health
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import ledger
 from citronmount.core import placement
 from citronmount.core import policies
 from citronmount.core import pool
-from citronmount.core import queueing
+from citronmount.core import quarantine
 from citronmount.core import ranking
 from citronmount.core import resources
 from citronmount.core import shapes
@@ -45,7 +45,7 @@
     def __init__(
         self,
         *,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         since_ms: int,
     ) -> None:
@@ -71,7 +71,7 @@
     def __init__(
         self,
         *,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         victims: set[ids.JobId],
     ) -> None:
@@ -93,7 +93,7 @@
         pending_placements: Jobs that wait for evictions, in order of decision.
         ledger: Service that each account has received.
         estimator: Estimator of run times.
-        health: Quarantine of workers that fail jobs.
+        quarantine: Quarantine of workers that fail jobs.
         mix: Typical gangs of the workload.
         in_service: Whether tasks may start.
         accounts_to_bind: Accounts whose placed jobs may now fit into cells.
@@ -106,12 +106,12 @@
         self.policy = policies.get(policy)
         self.pool = pool.Pool()
         self.plan = cells.CellPlan()
-        self.queue = queueing.JobQueue()
+        self.queue = job_queue.JobQueue()
         self.placed: dict[ids.JobId, PlacedJob] = {}
         self.pending_placements: dict[ids.JobId, PendingPlacement] = {}
         self.ledger = ledger.Ledger()
         self.estimator = estimates.Estimator()
-        self.health = health.Health()
+        self.quarantine = quarantine.Quarantine()
         self.mix = fragmentation.GangMix()
         self.in_service = False
         self.accounts_to_bind: set[ids.AccountId] = set()
@@ -142,7 +142,7 @@
         """Returns how many accelerators a trial account may use here."""
         return self._allowances.get(account, 0)
 
-    def within_allowance(self, entry: queueing.Entry) -> bool:
+    def within_allowance(self, entry: job_queue.JobEntry) -> bool:
         """Returns whether a trial job fits its account's allowance now."""
         account = entry.spec.account
         used = self._trial_accelerators[account] + entry.shape.accelerators
@@ -179,7 +179,7 @@
             account.name: account.account_class
             for account in configuration.accounts
         }
-        share = shares.share(configuration, failure_domain)
+        share = shares.share_of(configuration, failure_domain)
         self._allowances = share.allowances
         self._update_weights(configuration, share, now_ms)
         if self.policy.guarantees:
@@ -198,7 +198,7 @@
             worker: A worker whose state or capacity may have changed.
             now_ms: Monotonic time.
         """
-        self.pool.set_closed(worker, not self.health.is_open(worker))
+        self.pool.set_closed(worker, not self.quarantine.accepts_jobs(worker))
         self.cells_planned = False
         if self.pool.usable(worker):
             self.plan.set_worker(
@@ -213,7 +213,7 @@
 
     def place(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
         uses: tuple[cells.CellUse, ...] = (),
@@ -229,7 +229,7 @@
 
     def add_pending(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
         uses: tuple[cells.CellUse, ...],
@@ -294,21 +294,21 @@
 
     def enqueue(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         now_ms: int,
-        press_at_ms: int | None = None,
+        promote_at_ms: int | None = None,
     ) -> None:
         """Adds an entry to the queue."""
         account = entry.spec.account
         entry.queued_ms = now_ms
-        entry.patient_until_ms = None
+        entry.delay_until_ms = None
         if not self.queue.size(account):
-            self.ledger.wake(account, self.queue.accounts(), now_ms)
-        self.queue.add(entry, press_at_ms=press_at_ms)
+            self.ledger.resume(account, self.queue.accounts(), now_ms)
+        self.queue.add(entry, promote_at_ms=promote_at_ms)
 
     def expected_end_ms(self, placed: PlacedJob, now_ms: int) -> int:
         """Returns the monotonic time at which a job is expected to end."""
-        left_ms = self.estimator.left_ms(
+        left_ms = self.estimator.remaining_ms(
             placed.entry.spec,
             placed.entry.progress,
             max(now_ms - placed.since_ms, 0),
@@ -316,14 +316,14 @@
         return now_ms + left_ms
 
     def worker_key(
-        self, entry: queueing.Entry, now_ms: int
+        self, entry: job_queue.JobEntry, now_ms: int
     ) -> placement.WorkerKey:
         """Returns the sort key of workers for a job."""
         worker_ranking = ranking.FragmentationRanking(
             mix=self.mix,
             timeline=functools.partial(self._timeline, now_ms),
             now_ms=now_ms,
-            run_ms=self.estimator.run_ms(entry.spec, entry.progress),
+            run_ms=self.estimator.expected_run_ms(entry.spec, entry.progress),
         )
         return self.policy.key(worker_ranking)
 
@@ -378,35 +378,35 @@
 
     def _allocate(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
         uses: tuple[cells.CellUse, ...],
     ) -> None:
         spec = entry.spec
-        entry.tried = True
+        entry.placed_before = True
         self._invalidate_timelines(groups)
         self.pool.allocate(spec.job, spec.per_task, groups)
-        self.ledger.change(spec.account, entry.shape.accelerators, now_ms)
+        self.ledger.add_held(spec.account, entry.shape.accelerators, now_ms)
         if self.is_trial(spec.account):
             self._trial_accelerators[spec.account] += entry.shape.accelerators
-            entry.counted_as_trial = True
+            entry.counts_against_allowance = True
         if uses:
             self.plan.bind(spec.job, uses)
 
     def _deallocate(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         groups: tuple[jobs.TaskGroup, ...],
         now_ms: int,
     ) -> None:
         spec = entry.spec
         self._invalidate_timelines(groups)
         self.pool.deallocate(spec.job, spec.per_task, groups)
-        self.ledger.change(spec.account, -entry.shape.accelerators, now_ms)
-        if entry.counted_as_trial:
+        self.ledger.add_held(spec.account, -entry.shape.accelerators, now_ms)
+        if entry.counts_against_allowance:
             self._trial_accelerators[spec.account] -= entry.shape.accelerators
-            entry.counted_as_trial = False
+            entry.counts_against_allowance = False
         if self.plan.runs_in_cells(spec.job):
             self.plan.release(spec.job)
             self.accounts_to_bind.add(spec.account)
@@ -437,13 +437,13 @@
         now_ms: int,
     ) -> None:
         for group in groups:
-            if self.health.placed(job, group.worker):
+            if self.quarantine.record_placement(job, group.worker):
                 self.refresh_worker(group.worker, now_ms)
 
     def _update_weights(
         self,
         configuration: configuration_lib.Configuration,
-        share: shares.Share,
+        share: shares.DomainShare,
         now_ms: int,
     ) -> None:
         weights: collections.Counter[ids.AccountId] = collections.Counter()
@@ -458,14 +458,14 @@
                 part.copies * part.shape.accelerators
             )
         for account in self._account_classes:
-            self.ledger.set_due(
+            self.ledger.set_entitlement(
                 account,
                 weight=weights[account],
                 guaranteed=guaranteed_here[account],
                 now_ms=now_ms,
             )
 
-    def _update_cells(self, share: shares.Share, now_ms: int) -> None:
+    def _update_cells(self, share: shares.DomainShare, now_ms: int) -> None:
         required = {
             (account, shape): copies
             for (
--- a/citronmount/core/fragmentation.py
+++ b/citronmount/core/fragmentation.py
@@ -135,7 +135,7 @@
     free = max(available.accelerators, 0)
     if not unit.accelerators:
         return 0
-    return free - resources.count(available, unit) * unit.accelerators
+    return free - resources.task_capacity(available, unit) * unit.accelerators
 
 
 def unusable_share(
@@ -175,7 +175,10 @@
     else:
         groups = [list(index)]
     gangs = sum(
-        sum(resources.count(index.available(w), shape.per_task) for w in group)
+        sum(
+            resources.task_capacity(index.available(w), shape.per_task)
+            for w in group
+        )
         // shape.tasks
         for group in groups
     )
--- a/citronmount/core/guarantee_feasibility.py
+++ b/citronmount/core/guarantee_feasibility.py
@@ -13,7 +13,7 @@
 
 
 def cell_copies(
-    share: shares.Share,
+    share: shares.DomainShare,
 ) -> dict[tuple[ids.AccountId, shapes.Shape], int]:
     """Counts the cells that a failure domain must provide.
 
--- a/citronmount/core/guaranteed_placement.py
+++ b/citronmount/core/guaranteed_placement.py
@@ -9,11 +9,11 @@
 from citronmount.core import decisions
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import placement
 from citronmount.core import policies
 from citronmount.core import preemption
-from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 
@@ -148,7 +148,7 @@
     failed_shapes: set[shapes.Shape] = set()
     cell_backfill = backfill.CellBackfill(domain, account, now_ms)
     entries = itertools.islice(
-        domain.queue.of_account(account), SCAN_LIMIT_JOBS
+        domain.queue.account_entries(account), SCAN_LIMIT_JOBS
     )
     for entry in list(entries):
         if entry.shape in failed_shapes or not cell_backfill.allows(entry):
@@ -166,7 +166,7 @@
 
 
 def _place_entry(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> list[decisions.Decision] | None:
     """Places a job, evicting other work if needed.
 
@@ -193,17 +193,17 @@
 
 
 def _find_uses(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> tuple[cells.CellUse, ...] | None:
     tries = (
         cell_selection.find(domain, entry, avoid, now_ms)
-        for avoid in entry.avoidances(now_ms)
+        for avoid in entry.avoided_worker_sets(now_ms)
     )
     return next((uses for uses in tries if uses is not None), None)
 
 
 def _find_by_demotion(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> tuple[cells.CellUse, ...] | None:
     """Finds cells for an urgent job by unbinding later jobs of its account.
 
@@ -223,7 +223,7 @@
 
 
 def _demotable(
-    domain: domain_state.DomainState, entry: queueing.Entry
+    domain: domain_state.DomainState, entry: job_queue.JobEntry
 ) -> list[ids.JobId]:
     """Returns jobs that may lose their cells to an urgent one, latest first.
 
@@ -250,13 +250,13 @@
 
 
 def _find_outside_cells(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> tuple[jobs.TaskGroup, ...] | None:
     return placement.find(
         domain.pool.free,
         entry.shape,
         key=domain.worker_key(entry, now_ms),
-        avoid=entry.avoidances(now_ms)[0],
+        avoid=entry.avoided_worker_sets(now_ms)[0],
     )
 
 
@@ -280,7 +280,7 @@
     need: dict[ids.WorkerId, jobs.Resources] = {}
     for use in uses:
         amount = resources.scaled(use.per_task, use.tasks)
-        before = need.get(use.worker, resources.NONE)
+        before = need.get(use.worker, resources.ZERO)
         need[use.worker] = resources.plus(before, amount)
     return need
 
@@ -297,7 +297,7 @@
 
 def _reclaim(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     uses: tuple[cells.CellUse, ...],
     now_ms: int,
 ) -> list[decisions.Decision] | None:
@@ -357,7 +357,7 @@
 
 
 def _place_decision(
-    entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+    entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
 ) -> decisions.PlaceJob:
     return decisions.PlaceJob(
         job=entry.spec.job, placement=jobs.Placement(groups=groups)
--- a/citronmount/core/opportunistic_placement.py
+++ b/citronmount/core/opportunistic_placement.py
@@ -10,11 +10,11 @@
 from citronmount.core import delay_scheduling
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import placement
 from citronmount.core import policies
 from citronmount.core import preemption
-from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 
@@ -46,7 +46,7 @@
 
 
 def would_place(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> bool:
     """Returns whether `place` would start a job that is not queued yet.
 
@@ -85,7 +85,9 @@
         ] = {}
         self._reservation: backfill.Reservation | None = None
 
-    def process(self, entry: queueing.Entry) -> Sequence[decisions.Decision]:
+    def process(
+        self, entry: job_queue.JobEntry
+    ) -> Sequence[decisions.Decision]:
         """Places a job, evicts work for it or records it as blocked."""
         if not self._may_start(entry):
             return ()
@@ -102,12 +104,12 @@
         """Whether a blocked job has reserved capacity."""
         return self._reservation is not None
 
-    def note_blocked(self, entry: queueing.Entry) -> None:
+    def note_blocked(self, entry: job_queue.JobEntry) -> None:
         """Records a job as blocked if it does not fit."""
         if self._may_start(entry) and self._find(entry) is None:
             self._block(entry)
 
-    def would_start(self, entry: queueing.Entry) -> bool:
+    def would_start(self, entry: job_queue.JobEntry) -> bool:
         """Returns whether a job would be placed now."""
         groups = self._find(entry) if self._may_start(entry) else None
         return groups is not None and not (
@@ -115,7 +117,7 @@
             and self._should_wait(entry, groups)
         )
 
-    def _may_start(self, entry: queueing.Entry) -> bool:
+    def _may_start(self, entry: job_queue.JobEntry) -> bool:
         domain = self._domain
         if domain.is_trial(entry.spec.account) and not domain.within_allowance(
             entry
@@ -123,12 +125,12 @@
             return False
         return not delay_scheduling.recently_checked(entry, self._now_ms)
 
-    def _uses_delay_scheduling(self, entry: queueing.Entry) -> bool:
+    def _uses_delay_scheduling(self, entry: job_queue.JobEntry) -> bool:
         domain = self._domain
         return domain.policy.patient and domain.is_trial(entry.spec.account)
 
     def _place(
-        self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+        self, entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
     ) -> Sequence[decisions.PlaceJob]:
         domain = self._domain
         if self._uses_delay_scheduling(entry) and self._should_wait(
@@ -144,13 +146,15 @@
         return (decisions.PlaceJob(job=entry.spec.job, placement=placed),)
 
     def _should_wait(
-        self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+        self, entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
     ) -> bool:
         return delay_scheduling.should_wait(
             self._domain, entry, groups, self._now_ms
         )
 
-    def _find(self, entry: queueing.Entry) -> tuple[jobs.TaskGroup, ...] | None:
+    def _find(
+        self, entry: job_queue.JobEntry
+    ) -> tuple[jobs.TaskGroup, ...] | None:
         limited = self._may_delay_reservation(entry)
         if {(entry.shape, False), (entry.shape, limited)} & self._failed:
             return None
@@ -159,15 +163,17 @@
             self._failed.add((entry.shape, limited))
         return groups
 
-    def _may_delay_reservation(self, entry: queueing.Entry) -> bool:
+    def _may_delay_reservation(self, entry: job_queue.JobEntry) -> bool:
         if self._reservation is None:
             return False
-        run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
+        run_ms = self._domain.estimator.expected_run_ms(
+            entry.spec, entry.progress
+        )
         return self._now_ms + run_ms > self._reservation.start_ms
 
     def _search(
         self,
-        entry: queueing.Entry,
+        entry: job_queue.JobEntry,
         limited: bool,
         *,
         fewest_workers: bool = False,
@@ -177,7 +183,7 @@
         if fewest_workers:
             key = placement.fewest_workers(key)
         limit = self._limit if limited else None
-        for avoid in entry.avoidances(self._now_ms):
+        for avoid in entry.avoided_worker_sets(self._now_ms):
             groups = placement.find(
                 domain.pool.free,
                 entry.shape,
@@ -195,7 +201,7 @@
         )
 
     def _preempt(
-        self, entry: queueing.Entry
+        self, entry: job_queue.JobEntry
     ) -> list[decisions.EvictJob] | None:
         """Evicts work for a paying job, which becomes pending.
 
@@ -222,7 +228,7 @@
         return evictions
 
     def _choose_trial_victims(
-        self, entry: queueing.Entry
+        self, entry: job_queue.JobEntry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
         if entry.shape in self._not_preemptible:
             return (), None
@@ -231,7 +237,7 @@
             entry.shape,
             key=placement.best_fit,
             limit=self._unreserved,
-            avoid=entry.avoidances(self._now_ms)[0],
+            avoid=entry.avoided_worker_sets(self._now_ms)[0],
         )
         victims = None
         if groups:
@@ -246,7 +252,7 @@
         return groups or (), victims
 
     def _choose_own_victim(
-        self, entry: queueing.Entry
+        self, entry: job_queue.JobEntry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
         """Finds a later job of the account whose worker can hold the job."""
         total = entry.shape.total
@@ -281,23 +287,23 @@
             if self._domain.revocable(candidate[0])
         ]
 
-    def _may_preempt(self, entry: queueing.Entry) -> bool:
+    def _may_preempt(self, entry: job_queue.JobEntry) -> bool:
         if not self._domain.policy.guarantees:
             return False
         if entry.spec.urgent:
             return True
         due_ms = entry.queued_ms + PREEMPT_TRIALS_AFTER_MS
-        if self._now_ms < due_ms and entry.reclaim_ms != due_ms:
-            entry.reclaim_ms = due_ms
+        if self._now_ms < due_ms and entry.reclaim_from_ms != due_ms:
+            entry.reclaim_from_ms = due_ms
             heapq.heappush(self._domain.wake_up_times_ms, due_ms)
         return self._now_ms >= due_ms
 
     def _unreserved(self, worker: ids.WorkerId) -> jobs.Resources:
         if self._reservation and worker in self._reservation.need:
-            return resources.NONE
+            return resources.ZERO
         return self._domain.pool.free_or_preemptible.available(worker)
 
-    def _block(self, entry: queueing.Entry) -> None:
+    def _block(self, entry: job_queue.JobEntry) -> None:
         backfill_rule = self._domain.policy.backfill
         if backfill_rule is policies.Backfill.NONE:
             self.finished = True
@@ -310,7 +316,7 @@
 
 
 def _need_by_worker(
-    entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+    entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
 ) -> dict[ids.WorkerId, jobs.Resources]:
     per_task = entry.spec.per_task
     return {
@@ -321,7 +327,7 @@
 
 def _queue_order(
     domain: domain_state.DomainState, now_ms: int
-) -> Iterator[queueing.Entry]:
+) -> Iterator[job_queue.JobEntry]:
     if domain.policy.order is policies.Order.SUBMISSION:
         return iter(
             list(
@@ -333,7 +339,7 @@
 
 def _fair_order(
     domain: domain_state.DomainState, now_ms: int
-) -> Iterator[queueing.Entry]:
+) -> Iterator[job_queue.JobEntry]:
     """Yields queued jobs, always the next one of the best-ranked account.
 
     Paying accounts come first, then those whose next job is urgent or near its
@@ -343,7 +349,7 @@
         account: iter(
             list(
                 itertools.islice(
-                    domain.queue.of_account(account), SCAN_LIMIT_JOBS
+                    domain.queue.account_entries(account), SCAN_LIMIT_JOBS
                 )
             )
         )
@@ -368,15 +374,15 @@
 def _heap_item(
     domain: domain_state.DomainState,
     account: ids.AccountId,
-    entries: Iterator[queueing.Entry],
+    entries: Iterator[job_queue.JobEntry],
     now_ms: int,
-) -> tuple[tuple, ids.AccountId, queueing.Entry] | None:
+) -> tuple[tuple, ids.AccountId, job_queue.JobEntry] | None:
     entry = next(entries, None)
     if entry is None:
         return None
     rank = (
         domain.is_trial(account),
-        min(entry.lane, queueing.Lane.NEW),
+        min(entry.priority, job_queue.Priority.NEW),
         domain.ledger.rank(account, now_ms),
     )
     return (rank, account, entry)
--- a/citronmount/core/placement.py
+++ b/citronmount/core/placement.py
@@ -175,8 +175,8 @@
             return 0
         available = self._index.available(worker)
         if self._limit is not None:
-            available = resources.smaller(available, self._limit(worker))
-        return resources.count(available, self._shape.per_task)
+            available = resources.minimum(available, self._limit(worker))
+        return resources.task_capacity(available, self._shape.per_task)
 
     def _fill_workers(
         self, candidates: list[tuple[ids.WorkerId, int]]
--- a/citronmount/core/pool.py
+++ b/citronmount/core/pool.py
@@ -46,7 +46,7 @@
 
     def available(self, worker: ids.WorkerId) -> jobs.Resources:
         """Returns a worker's available capacity, zero if it is not indexed."""
-        return self._available.get(worker, resources.NONE)
+        return self._available.get(worker, resources.ZERO)
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId | None:
         """Returns the rack of a worker, None if it is not in the index."""
@@ -185,7 +185,7 @@
     def capacity(self, worker: ids.WorkerId) -> jobs.Resources:
         """Returns the capacity of a worker, zero if it is not listed."""
         listed = self._listed.get(worker)
-        return listed.capacity if listed else resources.NONE
+        return listed.capacity if listed else resources.ZERO
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId:
         """Returns the rack of a worker, empty if it is not listed."""
@@ -290,17 +290,17 @@
             groups: The tasks on each worker.
         """
         for group in groups:
-            preemptible = self._preemptible.get(group.worker, resources.NONE)
+            preemptible = self._preemptible.get(group.worker, resources.ZERO)
             amount = resources.scaled(per_task, group.tasks)
             self._preemptible[group.worker] = resources.plus(
                 preemptible, amount
             )
-            if self._preemptible[group.worker] == resources.NONE:
+            if self._preemptible[group.worker] == resources.ZERO:
                 del self._preemptible[group.worker]
             self._update_available(group.worker)
 
     def _add_usage(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
-        used = self._used.get(worker, resources.NONE)
+        used = self._used.get(worker, resources.ZERO)
         self._used[worker] = resources.plus(used, amount)
         if not self._jobs[worker]:
             del self._jobs[worker]
@@ -309,14 +309,14 @@
 
     def _update_available(self, worker: ids.WorkerId) -> None:
         free = self._free_capacity(worker)
-        preemptible = self._preemptible.get(worker, resources.NONE)
+        preemptible = self._preemptible.get(worker, resources.ZERO)
         self.free.set_available(worker, free)
         self.free_or_preemptible.set_available(
             worker, resources.plus(free, preemptible)
         )
 
     def _free_capacity(self, worker: ids.WorkerId) -> jobs.Resources:
-        used = self._used.get(worker, resources.NONE)
+        used = self._used.get(worker, resources.ZERO)
         return resources.minus(self.capacity(worker), used)
 
     def _reindex(self, worker: ids.WorkerId) -> None:
--- a/citronmount/core/preemption.py
+++ b/citronmount/core/preemption.py
@@ -9,8 +9,8 @@
 from citronmount.core import decisions
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
-from citronmount.core import queueing
 from citronmount.core import resources
 
 __all__ = [
@@ -70,7 +70,7 @@
 
 def evict(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     need: Mapping[ids.WorkerId, jobs.Resources],
     victims: list[ids.JobId],
 ) -> tuple[list[decisions.EvictJob], set[ids.JobId]]:
@@ -217,7 +217,7 @@
     return {
         worker: missing
         for worker, missing in remaining.items()
-        if not resources.covers(resources.NONE, _positive(missing))
+        if not resources.covers(resources.ZERO, _positive(missing))
     }
 
 
--- a/citronmount/core/start_prediction.py
+++ b/citronmount/core/start_prediction.py
@@ -1,14 +1,14 @@
 """Predicts whether a job would start now, without deciding anything."""
 
 from citronmount.core import domain_state
+from citronmount.core import job_queue
 from citronmount.core import opportunistic_placement
-from citronmount.core import queueing
 
 __all__ = ["would_start"]
 
 
 def would_start(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> bool:
     """Returns whether a new job would now be placed or evict other work.
 
--- a/citronmount/core/tests/packing_oracle.py
+++ b/citronmount/core/tests/packing_oracle.py
@@ -57,7 +57,9 @@
     if not workers:
         return
     worker, *others = workers
-    max_tasks = min(resources.count(capacities[worker], gang.per_task), tasks)
+    max_tasks = min(
+        resources.task_capacity(capacities[worker], gang.per_task), tasks
+    )
     for tasks_here in range(max_tasks, -1, -1):
         for slots in _distributions(
             capacities, others, gang, tasks - tasks_here
@@ -71,6 +73,6 @@
         for worker, tasks in slots.items()
     }
     return {
-        worker: resources.minus(available, used.get(worker, resources.NONE))
+        worker: resources.minus(available, used.get(worker, resources.ZERO))
         for worker, available in capacities.items()
     }
--- a/citronmount/core/tests/test_placement.py
+++ b/citronmount/core/tests/test_placement.py
@@ -147,14 +147,14 @@
                 estimator.observe(spec, 0.0, max(1, int(factor * 100_000)))
             expected = 100_000 * min(max(factor, 1 / 8), 8)
             self.assertAlmostEqual(
-                estimator.run_ms(spec) / expected, 1, places=2
+                estimator.expected_run_ms(spec) / expected, 1, places=2
             )
 
     def test_overrunning_job_is_expected_to_continue(self):
         estimator = estimates.Estimator()
         spec = fixtures.spec("j", "a", run_time_s=10.0)
-        self.assertEqual(estimator.left_ms(spec, 0.0, 4_000), 6_000)
-        self.assertEqual(estimator.left_ms(spec, 0.0, 40_000), 10_000)
+        self.assertEqual(estimator.remaining_ms(spec, 0.0, 4_000), 6_000)
+        self.assertEqual(estimator.remaining_ms(spec, 0.0, 40_000), 10_000)
 
 
 if __name__ == "__main__":
--- a/citronmount/core/tests/test_shares.py
+++ b/citronmount/core/tests/test_shares.py
@@ -79,9 +79,9 @@
             failure_domains=FAILURE_DOMAINS,
         )
         gang = fixtures.spec("g", "p", 4, 8, "rack")
-        self.assertEqual(shares.homes(configuration, gang)[0], "z-c")
+        self.assertEqual(shares.rank_homes(configuration, gang)[0], "z-c")
         trial = fixtures.spec("t", "t", 1, 8)
-        self.assertEqual(len(shares.homes(configuration, trial)), 1)
+        self.assertEqual(len(shares.rank_homes(configuration, trial)), 1)
 
 
 if __name__ == "__main__":
