--- a/citronmount/core/domain_state.py
+++ b/citronmount/core/domain_state.py
@@ -308,12 +308,12 @@
 
     def expected_end_ms(self, placed: PlacedJob, now_ms: int) -> int:
         """Returns the monotonic time at which a job is expected to end."""
-        left_ms = self.estimator.remaining_ms(
+        remaining_ms = self.estimator.remaining_ms(
             placed.entry.spec,
             placed.entry.progress,
             max(now_ms - placed.since_ms, 0),
         )
-        return now_ms + left_ms
+        return now_ms + remaining_ms
 
     def worker_key(
         self, entry: job_queue.JobEntry, now_ms: int
--- a/citronmount/core/scheduler.py
+++ b/citronmount/core/scheduler.py
@@ -22,6 +22,7 @@
 
 __all__ = ["DomainScheduler"]
 
+# A queued job is promoted this many expected run times before its deadline.
 _PROMOTE_RUN_TIMES = 2
 
 
