--- /dev/null
+++ b/citronmount/core/attempt_outcomes.py
@@ -0,0 +1,122 @@
+"""Updates run-time estimates, quarantine and jobs after ended attempts."""
+
+import heapq
+
+from citronmount.core import codes
+from citronmount.core import decisions
+from citronmount.core import domain_state
+from citronmount.core import ids
+from citronmount.core import job_queue
+from citronmount.core import jobs
+
+__all__ = ["deadline_result", "failed_everywhere", "record_outcome"]
+
+FAILED_EVERYWHERE_MIN_WORKERS = 3
+FAILED_EVERYWHERE_MIN_ATTEMPTS = 2
+MAX_FAILED_RUNS = 6
+RETRY_BASE_MS = 2_000
+RETRY_MAX_MS = 16_000
+
+_FAILURES = frozenset(
+    {
+        decisions.AttemptEnd.FAILED_BY_JOB,
+        decisions.AttemptEnd.FAILED_TO_START,
+    }
+)
+
+
+def record_outcome(
+    domain: domain_state.DomainState,
+    placed: domain_state.PlacedJob,
+    end: decisions.AttemptEnd,
+    failed_workers: tuple[ids.WorkerId, ...],
+    now_ms: int,
+) -> None:
+    """Updates the state of the scheduler after the end of an attempt.
+
+    Args:
+        domain: Failure domain.
+        placed: Attempt, whose capacity has been released.
+        end: Outcome of the attempt.
+        failed_workers: Workers at which the attempt failed.
+        now_ms: Monotonic time.
+    """
+    entry = placed.entry
+    spec = entry.spec
+    run_ms = max(now_ms - placed.since_ms, 0)
+    entry.attained_ms += run_ms * entry.shape.accelerators
+    workers_to_refresh = set(domain.quarantine.release_probes(spec.job))
+    if end is decisions.AttemptEnd.DONE:
+        domain.estimator.observe(spec, entry.progress, run_ms)
+        workers_to_refresh |= {
+            group.worker
+            for group in placed.groups
+            if domain.quarantine.record_success(
+                spec.job, spec.account, group.worker
+            )
+        }
+    elif end in _FAILURES and failed_workers:
+        has_run = end is decisions.AttemptEnd.FAILED_BY_JOB
+        _record_failure(domain, entry, failed_workers, now_ms, has_run=has_run)
+        workers_to_refresh |= {
+            worker
+            for worker in failed_workers
+            if domain.quarantine.record_failure(
+                spec.job, spec.account, worker, now_ms
+            )
+        }
+    for worker in sorted(workers_to_refresh):
+        domain.refresh_worker(worker, now_ms)
+
+
+def _record_failure(
+    domain: domain_state.DomainState,
+    entry: job_queue.JobEntry,
+    failed_workers: tuple[ids.WorkerId, ...],
+    now_ms: int,
+    *,
+    has_run: bool,
+) -> None:
+    """Counts a failed attempt of a job and delays its retry.
+
+    A failure to start (`has_run` is False) is attributed to the workers, not
+    to the job.
+    """
+    backoff_ms = min(RETRY_BASE_MS << entry.failed_attempts, RETRY_MAX_MS)
+    entry.failed_attempts += 1
+    entry.failed_runs += has_run
+    entry.failed_workers |= set(failed_workers)
+    entry.retry_at_ms = now_ms + backoff_ms
+    heapq.heappush(domain.wake_up_times_ms, entry.retry_at_ms)
+
+
+def failed_everywhere(entry: job_queue.JobEntry) -> bool:
+    """Returns whether a job has failed too widely to run again.
+
+    A job that keeps failing on too few workers to attribute the failures to
+    it is abandoned after a number of runs, with a growing delay between them.
+
+    Args:
+        entry: Entry of the job.
+    """
+    if entry.failed_runs >= MAX_FAILED_RUNS:
+        return True
+    return (
+        entry.failed_attempts >= FAILED_EVERYWHERE_MIN_ATTEMPTS
+        and len(entry.failed_workers) >= FAILED_EVERYWHERE_MIN_WORKERS
+    )
+
+
+def deadline_result(entry: job_queue.JobEntry) -> jobs.JobResult:
+    """Returns the result of a queued job whose deadline has passed.
+
+    Args:
+        entry: Entry of the job. If the job has started before, the result
+            does not claim that it did not run.
+    """
+    if entry.has_started:
+        return jobs.JobResult(
+            code=codes.ResultCode.INTERRUPTED,
+            detail="the deadline passed before it could run again",
+        )
+    return jobs.JobResult(code=codes.ResultCode.DEADLINE_PASSED)
--- a/citronmount/core/cells.py
+++ b/citronmount/core/cells.py
@@ -1,10 +1,11 @@
-"""A standing plan of where every guaranteed gang could run.
-
-Each copy of a guarantee is a cell: slots on concrete workers, as the virtual
-cells of HiveD (Zhao et al., OSDI 2020). All cells together never exceed the
-capacity of a worker. Guaranteed work runs inside cells of its own account
-only, so a cell without jobs can be handed over at any time by evicting work
-that runs in no cell. Cells without jobs may be moved.
+"""Maintains a plan of where each guaranteed gang can run.
+
+Each copy of a guarantee is a cell: slots on concrete workers, like the virtual
+cells of HiveD (Zhao et al., OSDI 2020). Together, the cells on a worker never
+exceed its capacity. Guaranteed work runs only in the cells of its own account,
+so the capacity of a cell without jobs can be reclaimed at any time by evicting
+work that runs outside cells. A cell is occupied while jobs run in it and free
+otherwise; free cells may be moved to other workers.
 """
 
 from collections.abc import Collection
@@ -21,50 +22,56 @@
 from citronmount.core import shapes
 from citronmount.core import states
 
-__all__ = ["Cell", "CellPlan", "Use"]
+__all__ = ["Cell", "CellPlan", "CellUse"]
 
 
 class Cell:
     """One copy of a guarantee.
 
     Attributes:
-        account: The paying account.
-        shape: The guaranteed gang.
-        slots: Tasks of the gang planned on each worker; empty if no room
-            could be found.
-        rest: Room on each worker that no job of the cell uses.
+        account: The paying account that owns the cell.
+        shape: Shape of the guaranteed gang.
+        slots: Number of the gang's tasks planned on each worker; empty while
+            the cell is unplanned, because no capacity was found for it.
+        unused: Resources of the slots on each worker that no job in the cell
+            uses.
         jobs: The jobs that run in the cell.
     """
 
-    __slots__ = ("account", "jobs", "rest", "shape", "slots")
+    __slots__ = ("account", "jobs", "shape", "slots", "unused")
 
     def __init__(self, *, account: ids.AccountId, shape: shapes.Shape) -> None:
-        """Initializes a cell that has no place yet."""
+        """Initializes an unplanned cell.
+
+        Args:
+            account: The paying account that owns the cell.
+            shape: Shape of the guaranteed gang.
+        """
         self.account = account
         self.shape = shape
         self.slots: dict[ids.WorkerId, int] = {}
-        self.rest: dict[ids.WorkerId, jobs.Resources] = {}
+        self.unused: dict[ids.WorkerId, jobs.Resources] = {}
         self.jobs: set[ids.JobId] = set()
 
     @property
-    def held(self) -> bool:
-        """Whether jobs run in the cell, so that it cannot move."""
+    def occupied(self) -> bool:
+        """Whether jobs run in the cell; an occupied cell cannot move."""
         return bool(self.jobs)
 
     @property
     def spare_accelerators(self) -> int:
-        """Accelerators that no job of the cell uses."""
-        return sum(rest.accelerators for rest in self.rest.values())
+        """Number of accelerators that no job in the cell uses."""
+        return sum(unused.accelerators for unused in self.unused.values())
 
 
-class Use(msgspec.Struct, frozen=True, kw_only=True):
-    """Tasks of a job in one cell on one worker.
+class CellUse(msgspec.Struct, frozen=True, kw_only=True):
+    """The tasks of a job that run in one cell on one worker.
 
     Attributes:
         cell: The cell.
         worker: The worker.
-        tasks: How many tasks of the job.
-        per_task: Resources of each.
+        tasks: Number of tasks of the job.
+        per_task: Resources of each task.
     """
 
     cell: Cell
@@ -74,22 +81,22 @@
 
 
 class CellPlan:
-    """The cells of one failure domain and where they are.
+    """The cells of one failure domain and their slots on workers.
 
     Attributes:
-        room: Capacity of usable workers that no cell has.
+        uncommitted: Capacity of usable workers that belongs to no cell.
     """
 
     def __init__(self) -> None:
         """Initializes a plan without workers and cells."""
-        self.room = pool.RoomIndex()
+        self.uncommitted = pool.CapacityIndex()
         self._capacity: dict[ids.WorkerId, jobs.Resources] = {}
         self._committed: dict[ids.WorkerId, jobs.Resources] = {}
-        self._held: dict[ids.WorkerId, jobs.Resources] = {}
-        self._on: dict[ids.WorkerId, dict[Cell, None]] = {}
+        self._occupied_capacity: dict[ids.WorkerId, jobs.Resources] = {}
+        self._cells_on: dict[ids.WorkerId, dict[Cell, None]] = {}
         self._cells: dict[ids.AccountId, list[Cell]] = {}
-        self._uses: dict[ids.JobId, tuple[Use, ...]] = {}
-        self._journal: dict[Cell, dict[ids.WorkerId, int]] | None = None
+        self._uses: dict[ids.JobId, tuple[CellUse, ...]] = {}
+        self._undo_log: dict[Cell, dict[ids.WorkerId, int]] | None = None
         self._unplanned: dict[Cell, None] = {}
 
     def cells(self, account: ids.AccountId) -> list[Cell]:
@@ -97,23 +104,23 @@
         return self._cells.get(account, [])
 
     def all_cells(self) -> list[Cell]:
-        """Returns every cell."""
+        """Returns the cells of all accounts."""
         return [cell for cells in self._cells.values() for cell in cells]
 
     def unplanned(self) -> list[Cell]:
-        """Returns the cells for which no room was found."""
+        """Returns the cells for which no capacity was found."""
         return list(self._unplanned)
 
-    def holds(self, job: ids.JobId) -> bool:
-        """Returns whether a job runs in cells and so is not revocable."""
+    def runs_in_cells(self, job: ids.JobId) -> bool:
+        """Returns whether a job runs in cells and is thus not revocable."""
         return job in self._uses
 
-    def room_beside_held(self, worker: ids.WorkerId) -> jobs.Resources:
-        """Returns the capacity of a worker less cells in which jobs run."""
-        if worker not in self.room:
-            return resources.NONE
-        held = self._held.get(worker, resources.NONE)
-        return resources.minus(self._capacity[worker], held)
+    def capacity_outside_occupied(self, worker: ids.WorkerId) -> jobs.Resources:
+        """Returns the capacity of a worker minus that of occupied cells."""
+        if worker not in self.uncommitted:
+            return resources.ZERO
+        occupied = self._occupied_capacity.get(worker, resources.ZERO)
+        return resources.minus(self._capacity[worker], occupied)
 
     def set_worker(
         self,
@@ -121,191 +128,220 @@
         rack: ids.RackId,
         capacity: jobs.Resources,
     ) -> None:
-        """Adds a usable worker, or changes its rack or capacity."""
-        moved = worker in self.room and self.room.rack(worker) != rack
+        """Adds a usable worker or updates its rack and capacity.
+
+        The worker's free cells lose their slots if its rack has changed or
+        its cells exceed the new capacity.
+        """
+        moved = (
+            worker in self.uncommitted and self.uncommitted.rack(worker) != rack
+        )
         self._capacity[worker] = capacity
-        self.room.put(worker, rack, self._room(worker))
-        if moved or _negative(self._room(worker)):
-            self._lift_free(self._on.get(worker, ()))
+        self.uncommitted.put(worker, rack, self._uncommitted_on(worker))
+        if moved or _has_negative(self._uncommitted_on(worker)):
+            self._clear_free_cells(self._cells_on.get(worker, ()))
 
     def drop_worker(self, worker: ids.WorkerId) -> None:
-        """Removes a worker that may get no new tasks."""
-        self.room.drop(worker)
-        self._lift_free(self._on.get(worker, ()))
+        """Removes a worker that may not get new tasks.
 
-    def require(
-        self, wanted: Mapping[tuple[ids.AccountId, shapes.Shape], int]
+        Its free cells lose their slots; occupied ones keep them until their
+        jobs have ended.
+        """
+        self.uncommitted.drop(worker)
+        self._clear_free_cells(self._cells_on.get(worker, ()))
+
+    def set_required(
+        self, required: Mapping[tuple[ids.AccountId, shapes.Shape], int]
     ) -> list[ids.JobId]:
-        """Changes the number of cells to that of a new configuration.
+        """Adds and deletes cells to match a new configuration.
+
+        Cells with the fewest jobs are deleted first.
 
         Args:
-            wanted: Cells wanted for each account and shape.
+            required: Required number of cells for each account and shape.
 
         Returns:
-            Jobs that lost their cell and are revocable now.
+            The jobs whose cell was deleted; they are revocable from now on.
         """
-        present: dict[tuple[ids.AccountId, shapes.Shape], list[Cell]] = {}
+        cells_by_kind: dict[tuple[ids.AccountId, shapes.Shape], list[Cell]] = {}
         for cell in self.all_cells():
-            present.setdefault((cell.account, cell.shape), []).append(cell)
-        loose: list[ids.JobId] = []
-        for kind, cells in present.items():
-            excess = len(cells) - wanted.get(kind, 0)
+            cells_by_kind.setdefault((cell.account, cell.shape), []).append(
+                cell
+            )
+        unbound: list[ids.JobId] = []
+        for kind, cells in cells_by_kind.items():
+            excess = len(cells) - required.get(kind, 0)
             cells.sort(key=lambda cell: len(cell.jobs))
             for cell in cells[: max(excess, 0)]:
-                loose.extend(self._delete(cell))
-        for (account, shape), copies in wanted.items():
-            missing = copies - len(present.get((account, shape), ()))
+                unbound.extend(self._delete_cell(cell))
+        for (account, shape), copies in required.items():
+            missing = copies - len(cells_by_kind.get((account, shape), ()))
             for _ in range(missing):
                 cell = Cell(account=account, shape=shape)
                 self._cells.setdefault(account, []).append(cell)
                 self._unplanned[cell] = None
-        return loose
+        return unbound
 
-    def secure(self) -> None:
-        """Finds room for cells that have none, moving free ones if needed."""
-        for cell in _largest_first(self._unplanned):
-            self._plan(cell)
+    def plan_cells(self) -> None:
+        """Finds slots for unplanned cells, moving free cells if needed."""
+        for cell in _hardest_first(self._unplanned):
+            self._plan_cell(cell)
         if self._unplanned:
-            self._plan_anew()
+            self._replan_all()
 
-    def fit(
+    def find_uses(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
-        free: pool.RoomIndex,
+        free: pool.CapacityIndex,
         avoid: Collection[ids.WorkerId] = (),
-    ) -> tuple[Use, ...] | None:
-        """Finds room for a job in the cells of its account.
+    ) -> tuple[CellUse, ...] | None:
+        """Finds capacity for a job in the cells of its account.
 
-        The fewest cells without jobs are opened, then cells of the gang's own
-        shape, then the least spare room is touched, then room that is free at
-        once is preferred.
+        Minimizes, in this order: the number of free cells used, the number of
+        free cells of another shape, the spare accelerators of the cells used,
+        and the uses that must wait for capacity to be freed.
 
         Args:
             account: The account.
-            shape: The gang.
-            free: Room that no job uses.
+            shape: Shape of the job's gang.
+            free: Capacity that no job uses.
             avoid: Workers that must not be used.
 
         Returns:
-            The uses, or None if the job does not fit.
+            The cell uses, or None if the job does not fit.
         """
-        options = self._options(account, shape, free, avoid)
+        candidates = self._candidate_uses(account, shape, free, avoid)
         found = []
-        for scope in options.values():
-            uses = _fill(sorted(scope, key=lambda o: o[0]), shape)
+        for scope in candidates.values():
+            uses = _select_uses(
+                sorted(scope, key=lambda candidate: candidate[0]), shape
+            )
             if uses:
                 found.append(uses)
         return min(
-            found, key=lambda uses: _cost(uses, shape, free), default=None
+            found,
+            key=lambda uses: _cost_of_uses(uses, shape, free),
+            default=None,
         )
 
-    def bind(self, job: ids.JobId, uses: tuple[Use, ...]) -> None:
-        """Lets a job run in cells."""
+    def bind(self, job: ids.JobId, uses: tuple[CellUse, ...]) -> None:
+        """Binds a job to cells, which become occupied."""
         for use in uses:
-            if not use.cell.held:
-                self._hold(use.cell, 1)
+            if not use.cell.occupied:
+                self._add_occupied(use.cell, 1)
             use.cell.jobs.add(job)
             need = resources.scaled(use.per_task, use.tasks)
-            rest = use.cell.rest[use.worker]
-            use.cell.rest[use.worker] = resources.minus(rest, need)
+            unused = use.cell.unused[use.worker]
+            use.cell.unused[use.worker] = resources.minus(unused, need)
         self._uses[job] = uses
 
     def release(self, job: ids.JobId) -> None:
-        """Takes a job out of its cells, if it runs in any."""
+        """Unbinds a job from its cells, if it runs in any.
+
+        A cell that becomes free loses its slots if they are no longer usable.
+        """
         uses = self._uses.pop(job, ())
         for use in uses:
             need = resources.scaled(use.per_task, use.tasks)
-            rest = use.cell.rest[use.worker]
-            use.cell.rest[use.worker] = resources.plus(rest, need)
+            unused = use.cell.unused[use.worker]
+            use.cell.unused[use.worker] = resources.plus(unused, need)
         for cell in dict.fromkeys(use.cell for use in uses):
             cell.jobs.discard(job)
-            if not cell.held:
-                self._hold(cell, -1)
-                self._lift_if_unusable(cell)
+            if not cell.occupied:
+                self._add_occupied(cell, -1)
+                self._clear_if_unusable(cell)
 
-    def uses(self, job: ids.JobId) -> tuple[Use, ...]:
-        """Returns the cells that a job uses."""
+    def uses(self, job: ids.JobId) -> tuple[CellUse, ...]:
+        """Returns the cell uses of a job, empty if it runs in no cell."""
         return self._uses.get(job, ())
 
     def move(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> bool:
-        """Moves a cell without jobs, and others out of its way.
+        """Moves a free cell, displacing other free cells if needed.
 
         Args:
-            cell: The cell.
-            slots: Where its tasks shall be planned.
+            cell: The free cell.
+            slots: Its new slots: number of tasks on each worker.
 
         Returns:
-            Whether all cells have room; otherwise nothing has changed.
+            Whether the cell was moved and all displaced cells found new
+            slots; if not, every cell is left as it was.
         """
-        outer = self._journal
-        self._journal = {}
-        self._lift(cell)
-        if self._clear(cell, slots) and self._settle(cell, slots):
-            journal, self._journal = self._journal, outer
-            if outer is not None:
-                for moved, before in journal.items():
-                    outer.setdefault(moved, before)
+        outer_log = self._undo_log
+        self._undo_log = {}
+        self._clear_slots(cell)
+        if self._vacate(cell, slots) and self._set_slots_and_replan_displaced(
+            cell, slots
+        ):
+            undo_log, self._undo_log = self._undo_log, outer_log
+            if outer_log is not None:
+                for moved, before in undo_log.items():
+                    outer_log.setdefault(moved, before)
             return True
-        self._roll_back(self._journal)
-        self._journal = outer
+        self._roll_back(self._undo_log)
+        self._undo_log = outer_log
         return False
 
-    def cover(
+    def cover_placed(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
         groups: tuple[jobs.TaskGroup, ...],
-        widest: int | None = None,
-    ) -> tuple[Use, ...] | None:
-        """Puts cells of an account under a gang that already has its place.
+        max_free_cell_accelerators: int | None = None,
+    ) -> tuple[CellUse, ...] | None:
+        """Moves cells of an account onto the workers of a placed gang.
 
         Args:
             account: The account.
-            shape: The gang.
-            groups: Where it runs.
-            widest: The most accelerators of a cell to be opened, or None.
+            shape: Shape of the gang.
+            groups: Placement of the gang.
+            max_free_cell_accelerators: Largest free cell that may be used;
+                None for no limit.
 
         Returns:
-            The uses to bind, or None, in which case nothing has changed.
+            The cell uses to bind, or None if the cells cannot cover the gang;
+            every cell is then left as it was.
         """
-        self._journal = {}
-        uses = self._cover(account, shape, groups, widest)
+        self._undo_log = {}
+        uses = self._cover_placed(
+            account, shape, groups, max_free_cell_accelerators
+        )
         if uses is None:
-            self._roll_back(self._journal)
-        self._journal = None
+            self._roll_back(self._undo_log)
+        self._undo_log = None
         return uses
 
-    def could_hold(
+    def could_fit(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
-        staying: Collection[ids.JobId] = (),
+        remaining_jobs: Collection[ids.JobId] = (),
     ) -> bool:
         """Returns whether a job would fit into its account's cells.
 
         Args:
             account: The account.
-            shape: The gang.
-            staying: Jobs that keep their room; all others count as ended.
+            shape: Shape of the job's gang.
+            remaining_jobs: Jobs that keep their slots; all others count as
+                ended.
         """
-        kept: dict[tuple[Cell, ids.WorkerId], jobs.Resources] = {}
-        for job in staying:
+        used_by_remaining: dict[tuple[Cell, ids.WorkerId], jobs.Resources] = {}
+        for job in remaining_jobs:
             for use in self._uses.get(job, ()):
-                place = (use.cell, use.worker)
+                location = (use.cell, use.worker)
                 need = resources.scaled(use.per_task, use.tasks)
-                kept[place] = resources.plus(
-                    kept.get(place, resources.NONE), need
+                used_by_remaining[location] = resources.plus(
+                    used_by_remaining.get(location, resources.ZERO), need
                 )
         fits: dict[object, int] = {}
         for cell in self.cells(account):
             for worker, slots in cell.slots.items():
-                rest = resources.minus(
+                unused = resources.minus(
                     resources.scaled(cell.shape.per_task, slots),
-                    kept.get((cell, worker), resources.NONE),
+                    used_by_remaining.get((cell, worker), resources.ZERO),
                 )
                 scope = self._scope(worker, shape.adjacency)
-                tasks = resources.count(rest, shape.per_task)
+                tasks = resources.task_capacity(unused, shape.per_task)
                 fits[scope] = fits.get(scope, 0) + tasks
         return any(tasks >= shape.tasks for tasks in fits.values())
 
@@ -313,17 +349,17 @@
         self,
         cell: Cell,
         shape: shapes.Shape,
-        free: pool.RoomIndex,
-        key: placement.Key,
+        free: pool.CapacityIndex,
+        key: placement.WorkerKey,
         avoid: Collection[ids.WorkerId] = (),
     ) -> bool:
-        """Moves a cell to where a job in it needs no eviction.
+        """Moves a free cell to where a job in it needs no eviction.
 
         Args:
-            cell: A cell without jobs.
-            shape: The part of the cell's gang that must be free at once.
-            free: Room that no job uses.
-            key: Ranks workers.
+            cell: The free cell.
+            shape: Part of the cell's gang that needs free capacity now.
+            free: Capacity that no job uses.
+            key: Sort key of workers.
             avoid: Workers that must not be used.
 
         Returns:
@@ -333,7 +369,7 @@
             free,
             shape,
             key=key,
-            limit=self.room_beside_held,
+            limit=self.capacity_outside_occupied,
             avoid=avoid,
         )
         if groups is None or all(
@@ -343,362 +379,418 @@
         return self.move_onto(cell, groups)
 
     def move_onto(self, cell: Cell, groups: tuple[jobs.TaskGroup, ...]) -> bool:
-        """Moves a cell so that some of its tasks are where they are wanted.
+        """Moves a free cell so that it has slots on the given workers.
 
         Args:
-            cell: A cell without jobs.
-            groups: Tasks of the cell's gang and where they shall be.
+            cell: The free cell.
+            groups: Slots required on each worker; the cell's other slots go
+                to workers of the same scope.
 
         Returns:
-            Whether the cell was moved; otherwise nothing has changed.
+            Whether the cell was moved; if not, every cell is left as it was.
         """
-        slots = self._complete(cell, groups)
+        slots = self._complete_slots(cell, groups)
         return slots is not None and self.move(cell, slots)
 
-    def _options(
+    def _candidate_uses(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
-        free: pool.RoomIndex,
+        free: pool.CapacityIndex,
         avoid: Collection[ids.WorkerId],
-    ) -> dict[object, list[tuple[tuple, Use]]]:
-        options: dict[object, list[tuple[tuple, Use]]] = {}
+    ) -> dict[object, list[tuple[tuple, CellUse]]]:
+        """Returns ranked cell uses by scope, and by cell and scope."""
+        candidates: dict[object, list[tuple[tuple, CellUse]]] = {}
         for cell in self.cells(account):
             spare = cell.spare_accelerators
-            for worker, rest in cell.rest.items():
-                tasks = resources.count(rest, shape.per_task)
-                if not tasks or worker in avoid or worker not in self.room:
+            for worker, unused in cell.unused.items():
+                tasks = resources.task_capacity(unused, shape.per_task)
+                if (
+                    not tasks
+                    or worker in avoid
+                    or worker not in self.uncommitted
+                ):
                     continue
-                use = Use(
+                use = CellUse(
                     cell=cell,
                     worker=worker,
                     tasks=min(tasks, shape.tasks),
                     per_task=shape.per_task,
                 )
-                at_once = resources.count(free.room(worker), shape.per_task)
+                free_tasks = resources.task_capacity(
+                    free.available(worker), shape.per_task
+                )
                 rank = (
-                    not cell.held,
+                    not cell.occupied,
                     cell.shape != shape,
                     spare,
-                    at_once < use.tasks,
-                    rest.accelerators,
+                    free_tasks < use.tasks,
+                    unused.accelerators,
                     worker,
                 )
                 scope = self._scope(worker, shape.adjacency)
-                options.setdefault(scope, []).append((rank, use))
-                options.setdefault((cell, scope), []).append((rank, use))
-        return options
+                candidates.setdefault(scope, []).append((rank, use))
+                candidates.setdefault((cell, scope), []).append((rank, use))
+        return candidates
 
     def _scope(
         self, worker: ids.WorkerId, adjacency: states.Adjacency
     ) -> object:
+        """Returns the worker, its rack or None for the failure domain."""
         if adjacency is states.Adjacency.WORKER:
             return worker
         if adjacency is states.Adjacency.RACK:
-            return self.room.rack(worker)
+            return self.uncommitted.rack(worker)
         return None
 
-    def _cover(
+    def _cover_placed(
         self,
         account: ids.AccountId,
         shape: shapes.Shape,
         groups: tuple[jobs.TaskGroup, ...],
-        widest: int | None,
-    ) -> tuple[Use, ...] | None:
-        uses: list[Use] = []
-        open_to = [
+        max_free_cell_accelerators: int | None,
+    ) -> tuple[CellUse, ...] | None:
+        uses: list[CellUse] = []
+        usable = [
             cell
             for cell in self.cells(account)
-            if widest is None or cell.held or cell.shape.accelerators <= widest
+            if max_free_cell_accelerators is None
+            or cell.occupied
+            or cell.shape.accelerators <= max_free_cell_accelerators
         ]
-        left = {group.worker: group.tasks for group in groups}
-        taken: set[Cell] = set()
+        remaining = {group.worker: group.tasks for group in groups}
+        chosen: set[Cell] = set()
         while True:
-            self._use_rest(open_to, shape, left, taken, uses)
-            if not left:
+            self._use_unused(usable, shape, remaining, chosen, uses)
+            if not remaining:
                 return tuple(uses)
-            if any(worker not in self.room for worker in left):
+            if any(worker not in self.uncommitted for worker in remaining):
                 return None
-            if not self._bring_cell(open_to, shape, left, taken):
+            if not self._move_free_cell(usable, shape, remaining, chosen):
                 return None
 
-    def _use_rest(
+    def _use_unused(
         self,
         cells: list[Cell],
         shape: shapes.Shape,
-        left: dict[ids.WorkerId, int],
-        taken: set[Cell],
-        uses: list[Use],
+        remaining: dict[ids.WorkerId, int],
+        chosen: set[Cell],
+        uses: list[CellUse],
     ) -> None:
         seen = {(use.cell, use.worker) for use in uses}
         for cell in cells:
-            for worker in [w for w in left if w in cell.rest]:
+            for worker in [w for w in remaining if w in cell.unused]:
                 if (cell, worker) in seen:
                     continue
-                rest = cell.rest[worker]
-                fits = resources.count(rest, shape.per_task)
-                tasks = min(left[worker], fits)
+                unused = cell.unused[worker]
+                fits = resources.task_capacity(unused, shape.per_task)
+                tasks = min(remaining[worker], fits)
                 if not tasks:
                     continue
-                taken.add(cell)
+                chosen.add(cell)
                 uses.append(
-                    Use(
+                    CellUse(
                         cell=cell,
                         worker=worker,
                         tasks=tasks,
                         per_task=shape.per_task,
                     )
                 )
-                left[worker] -= tasks
-                if not left[worker]:
-                    del left[worker]
+                remaining[worker] -= tasks
+                if not remaining[worker]:
+                    del remaining[worker]
 
-    def _bring_cell(
+    def _move_free_cell(
         self,
         cells: list[Cell],
         shape: shapes.Shape,
-        left: dict[ids.WorkerId, int],
-        taken: set[Cell],
+        remaining: dict[ids.WorkerId, int],
+        chosen: set[Cell],
     ) -> bool:
         tried: set[shapes.Shape] = set()
         for cell in cells:
-            if cell.held or cell in taken or cell.shape in tried:
+            if cell.occupied or cell in chosen or cell.shape in tried:
                 continue
             tried.add(cell.shape)
-            groups = self._slots_under(cell, shape, left)
-            slots = self._complete(cell, groups) if groups else None
-            if slots is not None and self._move_past(cell, slots, taken):
+            groups = self._slots_for(cell, shape, remaining)
+            slots = self._complete_slots(cell, groups) if groups else None
+            if slots is not None and self._move_keeping(cell, slots, chosen):
                 return True
         return False
 
-    def _move_past(
+    def _move_keeping(
         self,
         cell: Cell,
         slots: Mapping[ids.WorkerId, int],
-        taken: set[Cell],
+        chosen: set[Cell],
     ) -> bool:
-        """Moves a cell while those in `taken` stay where they are."""
-        pinned = [other for other in taken if not other.held]
+        """Moves a free cell without displacing the cells in `chosen`.
+
+        The free ones among them are marked as occupied during the move.
+        """
+        pinned = [other for other in chosen if not other.occupied]
         for other in pinned:
-            other.jobs.add(_PIN)
+            other.jobs.add(_PIN_JOB)
         try:
             return self.move(cell, slots)
         finally:
             for other in pinned:
-                other.jobs.discard(_PIN)
+                other.jobs.discard(_PIN_JOB)
 
-    def _slots_under(
+    def _slots_for(
         self,
         cell: Cell,
         shape: shapes.Shape,
-        left: Mapping[ids.WorkerId, int],
+        remaining: Mapping[ids.WorkerId, int],
     ) -> tuple[jobs.TaskGroup, ...]:
-        each = resources.count(cell.shape.per_task, shape.per_task)
-        if not each:
+        tasks_per_slot = resources.task_capacity(
+            cell.shape.per_task, shape.per_task
+        )
+        if not tasks_per_slot:
             return ()
         groups = []
         spare = cell.shape.tasks
         scope: object = None
-        for worker, tasks in left.items():
-            here = self._scope(worker, cell.shape.adjacency)
-            if groups and here != scope:
+        for worker, tasks in remaining.items():
+            worker_scope = self._scope(worker, cell.shape.adjacency)
+            if groups and worker_scope != scope:
                 continue
-            slots = min(-(-tasks // each), spare)
+            slots = min(-(-tasks // tasks_per_slot), spare)
             if slots:
-                scope = here
+                scope = worker_scope
                 groups.append(jobs.TaskGroup(worker=worker, tasks=slots))
                 spare -= slots
         return tuple(groups)
 
-    def _complete(
+    def _complete_slots(
         self, cell: Cell, groups: Iterable[jobs.TaskGroup]
     ) -> dict[ids.WorkerId, int] | None:
-        """Adds places for those tasks of a cell that `groups` leaves out."""
+        """Returns slots for all tasks of a cell, those in `groups` included.
+
+        Returns None if the capacity outside occupied cells is too small.
+        """
         slots = {group.worker: group.tasks for group in groups}
-        left = cell.shape.tasks - sum(slots.values())
+        remaining = cell.shape.tasks - sum(slots.values())
         per_task = cell.shape.per_task
         if any(
-            resources.count(self.room_beside_held(worker), per_task) < tasks
+            resources.task_capacity(
+                self.capacity_outside_occupied(worker), per_task
+            )
+            < tasks
             for worker, tasks in slots.items()
         ):
             return None
-        if not left:
+        if not remaining:
             return slots
-        for worker in self._near(next(iter(slots)), cell.shape.adjacency):
-            room = self.room_beside_held(worker)
+        for worker in self._workers_in_scope(
+            next(iter(slots)), cell.shape.adjacency
+        ):
+            available = self.capacity_outside_occupied(worker)
             used = slots.get(worker, 0)
-            more = min(resources.count(room, per_task) - used, left)
-            if more > 0:
-                slots[worker] = used + more
-                left -= more
-            if not left:
+            extra = min(
+                resources.task_capacity(available, per_task) - used, remaining
+            )
+            if extra > 0:
+                slots[worker] = used + extra
+                remaining -= extra
+            if not remaining:
                 return slots
         return None
 
-    def _near(
+    def _workers_in_scope(
         self, worker: ids.WorkerId, adjacency: states.Adjacency
     ) -> Iterable[ids.WorkerId]:
         if adjacency is states.Adjacency.WORKER:
             return (worker,)
         if adjacency is states.Adjacency.RACK:
-            return self.room.members(self.room.rack(worker))
-        return iter(self.room)
+            return self.uncommitted.workers_of_rack(
+                self.uncommitted.rack(worker)
+            )
+        return iter(self.uncommitted)
 
-    def _clear(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> bool:
+    def _vacate(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> bool:
         for worker, tasks in slots.items():
             need = resources.scaled(cell.shape.per_task, tasks)
-            while not resources.covers(self.room.room(worker), need):
-                others = [c for c in self._on.get(worker, ()) if not c.held]
+            while not resources.covers(
+                self.uncommitted.available(worker), need
+            ):
+                others = [
+                    other
+                    for other in self._cells_on.get(worker, ())
+                    if not other.occupied
+                ]
                 if not others:
                     return False
-                self._lift(min(others, key=lambda c: c.shape.accelerators))
+                self._clear_slots(
+                    min(others, key=lambda other: other.shape.accelerators)
+                )
         return True
 
-    def _settle(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> bool:
-        self._lay(cell, slots)
+    def _set_slots_and_replan_displaced(
+        self, cell: Cell, slots: Mapping[ids.WorkerId, int]
+    ) -> bool:
+        self._set_slots(cell, slots)
         displaced = [
             other
-            for other, before in self._journal.items()
+            for other, before in self._undo_log.items()
             if before and not other.slots
         ]
-        return all(self._plan(other) for other in _largest_first(displaced))
+        return all(
+            self._plan_cell(other) for other in _hardest_first(displaced)
+        )
 
-    def _plan(self, cell: Cell) -> bool:
-        groups = placement.find(self.room, cell.shape, key=placement.best_fit)
+    def _plan_cell(self, cell: Cell) -> bool:
+        groups = placement.find(
+            self.uncommitted, cell.shape, key=placement.best_fit
+        )
         if groups is None:
             return False
-        self._lay(cell, {group.worker: group.tasks for group in groups})
+        self._set_slots(cell, {group.worker: group.tasks for group in groups})
         return True
 
-    def _plan_anew(self) -> None:
-        lacking = len(self._unplanned)
-        free = [cell for cell in self.all_cells() if not cell.held]
-        for order in _ORDERS:
-            self._journal = {}
+    def _replan_all(self) -> None:
+        """Replans all free cells in several orders.
+
+        Keeps a result only if it leaves fewer cells unplanned, and stops when
+        none is left.
+        """
+        unplanned_count = len(self._unplanned)
+        free = [cell for cell in self.all_cells() if not cell.occupied]
+        for sort_key in _PLANNING_ORDERS:
+            self._undo_log = {}
             for cell in free:
-                self._lift(cell)
-            for cell in sorted(free, key=order):
-                self._plan(cell)
-            if len(self._unplanned) < lacking:
-                self._journal = None
-                lacking = len(self._unplanned)
+                self._clear_slots(cell)
+            for cell in sorted(free, key=sort_key):
+                self._plan_cell(cell)
+            if len(self._unplanned) < unplanned_count:
+                self._undo_log = None
+                unplanned_count = len(self._unplanned)
             else:
-                self._roll_back(self._journal)
-                self._journal = None
-            if not lacking:
+                self._roll_back(self._undo_log)
+                self._undo_log = None
+            if not unplanned_count:
                 return
 
-    def _roll_back(self, journal: dict[Cell, dict[ids.WorkerId, int]]) -> None:
-        self._journal = None
-        for cell in journal:
-            self._lift(cell)
-        for cell, slots in journal.items():
+    def _roll_back(self, undo_log: dict[Cell, dict[ids.WorkerId, int]]) -> None:
+        self._undo_log = None
+        for cell in undo_log:
+            self._clear_slots(cell)
+        for cell, slots in undo_log.items():
             if slots:
-                self._lay(cell, slots)
+                self._set_slots(cell, slots)
 
-    def _note(self, cell: Cell) -> None:
-        if self._journal is not None:
-            self._journal.setdefault(cell, dict(cell.slots))
+    def _record_undo(self, cell: Cell) -> None:
+        if self._undo_log is not None:
+            self._undo_log.setdefault(cell, dict(cell.slots))
 
-    def _lift(self, cell: Cell) -> None:
-        self._note(cell)
+    def _clear_slots(self, cell: Cell) -> None:
+        self._record_undo(cell)
         for worker, tasks in cell.slots.items():
-            self._commit(worker, resources.scaled(cell.shape.per_task, -tasks))
-            del self._on[worker][cell]
+            self._add_committed(
+                worker, resources.scaled(cell.shape.per_task, -tasks)
+            )
+            del self._cells_on[worker][cell]
         cell.slots = {}
-        cell.rest = {}
+        cell.unused = {}
         self._unplanned[cell] = None
 
-    def _lay(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> None:
-        self._note(cell)
+    def _set_slots(self, cell: Cell, slots: Mapping[ids.WorkerId, int]) -> None:
+        self._record_undo(cell)
         for worker, tasks in slots.items():
             amount = resources.scaled(cell.shape.per_task, tasks)
-            self._commit(worker, amount)
-            self._on.setdefault(worker, {})[cell] = None
-            cell.rest[worker] = amount
+            self._add_committed(worker, amount)
+            self._cells_on.setdefault(worker, {})[cell] = None
+            cell.unused[worker] = amount
         cell.slots = dict(slots)
         self._unplanned.pop(cell, None)
 
-    def _lift_free(self, cells: Iterable[Cell]) -> None:
-        for cell in [cell for cell in cells if not cell.held]:
-            self._lift(cell)
+    def _clear_free_cells(self, cells: Iterable[Cell]) -> None:
+        for cell in [cell for cell in cells if not cell.occupied]:
+            self._clear_slots(cell)
 
-    def _lift_if_unusable(self, cell: Cell) -> None:
+    def _clear_if_unusable(self, cell: Cell) -> None:
         scopes = {
             self._scope(worker, cell.shape.adjacency) for worker in cell.slots
         }
         if len(scopes) > 1 or any(
-            worker not in self.room or _negative(self._room(worker))
+            worker not in self.uncommitted
+            or _has_negative(self._uncommitted_on(worker))
             for worker in cell.slots
         ):
-            self._lift(cell)
+            self._clear_slots(cell)
 
-    def _delete(self, cell: Cell) -> list[ids.JobId]:
-        loose = list(cell.jobs)
-        for job in loose:
+    def _delete_cell(self, cell: Cell) -> list[ids.JobId]:
+        unbound = list(cell.jobs)
+        for job in unbound:
             self.release(job)
-        self._lift(cell)
+        self._clear_slots(cell)
         del self._unplanned[cell]
         self._cells[cell.account].remove(cell)
-        return loose
+        return unbound
 
-    def _hold(self, cell: Cell, sign: int) -> None:
+    def _add_occupied(self, cell: Cell, sign: int) -> None:
         for worker, tasks in cell.slots.items():
             amount = resources.scaled(cell.shape.per_task, sign * tasks)
-            held = self._held.get(worker, resources.NONE)
-            self._held[worker] = resources.plus(held, amount)
+            occupied = self._occupied_capacity.get(worker, resources.ZERO)
+            self._occupied_capacity[worker] = resources.plus(occupied, amount)
 
-    def _commit(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
-        committed = self._committed.get(worker, resources.NONE)
+    def _add_committed(
+        self, worker: ids.WorkerId, amount: jobs.Resources
+    ) -> None:
+        committed = self._committed.get(worker, resources.ZERO)
         self._committed[worker] = resources.plus(committed, amount)
-        self.room.set_room(worker, self._room(worker))
+        self.uncommitted.set_available(worker, self._uncommitted_on(worker))
 
-    def _room(self, worker: ids.WorkerId) -> jobs.Resources:
-        committed = self._committed.get(worker, resources.NONE)
-        capacity = self._capacity.get(worker, resources.NONE)
+    def _uncommitted_on(self, worker: ids.WorkerId) -> jobs.Resources:
+        committed = self._committed.get(worker, resources.ZERO)
+        capacity = self._capacity.get(worker, resources.ZERO)
         return resources.minus(capacity, committed)
 
 
-_PIN = ids.JobId("")
+# Marks a free cell as occupied while another one moves.
+_PIN_JOB = ids.JobId("")
 
 
-def _negative(room: jobs.Resources) -> bool:
-    return min(room.accelerators, room.cores, room.memory_gb) < 0
+def _has_negative(available: jobs.Resources) -> bool:
+    return min(available.accelerators, available.cores, available.memory_gb) < 0
 
 
-def _fill(
-    ranked: list[tuple[tuple, Use]], shape: shapes.Shape
-) -> tuple[Use, ...]:
+def _select_uses(
+    ranked: list[tuple[tuple, CellUse]], shape: shapes.Shape
+) -> tuple[CellUse, ...]:
     uses = []
-    left = shape.tasks
+    remaining = shape.tasks
     for _, use in ranked:
-        tasks = min(use.tasks, left)
+        tasks = min(use.tasks, remaining)
         uses.append(msgspec.structs.replace(use, tasks=tasks))
-        left -= tasks
-        if not left:
+        remaining -= tasks
+        if not remaining:
             return tuple(uses)
     return ()
 
 
-def _cost(
-    uses: tuple[Use, ...], shape: shapes.Shape, free: pool.RoomIndex
+def _cost_of_uses(
+    uses: tuple[CellUse, ...], shape: shapes.Shape, free: pool.CapacityIndex
 ) -> tuple:
-    short = sum(
-        resources.count(free.room(use.worker), use.per_task) < use.tasks
+    not_free = sum(
+        resources.task_capacity(free.available(use.worker), use.per_task)
+        < use.tasks
         for use in uses
     )
-    opened = len({use.cell for use in uses if not use.cell.held})
+    opened = len({use.cell for use in uses if not use.cell.occupied})
     used = {use.cell for use in uses}
-    other = sum(not cell.held and cell.shape != shape for cell in used)
+    other_shapes = sum(
+        not cell.occupied and cell.shape != shape for cell in used
+    )
     spare = sum(cell.spare_accelerators for cell in used)
-    return (opened, other, spare, short)
+    return (opened, other_shapes, spare, not_free)
 
 
-def _largest_first(cells: Iterable[Cell]) -> list[Cell]:
-    return sorted(cells, key=_by_enclosure)
+def _hardest_first(cells: Iterable[Cell]) -> list[Cell]:
+    return sorted(cells, key=_by_scope)
 
 
-def _by_enclosure(cell: Cell) -> tuple:
+def _by_scope(cell: Cell) -> tuple:
     return (
         cell.shape.adjacency is states.Adjacency.FAILURE_DOMAIN,
         -cell.shape.accelerators,
@@ -706,9 +798,9 @@
     )
 
 
-def _by_need_of_one_worker(cell: Cell) -> tuple:
-    on_one = cell.shape.adjacency is states.Adjacency.WORKER
-    need = cell.shape.total if on_one else cell.shape.per_task
+def _by_single_worker_need(cell: Cell) -> tuple:
+    single_worker = cell.shape.adjacency is states.Adjacency.WORKER
+    need = cell.shape.total if single_worker else cell.shape.per_task
     return (-need.accelerators, -cell.shape.accelerators)
 
 
@@ -716,4 +808,4 @@
     return (-cell.shape.accelerators, -cell.shape.per_task.accelerators)
 
 
-_ORDERS = (_by_enclosure, _by_need_of_one_worker, _by_size)
+_PLANNING_ORDERS = (_by_scope, _by_single_worker_need, _by_size)
--- a/citronmount/core/delay_scheduling.py
+++ b/citronmount/core/delay_scheduling.py
@@ -1,9 +1,9 @@
-"""Lets a long trial wait a little rather than break up one more worker.
+"""Delay scheduling: long trial jobs wait for a less fragmented placement.
 
-A long job that starts in the gaps of a burst of short ones keeps its workers
-broken up long after the burst. It waits for a bounded share of its run time,
-as in delay scheduling (Zaharia et al., EuroSys 2010), if fewer workers would
-do once the short jobs have ended.
+A long job that starts in the gaps left by a burst of short jobs keeps its
+workers fragmented long after the burst. If it would need fewer workers once
+the short jobs have ended, it waits for a bounded share of its run time, as in
+delay scheduling (Zaharia et al., EuroSys 2010).
 """
 
 import heapq
@@ -11,90 +11,103 @@
 
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
-from citronmount.core import queueing
 from citronmount.core import resources
 
-__all__ = ["rests", "waits"]
+__all__ = ["recently_checked", "should_wait"]
 
-RUN_TIME_SHARE = 0.1
+MAX_WAIT_RUN_TIME_SHARE = 0.1
 MAX_WAIT_MS = 900_000
-MIN_RUN_MS = 1_800_000
-LOOK_AGAIN_MS = 1_000
-_OUTLASTING_SHARE = 0.5
-_WORKERS_SEEN = 64
+MIN_RUN_TIME_MS = 1_800_000
+RECHECK_INTERVAL_MS = 1_000
+_OUTLASTING_RUN_TIME_SHARE = 0.5
+_MAX_WORKERS_SCANNED = 64
 
 
-def rests(entry: queueing.Entry, now_ms: int) -> bool:
-    """Returns whether a waiting job was looked at a moment ago."""
-    waiting = entry.patient_until_ms is not None
+def recently_checked(entry: job_queue.JobEntry, now_ms: int) -> bool:
+    """Returns whether a waiting job was checked less than the interval ago."""
+    waiting = entry.delay_until_ms is not None
     return (
         waiting
-        and now_ms < entry.patient_until_ms
-        and now_ms < entry.look_again_ms
+        and now_ms < entry.delay_until_ms
+        and now_ms < entry.next_check_ms
     )
 
 
-def waits(
+def should_wait(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
 ) -> bool:
-    """Returns whether a job should not start at a place that it could have.
+    """Returns whether a job should wait although it could start now.
+
+    The first call that says so sets the time at which the wait ends.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         entry: A job that runs outside guarantees.
-        groups: Where it could start.
+        groups: Placement at which it could start now.
         now_ms: Monotonic time.
     """
-    run_ms = domain.estimator.run_ms(entry.spec, entry.progress)
-    if entry.lane < queueing.Lane.NEW or run_ms < MIN_RUN_MS:
+    run_ms = domain.estimator.expected_run_ms(entry.spec, entry.progress)
+    if entry.priority < job_queue.Priority.NEW or run_ms < MIN_RUN_TIME_MS:
         return False
-    if not _scatters(domain, entry, groups, now_ms, run_ms):
+    if not _spreads_too_wide(domain, entry, groups, now_ms, run_ms):
         return False
-    if entry.patient_until_ms is None:
-        wait_ms = min(int(run_ms * RUN_TIME_SHARE), MAX_WAIT_MS)
-        entry.patient_until_ms = now_ms + wait_ms
-        heapq.heappush(domain.wake_up_times_ms, entry.patient_until_ms)
-    entry.look_again_ms = now_ms + LOOK_AGAIN_MS
-    return now_ms < entry.patient_until_ms
+    if entry.delay_until_ms is None:
+        wait_ms = min(int(run_ms * MAX_WAIT_RUN_TIME_SHARE), MAX_WAIT_MS)
+        entry.delay_until_ms = now_ms + wait_ms
+        heapq.heappush(domain.wake_up_times_ms, entry.delay_until_ms)
+    entry.next_check_ms = now_ms + RECHECK_INTERVAL_MS
+    return now_ms < entry.delay_until_ms
 
 
-def _scatters(
+def _spreads_too_wide(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     groups: tuple[jobs.TaskGroup, ...],
     now_ms: int,
     run_ms: int,
 ) -> bool:
-    """Returns whether the gang outlasts other jobs on too many workers."""
-    late_ms = now_ms + int(run_ms * _OUTLASTING_SHARE)
+    """Returns whether the gang would outlast the jobs of too many workers.
+
+    A worker is outlasted if all its other jobs are expected to end before
+    half of the gang's run time has passed. There are too many of them if the
+    tasks that do not fit beside long jobs would need fewer workers.
+    """
+    horizon_ms = now_ms + int(run_ms * _OUTLASTING_RUN_TIME_SHARE)
     outlasted = sum(
-        domain.busy_until(group.worker, now_ms) < late_ms for group in groups
+        domain.busy_until_ms(group.worker, now_ms) < horizon_ms
+        for group in groups
     )
     if not outlasted:
         return False
-    joined = sum(
-        _room_beside_long_jobs(domain, entry, worker, now_ms, late_ms)
-        for worker in itertools.islice(domain.pool.free, _WORKERS_SEEN)
+    tasks_beside_long_jobs = sum(
+        _tasks_beside_long_jobs(domain, entry, worker, now_ms, horizon_ms)
+        for worker in itertools.islice(domain.pool.free, _MAX_WORKERS_SCANNED)
     )
     capacity = domain.pool.capacity(groups[0].worker)
-    each = max(resources.count(capacity, entry.shape.per_task), 1)
-    alone = max(entry.shape.tasks - joined, 0)
-    return outlasted > -(-alone // each)
+    tasks_per_worker = max(
+        resources.task_capacity(capacity, entry.shape.per_task), 1
+    )
+    tasks_alone = max(entry.shape.tasks - tasks_beside_long_jobs, 0)
+    return outlasted > -(-tasks_alone // tasks_per_worker)
 
 
-def _room_beside_long_jobs(
+def _tasks_beside_long_jobs(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     worker: ids.WorkerId,
     now_ms: int,
-    late_ms: int,
+    horizon_ms: int,
 ) -> int:
-    """Returns how many tasks could join jobs that run for long anyway."""
-    if domain.busy_until(worker, now_ms) < late_ms:
+    """Returns how many tasks fit on a worker beside its long jobs.
+
+    Short jobs, which end before `horizon_ms`, count as ended.
+    """
+    if domain.busy_until_ms(worker, now_ms) < horizon_ms:
         return 0
-    room = domain.room_at(worker, now_ms, late_ms)
-    return resources.count(room, entry.shape.per_task)
+    available = domain.available_at(worker, now_ms, horizon_ms)
+    return resources.task_capacity(available, entry.shape.per_task)
--- a/citronmount/core/guaranteed_placement.py
+++ b/citronmount/core/guaranteed_placement.py
@@ -1,4 +1,4 @@
-"""Places jobs inside the guarantees of their accounts."""
+"""Places jobs in the cells that guarantee capacity to their accounts."""
 
 from collections.abc import Iterable
 import itertools
@@ -9,111 +9,131 @@
 from citronmount.core import decisions
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import placement
-from citronmount.core import policy as policy_lib
+from citronmount.core import policies
 from citronmount.core import preemption
-from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 
-__all__ = ["SCAN_LIMIT", "place", "redeem", "settle"]
+__all__ = ["SCAN_LIMIT_JOBS", "bind_placed_jobs", "place", "place_pending"]
 
-SCAN_LIMIT = 256
+SCAN_LIMIT_JOBS = 256
 _MAX_DEMOTIONS = 8
-_MAX_DEMOTED_SIZE = 2
+_MAX_DEMOTED_SIZE_FACTOR = 2
 
 
-def settle(domain: domain_state.DomainState) -> None:
-    """Puts free cells under placed jobs of their account, oldest first.
+def bind_placed_jobs(domain: domain_state.DomainState) -> None:
+    """Binds revocable placed jobs to free cells of their account.
 
-    A job that ran outside its account's guarantee is no longer revocable once
-    the guarantee has room for it. A cell that is wider than the job stays
-    free for a wider gang until the job would be evicted.
+    A job that was placed outside the cells is no longer revocable once it fits
+    into them; jobs submitted first are bound first. A cell that is larger than
+    the job stays free for a larger gang until the job would be evicted.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
     """
     accounts = [
         account
-        for account in domain.unsettled
-        if any(not cell.held for cell in domain.plan.cells(account))
+        for account in domain.accounts_to_bind
+        if any(not cell.occupied for cell in domain.plan.cells(account))
     ]
-    domain.unsettled.clear()
+    domain.accounts_to_bind.clear()
     if accounts:
-        _settle_accounts(domain, accounts, tight=True)
+        _bind_jobs_of(domain, accounts, no_larger_cells=True)
 
 
-def _settle_accounts(
+def _bind_jobs_of(
     domain: domain_state.DomainState,
     accounts: Iterable[ids.AccountId],
     *,
-    tight: bool,
+    no_larger_cells: bool,
 ) -> bool:
-    """Returns whether any job is no longer revocable by this."""
-    outside: dict[ids.AccountId, list[domain_state.PlacedJob]] = {
+    """Binds revocable jobs of some accounts to the accounts' cells.
+
+    Args:
+        domain: State of the failure domain.
+        accounts: The accounts.
+        no_larger_cells: Whether to leave free cells that are larger than the
+            job unused.
+
+    Returns:
+        Whether any job was bound and is thus no longer revocable.
+    """
+    revocable_jobs: dict[ids.AccountId, list[domain_state.PlacedJob]] = {
         account: [] for account in sorted(accounts)
     }
     for job, placed in domain.placed.items():
-        if placed.entry.spec.account in outside and domain.revocable(job):
-            outside[placed.entry.spec.account].append(placed)
+        if placed.entry.spec.account in revocable_jobs and domain.revocable(
+            job
+        ):
+            revocable_jobs[placed.entry.spec.account].append(placed)
     bound = False
-    for found in outside.values():
-        found.sort(key=lambda placed: placed.entry.sequence)
-        for placed in found[:SCAN_LIMIT]:
-            bound |= _settle_job(domain, placed, tight)
+    for jobs_of_account in revocable_jobs.values():
+        jobs_of_account.sort(key=lambda placed: placed.entry.sequence)
+        for placed in jobs_of_account[:SCAN_LIMIT_JOBS]:
+            bound |= _bind_job(domain, placed, no_larger_cells)
     return bound
 
 
-def _settle_job(
+def _bind_job(
     domain: domain_state.DomainState,
     placed: domain_state.PlacedJob,
-    tight: bool,
+    no_larger_cells: bool,
 ) -> bool:
     entry = placed.entry
-    uses = domain.plan.cover(
+    uses = domain.plan.cover_placed(
         entry.spec.account,
         entry.shape,
         placed.groups,
-        entry.shape.accelerators if tight else None,
+        entry.shape.accelerators if no_larger_cells else None,
     )
     if uses is not None:
         domain.plan.bind(entry.spec.job, uses)
     return uses is not None
 
 
-def redeem(
+def place_pending(
     domain: domain_state.DomainState, now_ms: int
 ) -> list[decisions.PlaceJob]:
-    """Places jobs whose victims have all ended.
+    """Places the pending jobs whose victims have all ended.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         now_ms: Monotonic time.
 
     Returns:
-        The placements.
+        The placement decisions.
     """
     ready = [
-        job for job, c in domain.pending_placements.items() if not c.victims
+        job
+        for job, pending in domain.pending_placements.items()
+        if not pending.victims
+    ]
+    placed_jobs = [domain.place_pending(job, now_ms) for job in ready]
+    return [
+        _place_decision(placed_job.entry, placed_job.groups)
+        for placed_job in placed_jobs
     ]
-    placed = [domain.redeem(job, now_ms) for job in ready]
-    return [_decision(each.entry, each.groups) for each in placed]
 
 
 def place(
     domain: domain_state.DomainState, now_ms: int
 ) -> list[decisions.Decision]:
-    """Places what fits into the free room of the accounts' own cells.
+    """Places queued jobs that fit into the cells of their accounts.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         now_ms: Monotonic time.
 
     Returns:
-        Placements, and evictions for jobs that have to wait for them.
+        Placements, and evictions for jobs whose cells are in use by other
+        work; those jobs become pending.
     """
-    accounts = [a for a in domain.queue.accounts() if domain.plan.cells(a)]
+    accounts = [
+        name for name in domain.queue.accounts() if domain.plan.cells(name)
+    ]
     return [
         decision
         for account in accounts
@@ -124,83 +144,94 @@
 def _place_account(
     domain: domain_state.DomainState, account: ids.AccountId, now_ms: int
 ) -> list[decisions.Decision]:
-    found: list[decisions.Decision] = []
-    failed: set[shapes.Shape] = set()
-    passing = backfill.OwnRoom(domain, account, now_ms)
-    scan = itertools.islice(domain.queue.of_account(account), SCAN_LIMIT)
-    for entry in list(scan):
-        if entry.shape in failed or not passing.lets(entry):
+    made: list[decisions.Decision] = []
+    failed_shapes: set[shapes.Shape] = set()
+    cell_backfill = backfill.CellBackfill(domain, account, now_ms)
+    entries = itertools.islice(
+        domain.queue.account_entries(account), SCAN_LIMIT_JOBS
+    )
+    for entry in list(entries):
+        if entry.shape in failed_shapes or not cell_backfill.allows(entry):
             continue
-        made = _place_entry(domain, entry, now_ms)
-        if made is not None:
-            found.extend(made)
+        entry_decisions = _place_entry(domain, entry, now_ms)
+        if entry_decisions is not None:
+            made.extend(entry_decisions)
             continue
-        failed.add(entry.shape)
-        if domain.plan.could_hold(account, entry.shape):
-            passing.block(entry)
-            if domain.policy.backfill is policy_lib.Backfill.NONE:
+        failed_shapes.add(entry.shape)
+        if domain.plan.could_fit(account, entry.shape):
+            cell_backfill.set_blocked(entry)
+            if domain.policy.backfill is policies.Backfill.NONE:
                 break
-    return found
+    return made
 
 
 def _place_entry(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> list[decisions.Decision] | None:
-    """Returns None if the job found no room in its account's cells."""
-    uses = _find(domain, entry, now_ms)
+    """Places a job, evicting other work if needed.
+
+    Returns:
+        The decisions, or None if the job does not fit into its account's
+        cells.
+    """
+    uses = _find_uses(domain, entry, now_ms)
     if uses is None and entry.spec.urgent:
         uses = _find_by_demotion(domain, entry, now_ms)
     if uses is None:
         return None
-    if _opens_wider_cell(uses):
-        groups = _find_outside(domain, entry, now_ms)
+    if _uses_larger_free_cell(uses):
+        groups = _find_outside_cells(domain, entry, now_ms)
         if groups is not None:
             domain.place(entry, groups, now_ms)
-            return [_decision(entry, groups)]
-    need = _need(uses)
+            return [_place_decision(entry, groups)]
+    need = _need_by_worker(uses)
     if _is_free(domain, need):
-        groups = _groups(uses)
+        groups = _task_groups(uses)
         domain.place(entry, groups, now_ms, uses)
-        return [_decision(entry, groups)]
+        return [_place_decision(entry, groups)]
     return _reclaim(domain, entry, uses, now_ms)
 
 
-def _find(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
-) -> tuple[cells.Use, ...] | None:
+def _find_uses(
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
+) -> tuple[cells.CellUse, ...] | None:
     tries = (
         cell_selection.find(domain, entry, avoid, now_ms)
-        for avoid in entry.avoidances(now_ms)
+        for avoid in entry.avoided_worker_sets(now_ms)
     )
     return next((uses for uses in tries if uses is not None), None)
 
 
 def _find_by_demotion(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
-) -> tuple[cells.Use, ...] | None:
-    """Gives an urgent job the cells of later jobs of its account.
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
+) -> tuple[cells.CellUse, ...] | None:
+    """Finds cells for an urgent job by unbinding later jobs of its account.
 
-    Those jobs go on, but are revocable from then on.
+    The unbound jobs keep running but become revocable.
     """
-    loose: list[tuple[ids.JobId, tuple[cells.Use, ...]]] = []
+    unbound: list[tuple[ids.JobId, tuple[cells.CellUse, ...]]] = []
     for job in _demotable(domain, entry)[:_MAX_DEMOTIONS]:
-        loose.append((job, domain.plan.uses(job)))
+        unbound.append((job, domain.plan.uses(job)))
         domain.plan.release(job)
-        uses = _find(domain, entry, now_ms)
+        uses = _find_uses(domain, entry, now_ms)
         if uses is not None:
             return uses
-    for job, uses in loose:
+    for job, uses in unbound:
         if all(use.worker in use.cell.slots for use in uses):
             domain.plan.bind(job, uses)
     return None
 
 
 def _demotable(
-    domain: domain_state.DomainState, entry: queueing.Entry
+    domain: domain_state.DomainState, entry: job_queue.JobEntry
 ) -> list[ids.JobId]:
-    """Returns small jobs in the account's cells, the latest first."""
-    widest = _MAX_DEMOTED_SIZE * entry.shape.accelerators
-    found = {
+    """Returns jobs that may lose their cells to an urgent one, latest first.
+
+    They are idempotent, not urgent and at most twice as large as the urgent
+    job.
+    """
+    max_accelerators = _MAX_DEMOTED_SIZE_FACTOR * entry.shape.accelerators
+    entries = {
         job: domain.placed[job].entry
         for cell in domain.plan.cells(entry.spec.account)
         for job in cell.jobs
@@ -209,43 +240,47 @@
     return sorted(
         (
             job
-            for job, other in found.items()
+            for job, other in entries.items()
             if not other.spec.urgent
             and other.spec.idempotent
-            and other.shape.accelerators <= widest
+            and other.shape.accelerators <= max_accelerators
         ),
-        key=lambda job: -found[job].sequence,
+        key=lambda job: -entries[job].sequence,
     )
 
 
-def _find_outside(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+def _find_outside_cells(
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> tuple[jobs.TaskGroup, ...] | None:
     return placement.find(
         domain.pool.free,
         entry.shape,
-        key=domain.key(entry, now_ms),
-        avoid=entry.avoidances(now_ms)[0],
+        key=domain.worker_key(entry, now_ms),
+        avoid=entry.avoided_worker_sets(now_ms)[0],
     )
 
 
-def _opens_wider_cell(uses: tuple[cells.Use, ...]) -> bool:
-    """Returns whether a gang wider than the job would lose its cell."""
-    used: dict[cells.Cell, int] = {}
+def _uses_larger_free_cell(uses: tuple[cells.CellUse, ...]) -> bool:
+    """Returns whether a free cell would be used that is larger than needed."""
+    accelerators_used: dict[cells.Cell, int] = {}
     for use in uses:
         accelerators = use.tasks * use.per_task.accelerators
-        used[use.cell] = used.get(use.cell, 0) + accelerators
+        accelerators_used[use.cell] = (
+            accelerators_used.get(use.cell, 0) + accelerators
+        )
     return any(
-        not cell.held and cell.shape.accelerators > accelerators
-        for cell, accelerators in used.items()
+        not cell.occupied and cell.shape.accelerators > accelerators
+        for cell, accelerators in accelerators_used.items()
     )
 
 
-def _need(uses: tuple[cells.Use, ...]) -> dict[ids.WorkerId, jobs.Resources]:
+def _need_by_worker(
+    uses: tuple[cells.CellUse, ...],
+) -> dict[ids.WorkerId, jobs.Resources]:
     need: dict[ids.WorkerId, jobs.Resources] = {}
     for use in uses:
         amount = resources.scaled(use.per_task, use.tasks)
-        before = need.get(use.worker, resources.NONE)
+        before = need.get(use.worker, resources.ZERO)
         need[use.worker] = resources.plus(before, amount)
     return need
 
@@ -255,56 +290,74 @@
 ) -> bool:
     free = domain.pool.free
     return all(
-        resources.covers(free.room(worker), amount)
+        resources.covers(free.available(worker), amount)
         for worker, amount in need.items()
     )
 
 
 def _reclaim(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
-    uses: tuple[cells.Use, ...],
+    entry: job_queue.JobEntry,
+    uses: tuple[cells.CellUse, ...],
     now_ms: int,
 ) -> list[decisions.Decision] | None:
-    domain.release_outside_claims(_need(uses), now_ms)
-    victims = _victims(domain, uses, now_ms)
-    owners = _paying_owners(domain, victims or ()) - {entry.spec.account}
-    if owners and _settle_accounts(domain, owners, tight=False):
-        uses = _find(domain, entry, now_ms)
-        domain.release_outside_claims(_need(uses or ()), now_ms)
-        victims = _victims(domain, uses, now_ms) if uses else None
+    """Evicts work from the cells of a job, which becomes pending.
+
+    If some victims belong to other paying accounts, the jobs of those accounts
+    are first bound to free cells of their own, larger ones included; if any
+    could be bound, the victims are chosen again.
+
+    Returns:
+        The evictions, or None if revocable work does not free enough.
+    """
+    domain.cancel_pending_outside_cells(_need_by_worker(uses), now_ms)
+    victims = _choose_victims(domain, uses, now_ms)
+    paying_accounts = _paying_accounts(domain, victims or ()) - {
+        entry.spec.account
+    }
+    if paying_accounts and _bind_jobs_of(
+        domain, paying_accounts, no_larger_cells=False
+    ):
+        uses = _find_uses(domain, entry, now_ms)
+        domain.cancel_pending_outside_cells(_need_by_worker(uses or ()), now_ms)
+        victims = _choose_victims(domain, uses, now_ms) if uses else None
     if victims is None:
         return None
-    made, waiting = preemption.evict(domain, entry, _need(uses), victims)
-    domain.claim(entry, _groups(uses), now_ms, uses, waiting)
-    return made
+    evictions, blocking_jobs = preemption.evict(
+        domain, entry, _need_by_worker(uses), victims
+    )
+    domain.add_pending(entry, _task_groups(uses), now_ms, uses, blocking_jobs)
+    return evictions
 
 
-def _victims(
-    domain: domain_state.DomainState, uses: tuple[cells.Use, ...], now_ms: int
+def _choose_victims(
+    domain: domain_state.DomainState,
+    uses: tuple[cells.CellUse, ...],
+    now_ms: int,
 ) -> list[ids.JobId] | None:
-    short = preemption.shortfall(domain, _need(uses))
-    return preemption.choose(domain, short, now_ms)
+    shortage = preemption.shortfall(domain, _need_by_worker(uses))
+    return preemption.choose_victims(domain, shortage, now_ms)
 
 
-def _paying_owners(
+def _paying_accounts(
     domain: domain_state.DomainState, victims: Iterable[ids.JobId]
 ) -> set[ids.AccountId]:
     accounts = {domain.placed[job].entry.spec.account for job in victims}
     return {account for account in accounts if not domain.is_trial(account)}
 
 
-def _groups(uses: tuple[cells.Use, ...]) -> tuple[jobs.TaskGroup, ...]:
+def _task_groups(uses: tuple[cells.CellUse, ...]) -> tuple[jobs.TaskGroup, ...]:
     tasks: dict[ids.WorkerId, int] = {}
     for use in uses:
         tasks[use.worker] = tasks.get(use.worker, 0) + use.tasks
     return tuple(
-        jobs.TaskGroup(worker=worker, tasks=n) for worker, n in tasks.items()
+        jobs.TaskGroup(worker=worker, tasks=task_count)
+        for worker, task_count in tasks.items()
     )
 
 
-def _decision(
-    entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+def _place_decision(
+    entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
 ) -> decisions.PlaceJob:
     return decisions.PlaceJob(
         job=entry.spec.job, placement=jobs.Placement(groups=groups)
--- a/citronmount/core/opportunistic_placement.py
+++ b/citronmount/core/opportunistic_placement.py
@@ -1,4 +1,4 @@
-"""Places jobs on what guarantees leave over, in a fair order."""
+"""Places jobs on capacity that guarantees leave free, in fair order."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -10,138 +10,152 @@
 from citronmount.core import delay_scheduling
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import placement
-from citronmount.core import policy as policy_lib
+from citronmount.core import policies
 from citronmount.core import preemption
-from citronmount.core import queueing
 from citronmount.core import resources
 from citronmount.core import shapes
 
-__all__ = ["SCAN_LIMIT", "place"]
+__all__ = ["SCAN_LIMIT_JOBS", "place"]
 
-SCAN_LIMIT = 256
-RECLAIM_AFTER_MS = 30_000
+SCAN_LIMIT_JOBS = 256
+PREEMPT_TRIALS_AFTER_MS = 30_000
 
 
 def place(
     domain: domain_state.DomainState, now_ms: int
 ) -> list[decisions.PlaceJob]:
-    """Places queued jobs wherever room is free at this moment.
+    """Places queued jobs on free capacity, outside cells.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         now_ms: Monotonic time.
 
     Returns:
-        The placements.
+        Placements, and evictions for paying jobs that preempt other work.
     """
-    visits = _Pass(domain, now_ms)
-    found: list[decisions.Decision] = []
-    for entry in _in_order(domain, now_ms):
-        found.extend(visits.visit(entry))
-        if visits.over:
+    queue_pass = _QueuePass(domain, now_ms)
+    made: list[decisions.Decision] = []
+    for entry in _queue_order(domain, now_ms):
+        made.extend(queue_pass.process(entry))
+        if queue_pass.finished:
             break
-    return found
+    return made
 
 
 def would_place(
-    domain: domain_state.DomainState, entry: queueing.Entry, now_ms: int
+    domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> bool:
     """Returns whether `place` would start a job that is not queued yet.
 
     Args:
-        domain: The failure domain, after a call of `place`.
+        domain: State of the failure domain, after a call of `place`.
         entry: The job.
         now_ms: Monotonic time.
 
     Returns:
-        Whether there is room for it that no job ahead has reserved.
+        Whether the job fits into free capacity that is not reserved for a job
+        ahead of it.
     """
-    visits = _Pass(domain, now_ms)
-    for ahead in _in_order(domain, now_ms):
-        visits.note_blocked(ahead)
-        if visits.over or visits.reserved:
+    queue_pass = _QueuePass(domain, now_ms)
+    for ahead in _queue_order(domain, now_ms):
+        queue_pass.note_blocked(ahead)
+        if queue_pass.finished or queue_pass.has_reservation:
             break
-    return not visits.over and visits.fits(entry)
+    return not queue_pass.finished and queue_pass.would_start(entry)
 
 
-class _Pass:
-    """One pass over the queue; it remembers what did not fit.
+class _QueuePass:
+    """One pass over the queue; shapes that did not fit are not tried again.
 
     Attributes:
-        over: Whether no further job may start.
+        finished: Whether no further job may start in this pass.
     """
 
     def __init__(self, domain: domain_state.DomainState, now_ms: int) -> None:
-        self.over = False
+        self.finished = False
         self._domain = domain
         self._now_ms = now_ms
         self._failed: set[tuple[shapes.Shape, bool]] = set()
-        self._unreclaimable: set[shapes.Shape] = set()
-        self._own: dict[
+        self._not_preemptible: set[shapes.Shape] = set()
+        self._own_jobs: dict[
             ids.AccountId, list[tuple[ids.JobId, domain_state.PlacedJob]]
         ] = {}
         self._reservation: backfill.Reservation | None = None
 
-    def visit(self, entry: queueing.Entry) -> Sequence[decisions.Decision]:
-        """Places a job, makes room for it or notes that it is blocked."""
+    def process(
+        self, entry: job_queue.JobEntry
+    ) -> Sequence[decisions.Decision]:
+        """Places a job, evicts work for it or records it as blocked."""
         if not self._may_start(entry):
             return ()
         groups = self._find(entry)
         if groups is not None:
             return self._place(entry, groups)
-        made = self._reclaim(entry)
-        if made is None:
+        evictions = self._preempt(entry)
+        if evictions is None:
             self._block(entry)
-        return made or ()
+        return evictions or ()
 
     @property
-    def reserved(self) -> bool:
-        """Whether a blocked job has reserved room."""
+    def has_reservation(self) -> bool:
+        """Whether a blocked job has reserved capacity."""
         return self._reservation is not None
 
-    def note_blocked(self, entry: queueing.Entry) -> None:
-        """Notes that a job is blocked, if it finds no room."""
+    def note_blocked(self, entry: job_queue.JobEntry) -> None:
+        """Records a job as blocked if it does not fit."""
         if self._may_start(entry) and self._find(entry) is None:
             self._block(entry)
 
-    def fits(self, entry: queueing.Entry) -> bool:
-        """Returns whether a job would be placed at once."""
+    def would_start(self, entry: job_queue.JobEntry) -> bool:
+        """Returns whether a job would be placed now."""
         groups = self._find(entry) if self._may_start(entry) else None
         return groups is not None and not (
-            self._is_patient(entry) and self._waits(entry, groups)
+            self._uses_delay_scheduling(entry)
+            and self._should_wait(entry, groups)
         )
 
-    def _may_start(self, entry: queueing.Entry) -> bool:
+    def _may_start(self, entry: job_queue.JobEntry) -> bool:
         domain = self._domain
-        if domain.is_trial(entry.spec.account) and not domain.allows(entry):
+        if domain.is_trial(entry.spec.account) and not domain.within_allowance(
+            entry
+        ):
             return False
-        return not delay_scheduling.rests(entry, self._now_ms)
+        return not delay_scheduling.recently_checked(entry, self._now_ms)
 
-    def _is_patient(self, entry: queueing.Entry) -> bool:
+    def _uses_delay_scheduling(self, entry: job_queue.JobEntry) -> bool:
         domain = self._domain
         return domain.policy.patient and domain.is_trial(entry.spec.account)
 
     def _place(
-        self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+        self, entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
     ) -> Sequence[decisions.PlaceJob]:
         domain = self._domain
-        if self._is_patient(entry) and self._waits(entry, groups):
-            groups = self._search(entry, self._may_delay(entry), narrow=True)
-            if groups is None or self._waits(entry, groups):
+        if self._uses_delay_scheduling(entry) and self._should_wait(
+            entry, groups
+        ):
+            groups = self._search(
+                entry, self._may_delay_reservation(entry), fewest_workers=True
+            )
+            if groups is None or self._should_wait(entry, groups):
                 return ()
         domain.place(entry, groups, self._now_ms)
         placed = jobs.Placement(groups=groups)
         return (decisions.PlaceJob(job=entry.spec.job, placement=placed),)
 
-    def _waits(
-        self, entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+    def _should_wait(
+        self, entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
     ) -> bool:
-        return delay_scheduling.waits(self._domain, entry, groups, self._now_ms)
+        return delay_scheduling.should_wait(
+            self._domain, entry, groups, self._now_ms
+        )
 
-    def _find(self, entry: queueing.Entry) -> tuple[jobs.TaskGroup, ...] | None:
-        limited = self._may_delay(entry)
+    def _find(
+        self, entry: job_queue.JobEntry
+    ) -> tuple[jobs.TaskGroup, ...] | None:
+        limited = self._may_delay_reservation(entry)
         if {(entry.shape, False), (entry.shape, limited)} & self._failed:
             return None
         groups = self._search(entry, limited)
@@ -149,21 +163,27 @@
             self._failed.add((entry.shape, limited))
         return groups
 
-    def _may_delay(self, entry: queueing.Entry) -> bool:
+    def _may_delay_reservation(self, entry: job_queue.JobEntry) -> bool:
         if self._reservation is None:
             return False
-        run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
+        run_ms = self._domain.estimator.expected_run_ms(
+            entry.spec, entry.progress
+        )
         return self._now_ms + run_ms > self._reservation.start_ms
 
     def _search(
-        self, entry: queueing.Entry, limited: bool, *, narrow: bool = False
+        self,
+        entry: job_queue.JobEntry,
+        limited: bool,
+        *,
+        fewest_workers: bool = False,
     ) -> tuple[jobs.TaskGroup, ...] | None:
         domain = self._domain
-        key = domain.key(entry, self._now_ms)
-        if narrow:
+        key = domain.worker_key(entry, self._now_ms)
+        if fewest_workers:
             key = placement.fewest_workers(key)
         limit = self._limit if limited else None
-        for avoid in entry.avoidances(self._now_ms):
+        for avoid in entry.avoided_worker_sets(self._now_ms):
             groups = placement.find(
                 domain.pool.free,
                 entry.shape,
@@ -176,70 +196,85 @@
         return None
 
     def _limit(self, worker: ids.WorkerId) -> jobs.Resources:
-        return self._reservation.limit(self._domain, worker, self._now_ms)
+        return self._reservation.available_to_long_job(
+            self._domain, worker, self._now_ms
+        )
 
-    def _reclaim(
-        self, entry: queueing.Entry
+    def _preempt(
+        self, entry: job_queue.JobEntry
     ) -> list[decisions.EvictJob] | None:
-        """Evicts work of less right; None if the job gets no room by it."""
+        """Evicts work for a paying job, which becomes pending.
+
+        Victims are idempotent trial jobs or, for an urgent job, one later job
+        of its own account.
+
+        Returns:
+            The evictions, or None if the job may not preempt other work or
+            would not fit even then.
+        """
         domain = self._domain
-        if domain.is_trial(entry.spec.account) or not self._waited(entry):
+        if domain.is_trial(entry.spec.account) or not self._may_preempt(entry):
             return None
-        groups, victims = self._from_trials(entry)
+        groups, victims = self._choose_trial_victims(entry)
         if victims is None and entry.spec.urgent:
-            groups, victims = self._from_own_jobs(entry)
+            groups, victims = self._choose_own_victim(entry)
         if victims is None:
             return None
-        need = _need(entry, groups)
-        made, waiting = preemption.evict(domain, entry, need, victims)
-        domain.claim(entry, groups, self._now_ms, (), waiting)
-        return made
+        need = _need_by_worker(entry, groups)
+        evictions, blocking_jobs = preemption.evict(
+            domain, entry, need, victims
+        )
+        domain.add_pending(entry, groups, self._now_ms, (), blocking_jobs)
+        return evictions
 
-    def _from_trials(
-        self, entry: queueing.Entry
+    def _choose_trial_victims(
+        self, entry: job_queue.JobEntry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
-        if entry.shape in self._unreclaimable:
+        if entry.shape in self._not_preemptible:
             return (), None
         groups = placement.find(
-            self._domain.pool.lendable,
+            self._domain.pool.free_or_preemptible,
             entry.shape,
             key=placement.best_fit,
             limit=self._unreserved,
-            avoid=entry.avoidances(self._now_ms)[0],
+            avoid=entry.avoided_worker_sets(self._now_ms)[0],
         )
         victims = None
         if groups:
-            short = preemption.shortfall(self._domain, _need(entry, groups))
-            victims = preemption.choose(
-                self._domain, short, self._now_ms, lent_only=True
+            shortage = preemption.shortfall(
+                self._domain, _need_by_worker(entry, groups)
+            )
+            victims = preemption.choose_victims(
+                self._domain, shortage, self._now_ms, preemptible_only=True
             )
         if victims is None:
-            self._unreclaimable.add(entry.shape)
+            self._not_preemptible.add(entry.shape)
         return groups or (), victims
 
-    def _from_own_jobs(
-        self, entry: queueing.Entry
+    def _choose_own_victim(
+        self, entry: job_queue.JobEntry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
-        """Finds a later job of the account on one worker to give way."""
+        """Finds a later job of the account whose worker can hold the job."""
         total = entry.shape.total
-        for job, placed in self._own_revocable(entry.spec.account):
+        for job, placed in self._own_revocable_jobs(entry.spec.account):
             worker = placed.groups[0].worker
             if worker not in self._domain.pool.free:
                 continue
-            room = resources.plus(
-                self._domain.pool.free.room(worker), placed.entry.shape.total
+            available = resources.plus(
+                self._domain.pool.free.available(worker),
+                placed.entry.shape.total,
             )
-            if len(placed.groups) == 1 and resources.covers(room, total):
+            if len(placed.groups) == 1 and resources.covers(available, total):
                 group = jobs.TaskGroup(worker=worker, tasks=entry.shape.tasks)
                 return (group,), [job]
         return (), None
 
-    def _own_revocable(
+    def _own_revocable_jobs(
         self, account: ids.AccountId
     ) -> list[tuple[ids.JobId, domain_state.PlacedJob]]:
-        if account not in self._own:
+        if account not in self._own_jobs:
             domain = self._domain
-            self._own[account] = [
+            self._own_jobs[account] = [
                 (job, placed)
                 for job, placed in reversed(domain.placed.items())
                 if placed.entry.spec.account == account
@@ -247,32 +282,32 @@
                 and not placed.entry.spec.urgent
             ]
         return [
-            pair
-            for pair in self._own[account]
-            if self._domain.revocable(pair[0])
+            candidate
+            for candidate in self._own_jobs[account]
+            if self._domain.revocable(candidate[0])
         ]
 
-    def _waited(self, entry: queueing.Entry) -> bool:
+    def _may_preempt(self, entry: job_queue.JobEntry) -> bool:
         if not self._domain.policy.guarantees:
             return False
         if entry.spec.urgent:
             return True
-        due_ms = entry.queued_ms + RECLAIM_AFTER_MS
-        if self._now_ms < due_ms and entry.reclaim_ms != due_ms:
-            entry.reclaim_ms = due_ms
+        due_ms = entry.queued_ms + PREEMPT_TRIALS_AFTER_MS
+        if self._now_ms < due_ms and entry.reclaim_from_ms != due_ms:
+            entry.reclaim_from_ms = due_ms
             heapq.heappush(self._domain.wake_up_times_ms, due_ms)
         return self._now_ms >= due_ms
 
     def _unreserved(self, worker: ids.WorkerId) -> jobs.Resources:
         if self._reservation and worker in self._reservation.need:
-            return resources.NONE
-        return self._domain.pool.lendable.room(worker)
-
-    def _block(self, entry: queueing.Entry) -> None:
-        backfills = self._domain.policy.backfill
-        if backfills is policy_lib.Backfill.NONE:
-            self.over = True
-        if backfills is not policy_lib.Backfill.RESERVATION:
+            return resources.ZERO
+        return self._domain.pool.free_or_preemptible.available(worker)
+
+    def _block(self, entry: job_queue.JobEntry) -> None:
+        backfill_rule = self._domain.policy.backfill
+        if backfill_rule is policies.Backfill.NONE:
+            self.finished = True
+        if backfill_rule is not policies.Backfill.RESERVATION:
             return
         if self._reservation is None:
             self._reservation = backfill.reserve(
@@ -280,8 +315,8 @@
             )
 
 
-def _need(
-    entry: queueing.Entry, groups: tuple[jobs.TaskGroup, ...]
+def _need_by_worker(
+    entry: job_queue.JobEntry, groups: tuple[jobs.TaskGroup, ...]
 ) -> dict[ids.WorkerId, jobs.Resources]:
     per_task = entry.spec.per_task
     return {
@@ -290,54 +325,64 @@
     }
 
 
-def _in_order(
+def _queue_order(
     domain: domain_state.DomainState, now_ms: int
-) -> Iterator[queueing.Entry]:
-    if domain.policy.order is policy_lib.Order.SUBMISSION:
+) -> Iterator[job_queue.JobEntry]:
+    if domain.policy.order is policies.Order.SUBMISSION:
         return iter(
-            list(itertools.islice(domain.queue.by_submission(), SCAN_LIMIT))
+            list(
+                itertools.islice(domain.queue.by_submission(), SCAN_LIMIT_JOBS)
+            )
         )
     return _fair_order(domain, now_ms)
 
 
 def _fair_order(
     domain: domain_state.DomainState, now_ms: int
-) -> Iterator[queueing.Entry]:
-    """Yields the next job of the account furthest behind, paying first."""
-    scans = {
+) -> Iterator[job_queue.JobEntry]:
+    """Yields queued jobs, always the next one of the best-ranked account.
+
+    Paying accounts come first, then those whose next job is urgent or near its
+    deadline, then the account that is furthest behind its fair share.
+    """
+    entries_by_account = {
         account: iter(
-            list(itertools.islice(domain.queue.of_account(account), SCAN_LIMIT))
+            list(
+                itertools.islice(
+                    domain.queue.account_entries(account), SCAN_LIMIT_JOBS
+                )
+            )
         )
         for account in domain.queue.accounts()
     }
     heap = [
         item
-        for account, scan in scans.items()
-        if (item := _item(domain, account, scan, now_ms)) is not None
+        for account, entries in entries_by_account.items()
+        if (item := _heap_item(domain, account, entries, now_ms)) is not None
     ]
     heapq.heapify(heap)
     while heap:
         _, account, entry = heap[0]
         yield entry
-        item = _item(domain, account, scans[account], now_ms)
+        item = _heap_item(domain, account, entries_by_account[account], now_ms)
         if item is None:
             heapq.heappop(heap)
         else:
             heapq.heapreplace(heap, item)
 
 
-def _item(
+def _heap_item(
     domain: domain_state.DomainState,
     account: ids.AccountId,
-    scan: Iterator[queueing.Entry],
+    entries: Iterator[job_queue.JobEntry],
     now_ms: int,
-) -> tuple[tuple, ids.AccountId, queueing.Entry] | None:
-    entry = next(scan, None)
+) -> tuple[tuple, ids.AccountId, job_queue.JobEntry] | None:
+    entry = next(entries, None)
     if entry is None:
         return None
     rank = (
         domain.is_trial(account),
-        min(entry.lane, queueing.Lane.NEW),
+        min(entry.priority, job_queue.Priority.NEW),
         domain.ledger.rank(account, now_ms),
     )
     return (rank, account, entry)
--- a/citronmount/core/policy.py
+++ b/citronmount/core/policies.py
@@ -1,4 +1,4 @@
-"""Named scheduling policies, filled in by decorators."""
+"""Registry of named scheduling policies."""
 
 from collections.abc import Callable
 import enum
@@ -12,7 +12,7 @@
 
 
 class Backfill(enum.Enum):
-    """What may start while the first job in line does not fit."""
+    """Which jobs may start while the first job in the queue does not fit."""
 
     NONE = "none"
     ANY = "any"
@@ -20,23 +20,24 @@
 
 
 class Order(enum.Enum):
-    """How queued jobs that run outside guarantees are ordered."""
+    """Order in which queued jobs are placed outside guarantees."""
 
     SUBMISSION = "submission"
     FAIR = "fair"
 
 
 class Policy(msgspec.Struct, frozen=True, kw_only=True):
-    """What a scheduler consults where policies differ.
+    """Options in which scheduling policies differ.
 
     Attributes:
-        name: Its name in the registry.
-        guarantees: Whether guarantees are kept reclaimable and work outside
-            them is evicted for them.
-        order: The order outside guarantees.
-        backfill: What may pass the first job in line.
-        patient: Whether trials may wait a little for a less scattered place.
-        key: Makes the ranking of workers for one gang.
+        name: Name in the registry.
+        guarantees: Whether guaranteed capacity is kept reclaimable and work
+            outside guarantees is evicted to reclaim it.
+        order: Order of jobs outside guarantees.
+        backfill: Which jobs may pass the first one in the queue.
+        patient: Whether delay scheduling applies to long trial jobs.
+        key: Returns the sort key of workers for one gang, given its ranking
+            by fragmentation.
     """
 
     name: str
@@ -44,27 +45,21 @@
     order: Order
     backfill: Backfill
     patient: bool
-    key: Callable[[ranking.Ranking], placement.Key]
+    key: Callable[[ranking.FragmentationRanking], placement.WorkerKey]
 
 
 _POLICIES: dict[str, Policy] = {}
 
 
-def register(make: Callable[[], Policy]) -> Callable[[], Policy]:
-    """Adds the policy that a function makes to the registry."""
-    made = make()
-    _POLICIES[made.name] = made
-    return make
+def register(factory: Callable[[], Policy]) -> Callable[[], Policy]:
+    """Registers the policy that a function returns; used as a decorator."""
+    policy = factory()
+    _POLICIES[policy.name] = policy
+    return factory
 
 
 def get(name: str) -> Policy:
-    """Returns a policy by its name.
-
-    Args:
-        name: The name.
-
-    Returns:
-        The policy.
+    """Returns the policy with a given name.
 
     Raises:
         KeyError: If no policy has the name.
@@ -73,7 +68,7 @@
 
 
 def names() -> tuple[str, ...]:
-    """Returns the names of all policies."""
+    """Returns the names of all registered policies."""
     return tuple(_POLICIES)
 
 
@@ -85,7 +80,7 @@
         order=Order.FAIR,
         backfill=Backfill.RESERVATION,
         patient=True,
-        key=lambda ranked: ranked.key,
+        key=lambda worker_ranking: worker_ranking.key,
     )
 
 
@@ -97,7 +92,7 @@
         order=Order.FAIR,
         backfill=Backfill.NONE,
         patient=True,
-        key=lambda ranked: ranked.key,
+        key=lambda worker_ranking: worker_ranking.key,
     )
 
 
@@ -109,7 +104,7 @@
         order=Order.SUBMISSION,
         backfill=Backfill.NONE,
         patient=False,
-        key=lambda ranked: placement.best_fit,
+        key=lambda worker_ranking: placement.best_fit,
     )
 
 
@@ -121,5 +116,5 @@
         order=Order.SUBMISSION,
         backfill=Backfill.ANY,
         patient=False,
-        key=lambda ranked: placement.best_fit,
+        key=lambda worker_ranking: placement.best_fit,
     )
--- a/citronmount/core/pool.py
+++ b/citronmount/core/pool.py
@@ -1,4 +1,4 @@
-"""Indexes of room on workers, and the pool of one failure domain."""
+"""Indexes the free capacity of a failure domain's workers."""
 
 import bisect
 import collections
@@ -11,22 +11,26 @@
 from citronmount.core import states
 from citronmount.services import messages
 
-__all__ = ["Pool", "RoomIndex"]
+__all__ = ["CapacityIndex", "Pool"]
 
 
-class RoomIndex:
-    """Room of workers, indexed by level and by rack.
+class CapacityIndex:
+    """Available capacity of workers, indexed by level and by rack.
 
-    The level of a worker is its number of free accelerators; within a level
-    workers are sorted by free cores. Updates and searches bisect; a search
-    starts at the smallest level, or the smallest rack, that is large enough.
+    The level of a worker is its number of available accelerators; within a
+    level workers are sorted by available cores. Updates and searches use
+    bisection; a search starts at the smallest level, or at the rack with the
+    fewest available accelerators, that is large enough.
+
+    Attributes:
+        total: Available accelerators of all workers.
     """
 
     def __init__(self) -> None:
         """Initializes an empty index."""
-        self._room: dict[ids.WorkerId, jobs.Resources] = {}
+        self._available: dict[ids.WorkerId, jobs.Resources] = {}
         self._rack: dict[ids.WorkerId, ids.RackId] = {}
-        self._members: dict[ids.RackId, dict[ids.WorkerId, None]] = {}
+        self._workers_by_rack: dict[ids.RackId, dict[ids.WorkerId, None]] = {}
         self._levels: dict[int, list[tuple[int, ids.WorkerId]]] = {}
         self._rack_totals: dict[ids.RackId, int] = {}
         self._racks: list[tuple[int, ids.RackId]] = []
@@ -34,65 +38,67 @@
 
     def __contains__(self, worker: ids.WorkerId) -> bool:
         """Returns whether the worker is in the index."""
-        return worker in self._room
+        return worker in self._available
 
     def __iter__(self) -> Iterator[ids.WorkerId]:
         """Iterates over the workers of the index."""
-        return iter(self._room)
+        return iter(self._available)
 
-    def room(self, worker: ids.WorkerId) -> jobs.Resources:
-        """Returns the room of a worker, none if it is not in the index."""
-        return self._room.get(worker, resources.NONE)
+    def available(self, worker: ids.WorkerId) -> jobs.Resources:
+        """Returns a worker's available capacity, zero if it is not indexed."""
+        return self._available.get(worker, resources.ZERO)
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId | None:
-        """Returns the rack of a worker of the index."""
+        """Returns the rack of a worker, None if it is not in the index."""
         return self._rack.get(worker)
 
     def rack_total(self, rack: ids.RackId) -> int:
-        """Returns the free accelerators of a rack."""
+        """Returns the number of available accelerators in a rack."""
         return self._rack_totals.get(rack, 0)
 
-    def members(self, rack: ids.RackId) -> list[ids.WorkerId]:
-        """Returns the workers of a rack that are in the index."""
-        return list(self._members.get(rack, ()))
+    def workers_of_rack(self, rack: ids.RackId) -> list[ids.WorkerId]:
+        """Returns the indexed workers of a rack."""
+        return list(self._workers_by_rack.get(rack, ()))
 
     def put(
         self,
         worker: ids.WorkerId,
         rack: ids.RackId,
-        room: jobs.Resources,
+        available: jobs.Resources,
     ) -> None:
-        """Adds a worker or replaces its rack and room."""
+        """Adds a worker or replaces its rack and available capacity."""
         self.drop(worker)
         self._rack[worker] = rack
-        self._members.setdefault(rack, {})[worker] = None
-        self._insert(worker, room)
+        self._workers_by_rack.setdefault(rack, {})[worker] = None
+        self._insert(worker, available)
 
     def drop(self, worker: ids.WorkerId) -> None:
         """Removes a worker, if it is in the index."""
-        if worker not in self._room:
+        if worker not in self._available:
             return
         self._remove(worker)
         rack = self._rack.pop(worker)
-        del self._members[rack][worker]
+        del self._workers_by_rack[rack][worker]
 
-    def set_room(self, worker: ids.WorkerId, room: jobs.Resources) -> None:
-        """Changes the room of a worker, if it is in the index."""
-        if worker in self._room and self._room[worker] != room:
+    def set_available(
+        self, worker: ids.WorkerId, available: jobs.Resources
+    ) -> None:
+        """Sets a worker's available capacity, if it is in the index."""
+        if worker in self._available and self._available[worker] != available:
             self._remove(worker)
-            self._insert(worker, room)
+            self._insert(worker, available)
 
     def levels(
         self, accelerators: int, cores: int = 0
     ) -> Iterator[list[ids.WorkerId]]:
-        """Iterates over levels from the smallest that is large enough.
+        """Iterates over levels, from the smallest that is large enough.
 
         Args:
-            accelerators: The lowest level wanted.
-            cores: The fewest free cores wanted.
+            accelerators: Minimum number of available accelerators.
+            cores: Minimum number of available cores.
 
         Yields:
-            The workers of one level, those with fewest free cores first.
+            The workers of one level, in ascending order of available cores.
         """
         for level in sorted(n for n in self._levels if n >= accelerators):
             workers = self._levels[level]
@@ -100,43 +106,50 @@
             yield [worker for _, worker in workers[start:]]
 
     def emptiest_workers(self, limit: int) -> list[ids.WorkerId]:
-        """Returns the workers with most free accelerators."""
-        falling = (
+        """Returns the workers with the most available accelerators."""
+        descending = (
             reversed(self._levels[n])
             for n in sorted(self._levels, reverse=True)
         )
-        workers = itertools.chain.from_iterable(falling)
+        workers = itertools.chain.from_iterable(descending)
         return [worker for _, worker in itertools.islice(workers, limit)]
 
     def emptiest_racks(self, limit: int) -> list[ids.RackId]:
-        """Returns the racks with most free accelerators."""
+        """Returns the racks with the most available accelerators."""
         return [rack for _, rack in self._racks[-limit:]][::-1]
 
-    def racks(self, accelerators: int) -> list[ids.RackId]:
-        """Returns racks with so many free accelerators, smallest first."""
+    def racks_with(self, accelerators: int) -> list[ids.RackId]:
+        """Returns the racks with at least as many accelerators available.
+
+        They are in ascending order of available accelerators.
+        """
         start = bisect.bisect_left(self._racks, (accelerators, ""))
         return [rack for _, rack in self._racks[start:]]
 
-    def _insert(self, worker: ids.WorkerId, room: jobs.Resources) -> None:
-        level = max(room.accelerators, 0)
-        self._room[worker] = room
-        bisect.insort(self._levels.setdefault(level, []), (room.cores, worker))
-        self._shift(self._rack[worker], level)
+    def _insert(self, worker: ids.WorkerId, available: jobs.Resources) -> None:
+        level = max(available.accelerators, 0)
+        self._available[worker] = available
+        bisect.insort(
+            self._levels.setdefault(level, []), (available.cores, worker)
+        )
+        self._adjust_rack_total(self._rack[worker], level)
 
     def _remove(self, worker: ids.WorkerId) -> None:
-        room = self._room.pop(worker)
-        level = max(room.accelerators, 0)
-        at = bisect.bisect_left(self._levels[level], (room.cores, worker))
-        del self._levels[level][at]
+        available = self._available.pop(worker)
+        level = max(available.accelerators, 0)
+        position = bisect.bisect_left(
+            self._levels[level], (available.cores, worker)
+        )
+        del self._levels[level][position]
         if not self._levels[level]:
             del self._levels[level]
-        self._shift(self._rack[worker], -level)
+        self._adjust_rack_total(self._rack[worker], -level)
 
-    def _shift(self, rack: ids.RackId, change: int) -> None:
+    def _adjust_rack_total(self, rack: ids.RackId, change: int) -> None:
         before = self._rack_totals.get(rack)
         if before is not None:
-            at = bisect.bisect_left(self._racks, (before, rack))
-            del self._racks[at]
+            position = bisect.bisect_left(self._racks, (before, rack))
+            del self._racks[position]
         after = (before or 0) + change
         self._rack_totals[rack] = after
         bisect.insort(self._racks, (after, rack))
@@ -144,18 +157,19 @@
 
 
 class Pool:
-    """Workers of a failure domain and who uses them.
+    """The workers of a failure domain and their allocations to jobs.
 
     Attributes:
-        free: Free room of the usable workers.
-        lendable: The same with the room of loans that may be called in.
+        free: Free capacity of the usable workers.
+        free_or_preemptible: Free capacity of the usable workers plus that of
+            jobs which paying work outside guarantees may preempt.
     """
 
     def __init__(self) -> None:
         """Initializes an empty pool."""
-        self.free = RoomIndex()
-        self.lendable = RoomIndex()
-        self._lent: dict[ids.WorkerId, jobs.Resources] = {}
+        self.free = CapacityIndex()
+        self.free_or_preemptible = CapacityIndex()
+        self._preemptible: dict[ids.WorkerId, jobs.Resources] = {}
         self._listed: dict[ids.WorkerId, messages.ListedTarget] = {}
         self._states: dict[ids.WorkerId, states.TargetState] = {}
         self._closed: set[ids.WorkerId] = set()
@@ -169,12 +183,12 @@
         return tuple(self._listed)
 
     def capacity(self, worker: ids.WorkerId) -> jobs.Resources:
-        """Returns the capacity of a worker, none if it is not listed."""
+        """Returns the capacity of a worker, zero if it is not listed."""
         listed = self._listed.get(worker)
-        return listed.capacity if listed else resources.NONE
+        return listed.capacity if listed else resources.ZERO
 
     def rack(self, worker: ids.WorkerId) -> ids.RackId:
-        """Returns the rack of a worker."""
+        """Returns the rack of a worker, empty if it is not listed."""
         listed = self._listed.get(worker)
         return listed.rack if listed else ids.RackId("")
 
@@ -187,113 +201,132 @@
         )
 
     def jobs_on(self, worker: ids.WorkerId) -> dict[ids.JobId, int]:
-        """Returns the tasks of each job that holds room on a worker."""
+        """Returns the number of tasks of each job allocated on a worker."""
         return self._jobs.get(worker, {})
 
-    def list_workers(
+    def update_workers(
         self, listed: tuple[messages.ListedTarget, ...]
     ) -> list[ids.WorkerId]:
-        """Takes over the platform's list.
+        """Replaces the list of workers.
 
         Args:
-            listed: The workers.
+            listed: The workers as listed by the platform.
 
         Returns:
-            The workers that changed.
+            The workers that were added, removed or changed.
         """
-        fresh = {ids.WorkerId(target.name): target for target in listed}
+        new_list = {ids.WorkerId(target.name): target for target in listed}
         changed = [
             worker
-            for worker in {**self._listed, **fresh}
-            if self._listed.get(worker) != fresh.get(worker)
+            for worker in {**self._listed, **new_list}
+            if self._listed.get(worker) != new_list.get(worker)
         ]
         for worker in changed:
-            target = fresh.get(worker)
+            target = new_list.get(worker)
             if target is None:
                 del self._listed[worker]
                 continue
             self._listed[worker] = target
             self._states[worker] = target.state
         for worker in changed:
-            self._refresh(worker)
+            self._reindex(worker)
         return changed
 
     def set_state(
         self, worker: ids.WorkerId, state: states.TargetState
     ) -> bool:
-        """Notes the state of a worker and returns whether it changed."""
+        """Sets the state of a worker and returns whether it changed."""
         if self._states.get(worker) is state:
             return False
         self._states[worker] = state
-        self._refresh(worker)
+        self._reindex(worker)
         return True
 
     def set_closed(self, worker: ids.WorkerId, closed: bool) -> None:
-        """Closes a worker to new tasks whatever its state, or opens it."""
+        """Sets whether a worker is closed to new tasks whatever its state."""
         if closed:
             self._closed.add(worker)
         else:
             self._closed.discard(worker)
-        self._refresh(worker)
+        self._reindex(worker)
 
-    def take(
+    def allocate(
         self,
         job: ids.JobId,
         per_task: jobs.Resources,
         groups: tuple[jobs.TaskGroup, ...],
     ) -> None:
-        """Gives room to a job; free room may become negative."""
+        """Allocates resources to a job.
+
+        The free capacity may become negative: a running attempt that is taken
+        over keeps its resources.
+        """
         for group in groups:
             self._jobs[group.worker][job] = group.tasks
-            self._use(group.worker, resources.scaled(per_task, group.tasks))
+            self._add_usage(
+                group.worker, resources.scaled(per_task, group.tasks)
+            )
 
-    def give_back(
+    def deallocate(
         self,
         job: ids.JobId,
         per_task: jobs.Resources,
         groups: tuple[jobs.TaskGroup, ...],
     ) -> None:
-        """Takes back the room that `take` gave."""
+        """Frees the resources that `allocate` gave to a job."""
         for group in groups:
             self._jobs[group.worker].pop(job, None)
-            self._use(group.worker, resources.scaled(per_task, -group.tasks))
+            self._add_usage(
+                group.worker, resources.scaled(per_task, -group.tasks)
+            )
 
-    def lend(
+    def add_preemptible(
         self, per_task: jobs.Resources, groups: tuple[jobs.TaskGroup, ...]
     ) -> None:
-        """Notes that room in use may be taken back, or not if negative."""
+        """Adds allocated resources to the preemptible ones.
+
+        Args:
+            per_task: Resources of each task; negative ones are subtracted.
+            groups: The tasks on each worker.
+        """
         for group in groups:
-            lent = self._lent.get(group.worker, resources.NONE)
+            preemptible = self._preemptible.get(group.worker, resources.ZERO)
             amount = resources.scaled(per_task, group.tasks)
-            self._lent[group.worker] = resources.plus(lent, amount)
-            if self._lent[group.worker] == resources.NONE:
-                del self._lent[group.worker]
-            self._index(group.worker)
-
-    def _use(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
-        used = self._used.get(worker, resources.NONE)
+            self._preemptible[group.worker] = resources.plus(
+                preemptible, amount
+            )
+            if self._preemptible[group.worker] == resources.ZERO:
+                del self._preemptible[group.worker]
+            self._update_available(group.worker)
+
+    def _add_usage(self, worker: ids.WorkerId, amount: jobs.Resources) -> None:
+        used = self._used.get(worker, resources.ZERO)
         self._used[worker] = resources.plus(used, amount)
         if not self._jobs[worker]:
             del self._jobs[worker]
             del self._used[worker]
-        self._index(worker)
-
-    def _index(self, worker: ids.WorkerId) -> None:
-        free = self._free(worker)
-        lent = self._lent.get(worker, resources.NONE)
-        self.free.set_room(worker, free)
-        self.lendable.set_room(worker, resources.plus(free, lent))
+        self._update_available(worker)
+
+    def _update_available(self, worker: ids.WorkerId) -> None:
+        free = self._free_capacity(worker)
+        preemptible = self._preemptible.get(worker, resources.ZERO)
+        self.free.set_available(worker, free)
+        self.free_or_preemptible.set_available(
+            worker, resources.plus(free, preemptible)
+        )
 
-    def _free(self, worker: ids.WorkerId) -> jobs.Resources:
-        used = self._used.get(worker, resources.NONE)
+    def _free_capacity(self, worker: ids.WorkerId) -> jobs.Resources:
+        used = self._used.get(worker, resources.ZERO)
         return resources.minus(self.capacity(worker), used)
 
-    def _refresh(self, worker: ids.WorkerId) -> None:
+    def _reindex(self, worker: ids.WorkerId) -> None:
         if self.usable(worker):
             rack = self.rack(worker)
-            self.free.put(worker, rack, self._free(worker))
-            self.lendable.put(worker, rack, self._free(worker))
-            self._index(worker)
+            self.free.put(worker, rack, self._free_capacity(worker))
+            self.free_or_preemptible.put(
+                worker, rack, self._free_capacity(worker)
+            )
+            self._update_available(worker)
         else:
             self.free.drop(worker)
-            self.lendable.drop(worker)
+            self.free_or_preemptible.drop(worker)
--- a/citronmount/core/preemption.py
+++ b/citronmount/core/preemption.py
@@ -1,34 +1,38 @@
-"""Chooses which jobs to evict: fewest victims, then least lost work."""
+"""Preemption: chooses which jobs to evict.
+
+Paying jobs are spared first, then jobs that are not idempotent; after that the
+victims should be few and lose little work.
+"""
 
 from collections.abc import Mapping
 
 from citronmount.core import decisions
 from citronmount.core import domain_state
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
-from citronmount.core import queueing
 from citronmount.core import resources
 
 __all__ = [
     "GRACE_MS",
     "URGENT_GRACE_MS",
-    "choose",
-    "cost",
+    "choose_victims",
     "evict",
+    "eviction_cost",
     "shortfall",
-    "stopping",
+    "stopping_jobs",
 ]
 
 GRACE_MS = 5_000
 URGENT_GRACE_MS = 500
 
-_Short = dict[ids.WorkerId, jobs.Resources]
+_Shortage = dict[ids.WorkerId, jobs.Resources]
 
 
-def stopping(
+def stopping_jobs(
     domain: domain_state.DomainState, worker: ids.WorkerId
 ) -> dict[ids.JobId, int]:
-    """Returns the jobs on a worker that were told to stop, with tasks."""
+    """Returns the number of tasks on a worker of each job being evicted."""
     return {
         job: tasks
         for job, tasks in domain.pool.jobs_on(worker).items()
@@ -39,162 +43,181 @@
 def shortfall(
     domain: domain_state.DomainState,
     need: Mapping[ids.WorkerId, jobs.Resources],
-) -> _Short:
-    """Returns what has to be evicted of each worker for a gang.
+) -> _Shortage:
+    """Returns the resources that must be freed on each worker for a gang.
 
-    Room of jobs that are stopping already counts as free.
+    Resources of jobs that are already being evicted count as free.
 
     Args:
-        domain: The failure domain.
-        need: What the gang needs of each worker.
+        domain: State of the failure domain.
+        need: Resources that the gang needs on each worker.
 
     Returns:
-        What is missing of each worker where anything is.
+        The missing resources, for workers on which any are missing.
     """
-    short = {}
-    for worker, wanted in need.items():
-        room = domain.pool.free.room(worker)
-        for job, tasks in stopping(domain, worker).items():
+    shortage = {}
+    for worker, needed in need.items():
+        available = domain.pool.free.available(worker)
+        for job, tasks in stopping_jobs(domain, worker).items():
             per_task = domain.placed[job].entry.spec.per_task
-            room = resources.plus(room, resources.scaled(per_task, tasks))
-        if not resources.covers(room, wanted):
-            short[worker] = resources.minus(wanted, room)
-    return short
+            available = resources.plus(
+                available, resources.scaled(per_task, tasks)
+            )
+        if not resources.covers(available, needed):
+            shortage[worker] = resources.minus(needed, available)
+    return shortage
 
 
 def evict(
     domain: domain_state.DomainState,
-    entry: queueing.Entry,
+    entry: job_queue.JobEntry,
     need: Mapping[ids.WorkerId, jobs.Resources],
     victims: list[ids.JobId],
 ) -> tuple[list[decisions.EvictJob], set[ids.JobId]]:
-    """Tells victims to stop for a job.
+    """Evicts victims for a job.
 
     Args:
-        domain: The failure domain.
-        entry: The job that needs the room.
-        need: What it needs of each worker.
-        victims: The jobs to stop.
+        domain: State of the failure domain.
+        entry: The job for which they are evicted.
+        need: Resources that it needs on each worker.
+        victims: The jobs to evict.
 
     Returns:
-        The decisions, and all jobs that have to end before the room is free.
+        The eviction decisions, and all jobs that must end before the needed
+        resources are free.
     """
     for victim in victims:
-        domain.evict(victim)
+        domain.mark_evicting(victim)
     free = domain.pool.free
-    waiting = {
+    blocking_jobs = {
         job
-        for worker, wanted in need.items()
-        if not resources.covers(free.room(worker), wanted)
-        for job in stopping(domain, worker)
+        for worker, needed in need.items()
+        if not resources.covers(free.available(worker), needed)
+        for job in stopping_jobs(domain, worker)
     }
     grace_ms = URGENT_GRACE_MS if entry.spec.urgent else GRACE_MS
-    made = [
+    evictions = [
         decisions.EvictJob(
             job=victim, beneficiary=entry.spec.job, grace_ms=grace_ms
         )
         for victim in victims
     ]
-    return made, waiting
+    return evictions, blocking_jobs
 
 
-def choose(
+def choose_victims(
     domain: domain_state.DomainState,
-    short: _Short,
+    shortage: _Shortage,
     now_ms: int,
     *,
-    lent_only: bool = False,
+    preemptible_only: bool = False,
 ) -> list[ids.JobId] | None:
-    """Chooses victims that free what is short.
+    """Chooses victims that free the missing resources.
 
-    Trials go before paying work, work that can run again before work that
-    cannot. A greedy cover takes the victim that frees most of what is short;
-    victims that later ones made needless are dropped.
+    Trial jobs are chosen before paying ones, idempotent jobs before others.
+    Among equals a greedy cover takes the job that frees most of the missing
+    accelerators, then the one that loses least work. Victims that later ones
+    make unnecessary are dropped.
 
     Args:
-        domain: The failure domain.
-        short: What is missing of each worker.
+        domain: State of the failure domain.
+        shortage: Missing resources on each worker.
         now_ms: Monotonic time.
-        lent_only: Whether only trials that can run again may be chosen.
+        preemptible_only: Whether only idempotent trial jobs may be chosen.
 
     Returns:
-        The victims, or None if revocable work is not enough.
+        The victims, or None if the revocable jobs do not free enough.
     """
     victims: list[ids.JobId] = []
-    left = dict(short)
-    while left:
+    remaining = dict(shortage)
+    while remaining:
         candidates = {
             job
-            for worker in left
+            for worker in remaining
             for job in domain.pool.jobs_on(worker)
             if domain.revocable(job)
             and job not in victims
-            and (domain.placed[job].lent or not lent_only)
+            and (domain.placed[job].preemptible or not preemptible_only)
         }
         if not candidates:
             return None
-        ranked = {job: _rank(domain, job, left, now_ms) for job in candidates}
-        best = min(candidates, key=ranked.get)
+        ranks = {
+            job: _victim_rank(domain, job, remaining, now_ms)
+            for job in candidates
+        }
+        best = min(candidates, key=ranks.get)
         victims.append(best)
-        left = _without(domain, left, [best])
-    return _needed(domain, short, victims)
+        remaining = _shortage_after(domain, remaining, [best])
+    return _drop_needless(domain, shortage, victims)
 
 
-def cost(
+def eviction_cost(
     domain: domain_state.DomainState, victims: list[ids.JobId], now_ms: int
 ) -> tuple[int, int, int, int]:
-    """Ranks sets of victims; the smallest is the least harm.
+    """Returns the cost of evicting a set of jobs, for comparison.
 
     Args:
-        domain: The failure domain.
+        domain: State of the failure domain.
         victims: Jobs that would be evicted.
         now_ms: Monotonic time.
 
     Returns:
-        Paying jobs, jobs that cannot run again, all jobs, and lost work in
-        accelerator milliseconds.
+        Number of paying jobs, number of jobs that are not idempotent, number
+        of jobs, and lost work in accelerator milliseconds.
     """
-    placed = [domain.placed[job] for job in victims]
+    placed_jobs = [domain.placed[job] for job in victims]
     return (
-        sum(not domain.is_trial(each.entry.spec.account) for each in placed),
-        sum(not each.entry.spec.idempotent for each in placed),
-        len(placed),
-        sum(_lost(each, now_ms) for each in placed),
+        sum(
+            not domain.is_trial(placed_job.entry.spec.account)
+            for placed_job in placed_jobs
+        ),
+        sum(not placed_job.entry.spec.idempotent for placed_job in placed_jobs),
+        len(placed_jobs),
+        sum(
+            _lost_accelerator_ms(placed_job, now_ms)
+            for placed_job in placed_jobs
+        ),
     )
 
 
-def _lost(placed: domain_state.PlacedJob, now_ms: int) -> int:
+def _lost_accelerator_ms(placed: domain_state.PlacedJob, now_ms: int) -> int:
     ran_ms = max(now_ms - placed.since_ms, 0)
     return ran_ms * max(placed.entry.shape.accelerators, 1)
 
 
-def _needed(
-    domain: domain_state.DomainState, short: _Short, victims: list[ids.JobId]
+def _drop_needless(
+    domain: domain_state.DomainState,
+    shortage: _Shortage,
+    victims: list[ids.JobId],
 ) -> list[ids.JobId]:
     kept = list(victims)
     for victim in reversed(victims):
         others = [job for job in kept if job != victim]
-        if not _without(domain, short, others):
+        if not _shortage_after(domain, shortage, others):
             kept = others
     return kept
 
 
-def _without(
-    domain: domain_state.DomainState, short: _Short, victims: list[ids.JobId]
-) -> _Short:
-    left = dict(short)
+def _shortage_after(
+    domain: domain_state.DomainState,
+    shortage: _Shortage,
+    victims: list[ids.JobId],
+) -> _Shortage:
+    remaining = dict(shortage)
     for victim in victims:
         placed = domain.placed[victim]
         for group in placed.groups:
-            if group.worker in left:
+            if group.worker in remaining:
                 freed = resources.scaled(
                     placed.entry.spec.per_task, group.tasks
                 )
-                left[group.worker] = resources.minus(left[group.worker], freed)
+                remaining[group.worker] = resources.minus(
+                    remaining[group.worker], freed
+                )
     return {
         worker: missing
-        for worker, missing in left.items()
-        if not resources.covers(resources.NONE, _positive(missing))
+        for worker, missing in remaining.items()
+        if not resources.covers(resources.ZERO, _positive(missing))
     }
 
 
@@ -206,23 +229,26 @@
     )
 
 
-def _rank(
-    domain: domain_state.DomainState, job: ids.JobId, left: _Short, now_ms: int
+def _victim_rank(
+    domain: domain_state.DomainState,
+    job: ids.JobId,
+    remaining: _Shortage,
+    now_ms: int,
 ) -> tuple:
     placed = domain.placed[job]
     spec = placed.entry.spec
     freed = sum(
         min(
             group.tasks * spec.per_task.accelerators,
-            max(left[group.worker].accelerators, 1),
+            max(remaining[group.worker].accelerators, 1),
         )
         for group in placed.groups
-        if group.worker in left
+        if group.worker in remaining
     )
     return (
         not domain.is_trial(spec.account),
         not spec.idempotent,
         -freed,
-        _lost(placed, now_ms),
+        _lost_accelerator_ms(placed, now_ms),
         job,
     )
--- a/citronmount/core/scheduler.py
+++ b/citronmount/core/scheduler.py
@@ -1,36 +1,40 @@
-"""The scheduler of one failure domain: which job runs where, and when."""
+"""Schedules the jobs of one failure domain onto its workers."""
 
 import heapq
 import itertools
 
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import admission
+from citronmount.core import attempt_outcomes
 from citronmount.core import codes
 from citronmount.core import decisions
 from citronmount.core import domain_state
 from citronmount.core import fragmentation
 from citronmount.core import guaranteed_placement
 from citronmount.core import ids
+from citronmount.core import job_queue
 from citronmount.core import jobs
 from citronmount.core import opportunistic_placement
-from citronmount.core import queueing
 from citronmount.core import shapes
 from citronmount.core import start_prediction
 from citronmount.core import states
-from citronmount.core import verdicts
 from citronmount.services import messages
 
 __all__ = ["DomainScheduler"]
 
-_PRESS_RUN_TIMES = 2
+# A queued job is promoted this many expected run times before its deadline.
+_PROMOTE_RUN_TIMES = 2
 
 
 class DomainScheduler:
-    """Decides for the workers and jobs of one failure domain.
+    """Decides which jobs of a failure domain run where and when.
 
-    It does no input or output and reads no clock: every call carries the
-    monotonic time in ms. Callers report what happened and carry out what
-    `decide` returns.
+    Does no input or output and reads no clock: callers pass the monotonic time
+    in ms, report events and carry out the decisions that `decide` returns.
+
+    Attributes:
+        failure_domain: The failure domain.
+        policy: Name of the scheduling policy.
     """
 
     def __init__(
@@ -39,11 +43,11 @@
         failure_domain: ids.FailureDomainId,
         policy: str = "citron",
     ) -> None:
-        """Initializes a scheduler with no workers and no configuration.
+        """Initializes a scheduler without workers and configuration.
 
         Args:
-            failure_domain: The failure domain to decide for.
-            policy: Name of a registered policy.
+            failure_domain: The failure domain.
+            policy: Name of a registered policy; see `policies`.
         """
         self.failure_domain = failure_domain
         self.policy = policy
@@ -56,14 +60,14 @@
         self._changed = True
 
     def set_wall_clock(self, *, now_ms: int, wall_ms: int) -> None:
-        """Notes what wall-clock time a monotonic time is, for deadlines.
+        """Sets the Unix time that a monotonic time corresponds to.
 
-        Without this call the wall clock is inferred from the acceptance times
-        of submitted jobs.
+        Deadlines are checked against it. Without this call it is inferred from
+        the acceptance times of submitted jobs.
 
         Args:
             now_ms: Monotonic time.
-            wall_ms: Wall-clock time in ms since the epoch.
+            wall_ms: Unix time in ms.
         """
         self._wall_offset_ms = wall_ms - now_ms
         self._wall_is_set = True
@@ -71,7 +75,7 @@
     def set_configuration(
         self, configuration: configuration_lib.Configuration
     ) -> None:
-        """Takes over a new version of the configuration.
+        """Applies a new version of the configuration.
 
         Args:
             configuration: The version in force.
@@ -80,7 +84,7 @@
         self._domain.configure(configuration, self.failure_domain, self._now_ms)
 
     def set_workers(self, workers: tuple[messages.ListedTarget, ...]) -> None:
-        """Takes over the list of workers of the failure domain.
+        """Replaces the list of the failure domain's workers.
 
         Workers that are no longer listed keep their jobs until these end but
         get no new ones.
@@ -88,7 +92,7 @@
         Args:
             workers: The workers, with capacity and rack.
         """
-        changed = self._domain.pool.list_workers(workers)
+        changed = self._domain.pool.update_workers(workers)
         for worker in changed:
             self._domain.refresh_worker(worker, self._now_ms)
         if changed:
@@ -98,52 +102,56 @@
     def set_worker_state(
         self, worker: ids.WorkerId, state: states.TargetState, now_ms: int
     ) -> None:
-        """Notes whether a worker may get new tasks.
+        """Sets the state of a worker.
 
         Args:
             worker: The worker.
-            state: Only UP lets new tasks be placed.
+            state: Its state; new tasks are placed only on workers that are UP.
             now_ms: Monotonic time.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         if self._domain.pool.set_state(worker, state):
             self._changed = True
             self._domain.refresh_worker(worker, self._now_ms)
 
     def submit(self, spec: jobs.JobSpec, now_ms: int) -> jobs.JobResult | None:
-        """Checks a new job and queues it.
+        """Validates a new job and queues it.
+
+        Submitting a job that is already known has no effect.
 
         Args:
             spec: The job.
             now_ms: Monotonic time.
 
         Returns:
-            None if the job is queued, otherwise why it can never run or
-            cannot be queued now. A refusal changes nothing.
+            None if the job is queued, otherwise the refusal: the job can never
+            run or cannot be queued now. A refusal changes nothing.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         self._infer_wall_clock(spec)
-        if self._knows(spec.job):
+        if self._is_known(spec.job):
             return None
         refusal = self._admission.check(spec, self._wall_ms())
         if refusal is None:
-            self._domain.mix.note(shapes.of_job(spec), spec.run_time_s)
-            self._enqueue(self._entry(spec, 0.0))
+            self._domain.mix.add_submission(
+                shapes.of_job(spec), spec.run_time_s
+            )
+            self._enqueue(self._new_entry(spec, 0.0))
         return refusal
 
     def restore(
         self, spec: jobs.JobSpec, now_ms: int, *, progress: float = 0.0
     ) -> None:
-        """Queues a job that was accepted before, without any check.
+        """Queues a job that was accepted earlier, without validation.
 
         Args:
             spec: The job.
             now_ms: Monotonic time.
-            progress: Saved share of its work, between 0 and 1.
+            progress: Checkpointed share of its work, between 0 and 1.
         """
-        self._advance(now_ms)
-        if not self._knows(spec.job):
-            self._enqueue(self._entry(spec, progress))
+        self._advance_clock(now_ms)
+        if not self._is_known(spec.job):
+            self._enqueue(self._new_entry(spec, progress))
 
     def adopt(
         self,
@@ -153,91 +161,92 @@
         *,
         running_ms: int = 0,
     ) -> None:
-        """Takes over an attempt that already holds room at the workers.
+        """Adopts an attempt that already holds resources at workers.
 
         Args:
             spec: The job.
-            placement: Where it runs.
+            placement: Where the attempt runs.
             now_ms: Monotonic time.
-            running_ms: How long it has run.
+            running_ms: How long the attempt has run, in ms.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         domain = self._domain
-        entry = self._forget(spec.job) or self._entry(spec, 0.0)
-        entry.ran = True
+        entry = self._withdraw(spec.job) or self._new_entry(spec, 0.0)
+        entry.has_started = True
         domain.place(entry, placement.groups, self._now_ms)
         domain.placed[spec.job].since_ms = self._now_ms - running_ms
-        domain.unsettled.add(spec.account)
+        domain.accounts_to_bind.add(spec.account)
         self._changed = True
 
     def attempt_started(self, job: ids.JobId, now_ms: int) -> None:
-        """Notes that every task of a placed job has started.
+        """Records that every task of a placed job has started.
 
         Args:
             job: The job.
             now_ms: Monotonic time.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         placed = self._domain.placed.get(job)
         if placed is not None:
-            placed.entry.ran = True
+            placed.entry.has_started = True
             placed.since_ms = self._now_ms
 
     def attempt_ended(
         self,
         job: ids.JobId,
-        how: decisions.AttemptEnd,
+        attempt_end: decisions.AttemptEnd,
         now_ms: int,
         *,
         culprits: tuple[ids.WorkerId, ...] = (),
         requeue: bool = False,
         progress: float = 0.0,
     ) -> jobs.JobResult | None:
-        """Notes that an attempt has ended and frees its room.
+        """Records the end of an attempt and frees its resources.
 
         Args:
             job: The job.
-            how: How it ended.
+            attempt_end: How the attempt ended.
             now_ms: Monotonic time.
-            culprits: Workers at which it failed or refused to start.
-            requeue: Whether the job may run again and goes back to the queue.
-            progress: Saved share of its work, between 0 and 1.
+            culprits: Workers on which it failed or could not start.
+            requeue: Whether to put the job back into the queue.
+            progress: Checkpointed share of its work, between 0 and 1.
 
         Returns:
-            A final result if the job was to be queued again but must not run
-            again, because it failed on several distinct workers; otherwise
-            None.
+            A final result if the job was to be requeued but must not run again
+            because it failed on several distinct workers; otherwise None.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         self._changed = True
         placed = self._domain.remove(job, self._now_ms)
         if placed is None:
             return None
-        verdicts.learn(self._domain, placed, how, culprits, self._now_ms)
+        attempt_outcomes.record_outcome(
+            self._domain, placed, attempt_end, culprits, self._now_ms
+        )
         if not requeue:
             return None
         entry = placed.entry
-        if verdicts.failed_everywhere(entry):
-            self._domain.health.retract(job)
+        if attempt_outcomes.failed_everywhere(entry):
+            self._domain.quarantine.discard_failures(job)
             return jobs.JobResult(
                 code=codes.ResultCode.FAILED_EVERYWHERE,
-                detail=", ".join(sorted(entry.failed_on)),
+                detail=", ".join(sorted(entry.failed_workers)),
             )
         entry.progress = min(max(entry.progress, progress), 1.0)
         self._enqueue(entry)
         return None
 
     def cancel(self, job: ids.JobId) -> bool:
-        """Removes a job from the queue.
+        """Removes a job from the queue, with its pending placement if any.
 
         Args:
             job: The job.
 
         Returns:
-            Whether it was queued; a placed job is not touched.
+            Whether the job was queued; a placed job is left as it is.
         """
         if job in self._domain.pending_placements:
-            self._domain.release_claim(job, self._now_ms, requeue=False)
+            self._domain.cancel_pending(job, self._now_ms, requeue=False)
             self._changed = True
             return True
         if self._domain.queue.remove(job) is None:
@@ -246,24 +255,23 @@
         return True
 
     def would_start(self, spec: jobs.JobSpec, now_ms: int) -> bool:
-        """Returns whether a new job would start or get room evicted now.
+        """Returns whether a new job would now be placed or evict other work.
+
+        See `start_prediction.would_start`.
 
         Args:
             spec: The job, not submitted yet.
             now_ms: Monotonic time.
-
-        Returns:
-            See `start_prediction.would_start`.
         """
-        self._advance(now_ms)
-        entry = self._entry(spec, 0.0)
+        self._advance_clock(now_ms)
+        entry = self._new_entry(spec, 0.0)
         return start_prediction.would_start(self._domain, entry, self._now_ms)
 
     def decide(self, now_ms: int) -> list[decisions.Decision]:
-        """Returns what to do now.
+        """Decides what to place, evict and end now.
 
-        Room for every `PlaceJob` is set aside until `ended` is called; every
-        `EvictJob` is returned once.
+        The resources of each `PlaceJob` stay allocated until `attempt_ended`
+        is called. Each `EvictJob` is returned once.
 
         Args:
             now_ms: Monotonic time.
@@ -271,72 +279,77 @@
         Returns:
             The decisions, in the order in which to carry them out.
         """
-        self._advance(now_ms)
-        ended = self._expire()
-        self._wake_up()
+        self._advance_clock(now_ms)
+        ended = self._end_expired()
+        self._process_wake_ups()
         if not self._changed or not self._domain.in_service:
             return ended
         self._changed = False
         domain = self._domain
-        domain.secure()
-        guaranteed_placement.settle(domain)
+        domain.plan_cells()
+        guaranteed_placement.bind_placed_jobs(domain)
         return [
             *ended,
-            *guaranteed_placement.redeem(domain, self._now_ms),
+            *guaranteed_placement.place_pending(domain, self._now_ms),
             *guaranteed_placement.place(domain, self._now_ms),
             *opportunistic_placement.place(domain, self._now_ms),
         ]
 
     def queued(self) -> tuple[ids.JobId, ...]:
-        """Returns the queued jobs, first in line first."""
-        waiting = (entry.spec.job for entry in self._domain.queue)
-        return (*self._domain.pending_placements, *waiting)
+        """Returns the queued jobs, those with pending placements first."""
+        queued_jobs = (entry.spec.job for entry in self._domain.queue)
+        return (*self._domain.pending_placements, *queued_jobs)
 
     def queued_without_placement(self) -> tuple[ids.JobId, ...]:
-        """Returns the queued jobs for which no room is being cleared."""
+        """Returns the queued jobs that have no pending placement."""
         return tuple(entry.spec.job for entry in self._domain.queue)
 
     def revocable(self, job: ids.JobId) -> bool:
-        """Returns whether a placed job may be evicted for another."""
+        """Returns whether a job is placed and may be evicted for another."""
         return self._domain.revocable(job)
 
     def quarantined(self) -> tuple[ids.WorkerId, ...]:
-        """Returns the workers that fail the jobs placed on them."""
-        return self._domain.health.quarantined()
+        """Returns the workers quarantined for failing distinct jobs."""
+        return self._domain.quarantine.quarantined()
 
-    def unsecured(self) -> int:
-        """Returns how many guaranteed gangs have no room in the pool."""
-        self._domain.secure()
+    def unplanned_cells(self) -> int:
+        """Returns the number of guaranteed gangs that the pool cannot hold."""
+        self._domain.plan_cells()
         return len(self._domain.plan.unplanned())
 
     def fragmentation(self) -> float:
         """Returns the share of free accelerators that queued jobs cannot use.
 
-        See `fragmentation.share_unusable`.
+        See `fragmentation.unusable_share`.
         """
-        pending: dict[shapes.Shape, int] = {}
+        queued_gangs: dict[shapes.Shape, int] = {}
         for entry in self._domain.queue:
-            pending[entry.shape] = pending.get(entry.shape, 0) + 1
-        return fragmentation.share_unusable(self._domain.pool.free, pending)
+            queued_gangs[entry.shape] = queued_gangs.get(entry.shape, 0) + 1
+        return fragmentation.unusable_share(
+            self._domain.pool.free, queued_gangs
+        )
 
     def free_accelerators(self) -> int:
-        """Returns how many accelerators of usable workers no job holds."""
+        """Returns the number of unallocated accelerators of usable workers."""
         return self._domain.pool.free.total
 
     def queued_accelerators(self) -> int:
-        """Returns how many accelerators the queued jobs ask for."""
-        claimed = sum(
-            claim.entry.shape.accelerators
-            for claim in self._domain.pending_placements.values()
+        """Returns the number of accelerators requested by queued jobs."""
+        pending_accelerators = sum(
+            pending.entry.shape.accelerators
+            for pending in self._domain.pending_placements.values()
         )
-        return claimed + self._domain.queue.accelerators
+        return pending_accelerators + self._domain.queue.accelerators
 
     def largest_gang(self) -> int:
-        """Returns the accelerators of the failure domain's usable workers."""
+        """Returns the total number of accelerators of usable workers.
+
+        No gang larger than that can be placed in the failure domain.
+        """
         pool = self._domain.pool
         return sum(pool.capacity(worker).accelerators for worker in pool.free)
 
-    def _advance(self, now_ms: int) -> None:
+    def _advance_clock(self, now_ms: int) -> None:
         self._now_ms = max(self._now_ms, now_ms)
 
     def _wall_ms(self) -> int | None:
@@ -352,7 +365,7 @@
         if known is None or offset_ms > known:
             self._wall_offset_ms = offset_ms
 
-    def _knows(self, job: ids.JobId) -> bool:
+    def _is_known(self, job: ids.JobId) -> bool:
         domain = self._domain
         return (
             job in domain.queue
@@ -360,45 +373,52 @@
             or job in domain.pending_placements
         )
 
-    def _entry(self, spec: jobs.JobSpec, progress: float) -> queueing.Entry:
-        return queueing.Entry(
+    def _new_entry(
+        self, spec: jobs.JobSpec, progress: float
+    ) -> job_queue.JobEntry:
+        return job_queue.JobEntry(
             spec=spec, sequence=next(self._sequence), progress=progress
         )
 
-    def _forget(self, job: ids.JobId) -> queueing.Entry | None:
+    def _withdraw(self, job: ids.JobId) -> job_queue.JobEntry | None:
         domain = self._domain
         if job in domain.pending_placements:
-            domain.release_claim(job, self._now_ms)
+            domain.cancel_pending(job, self._now_ms)
         placed = domain.remove(job, self._now_ms)
         return placed.entry if placed else domain.queue.remove(job)
 
-    def _enqueue(self, entry: queueing.Entry) -> None:
+    def _enqueue(self, entry: job_queue.JobEntry) -> None:
         self._changed = True
-        press_at_ms = None
+        promote_at_ms = None
         if entry.spec.deadline_ms is not None:
-            run_ms = self._domain.estimator.run_ms(entry.spec, entry.progress)
-            press_at_ms = entry.spec.deadline_ms - _PRESS_RUN_TIMES * run_ms
-        self._domain.enqueue(entry, self._now_ms, press_at_ms)
+            run_ms = self._domain.estimator.expected_run_ms(
+                entry.spec, entry.progress
+            )
+            promote_at_ms = entry.spec.deadline_ms - _PROMOTE_RUN_TIMES * run_ms
+        self._domain.enqueue(entry, self._now_ms, promote_at_ms)
 
-    def _expire(self) -> list[decisions.EndJob]:
+    def _end_expired(self) -> list[decisions.EndJob]:
         wall_ms = self._wall_ms()
         if wall_ms is None:
             return []
-        if self._domain.queue.press(wall_ms):
+        if self._domain.queue.promote_near_deadline(wall_ms):
             self._changed = True
-        expired = self._domain.queue.expired(wall_ms)
+        expired = self._domain.queue.pop_expired(wall_ms)
         if expired:
             self._changed = True
         return [
-            decisions.EndJob(job=entry.spec.job, result=verdicts.expired(entry))
+            decisions.EndJob(
+                job=entry.spec.job,
+                result=attempt_outcomes.deadline_result(entry),
+            )
             for entry in expired
         ]
 
-    def _wake_up(self) -> None:
+    def _process_wake_ups(self) -> None:
         wake_up_times_ms = self._domain.wake_up_times_ms
         while wake_up_times_ms and wake_up_times_ms[0] <= self._now_ms:
             heapq.heappop(wake_up_times_ms)
             self._changed = True
-        for worker in self._domain.health.due(self._now_ms):
+        for worker in self._domain.quarantine.start_due_probes(self._now_ms):
             self._changed = True
             self._domain.refresh_worker(worker, self._now_ms)
