--- a/citronmount/fleet/advice_cache.py
+++ b/citronmount/fleet/advice_cache.py
@@ -16,7 +16,7 @@
 
 __all__ = ["AdviceCache"]
 
-WORKERS_PER_QUESTION = 30
+MAX_WORKERS_PER_REQUEST = 30
 RETRY_MS = 200
 TICKET_MARGIN_MS = 300
 
@@ -36,19 +36,19 @@
         """Initializes without any answer."""
         self._tickets: dict[StepId, dict[ids.WorkerId, _Ticket]] = {}
         self._refused: dict[StepId, set[ids.WorkerId]] = {}
-        self._open = False
+        self._request_pending = False
         self._next_ms = 0
 
     def ticket(
         self, step: StepId, worker: worker_directory.Worker, now_ms: int
     ) -> str:
         """Returns the valid ticket of a step for a worker, or empty."""
-        found = self._tickets.get(step, {}).get(worker.worker)
-        if found is None or found.life_ms != worker.life_ms:
+        ticket = self._tickets.get(step, {}).get(worker.worker)
+        if ticket is None or ticket.life_ms != worker.life_ms:
             return ""
-        return found.text if now_ms < found.until_ms else ""
+        return ticket.text if now_ms < ticket.until_ms else ""
 
-    def next_question(
+    def next_request(
         self,
         step: StepId,
         candidates: Iterable[worker_directory.Worker],
@@ -64,7 +64,7 @@
         Returns:
             The question; its answer has to come before the next one.
         """
-        if self._open or now_ms < self._next_ms:
+        if self._request_pending or now_ms < self._next_ms:
             return None
         refused = self._refused.get(step, set())
         unknown = [
@@ -75,19 +75,19 @@
         ]
         if not unknown:
             return None
-        self._open = True
+        self._request_pending = True
         return commands.RequestAdvice(
-            step=step, workers=tuple(unknown[:WORKERS_PER_QUESTION])
+            step=step, workers=tuple(unknown[:MAX_WORKERS_PER_REQUEST])
         )
 
-    def answered(
+    def store_answer(
         self,
         advice_request: commands.RequestAdvice,
         answer: commands.AdviceAnswer,
         now_ms: int,
     ) -> None:
         """Takes in the answer to a question."""
-        self._open = False
+        self._request_pending = False
         tickets = self._tickets.setdefault(StepId(advice_request.step), {})
         refused = self._refused.setdefault(StepId(advice_request.step), set())
         until_ms = now_ms + answer.valid_ms - TICKET_MARGIN_MS
@@ -100,12 +100,12 @@
                 text=text, life_ms=worker.life_ms, until_ms=until_ms
             )
 
-    def unanswered(self, now_ms: int) -> None:
+    def request_failed(self, now_ms: int) -> None:
         """Takes in that a question got no answer."""
-        self._open = False
+        self._request_pending = False
         self._next_ms = now_ms + RETRY_MS
 
-    def drop(self, step: StepId, worker: ids.WorkerId) -> None:
+    def drop_ticket(self, step: StepId, worker: ids.WorkerId) -> None:
         """Drops a ticket that a worker did not take."""
         self._tickets.get(step, {}).pop(worker, None)
 
--- a/citronmount/fleet/delay_scheduling.py
+++ b/citronmount/fleet/delay_scheduling.py
@@ -12,9 +12,9 @@
 
 __all__ = ["DelayPolicy"]
 
-DISTRUST_WAIT_MS = 1_500
-GUARANTEED_WAIT_MS = 700
-IDLE_POOL_WAIT_MS = 1_500
+DISTRUSTED_DELAY_MS = 1_500
+MAX_GUARANTEED_DELAY_MS = 700
+MAX_IDLE_POOL_DELAY_MS = 1_500
 
 
 class DelayPolicy(msgspec.Struct, frozen=True, kw_only=True):
@@ -30,33 +30,31 @@
     bounds: fleet_configuration.Bounds
     idle_pool: bool
 
-    def takes_distrusted(self, unit: waiting_units.WaitingUnit) -> bool:
+    def accepts_distrusted(self, unit: waiting_units.WaitingUnit) -> bool:
         """Returns whether any worker is better than further waiting.
 
         Jobs that fail everywhere can cost many workers their trust.
         """
-        return self.now_ms - unit.since_ms >= DISTRUST_WAIT_MS
+        return self.now_ms - unit.since_ms >= DISTRUSTED_DELAY_MS
 
-    def takes_slow(
+    def accepts_slow(
         self, unit: waiting_units.WaitingUnit, guaranteed: bool
     ) -> bool:
         """Returns whether a slow worker is better than further waiting."""
-        limit_ms = self._bounded(unit.step.estimate_ms, guaranteed)
+        limit_ms = self._capped(unit.step.estimate_ms, guaranteed)
         return self.now_ms - unit.since_ms >= limit_ms
 
-    def takes_far(
+    def accepts_other_racks(
         self, unit: waiting_units.WaitingUnit, guaranteed: bool
     ) -> bool:
         """Returns whether another rack is better than further waiting."""
         slower = self.bounds.spread_factor - 1
-        limit_ms = self._bounded(
-            int(slower * unit.step.estimate_ms), guaranteed
-        )
+        limit_ms = self._capped(int(slower * unit.step.estimate_ms), guaranteed)
         return self.now_ms - unit.since_ms >= limit_ms
 
-    def _bounded(self, limit_ms: int, guaranteed: bool) -> int:
+    def _capped(self, limit_ms: int, guaranteed: bool) -> int:
         if self.idle_pool:
-            limit_ms = min(limit_ms, IDLE_POOL_WAIT_MS)
+            limit_ms = min(limit_ms, MAX_IDLE_POOL_DELAY_MS)
         if guaranteed:
-            limit_ms = min(limit_ms, GUARANTEED_WAIT_MS)
+            limit_ms = min(limit_ms, MAX_GUARANTEED_DELAY_MS)
         return limit_ms
--- a/citronmount/fleet/fitting.py
+++ b/citronmount/fleet/fitting.py
@@ -18,9 +18,16 @@
 from citronmount.fleet import worker_directory
 from citronmount.workflow import spec
 
-__all__ = ["Need", "Shelf", "Spread", "fit", "shelf", "suits"]
+__all__ = [
+    "Requirements",
+    "TaskSlots",
+    "Spread",
+    "choose_workers",
+    "task_slots",
+    "suits",
+]
 
-FreeRoom = Callable[[worker_directory.Worker], spec.Demand]
+FreeCapacity = Callable[[worker_directory.Worker], spec.Demand]
 
 
 class Spread(enum.Enum):
@@ -30,7 +37,7 @@
     ANYWHERE = "anywhere"
 
 
-class Need(msgspec.Struct, frozen=True, kw_only=True):
+class Requirements(msgspec.Struct, frozen=True, kw_only=True):
     """What one unit needs.
 
     Attributes:
@@ -50,7 +57,7 @@
     taken: dict[ids.WorkerId, int] = {}
 
 
-class Shelf:
+class TaskSlots:
     """Room for single tasks of one shape, the tightest worker first.
 
     Load pattern: steps of many equal tasks arrive at once. Taking a task's room
@@ -75,26 +82,26 @@
         return next(self._workers, None)
 
 
-def suits(need: Need, worker: worker_directory.Worker) -> bool:
+def suits(requirements: Requirements, worker: worker_directory.Worker) -> bool:
     """Returns whether a worker may ever run tasks of a unit."""
-    label = need.step.worker_label
+    label = requirements.step.worker_label
     return (
-        worker.service == need.service
-        and worker.worker not in need.avoid
+        worker.service == requirements.service
+        and worker.worker not in requirements.avoid
         and (not label or label in worker.labels)
     )
 
 
-def fit(
-    need: Need,
+def choose_workers(
+    requirements: Requirements,
     workers: Iterable[worker_directory.Worker],
-    free: FreeRoom,
+    free: FreeCapacity,
     spread: Spread,
 ) -> list[worker_directory.Worker] | None:
     """Finds workers for all tasks of a unit.
 
     Args:
-        need: The unit.
+        requirements: The unit.
         workers: The workers that may get work.
         free: The free room of a worker.
         spread: Whether the unit may leave its preferred rack.
@@ -102,39 +109,39 @@
     Returns:
         A worker for each task, or None if the unit does not fit.
     """
-    slots = _slots(need, workers, free)
-    if need.last:
-        first = [p for p in slots if p[0].worker not in need.last]
-        chosen = _fit_slots(need, first, free, spread)
+    slots = _slots(requirements, workers, free)
+    if requirements.last:
+        preferred = [p for p in slots if p[0].worker not in requirements.last]
+        chosen = _choose_from_slots(requirements, preferred, free, spread)
         if chosen is not None:
             return chosen
-    return _fit_slots(need, slots, free, spread)
+    return _choose_from_slots(requirements, slots, free, spread)
 
 
-def _fit_slots(
-    need: Need,
+def _choose_from_slots(
+    requirements: Requirements,
     slots: Sequence[tuple[worker_directory.Worker, int]],
-    free: FreeRoom,
+    free: FreeCapacity,
     spread: Spread,
 ) -> list[worker_directory.Worker] | None:
-    if sum(count for _, count in slots) < need.tasks:
+    if sum(count for _, count in slots) < requirements.tasks:
         return None
-    near = _in_one_rack(need, slots, free)
-    if near is not None or spread is Spread.PREFERRED:
-        return near
-    return _fill(need, slots, free)
+    in_rack = _fill_one_rack(requirements, slots, free)
+    if in_rack is not None or spread is Spread.PREFERRED:
+        return in_rack
+    return _fill(requirements, slots, free)
 
 
-def shelf(
-    need: Need,
+def task_slots(
+    requirements: Requirements,
     workers: Iterable[worker_directory.Worker],
-    free: FreeRoom,
+    free: FreeCapacity,
     spread: Spread,
-) -> Shelf:
+) -> TaskSlots:
     """Finds the workers for many single tasks of one shape.
 
     Args:
-        need: The tasks; as many as may ever want to start.
+        requirements: The tasks; as many as may ever want to start.
         workers: The workers that may get work.
         free: The free room of a worker.
         spread: Whether the tasks may leave their preferred rack.
@@ -142,90 +149,99 @@
     Returns:
         The room, which holds as long as nothing else takes or gives any.
     """
-    slots = _slots(need, workers, free)
-    slots = _ranked(need, slots, free)
-    rack = need.step.data_rack
+    slots = _slots(requirements, workers, free)
+    slots = _tightest_first(requirements, slots, free)
+    rack = requirements.step.data_rack
     if not rack:
-        return Shelf(slots=slots)
-    near = [pair for pair in slots if pair[0].rack == rack]
+        return TaskSlots(slots=slots)
+    in_rack = [pair for pair in slots if pair[0].rack == rack]
     if spread is Spread.PREFERRED:
-        return Shelf(slots=near)
-    return Shelf(slots=near + [p for p in slots if p[0].rack != rack])
+        return TaskSlots(slots=in_rack)
+    return TaskSlots(slots=in_rack + [p for p in slots if p[0].rack != rack])
 
 
 def _slots(
-    need: Need, workers: Iterable[worker_directory.Worker], free: FreeRoom
+    requirements: Requirements,
+    workers: Iterable[worker_directory.Worker],
+    free: FreeCapacity,
 ) -> list[tuple[worker_directory.Worker, int]]:
-    demand = worker_allocations.allocated_demand(need.step)
+    demand = worker_allocations.allocated_demand(requirements.step)
     slots = [
-        (worker, _limited(need, worker, free(worker), demand))
+        (worker, _task_limit(requirements, worker, free(worker), demand))
         for worker in workers
-        if suits(need, worker)
+        if suits(requirements, worker)
     ]
     return [pair for pair in slots if pair[1] > 0]
 
 
-def _limited(
-    need: Need,
+def _task_limit(
+    requirements: Requirements,
     worker: worker_directory.Worker,
     free: spec.Demand,
     demand: spec.Demand,
 ) -> int:
-    count = worker_allocations.max_task_count(free, demand, need.tasks)
-    limit = need.step.max_tasks_per_worker
+    count = worker_allocations.max_task_count(free, demand, requirements.tasks)
+    limit = requirements.step.max_tasks_per_worker
     if not limit:
         return count
-    return min(count, limit - need.taken.get(worker.worker, 0))
+    return min(count, limit - requirements.taken.get(worker.worker, 0))
 
 
-def _in_one_rack(
-    need: Need,
+def _fill_one_rack(
+    requirements: Requirements,
     slots: Sequence[tuple[worker_directory.Worker, int]],
-    free: FreeRoom,
+    free: FreeCapacity,
 ) -> list[worker_directory.Worker] | None:
     """Finds the tightest rack, or any workers where racks do not matter."""
-    if need.step.data_rack:
-        near = [pair for pair in slots if pair[0].rack == need.step.data_rack]
-        return _fill(need, near, free)
-    if need.tasks == 1 or not need.step.one_rack:
-        return _fill(need, slots, free)
+    if requirements.step.data_rack:
+        in_rack = [
+            pair
+            for pair in slots
+            if pair[0].rack == requirements.step.data_rack
+        ]
+        return _fill(requirements, in_rack, free)
+    if requirements.tasks == 1 or not requirements.step.one_rack:
+        return _fill(requirements, slots, free)
     racks = collections.defaultdict(list)
     for worker, count in slots:
         racks[worker.rack].append((worker, count))
     ranked = sorted(
         racks.items(), key=lambda item: (sum(n for _, n in item[1]), item[0])
     )
-    found = (_fill(need, members, free) for _, members in ranked)
+    found = (_fill(requirements, members, free) for _, members in ranked)
     return next((chosen for chosen in found if chosen is not None), None)
 
 
 def _fill(
-    need: Need,
+    requirements: Requirements,
     slots: Sequence[tuple[worker_directory.Worker, int]],
-    free: FreeRoom,
+    free: FreeCapacity,
 ) -> list[worker_directory.Worker] | None:
-    if sum(count for _, count in slots) < need.tasks:
+    if sum(count for _, count in slots) < requirements.tasks:
         return None
     chosen: list[worker_directory.Worker] = []
-    for worker, count in _ranked(need, slots, free):
-        chosen += [worker] * min(count, need.tasks - len(chosen))
+    for worker, count in _tightest_first(requirements, slots, free):
+        chosen += [worker] * min(count, requirements.tasks - len(chosen))
     return chosen
 
 
-def _ranked(
-    need: Need,
+def _tightest_first(
+    requirements: Requirements,
     slots: Sequence[tuple[worker_directory.Worker, int]],
-    free: FreeRoom,
+    free: FreeCapacity,
 ) -> list[tuple[worker_directory.Worker, int]]:
     """Returns slots, the tightest first, those to be used last at the end."""
     return sorted(
         slots,
-        key=lambda pair: (pair[0].worker in need.last, _left(pair[0], free)),
+        key=lambda pair: (
+            pair[0].worker in requirements.last,
+            _free_share(pair[0], free),
+        ),
     )
 
 
-def _left(
-    worker: worker_directory.Worker, free: FreeRoom
+def _free_share(
+    worker: worker_directory.Worker, free: FreeCapacity
 ) -> tuple[float, ids.WorkerId]:
     """Ranks a worker by the share of its room that is free."""
     left = free(worker)
--- a/citronmount/fleet/guarantees.py
+++ b/citronmount/fleet/guarantees.py
@@ -8,9 +8,9 @@
 from citronmount.fleet import waiting_units
 from citronmount.workflow import units
 
-__all__ = ["FIRST_PRIORITY", "Guarantees"]
+__all__ = ["HIGHEST_PRIORITY", "Guarantees"]
 
-FIRST_PRIORITY = 0
+HIGHEST_PRIORITY = 0
 
 
 class Guarantees:
@@ -32,30 +32,30 @@
             accounts: The client accounts with their guarantees.
             runs: All runs.
         """
-        self._left = {
+        self._unused = {
             account.account: account.guaranteed_accelerators
             for account in accounts
         }
-        self.inside: set[units.UnitId] = set()
+        self.guaranteed_units: set[units.UnitId] = set()
         for run in sorted(runs, key=lambda each: each.placed_ms):
-            if run.submission.terms.priority == FIRST_PRIORITY:
-                self._count(run)
+            if run.submission.terms.priority == HIGHEST_PRIORITY:
+                self._count_run(run)
 
     def covers(self, unit: waiting_units.WaitingUnit) -> bool:
         """Returns whether a unit fits into what is left."""
-        if unit.submission.terms.priority != FIRST_PRIORITY:
+        if unit.submission.terms.priority != HIGHEST_PRIORITY:
             return False
-        left = self._left.get(unit.submission.account, 0)
-        return 0 < unit.accelerators <= left
+        unused = self._unused.get(unit.submission.account, 0)
+        return 0 < unit.accelerators <= unused
 
-    def use(self, unit: waiting_units.WaitingUnit) -> None:
+    def consume(self, unit: waiting_units.WaitingUnit) -> None:
         """Counts a unit that starts, if it is inside the guarantee."""
         if self.covers(unit):
-            self._left[unit.submission.account] -= unit.accelerators
+            self._unused[unit.submission.account] -= unit.accelerators
 
-    def _count(self, run: unit_runs.Run) -> None:
+    def _count_run(self, run: unit_runs.Run) -> None:
         account: ids.AccountId = run.submission.account
         used = len(run.members) * run.step.demand.accelerators
-        if used <= self._left.get(account, 0):
-            self._left[account] -= used
-            self.inside.add(run.unit)
+        if used <= self._unused.get(account, 0):
+            self._unused[account] -= used
+            self.guaranteed_units.add(run.unit)
--- a/citronmount/fleet/job_completion.py
+++ b/citronmount/fleet/job_completion.py
@@ -31,32 +31,32 @@
         self._state = state
         self._driver = driver
 
-    def end_jobs(self, now_ms: int, wall_ms: int) -> None:
+    def finish_ended_jobs(self, now_ms: int, wall_ms: int) -> None:
         """Ends jobs that are complete, failed or cancelled."""
         for job, entry in list(self._state.job_view.jobs.items()):
             final = final_state(entry)
-            if final is None or job in self._state.finishing:
+            if final is None or job in self._state.finishing_jobs:
                 continue
             cause = unit_runs.EndCause.JOB_FAILED
             if final is records.FinalState.CANCELLED:
                 cause = unit_runs.EndCause.CANCELLED
-            left = self._state.table.of_job(job)
-            for run in left:
+            remaining_runs = self._state.table.runs_of_job(job)
+            for run in remaining_runs:
                 if run.outcome is not commands.EndKind.DONE:
                     self._state.end_run(run, cause)
-                    self._driver.drive_to_end(run, now_ms)
-            if not left:
-                self._finish(job, entry, final, wall_ms)
-        self._forget_old(wall_ms)
+                    self._driver.send_due_stops(run, now_ms)
+            if not remaining_runs:
+                self._record_final_state(job, entry, final, wall_ms)
+        self._forget_expired_jobs(wall_ms)
 
-    def _finish(
+    def _record_final_state(
         self,
         job: ids.JobId,
         entry: job_views.JobEntry,
         final: records.FinalState,
         wall_ms: int,
     ) -> None:
-        self._state.finishing.add(job)
+        self._state.finishing_jobs.add(job)
         record = records.Finished(
             job=job,
             state=final,
@@ -65,11 +65,11 @@
             finished_ms=wall_ms,
         )
         keys = self._state.job_view.keys_of(job)
-        self._state.write(record)
+        self._state.append_record(record)
         for key in keys:
-            self._state.drop_key(key)
+            self._state.remove_key(key)
         self._state.advice.forget_job(job)
-        for unit in entry.progress.changed:
+        for unit in entry.progress.unit_records:
             self._state.forget_unit(unit)
         self._state.log.info(
             "job_finished",
@@ -83,15 +83,15 @@
             margin_ms=entry.submission.terms.objective_ms,
         )
 
-    def _forget_old(self, wall_ms: int) -> None:
+    def _forget_expired_jobs(self, wall_ms: int) -> None:
         kept_s = self._state.bounds.status_s + FINAL_STATE_MARGIN_S
         for job in self._state.job_view.expired_jobs(
             wall_ms - kept_s * _MS_PER_S
         ):
-            if job not in self._state.finishing:
-                self._state.finishing.add(job)
+            if job not in self._state.finishing_jobs:
+                self._state.finishing_jobs.add(job)
                 key = records.final_key(job)
-                self._state.drop_key(key)
+                self._state.remove_key(key)
 
 
 def final_state(
--- a/citronmount/fleet/lease_sessions.py
+++ b/citronmount/fleet/lease_sessions.py
@@ -8,12 +8,12 @@
 from citronmount.fleet import commands
 from citronmount.fleet import worker_directory
 
-__all__ = ["HoldState", "LeasePolicy", "LeaseSession"]
+__all__ = ["RenewalState", "LeasePolicy", "LeaseSession"]
 
-_SLOWEST_CLOCK = 0.98
+_MIN_CLOCK_RATE = 0.98
 
 
-class HoldState(enum.Enum):
+class RenewalState(enum.Enum):
     """Whether a hold is on its way."""
 
     IDLE = "idle"
@@ -71,39 +71,39 @@
         self.worker = worker
         self.answered_ms: int | None = None
         self.runs = 0
-        self.waits_unanswered = 0
+        self.unanswered_renewals = 0
         self._policy = policy
         self._token = token
-        self._hold = HoldState.IDLE
-        self._next_hold_ms = now_ms
+        self._renewal = RenewalState.IDLE
+        self._next_renewal_ms = now_ms
         self._clock_ms = 0
-        self._lease_end_ms = now_ms + self._real_ms(policy.max_lease_ms)
-        self._last_seen = 0
-        self._sent_seen = 0
-        self._told_seen = 0
-        self._look_wanted = False
+        self._lease_end_ms = now_ms + self._max_owner_ms(policy.max_lease_ms)
+        self._forgettable_end = 0
+        self._sent_end = 0
+        self._acknowledged_end = 0
+        self._poll_requested = False
         self._unresolved: set[int] = set()
         self._highest_end = 0
 
     @property
-    def primed(self) -> bool:
+    def has_answered(self) -> bool:
         """Whether the worker has answered this owner."""
         return self.answered_ms is not None
 
     @property
-    def holding(self) -> bool:
+    def renewal_pending(self) -> bool:
         """Whether a hold is on its way."""
-        return self._hold is HoldState.OPEN
+        return self._renewal is RenewalState.OPEN
 
     def clock_ms(self, now_ms: int) -> int:
         """Returns what the worker's clock has reached at least."""
         if self.answered_ms is None:
             return 0
         return self._clock_ms + int(
-            (now_ms - self.answered_ms) * _SLOWEST_CLOCK
+            (now_ms - self.answered_ms) * _MIN_CLOCK_RATE
         )
 
-    def lease_until_ms(self, now_ms: int) -> int:
+    def grant_lease_ms(self, now_ms: int) -> int:
         """Returns the end of a new lease and remembers that it was given.
 
         Args:
@@ -113,11 +113,11 @@
             The end on the worker's clock.
         """
         until_ms = self.clock_ms(now_ms) + self._policy.lease_ms
-        end_ms = now_ms + self._real_ms(self._policy.lease_ms)
+        end_ms = now_ms + self._max_owner_ms(self._policy.lease_ms)
         self._lease_end_ms = max(self._lease_end_ms, end_ms)
         return until_ms
 
-    def lapsed(self, now_ms: int) -> bool:
+    def lease_expired(self, now_ms: int) -> bool:
         """Returns whether every lease that was given has surely run out."""
         return now_ms > self._lease_end_ms + self._policy.stop_ms
 
@@ -127,13 +127,13 @@
             return 0
         return now_ms - self.answered_ms
 
-    def heard(self, clock_ms: int, now_ms: int) -> None:
+    def update_clock(self, clock_ms: int, now_ms: int) -> None:
         """Takes in a clock reading from any answer."""
         if self.answered_ms is None or clock_ms >= self.clock_ms(now_ms):
             self._clock_ms = clock_ms
             self.answered_ms = now_ms
 
-    def next_hold(self, now_ms: int) -> commands.RenewLeases | None:
+    def next_renewal(self, now_ms: int) -> commands.RenewLeases | None:
         """Returns the hold that is due, if any.
 
         Args:
@@ -142,69 +142,71 @@
         Returns:
             The hold; the session then waits for its answer.
         """
-        if self._look_wanted:
-            return self._look()
-        if self._hold is HoldState.OPEN or now_ms < self._next_hold_ms:
+        if self._poll_requested:
+            return self._next_poll()
+        if self._renewal is RenewalState.OPEN or now_ms < self._next_renewal_ms:
             return None
-        if not self._has_reason_to_hold:
+        if not self._has_reason_to_renew:
             return None
-        self._hold = HoldState.OPEN
-        self._sent_seen = self._last_seen
+        self._renewal = RenewalState.OPEN
+        self._sent_end = self._forgettable_end
         trusted = self.silent_ms(now_ms) < self._policy.trust_ms
-        renews = self.primed and self.runs and trusted
-        quick = self._unresolved or not self.primed or not self.runs
+        renews = self.has_answered and self.runs and trusted
+        no_wait = self._unresolved or not self.has_answered or not self.runs
         return commands.RenewLeases(
             worker=self.worker,
-            until_ms=self.lease_until_ms(now_ms) if renews else None,
-            last_seen=self._last_seen,
-            wait_ms=0 if quick else self._policy.wait_ms,
+            until_ms=self.grant_lease_ms(now_ms) if renews else None,
+            last_seen=self._forgettable_end,
+            wait_ms=0 if no_wait else self._policy.wait_ms,
             token=self._token,
         )
 
-    def _look(self) -> commands.RenewLeases:
+    def _next_poll(self) -> commands.RenewLeases:
         """Returns a hold that only asks, beside one that may be waiting."""
-        self._look_wanted = False
+        self._poll_requested = False
         return commands.RenewLeases(
             worker=self.worker,
             until_ms=None,
-            last_seen=self._told_seen,
+            last_seen=self._acknowledged_end,
             wait_ms=0,
             token=self._token,
             look=True,
         )
 
-    def look_answered(self, report: commands.LeaseReport, now_ms: int) -> None:
+    def poll_answered(self, report: commands.LeaseReport, now_ms: int) -> None:
         """Takes in the answer to a look."""
-        self.waits_unanswered = 0
-        self.heard(report.clock_ms, now_ms)
+        self.unanswered_renewals = 0
+        self.update_clock(report.clock_ms, now_ms)
 
-    def hold_answered(self, report: commands.LeaseReport, now_ms: int) -> None:
+    def renewal_answered(
+        self, report: commands.LeaseReport, now_ms: int
+    ) -> None:
         """Takes in the answer to a hold."""
-        self._hold = HoldState.IDLE
-        self.waits_unanswered = 0
+        self._renewal = RenewalState.IDLE
+        self.unanswered_renewals = 0
         self._clock_ms = report.clock_ms
-        self._told_seen = self._sent_seen
+        self._acknowledged_end = self._sent_end
         self.answered_ms = now_ms
-        self._next_hold_ms = now_ms
+        self._next_renewal_ms = now_ms
 
-    def hold_failed(self, now_ms: int) -> None:
+    def renewal_failed(self, now_ms: int) -> None:
         """Takes in that a hold got no answer."""
-        self._hold = HoldState.IDLE
-        self.waits_unanswered += 1
-        self._next_hold_ms = now_ms + self._policy.retry_ms
+        self._renewal = RenewalState.IDLE
+        self.unanswered_renewals += 1
+        self._next_renewal_ms = now_ms + self._policy.retry_ms
 
-    def hold_soon(self, now_ms: int) -> None:
+    def renew_soon(self, now_ms: int) -> None:
         """Lets the next hold go out without a pause."""
-        self._next_hold_ms = now_ms
+        self._next_renewal_ms = now_ms
 
-    def look_soon(self) -> None:
+    def poll_soon(self) -> None:
         """Has the worker asked at once what it runs.
 
         A hold that is on its way waits for an end, which may be long.
         """
-        self._look_wanted = True
+        self._poll_requested = True
 
-    def note_end(self, number: int, now_ms: int) -> bool:
+    def register_end(self, number: int, now_ms: int) -> bool:
         """Takes in the number of an end.
 
         Args:
@@ -216,7 +218,7 @@
         """
         if number <= self._highest_end:
             if number in self._unresolved:
-                self._next_hold_ms = now_ms + self._policy.retry_ms
+                self._next_renewal_ms = now_ms + self._policy.retry_ms
             return False
         self._highest_end = number
         self._unresolved.add(number)
@@ -230,16 +232,18 @@
             now_ms: Steady time in milliseconds.
         """
         self._unresolved.discard(number)
-        seen = min(self._unresolved, default=self._highest_end + 1) - 1
-        if seen > self._last_seen:
-            self._last_seen = seen
-            self._next_hold_ms = now_ms
+        forgettable = min(self._unresolved, default=self._highest_end + 1) - 1
+        if forgettable > self._forgettable_end:
+            self._forgettable_end = forgettable
+            self._next_renewal_ms = now_ms
 
     @property
-    def _has_reason_to_hold(self) -> bool:
-        untold = self._told_seen < self._last_seen
-        unclear = not self.primed or self.waits_unanswered > 0
-        return unclear or bool(self.runs or self._unresolved) or untold
+    def _has_reason_to_renew(self) -> bool:
+        unacknowledged = self._acknowledged_end < self._forgettable_end
+        unanswered = not self.has_answered or self.unanswered_renewals > 0
+        return (
+            unanswered or bool(self.runs or self._unresolved) or unacknowledged
+        )
 
-    def _real_ms(self, worker_ms: int) -> int:
-        return int(worker_ms / _SLOWEST_CLOCK)
+    def _max_owner_ms(self, worker_ms: int) -> int:
+        return int(worker_ms / _MIN_CLOCK_RATE)
--- a/citronmount/fleet/owner_state.py
+++ b/citronmount/fleet/owner_state.py
@@ -102,31 +102,33 @@
         self.policy = policy
         self.table = run_table.RunTable()
         self.sessions: dict[ids.WorkerId, lease_sessions.LeaseSession] = {}
-        self.strangers: dict[ids.WorkerId, int] = {}
-        self.heard: set[ids.WorkerId] = set()
-        self.suspended: dict[ids.WorkerId, int] = {}
-        self.ready_since: dict[units.UnitId, int] = {}
-        self.clearing: dict[units.UnitId, list[unit_runs.Run]] = {}
-        self.finishing: set[ids.JobId] = set()
-        self.unrecorded: collections.Counter[units.UnitId] = (
+        self.unknown_runs: dict[ids.WorkerId, int] = {}
+        self.answered_workers: set[ids.WorkerId] = set()
+        self.suspended_until_ms: dict[ids.WorkerId, int] = {}
+        self.ready_since_ms: dict[units.UnitId, int] = {}
+        self.victims_by_unit: dict[units.UnitId, list[unit_runs.Run]] = {}
+        self.finishing_jobs: set[ids.JobId] = set()
+        self.pending_unit_records: collections.Counter[units.UnitId] = (
             collections.Counter()
         )
-        self.later_ends: dict[units.UnitId, list[tuple[records.Place, int]]] = (
-            collections.defaultdict(list)
-        )
+        self.deferred_ends: dict[
+            units.UnitId, list[tuple[records.Place, int]]
+        ] = collections.defaultdict(list)
         self.last_runs: dict[units.UnitId, unit_runs.Run] = {}
-        self.failed_at: dict[units.UnitId, set[ids.WorkerId]] = {}
-        self.stalls: collections.Counter[units.UnitId] = collections.Counter()
+        self.failed_workers: dict[units.UnitId, set[ids.WorkerId]] = {}
+        self.stall_counts: collections.Counter[units.UnitId] = (
+            collections.Counter()
+        )
         self.health = worker_health.WorkerHealth()
         self.speeds = worker_speeds.WorkerSpeeds()
         self.speeds.restore(job_view.speeds, now_ms)
         self.advice = advice_cache.AdviceCache()
         self.entries: list[LogEntry] = []
         self.commands: list[commands.Command] = []
-        self.orphans_gone_ms = now_ms + int(
+        self.orphan_leases_end_ms = now_ms + int(
             policy.max_lease_ms * CLOCK_DRIFT_FACTOR + policy.stop_ms
         )
-        self.changed = True
+        self.needs_planning = True
 
     def end_run(self, run: unit_runs.Run, cause: unit_runs.EndCause) -> None:
         """Makes what is left of a run end, and tells why."""
@@ -141,26 +143,30 @@
             )
         run.end(cause)
 
-    def write(
+    def append_record(
         self,
         record: records.Record,
         ends: tuple[tuple[records.Place, int], ...] = (),
     ) -> None:
         """Has a record appended, and ends told once it is durable."""
         if isinstance(record, records.UnitChanged):
-            self.unrecorded[record.unit] += 1
+            self.pending_unit_records[record.unit] += 1
         self.entries.append(
             LogEntry(key=records.key_of(record), record=record, ends=ends)
         )
 
-    def resolve(self, place: records.Place, number: int, now_ms: int) -> None:
+    def resolve_end(
+        self, place: records.Place, number: int, now_ms: int
+    ) -> None:
         """Lets a worker forget an end, if that life still lasts."""
-        session = self.session_at(place)
+        session = self.session_at_place(place)
         if session is not None:
             session.resolve_end(number, now_ms)
-            self.heard.add(place.worker)
+            self.answered_workers.add(place.worker)
 
-    def member_gone(self, run: unit_runs.Run, member: unit_runs.Member) -> None:
+    def mark_member_missing(
+        self, run: unit_runs.Run, member: unit_runs.Member
+    ) -> None:
         """Notes a task that its worker no longer has."""
         self.log.info(
             "run_missing",
@@ -168,12 +174,12 @@
             run=run.number,
             worker=member.place.worker,
         )
-        self.table.gone(run, member)
-        self.changed = True
+        self.table.mark_gone(run, member)
+        self.needs_planning = True
         if run.outcome is not commands.EndKind.DONE:
             self.end_run(run, unit_runs.EndCause.MEMBER_ENDED)
 
-    def session_of(
+    def session_for(
         self, worker: worker_directory.Worker
     ) -> lease_sessions.LeaseSession | None:
         """Returns the session of this life of a worker, if any."""
@@ -182,30 +188,30 @@
             return None
         return session
 
-    def note_durable(self, unit: units.UnitId, now_ms: int) -> None:
+    def on_record_durable(self, unit: units.UnitId, now_ms: int) -> None:
         """Lets workers forget further ends of a run once it is recorded."""
-        self.unrecorded[unit] -= 1
-        if self.unrecorded[unit] > 0:
+        self.pending_unit_records[unit] -= 1
+        if self.pending_unit_records[unit] > 0:
             return
-        for place, number in self.later_ends.pop(unit, ()):
-            self.resolve(place, number, now_ms)
+        for place, number in self.deferred_ends.pop(unit, ()):
+            self.resolve_end(place, number, now_ms)
 
-    def drop_key(self, key: str) -> None:
+    def remove_key(self, key: str) -> None:
         """Has a key of the job topic removed."""
         self.entries.append(LogEntry(key=key, record=None))
 
     def forget_unit(self, unit: units.UnitId) -> None:
         """Drops what is remembered of a unit whose job has ended."""
         for kept in (
-            self.ready_since,
+            self.ready_since_ms,
             self.last_runs,
-            self.failed_at,
-            self.stalls,
-            self.unrecorded,
+            self.failed_workers,
+            self.stall_counts,
+            self.pending_unit_records,
         ):
             kept.pop(unit, None)
 
-    def session_at(
+    def session_at_place(
         self, place: records.Place
     ) -> lease_sessions.LeaseSession | None:
         """Returns the session of the life that a place names, if it lives."""
--- a/citronmount/fleet/planning.py
+++ b/citronmount/fleet/planning.py
@@ -23,9 +23,9 @@
 
 __all__ = ["Planner"]
 
-URGENCY_FACTOR = 1.5
-PATIENT_SLACK_FACTOR = 2.0
-_IDLE_POOL_SHARE = 0.5
+MAX_LOSS_FACTOR = 1.5
+RELAXED_SLACK_FACTOR = 2.0
+_IDLE_POOL_MAX_USE = 0.5
 
 # What decides whether a unit fits: units with equal shapes fit alike.
 _Shape = tuple
@@ -41,7 +41,7 @@
     return 1.0
 
 
-def _anyone(key: units.UnitKey, worker: worker_directory.Worker) -> bool:
+def _any_worker(key: units.UnitKey, worker: worker_directory.Worker) -> bool:
     del key, worker
     return True
 
@@ -67,7 +67,7 @@
         slowdown: Callable[[worker_directory.Worker], float] = _full_speed,
         allowed: Callable[
             [units.UnitKey, worker_directory.Worker], bool
-        ] = _anyone,
+        ] = _any_worker,
     ) -> None:
         """Initializes a round.
 
@@ -84,40 +84,44 @@
         self._allowed = allowed
         trusts = {each.worker: trust(each) for each in workers}
         slowdowns = {each.worker: slowdown(each) for each in workers}
-        self._all = list(workers)
-        self._workers = [
+        self._all_workers = list(workers)
+        self._trusted_workers = [
             each for each in workers if not trusts[each.worker].distrusted
         ]
-        self._quick = [
+        self._fast_workers = [
             each
-            for each in self._workers
+            for each in self._trusted_workers
             if trusts[each.worker].slowness < worker_health.SLOW_FACTOR
             and slowdowns[each.worker] < worker_health.SLOW_FACTOR
         ]
-        self._slower = frozenset(
+        self._slower_names = frozenset(
             name
             for name, factor in slowdowns.items()
             if factor >= worker_speeds.SLOWER_FACTOR
         )
-        self._quicker = frozenset(slowdowns) - self._slower
+        self._faster_names = frozenset(slowdowns) - self._slower_names
         self._table = table
-        self._room = table.room.copy()
+        self._allocations = table.allocations.copy()
         self._bounds = bounds
         self._now_ms = now_ms
         self._guarantees = guarantees.Guarantees(accounts=accounts, runs=table)
-        self._stopped: set[units.UnitId] = set()
-        self._full: set[_Shape] = set()
-        self._chosen: dict[tuple, collections.Counter[ids.WorkerId]] = (
+        self._victim_units: set[units.UnitId] = set()
+        self._unplaceable: set[_Shape] = set()
+        self._placed_counts: dict[tuple, collections.Counter[ids.WorkerId]] = (
             collections.defaultdict(collections.Counter)
         )
-        self._serving = _places(run for run in table if run.step.goal_ms)
-        self._filling = _places(run for run in table if run.step.fills)
-        self._patience = delay_scheduling.DelayPolicy(
+        self._serving_workers = _workers_of(
+            run for run in table if run.step.goal_ms
+        )
+        self._filling_workers = _workers_of(
+            run for run in table if run.step.fills
+        )
+        self._delay_policy = delay_scheduling.DelayPolicy(
             now_ms=now_ms,
             bounds=bounds,
-            idle_pool=self._used_share() < _IDLE_POOL_SHARE,
+            idle_pool=self._used_fraction() < _IDLE_POOL_MAX_USE,
         )
-        self._shelf: tuple[_Shape, fitting.Shelf] | None = None
+        self._slots_of_shape: tuple[_Shape, fitting.TaskSlots] | None = None
         self._one_rack_fits: dict[tuple, bool] = {}
         self._objective_ends_ms: dict[ids.JobId, int] = {}
 
@@ -137,7 +141,7 @@
         for unit in ranked:
             decision = self._decide_one(unit)
             if decision is not None:
-                self._accept(decision)
+                self._reserve(decision)
                 decisions.append(decision)
         return decisions
 
@@ -162,27 +166,27 @@
     def _decide_one(
         self, unit: waiting_units.WaitingUnit
     ) -> waiting_units.Decision | None:
-        within = self._guarantees.covers(unit)
-        spread = self._spread(unit, within)
-        shape = self._shape(unit, spread, within)
-        if shape in self._full and not within:
+        within_guarantee = self._guarantees.covers(unit)
+        spread = self._spread(unit, within_guarantee)
+        shape = self._shape(unit, spread, within_guarantee)
+        if shape in self._unplaceable and not within_guarantee:
             return None
-        chosen = self._fit(unit, shape, spread, within)
+        chosen = self._fit(unit, shape, spread, within_guarantee)
         if chosen is not None:
             return waiting_units.Decision(
                 waiting=unit,
                 workers=tuple(chosen),
-                within_guarantee=within,
+                within_guarantee=within_guarantee,
                 spread=spread,
             )
-        self._full.add(shape)
-        return self._reclaim(unit, spread, within)
+        self._unplaceable.add(shape)
+        return self._preempt(unit, spread, within_guarantee)
 
     def _shape(
         self,
         unit: waiting_units.WaitingUnit,
         spread: fitting.Spread,
-        within: bool,
+        within_guarantee: bool,
     ) -> _Shape:
         return (
             unit.submission.terms.service,
@@ -191,9 +195,9 @@
             spread,
             unit.avoid,
             unit.submission.terms.slack_factor,
-            self._patience.takes_slow(unit, within),
-            self._patience.takes_distrusted(unit),
-            _step_place(unit.key) if _is_particular(unit) else None,
+            self._delay_policy.accepts_slow(unit, within_guarantee),
+            self._delay_policy.accepts_distrusted(unit),
+            _step_key(unit.key) if _has_step_limits(unit) else None,
         )
 
     def _fit(
@@ -201,7 +205,7 @@
         unit: waiting_units.WaitingUnit,
         shape: _Shape,
         spread: fitting.Spread,
-        within: bool,
+        within_guarantee: bool,
     ) -> list[worker_directory.Worker] | None:
         """Finds workers with room for a unit.
 
@@ -209,28 +213,32 @@
         takes room between them.
         """
         if unit.tasks > 1:
-            workers = self._suited(unit, within)
-            return fitting.fit(self._need(unit), workers, self._free, spread)
-        if self._shelf is None or self._shelf[0] != shape:
-            need = self._need(unit, most=unit.step.tasks)
-            workers = self._suited(unit, within)
-            shelf = fitting.shelf(need, workers, self._free, spread)
-            self._shelf = (shape, shelf)
-        worker = self._shelf[1].take()
+            workers = self._acceptable_workers(unit, within_guarantee)
+            return fitting.choose_workers(
+                self._requirements(unit), workers, self._free_capacity, spread
+            )
+        if self._slots_of_shape is None or self._slots_of_shape[0] != shape:
+            requirements = self._requirements(unit, task_count=unit.step.tasks)
+            workers = self._acceptable_workers(unit, within_guarantee)
+            slots = fitting.task_slots(
+                requirements, workers, self._free_capacity, spread
+            )
+            self._slots_of_shape = (shape, slots)
+        worker = self._slots_of_shape[1].take()
         return None if worker is None else [worker]
 
-    def _suited(
-        self, unit: waiting_units.WaitingUnit, within: bool
+    def _acceptable_workers(
+        self, unit: waiting_units.WaitingUnit, within_guarantee: bool
     ) -> list[worker_directory.Worker]:
         """Returns the workers that are good enough for a unit by now."""
-        workers = self._quick
-        if self._patience.takes_slow(unit, within):
-            workers = self._workers
-        if self._patience.takes_distrusted(unit):
-            workers = self._all
-        return [each for each in workers if self._gets_along(unit, each)]
-
-    def _gets_along(
+        workers = self._fast_workers
+        if self._delay_policy.accepts_slow(unit, within_guarantee):
+            workers = self._trusted_workers
+        if self._delay_policy.accepts_distrusted(unit):
+            workers = self._all_workers
+        return [each for each in workers if self._is_compatible(unit, each)]
+
+    def _is_compatible(
         self, unit: waiting_units.WaitingUnit, worker: worker_directory.Worker
     ) -> bool:
         """Returns whether a unit may and should go to a worker at all.
@@ -242,16 +250,16 @@
         if advised and not self._allowed(unit.key, worker):
             return False
         if unit.step.fills:
-            return worker.worker not in self._serving
+            return worker.worker not in self._serving_workers
         if unit.step.goal_ms:
-            return worker.worker not in self._filling
+            return worker.worker not in self._filling_workers
         return True
 
-    def _reclaim(
+    def _preempt(
         self,
         unit: waiting_units.WaitingUnit,
         spread: fitting.Spread,
-        within: bool,
+        within_guarantee: bool,
     ) -> waiting_units.Decision | None:
         """Finds runs to stop for a unit of the first priority.
 
@@ -260,137 +268,152 @@
         unit itself is: a burst of urgent jobs is then served at the cost of
         young runs.
         """
-        if unit.submission.terms.priority != guarantees.FIRST_PRIORITY:
+        if unit.submission.terms.priority != guarantees.HIGHEST_PRIORITY:
             return None
         workers = [
-            each for each in self._workers if self._gets_along(unit, each)
+            each
+            for each in self._trusted_workers
+            if self._is_compatible(unit, each)
         ]
         found = preemption.find(
-            self._need(unit),
+            self._requirements(unit),
             workers,
-            self._free,
-            self._revocable(within),
+            self._free_capacity,
+            self._revocable(within_guarantee),
             self._cost,
             spread,
         )
         if found is None:
             return None
         worth = preemption.planned_work(unit.step, unit.tasks)
-        if not within and found.cost_core_s > URGENCY_FACTOR * worth:
+        if not within_guarantee and found.cost_core_s > MAX_LOSS_FACTOR * worth:
             return None
         return waiting_units.Decision(
             waiting=unit,
             workers=found.workers,
             victims=found.victims,
-            within_guarantee=within,
+            within_guarantee=within_guarantee,
             spread=spread,
             lost_core_s=found.cost_core_s,
         )
 
-    def _revocable(self, within: bool) -> list[unit_runs.Run]:
+    def _revocable(self, within_guarantee: bool) -> list[unit_runs.Run]:
         """Returns the runs that may be stopped."""
-        lowest = guarantees.FIRST_PRIORITY
+        highest = guarantees.HIGHEST_PRIORITY
         revocable = [
             run
             for run in self._table
-            if run.unit not in self._guarantees.inside
-            and run.unit not in self._stopped
+            if run.unit not in self._guarantees.guaranteed_units
+            and run.unit not in self._victim_units
             and run.phase is unit_runs.RunPhase.ACTIVE
-            and (within or run.submission.terms.priority > lowest)
+            and (within_guarantee or run.submission.terms.priority > highest)
             and not run.step.lasting
         ]
-        return revocable + (self._spare_lasting() if within else [])
+        return revocable + (
+            self._stoppable_lasting_runs() if within_guarantee else []
+        )
 
-    def _spare_lasting(self) -> list[unit_runs.Run]:
+    def _stoppable_lasting_runs(self) -> list[unit_runs.Run]:
         """Returns lasting runs that their steps can spare at present."""
         steps = collections.defaultdict(list)
         for run in self._table:
-            if run.step.lasting and run.unit not in self._guarantees.inside:
-                steps[_step_place(run.key)].append(run)
-        return [run for members in steps.values() for run in _spared(members)]
+            if (
+                run.step.lasting
+                and run.unit not in self._guarantees.guaranteed_units
+            ):
+                steps[_step_key(run.key)].append(run)
+        return [
+            run for members in steps.values() for run in _stoppable(members)
+        ]
 
     def _cost(self, run: unit_runs.Run) -> float:
         return preemption.lost_work(run, self._now_ms, self._bounds.save_s)
 
-    def _accept(self, decision: waiting_units.Decision) -> None:
+    def _reserve(self, decision: waiting_units.Decision) -> None:
         unit = decision.waiting
         if decision.victims or unit.tasks > 1:
-            self._shelf = None
-        self._guarantees.use(unit)
-        self._stopped.update(run.unit for run in decision.victims)
+            self._slots_of_shape = None
+        self._guarantees.consume(unit)
+        self._victim_units.update(run.unit for run in decision.victims)
         demand = worker_allocations.allocated_demand(unit.step)
         names = {worker.worker for worker in decision.workers}
         if unit.step.goal_ms:
-            self._serving |= names
+            self._serving_workers |= names
         if unit.step.fills:
-            self._filling |= names
+            self._filling_workers |= names
         for worker in decision.workers:
-            self._room.take(worker.worker, demand)
-            self._chosen[_step_place(unit.key)][worker.worker] += 1
+            self._allocations.take(worker.worker, demand)
+            self._placed_counts[_step_key(unit.key)][worker.worker] += 1
 
-    def _free(self, worker: worker_directory.Worker) -> spec.Demand:
+    def _free_capacity(self, worker: worker_directory.Worker) -> spec.Demand:
         return worker_allocations.subtract_demands(
-            worker.capacity, self._room.used(worker.worker)
+            worker.capacity, self._allocations.used(worker.worker)
         )
 
-    def _need(
-        self, unit: waiting_units.WaitingUnit, most: int = 0
-    ) -> fitting.Need:
+    def _requirements(
+        self, unit: waiting_units.WaitingUnit, task_count: int = 0
+    ) -> fitting.Requirements:
         """Returns what a unit needs, or `most` single tasks like it."""
-        return fitting.Need(
-            tasks=most or unit.tasks,
+        return fitting.Requirements(
+            tasks=task_count or unit.tasks,
             step=unit.step,
             service=unit.submission.terms.service,
-            avoid=self._avoided(unit),
-            last=self._last(unit),
-            taken=self._taken(unit) if unit.step.max_tasks_per_worker else {},
+            avoid=self._avoided_workers(unit),
+            last=self._last_resort_workers(unit),
+            taken=self._tasks_per_worker(unit)
+            if unit.step.max_tasks_per_worker
+            else {},
         )
 
-    def _last(self, unit: waiting_units.WaitingUnit) -> frozenset[ids.WorkerId]:
+    def _last_resort_workers(
+        self, unit: waiting_units.WaitingUnit
+    ) -> frozenset[ids.WorkerId]:
         """Returns the workers that a unit should leave to others.
 
         Load pattern: urgent gangs among work that can wait. Jobs with little
         slack get the quick workers, the others leave those free for them.
         """
-        patient = unit.submission.terms.slack_factor >= PATIENT_SLACK_FACTOR
-        if self._slower and patient and not unit.step.lasting:
-            return self._quicker
-        return self._slower
+        relaxed = unit.submission.terms.slack_factor >= RELAXED_SLACK_FACTOR
+        if self._slower_names and relaxed and not unit.step.lasting:
+            return self._faster_names
+        return self._slower_names
 
-    def _avoided(
+    def _avoided_workers(
         self, unit: waiting_units.WaitingUnit
     ) -> frozenset[ids.WorkerId]:
         """Returns where not to start, unless that leaves nowhere."""
         if not unit.avoid:
             return unit.avoid
-        anywhere = _bare_need(unit)
-        suited = {
+        anywhere = _unplaced_requirements(unit)
+        suitable = {
             worker.worker
-            for worker in self._all
+            for worker in self._all_workers
             if fitting.suits(anywhere, worker)
         }
-        return unit.avoid if suited - unit.avoid else frozenset()
+        return unit.avoid if suitable - unit.avoid else frozenset()
 
-    def _taken(
+    def _tasks_per_worker(
         self, unit: waiting_units.WaitingUnit
     ) -> collections.Counter[ids.WorkerId]:
-        place = _step_place(unit.key)
+        step = _step_key(unit.key)
         running = collections.Counter(
             member.place.worker
-            for run in self._table.of_job(unit.key.job)
-            if _step_place(run.key) == place
+            for run in self._table.runs_of_job(unit.key.job)
+            if _step_key(run.key) == step
             for member in run.live_members
         )
-        return running + self._chosen[place]
+        return running + self._placed_counts[step]
 
     def _spread(
-        self, unit: waiting_units.WaitingUnit, within: bool
+        self, unit: waiting_units.WaitingUnit, within_guarantee: bool
     ) -> fitting.Spread:
         """Returns whether waiting for the preferred rack costs too much."""
         if not unit.step.one_rack and not unit.step.data_rack:
             return fitting.Spread.PREFERRED
-        far = self._patience.takes_far(unit, within)
-        if far or not self._fits_one_rack(unit):
+        other_racks = self._delay_policy.accepts_other_racks(
+            unit, within_guarantee
+        )
+        if other_racks or not self._fits_one_rack(unit):
             return fitting.Spread.ANYWHERE
         return fitting.Spread.PREFERRED
 
@@ -399,9 +422,9 @@
         shape = (unit.submission.terms.service, unit.step, unit.tasks)
         known = self._one_rack_fits.get(shape)
         if known is None:
-            chosen = fitting.fit(
-                _bare_need(unit),
-                self._workers,
+            chosen = fitting.choose_workers(
+                _unplaced_requirements(unit),
+                self._trusted_workers,
                 lambda worker: worker.capacity,
                 fitting.Spread.PREFERRED,
             )
@@ -409,43 +432,49 @@
             self._one_rack_fits[shape] = known
         return known
 
-    def _used_share(self) -> float:
-        names = [worker.worker for worker in self._workers]
-        used = self._room.total(names)
-        whole = sum(worker.capacity.accelerators for worker in self._workers)
-        cores = sum(worker.capacity.millicores for worker in self._workers)
+    def _used_fraction(self) -> float:
+        names = [worker.worker for worker in self._trusted_workers]
+        used = self._allocations.total(names)
+        whole = sum(
+            worker.capacity.accelerators for worker in self._trusted_workers
+        )
+        cores = sum(
+            worker.capacity.millicores for worker in self._trusted_workers
+        )
         return max(
             used.accelerators / whole if whole else 0.0,
             used.millicores / cores if cores else 0.0,
         )
 
 
-def _bare_need(unit: waiting_units.WaitingUnit) -> fitting.Need:
+def _unplaced_requirements(
+    unit: waiting_units.WaitingUnit,
+) -> fitting.Requirements:
     """Returns what a unit needs of workers that hold nothing."""
-    return fitting.Need(
+    return fitting.Requirements(
         tasks=unit.tasks,
         step=unit.step,
         service=unit.submission.terms.service,
     )
 
 
-def _is_particular(unit: waiting_units.WaitingUnit) -> bool:
+def _has_step_limits(unit: waiting_units.WaitingUnit) -> bool:
     """Returns whether its own step decides where a unit may go."""
     advised = unit.submission.terms.needs_advice
     return advised or unit.step.max_tasks_per_worker > 0
 
 
-def _step_place(key: units.UnitKey) -> tuple[ids.JobId, int, int]:
+def _step_key(key: units.UnitKey) -> tuple[ids.JobId, int, int]:
     """Returns what units of one step and occurrence share."""
     return key.job, key.occurrence, key.step
 
 
-def _places(some: Iterable[unit_runs.Run]) -> set[ids.WorkerId]:
+def _workers_of(some: Iterable[unit_runs.Run]) -> set[ids.WorkerId]:
     """Returns the workers that hold tasks of some runs."""
     return {member.place.worker for run in some for member in run.live_members}
 
 
-def _spared(members: list[unit_runs.Run]) -> list[unit_runs.Run]:
+def _stoppable(members: list[unit_runs.Run]) -> list[unit_runs.Run]:
     """Returns how many runs of one lasting step may be away, as runs.
 
     A step without a bound on unavailable tasks can spare all of them.
@@ -458,5 +487,5 @@
     step = members[0].step
     if not step.max_unavailable:
         return working
-    away = step.tasks - len(working)
-    return working[: max(step.max_unavailable - away, 0)]
+    unavailable = step.tasks - len(working)
+    return working[: max(step.max_unavailable - unavailable, 0)]
--- a/citronmount/fleet/pool_owner.py
+++ b/citronmount/fleet/pool_owner.py
@@ -19,9 +19,9 @@
 
 __all__ = ["PoolOwner"]
 
-LOOK_PERIOD_MS = 100
-KEEP_SPEEDS_PERIOD_MS = 5_000
-SPEED_CHANGE = 0.05
+FULL_SCAN_PERIOD_MS = 100
+SPEEDS_RECORD_PERIOD_MS = 5_000
+MIN_SPEED_CHANGE = 0.05
 
 
 class PoolOwner:
@@ -47,16 +47,16 @@
         self._state = state
         self._sessions = worker_sessions.WorkerSessions(state=self._state)
         self._driver = run_driver.RunDriver(state=self._state)
-        self._ends = job_completion.JobCompletion(
+        self._completion = job_completion.JobCompletion(
             state=self._state, driver=self._driver
         )
         self.reports = worker_reports.WorkerReports(
             state=self._state, sessions=self._sessions
         )
         self._accounts: tuple[fleet_configuration.Account, ...] = ()
-        self._next_look_ms = 0
-        self._next_keep_ms = now_ms + KEEP_SPEEDS_PERIOD_MS
-        self._kept_speeds = dict(state.job_view.speeds)
+        self._next_full_scan_ms = 0
+        self._next_speeds_record_ms = now_ms + SPEEDS_RECORD_PERIOD_MS
+        self._recorded_speeds = dict(state.job_view.speeds)
         self._driver.restore(now_ms)
 
     @property
@@ -69,11 +69,11 @@
     ) -> None:
         """Takes in the client accounts of the configuration in force."""
         self._accounts = accounts
-        self._state.changed = True
+        self._state.needs_planning = True
 
     def mark_changed(self) -> None:
         """Takes in that the book or the directory changed."""
-        self._state.changed = True
+        self._state.needs_planning = True
 
     def take_entries(self, most: int) -> list[owner_state.LogEntry]:
         """Returns the records to append next, oldest first.
@@ -102,17 +102,17 @@
             if entry.record is None:
                 self._state.job_view.apply_removal(number, entry.key)
                 job = records.job_of_final_key(entry.key)
-                self._state.finishing.discard(job)
+                self._state.finishing_jobs.discard(job)
             else:
                 self._state.job_view.apply(number, entry.record)
             for place, end in entry.ends:
-                self._state.resolve(place, end, now_ms)
+                self._state.resolve_end(place, end, now_ms)
             if isinstance(entry.record, records.UnitChanged):
-                self._state.note_durable(entry.record.unit, now_ms)
-                self._driver.recorded(entry.record)
+                self._state.on_record_durable(entry.record.unit, now_ms)
+                self._driver.activate_recorded_run(entry.record)
             if isinstance(entry.record, records.Finished):
-                self._state.finishing.discard(entry.record.job)
-        self._state.changed = True
+                self._state.finishing_jobs.discard(entry.record.job)
+        self._state.needs_planning = True
 
     def step(self, now_ms: int, wall_ms: int) -> list[commands.Command]:
         """Decides on all that happened and on the passing of time.
@@ -124,41 +124,42 @@
         Returns:
             The orders to send.
         """
-        look = now_ms >= self._next_look_ms
-        if look:
-            self._next_look_ms = now_ms + LOOK_PERIOD_MS
-        self._sessions.follow_directory(now_ms, look)
-        self._driver.settle(now_ms, look)
-        if self._state.changed or look:
-            self._state.changed = False
-            self._ends.end_jobs(now_ms, wall_ms)
+        full_scan = now_ms >= self._next_full_scan_ms
+        if full_scan:
+            self._next_full_scan_ms = now_ms + FULL_SCAN_PERIOD_MS
+        self._sessions.sync_with_directory(now_ms, full_scan)
+        self._driver.advance_runs(now_ms, full_scan)
+        if self._state.needs_planning or full_scan:
+            self._state.needs_planning = False
+            self._completion.finish_ended_jobs(now_ms, wall_ms)
             self._plan(now_ms, wall_ms)
-        if now_ms >= self._next_keep_ms:
-            self._next_keep_ms = now_ms + KEEP_SPEEDS_PERIOD_MS
-            self._keep_speeds()
-        self._sessions.due_holds(now_ms)
+        if now_ms >= self._next_speeds_record_ms:
+            self._next_speeds_record_ms = now_ms + SPEEDS_RECORD_PERIOD_MS
+            self._record_speeds()
+        self._sessions.send_due_renewals(now_ms)
         out, self._state.commands = self._state.commands, []
         return out
 
-    def _keep_speeds(self) -> None:
+    def _record_speeds(self) -> None:
         """Has the speeds of machines recorded for the next owner."""
         machines = {each.speed_key for each in self._state.directory}
-        speeds = self._state.speeds.kept(machines)
-        before = self._kept_speeds
+        speeds = self._state.speeds.snapshot(machines)
+        previous = self._recorded_speeds
         changed = any(
-            machine not in before or abs(log - before[machine]) >= SPEED_CHANGE
+            machine not in previous
+            or abs(log - previous[machine]) >= MIN_SPEED_CHANGE
             for machine, log in speeds.items()
         )
         if changed:
-            self._kept_speeds = speeds
-            self._state.write(records.SpeedsLearned(logs=speeds))
+            self._recorded_speeds = speeds
+            self._state.append_record(records.SpeedsLearned(logs=speeds))
 
     def _plan(self, now_ms: int, wall_ms: int) -> None:
-        waiting = self._waiting(now_ms, wall_ms)
+        waiting = self._waiting_units(now_ms, wall_ms)
         if not waiting:
             return
-        usable = self._sessions.usable(now_ms)
-        self._ask_for_advice(waiting, usable, now_ms)
+        usable = self._sessions.usable_workers(now_ms)
+        self._request_advice(waiting, usable, now_ms)
         planner = planning.Planner(
             workers=usable,
             table=self._state.table,
@@ -174,9 +175,9 @@
             now_ms=now_ms,
         )
         for decision in planner.decide(waiting):
-            self._place(decision, now_ms)
+            self._apply_decision(decision, now_ms)
 
-    def _ask_for_advice(
+    def _request_advice(
         self,
         waiting: list[waiting_units.WaitingUnit],
         usable: list[worker_directory.Worker],
@@ -186,57 +187,62 @@
         for unit in waiting:
             if not unit.submission.terms.needs_advice:
                 continue
-            room = self._state.table.room
-            suited = [
+            allocations = self._state.table.allocations
+            candidates = [
                 worker
                 for worker in usable
-                if waiting_units.has_room_for(unit, worker, room)
+                if waiting_units.has_capacity_for(unit, worker, allocations)
             ]
-            advice_request = self._state.advice.next_question(
-                unit.key.step_id, suited, now_ms
+            advice_request = self._state.advice.next_request(
+                unit.key.step_id, candidates, now_ms
             )
             if advice_request is not None:
                 self._state.commands.append(advice_request)
                 return
 
-    def _waiting(
+    def _waiting_units(
         self, now_ms: int, wall_ms: int
     ) -> list[waiting_units.WaitingUnit]:
         waiting = []
         for job, entry in self._state.job_view.jobs.items():
             if (
                 job_completion.final_state(entry) is not None
-                or job in self._state.finishing
+                or job in self._state.finishing_jobs
             ):
                 continue
             waiting += [
-                self._waiting_unit(entry, key, now_ms)
+                self._to_waiting_unit(entry, key, now_ms)
                 for key in entry.progress.open_units(wall_ms)
                 if self._state.table.get(key.unit) is None
-                and not self._state.unrecorded.get(key.unit)
+                and not self._state.pending_unit_records.get(key.unit)
             ]
         return waiting
 
-    def _waiting_unit(
+    def _to_waiting_unit(
         self, entry: job_views.JobEntry, key: units.UnitKey, now_ms: int
     ) -> waiting_units.WaitingUnit:
-        before = entry.progress.changed.get(key.unit)
+        previous = entry.progress.unit_records.get(key.unit)
         last = self._state.last_runs.get(key.unit)
         return waiting_units.WaitingUnit(
             key=key,
             step=entry.submission.workflow.steps[key.step],
             submission=entry.submission,
-            since_ms=self._state.ready_since.setdefault(key.unit, now_ms),
-            run=max(before.run if before else 0, last.number if last else 0),
-            avoid=frozenset(self._state.failed_at.get(key.unit, ())),
+            since_ms=self._state.ready_since_ms.setdefault(key.unit, now_ms),
+            run=max(
+                previous.run if previous else 0, last.number if last else 0
+            ),
+            avoid=frozenset(self._state.failed_workers.get(key.unit, ())),
             failures=max(
-                before.failures if before else 0, last.failures if last else 0
+                previous.failures if previous else 0,
+                last.failures if last else 0,
             ),
             saved=(last.saved if last else "")
-            or (before.saved if before else ""),
+            or (previous.saved if previous else ""),
         )
 
-    def _place(self, decision: waiting_units.Decision, now_ms: int) -> None:
+    def _apply_decision(
+        self, decision: waiting_units.Decision, now_ms: int
+    ) -> None:
         unit = decision.waiting
         run = unit_runs.Run(
             key=unit.key,
@@ -255,9 +261,9 @@
         self._state.table.add(run)
         for victim in decision.victims:
             self._state.end_run(victim, unit_runs.EndCause.PREEMPTED)
-            self._driver.drive_to_end(victim, now_ms)
-        self._state.clearing[run.unit] = list(decision.victims)
-        self._driver.clear(run)
+            self._driver.send_due_stops(victim, now_ms)
+        self._state.victims_by_unit[run.unit] = list(decision.victims)
+        self._driver.record_if_cleared(run)
         self._state.log.info(
             "unit_placed",
             unit=run.unit,
--- a/citronmount/fleet/preemption.py
+++ b/citronmount/fleet/preemption.py
@@ -20,7 +20,7 @@
 
 __all__ = [
     "CORES_PER_ACCELERATOR",
-    "Reclaim",
+    "PreemptionPlan",
     "find",
     "lost_work",
     "planned_work",
@@ -34,7 +34,7 @@
 Cost = Callable[[unit_runs.Run], float]
 
 
-class Reclaim(msgspec.Struct, frozen=True, kw_only=True):
+class PreemptionPlan(msgspec.Struct, frozen=True, kw_only=True):
     """Where a unit fits once some runs are stopped.
 
     Attributes:
@@ -88,17 +88,17 @@
 
 
 def find(
-    need: fitting.Need,
+    requirements: fitting.Requirements,
     workers: Sequence[worker_directory.Worker],
-    free: fitting.FreeRoom,
+    free: fitting.FreeCapacity,
     revocable: Iterable[unit_runs.Run],
     cost: Cost,
     spread: fitting.Spread,
-) -> Reclaim | None:
+) -> PreemptionPlan | None:
     """Finds the cheapest set of runs whose stop makes room for a unit.
 
     Args:
-        need: The unit.
+        requirements: The unit.
         workers: The workers that may get work.
         free: The free room of a worker.
         revocable: Runs that may be stopped.
@@ -110,56 +110,60 @@
     """
     ranked = sorted(revocable, key=cost)
     groups: list[Sequence[worker_directory.Worker]] = [workers]
-    if spread is fitting.Spread.PREFERRED and need.step.one_rack:
+    if spread is fitting.Spread.PREFERRED and requirements.step.one_rack:
         racks = sorted({worker.rack for worker in workers})
         groups = [[w for w in workers if w.rack == rack] for rack in racks]
     found = [
-        reclaim
+        plan
         for group in groups
-        if (reclaim := _in_group(need, group, free, ranked, cost, spread))
+        if (
+            plan := _find_in_group(
+                requirements, group, free, ranked, cost, spread
+            )
+        )
     ]
     return min(found, key=lambda each: each.cost_core_s, default=None)
 
 
-def _in_group(
-    need: fitting.Need,
+def _find_in_group(
+    requirements: fitting.Requirements,
     group: Sequence[worker_directory.Worker],
-    free: fitting.FreeRoom,
+    free: fitting.FreeCapacity,
     ranked: Sequence[unit_runs.Run],
     cost: Cost,
     spread: fitting.Spread,
-) -> Reclaim | None:
+) -> PreemptionPlan | None:
     names = {worker.worker for worker in group}
-    useful = [run for run in ranked if _touches(run, names)]
+    useful = [run for run in ranked if _runs_on(run, names)]
     victims: list[unit_runs.Run] = []
     chosen = None
     for run in useful:
         victims.append(run)
-        chosen = _fit_without(need, group, free, victims, spread)
+        chosen = _workers_without(requirements, group, free, victims, spread)
         if chosen is not None:
             break
     if chosen is None:
         return None
     for run in sorted(victims, key=cost, reverse=True):
         fewer = [each for each in victims if each is not run]
-        without = _fit_without(need, group, free, fewer, spread)
+        without = _workers_without(requirements, group, free, fewer, spread)
         if without is not None:
             victims, chosen = fewer, without
-    return Reclaim(
+    return PreemptionPlan(
         workers=tuple(chosen),
         victims=tuple(victims),
         cost_core_s=sum(map(cost, victims)),
     )
 
 
-def _touches(run: unit_runs.Run, names: set[ids.WorkerId]) -> bool:
+def _runs_on(run: unit_runs.Run, names: set[ids.WorkerId]) -> bool:
     return any(member.place.worker in names for member in run.live_members)
 
 
-def _fit_without(
-    need: fitting.Need,
+def _workers_without(
+    requirements: fitting.Requirements,
     group: Sequence[worker_directory.Worker],
-    free: fitting.FreeRoom,
+    free: fitting.FreeCapacity,
     victims: Iterable[unit_runs.Run],
     spread: fitting.Spread,
 ) -> list[worker_directory.Worker] | None:
@@ -172,11 +176,11 @@
                 freed.get(worker, worker_allocations.NO_DEMAND), demand
             )
 
-    def with_freed(
+    def free_after_stops(
         worker: worker_directory.Worker,
     ) -> worker_allocations.spec.Demand:
         return worker_allocations.add_demands(
             free(worker), freed.get(worker.worker, worker_allocations.NO_DEMAND)
         )
 
-    return fitting.fit(need, group, with_freed, spread)
+    return fitting.choose_workers(requirements, group, free_after_stops, spread)
--- a/citronmount/fleet/run_driver.py
+++ b/citronmount/fleet/run_driver.py
@@ -13,12 +13,12 @@
 
 __all__ = ["RunDriver"]
 
-START_TRIES = 4
-STALL_FACTOR = 4
-STALL_FLOOR_MS = 20_000
-STILL_FLOOR_MS = 2_000
-STILL_ESTIMATE_SHARE = 0.25
-MOST_MOVES = 2
+MAX_START_ATTEMPTS = 4
+OVERDUE_FACTOR = 4
+MIN_OVERDUE_MS = 20_000
+MIN_STALL_MS = 2_000
+STALL_ESTIMATE_SHARE = 0.25
+MAX_MOVES = 2
 
 
 class RunDriver:
@@ -36,7 +36,7 @@
         """Makes runs of all that workers may still hold."""
         for entry in self._state.job_view.jobs.values():
             workflow = entry.submission.workflow
-            for change in entry.progress.changed.values():
+            for change in entry.progress.unit_records.values():
                 if not change.places:
                     continue
                 key = units.UnitKey.parse(change.unit)
@@ -53,13 +53,13 @@
                     now_ms=now_ms,
                 )
                 for member in run.members:
-                    member.state = unit_runs.MemberState.ORDERED
+                    member.state = unit_runs.MemberState.STARTING
                     member.start_answered = True
                 if change.status is records.UnitStatus.WAITING:
                     self._state.end_run(run, unit_runs.EndCause.MEMBER_ENDED)
                 self._state.table.add(run)
 
-    def recorded(self, change: records.UnitChanged) -> None:
+    def activate_recorded_run(self, change: records.UnitChanged) -> None:
         """Takes in that the record of a run is durable."""
         run = self._state.table.get(change.unit)
         if (
@@ -71,9 +71,9 @@
             return
         run.phase = unit_runs.RunPhase.ACTIVE
         for member in run.members:
-            member.state = unit_runs.MemberState.ORDERED
+            member.state = unit_runs.MemberState.STARTING
 
-    def settle(self, now_ms: int, look: bool) -> None:
+    def advance_runs(self, now_ms: int, full_scan: bool) -> None:
         """Brings every run a step further and removes those over.
 
         Load pattern: hundreds of runs are at work while a few start or end. A
@@ -81,82 +81,84 @@
 
         Args:
             now_ms: Steady time in milliseconds.
-            look: Whether runs at work are looked at as well.
+            full_scan: Whether runs at work are looked at as well.
         """
         for run in self._state.table:
-            if run.at_work and not look:
+            if run.is_working and not full_scan:
                 continue
             if run.phase is unit_runs.RunPhase.CLEARING:
-                self.clear(run)
+                self.record_if_cleared(run)
             elif run.phase is unit_runs.RunPhase.ACTIVE:
-                self._drive(run, now_ms)
-                self._end_if_still(run, now_ms)
-                self._end_if_held_up(run, now_ms)
-                self._end_if_hanging(run, now_ms)
-                self._move_off_leaving_workers(run, now_ms)
+                self._send_due_starts(run, now_ms)
+                self._end_if_member_stalled(run, now_ms)
+                self._end_if_slow_member(run, now_ms)
+                self._end_if_overdue(run, now_ms)
+                self._leave_draining_workers(run, now_ms)
             elif run.phase is unit_runs.RunPhase.ENDING:
-                self.drive_to_end(run, now_ms)
-            self._note_lapsed(run, now_ms)
-            if run.over:
+                self.send_due_stops(run, now_ms)
+            self._drop_expired_members(run, now_ms)
+            if run.is_over:
                 self._state.table.remove(run)
-                self._state.clearing.pop(run.unit, None)
-                self._state.ready_since[run.unit] = now_ms
+                self._state.victims_by_unit.pop(run.unit, None)
+                self._state.ready_since_ms[run.unit] = now_ms
                 self._state.last_runs[run.unit] = run
-                self._state.changed = True
+                self._state.needs_planning = True
 
-    def clear(self, run: unit_runs.Run) -> None:
+    def record_if_cleared(self, run: unit_runs.Run) -> None:
         """Records a run once what it waits for has ended."""
-        victims = self._state.clearing.get(run.unit, [])
-        if all(victim.over for victim in victims):
+        victims = self._state.victims_by_unit.get(run.unit, [])
+        if all(victim.is_over for victim in victims):
             run.phase = unit_runs.RunPhase.RECORDING
-            self._state.write(run.record(records.UnitStatus.PLACED))
+            self._state.append_record(run.to_record(records.UnitStatus.PLACED))
 
-    def _drive(self, run: unit_runs.Run, now_ms: int) -> None:
+    def _send_due_starts(self, run: unit_runs.Run, now_ms: int) -> None:
         """Sends the orders to start that are due."""
         for member in run.live_members:
-            if member.state is not unit_runs.MemberState.ORDERED:
+            if member.state is not unit_runs.MemberState.STARTING:
                 continue
             if member.start_answered or member.start_open:
                 continue
             if now_ms < member.next_order_ms:
                 continue
-            if member.start_tries >= START_TRIES:
+            if member.start_tries >= MAX_START_ATTEMPTS:
                 self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
                 return
             self._send_start(run, member, now_ms)
 
-    def _end_if_still(self, run: unit_runs.Run, now_ms: int) -> None:
+    def _end_if_member_stalled(self, run: unit_runs.Run, now_ms: int) -> None:
         """Ends a run of which a member does not get on, so that it moves.
 
         Each time the limit doubles, as with `_end_if_hanging`.
         """
         if run.started_ms is None or run.step.lasting:
             return
-        share_ms = run.step.estimate_ms * STILL_ESTIMATE_SHARE
-        patience = 2 ** self._state.stalls[run.unit]
-        limit_ms = max(STILL_FLOOR_MS, share_ms) * patience
-        still = [
+        share_ms = run.step.estimate_ms * STALL_ESTIMATE_SHARE
+        backoff = 2 ** self._state.stall_counts[run.unit]
+        limit_ms = max(MIN_STALL_MS, share_ms) * backoff
+        stalled = [
             member.place.worker
             for member in run.live_members
-            if member.progress.still_ms >= limit_ms
+            if member.progress.unchanged_ms >= limit_ms
         ]
-        if still:
+        if stalled:
             self._state.log.warning(
                 "run_stands_still",
                 unit=run.unit,
                 run=run.number,
-                workers=still,
+                workers=stalled,
                 limit_ms=int(limit_ms),
             )
-            self._leave(run, still, unit_runs.EndCause.STALLED, now_ms)
+            self._end_and_avoid(
+                run, stalled, unit_runs.EndCause.STALLED, now_ms
+            )
 
-    def _end_if_held_up(self, run: unit_runs.Run, now_ms: int) -> None:
+    def _end_if_slow_member(self, run: unit_runs.Run, now_ms: int) -> None:
         """Ends a gang that is done sooner if it begins again elsewhere."""
         if run.phase is not unit_runs.RunPhase.ACTIVE or run.step.lasting:
             return
         if run.started_ms is None or len(run.members) < 2:
             return
-        if self._state.stalls[run.unit] >= MOST_MOVES:
+        if self._state.stall_counts[run.unit] >= MAX_MOVES:
             return
         slow = slow_members.slow_workers(run)
         if slow:
@@ -167,9 +169,11 @@
                 workers=sorted(slow),
                 elapsed_ms=now_ms - run.started_ms,
             )
-            self._leave(run, slow, unit_runs.EndCause.SLOW_MEMBER, now_ms)
+            self._end_and_avoid(
+                run, slow, unit_runs.EndCause.SLOW_MEMBER, now_ms
+            )
 
-    def _leave(
+    def _end_and_avoid(
         self,
         run: unit_runs.Run,
         places: Iterable[ids.WorkerId],
@@ -177,13 +181,13 @@
         now_ms: int,
     ) -> None:
         """Ends a run whose unit shall avoid some workers from now on."""
-        self._state.stalls[run.unit] += 1
-        self._state.failed_at.setdefault(run.unit, set()).update(places)
+        self._state.stall_counts[run.unit] += 1
+        self._state.failed_workers.setdefault(run.unit, set()).update(places)
         for worker in places:
-            self._state.health.stands_still(worker, now_ms)
+            self._state.health.mark_stalled(worker, now_ms)
         self._state.end_run(run, cause)
 
-    def _end_if_hanging(self, run: unit_runs.Run, now_ms: int) -> None:
+    def _end_if_overdue(self, run: unit_runs.Run, now_ms: int) -> None:
         """Ends a run that stands still, so that it goes on elsewhere.
 
         Each time the limit doubles: a job that is far longer than it said
@@ -196,17 +200,17 @@
         if elapsed_ms < estimate_ms:
             return
         factors = [
-            self._state.health.overdue(
+            self._state.health.overdue_factor(
                 member.place.worker, elapsed_ms, estimate_ms, now_ms
             )
             for member in run.live_members
         ]
-        patience = 2 ** self._state.stalls[run.unit]
-        least = min(factors, default=0.0)
-        if elapsed_ms < STALL_FLOOR_MS * patience:
+        backoff = 2 ** self._state.stall_counts[run.unit]
+        min_factor = min(factors, default=0.0)
+        if elapsed_ms < MIN_OVERDUE_MS * backoff:
             return
-        if least >= STALL_FACTOR * patience:
-            self._state.stalls[run.unit] += 1
+        if min_factor >= OVERDUE_FACTOR * backoff:
+            self._state.stall_counts[run.unit] += 1
             self._state.log.warning(
                 "run_stalled",
                 unit=run.unit,
@@ -216,9 +220,7 @@
             )
             self._state.end_run(run, unit_runs.EndCause.STALLED)
 
-    def _move_off_leaving_workers(
-        self, run: unit_runs.Run, now_ms: int
-    ) -> None:
+    def _leave_draining_workers(self, run: unit_runs.Run, now_ms: int) -> None:
         """Ends a run that loses nothing by going on elsewhere.
 
         What runs on a worker ends when that leaves. Lasting tasks, and those
@@ -228,24 +230,24 @@
             return
         if not (run.step.lasting or run.step.checkpoints):
             return
-        left_ms = run.started_ms + run.step.estimate_ms - now_ms
+        remaining_ms = run.started_ms + run.step.estimate_ms - now_ms
         for member in run.live_members:
-            session = self._state.session_at(member.place)
+            session = self._state.session_at_place(member.place)
             if session is None:
                 continue
             worker = session.worker
             if worker.state is not worker_directory.WorkerState.DRAINING:
                 continue
-            if run.step.lasting or left_ms > (worker.remaining_ms or 0):
+            if run.step.lasting or remaining_ms > (worker.remaining_ms or 0):
                 self._state.end_run(run, unit_runs.EndCause.WORKER_LEAVES)
                 return
 
     def _send_start(
         self, run: unit_runs.Run, member: unit_runs.Member, now_ms: int
     ) -> None:
-        session = self._state.session_at(member.place)
+        session = self._state.session_at_place(member.place)
         if session is None:
-            self._state.table.gone(run, member)
+            self._state.table.mark_gone(run, member)
             self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
             return
         member.start_open = True
@@ -257,7 +259,7 @@
                 task=member.task,
                 run=run.number,
                 payload=run.submission.workflow.payload,
-                until_ms=session.lease_until_ms(now_ms),
+                until_ms=session.grant_lease_ms(now_ms),
                 saved=run.saved,
                 token=self._state.token,
                 ticket=self._state.advice.ticket(
@@ -267,18 +269,18 @@
             )
         )
 
-    def drive_to_end(self, run: unit_runs.Run, now_ms: int) -> None:
+    def send_due_stops(self, run: unit_runs.Run, now_ms: int) -> None:
         """Sends the orders to stop that are due."""
         for member in run.live_members:
-            if not member.ordered:
-                self._state.table.gone(run, member)
+            if not member.may_have_started:
+                self._state.table.mark_gone(run, member)
             elif not member.stop_open and not member.stop_answered:
                 self._send_stop(run, member, now_ms)
 
     def _send_stop(
         self, run: unit_runs.Run, member: unit_runs.Member, now_ms: int
     ) -> None:
-        session = self._state.session_at(member.place)
+        session = self._state.session_at_place(member.place)
         if session is None:
             return
         if now_ms < member.next_order_ms:
@@ -293,16 +295,18 @@
             )
         )
 
-    def _note_lapsed(self, run: unit_runs.Run, now_ms: int) -> None:
+    def _drop_expired_members(self, run: unit_runs.Run, now_ms: int) -> None:
         """Gives up members whose lease has surely run out."""
         for member in run.live_members:
-            if member.state is unit_runs.MemberState.HELD:
+            if member.state is unit_runs.MemberState.RESERVED:
                 continue
             session = self._state.sessions.get(member.place.worker)
             if session is None:
-                if now_ms > self._state.orphans_gone_ms:
-                    self._state.member_gone(run, member)
+                if now_ms > self._state.orphan_leases_end_ms:
+                    self._state.mark_member_missing(run, member)
                 continue
             silent = session.silent_ms(now_ms) > self._state.policy.trust_ms
-            if (silent or not session.primed) and session.lapsed(now_ms):
-                self._state.member_gone(run, member)
+            if (silent or not session.has_answered) and session.lease_expired(
+                now_ms
+            ):
+                self._state.mark_member_missing(run, member)
--- a/citronmount/fleet/run_table.py
+++ b/citronmount/fleet/run_table.py
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         """Initializes an empty table."""
-        self.room = worker_allocations.WorkerAllocations()
+        self.allocations = worker_allocations.WorkerAllocations()
         self._by_unit: dict[units.UnitId, unit_runs.Run] = {}
         self._by_job: dict[ids.JobId, dict[units.UnitId, unit_runs.Run]] = {}
         self._by_task: dict[
@@ -42,11 +42,11 @@
         """Returns the run of a unit, if it has one."""
         return self._by_unit.get(unit)
 
-    def of_job(self, job: ids.JobId) -> list[unit_runs.Run]:
+    def runs_of_job(self, job: ids.JobId) -> list[unit_runs.Run]:
         """Returns the runs of a job."""
         return list(self._by_job.get(job, {}).values())
 
-    def of_task(
+    def find_task(
         self, task: units.TaskName, number: int
     ) -> tuple[unit_runs.Run, unit_runs.Member] | None:
         """Returns the run and member of a task, if it is that run."""
@@ -55,13 +55,13 @@
             return None
         return found
 
-    def on_worker(
+    def tasks_on_worker(
         self, worker: ids.WorkerId
     ) -> list[tuple[unit_runs.Run, unit_runs.Member]]:
         """Returns what a worker may hold."""
         return [self._by_task[task] for task in self._on_worker.get(worker, ())]
 
-    def count_on(self, worker: ids.WorkerId) -> int:
+    def task_count_on(self, worker: ids.WorkerId) -> int:
         """Returns how many tasks a worker may hold."""
         return len(self._on_worker.get(worker, ()))
 
@@ -73,9 +73,9 @@
         for member in run.members:
             self._by_task[member.task] = (run, member)
             self._on_worker[member.place.worker][member.task] = run
-            self.room.take(member.place.worker, demand)
+            self.allocations.take(member.place.worker, demand)
 
-    def gone(self, run: unit_runs.Run, member: unit_runs.Member) -> None:
+    def mark_gone(self, run: unit_runs.Run, member: unit_runs.Member) -> None:
         """Notes that a member does not run and cannot start any more."""
         if member.state is unit_runs.MemberState.GONE:
             return
@@ -85,14 +85,14 @@
         if not self._on_worker[worker]:
             del self._on_worker[worker]
         self._by_task.pop(member.task, None)
-        self.room.give_back(
+        self.allocations.give_back(
             worker, worker_allocations.allocated_demand(run.step)
         )
 
     def remove(self, run: unit_runs.Run) -> None:
         """Removes a run that is over."""
         del self._by_unit[run.unit]
-        of_job = self._by_job[run.job]
-        del of_job[run.unit]
-        if not of_job:
+        runs_of_job = self._by_job[run.job]
+        del runs_of_job[run.unit]
+        if not runs_of_job:
             del self._by_job[run.job]
--- a/citronmount/fleet/slow_members.py
+++ b/citronmount/fleet/slow_members.py
@@ -11,7 +11,7 @@
 
 SLOW_FACTOR = 2.0
 RESTART_FACTOR = 1.3
-RESTART_S = 0.6
+RESTART_OVERHEAD_S = 0.6
 
 _WHOLE_PERCENT = 100.0
 
@@ -33,8 +33,8 @@
         member.task: member.progress.rough_percent_per_s
         for member in run.live_members
     }
-    known = [rate for rate in rates.values() if rate is not None]
-    best = max(known, default=0.0)
+    measured = [rate for rate in rates.values() if rate is not None]
+    best = max(measured, default=0.0)
     if not best:
         return frozenset()
     slow = [
@@ -43,14 +43,14 @@
         if (rate := rates[member.task]) is not None
         and rate * SLOW_FACTOR < best
     ]
-    again_s = RESTART_FACTOR * _WHOLE_PERCENT / best + RESTART_S
-    left_s = max((_left_s(member) for member in slow), default=0.0)
-    if left_s <= again_s:
+    restart_s = RESTART_FACTOR * _WHOLE_PERCENT / best + RESTART_OVERHEAD_S
+    remaining_s = max((_remaining_s(member) for member in slow), default=0.0)
+    if remaining_s <= restart_s:
         return frozenset()
     return frozenset(member.place.worker for member in slow)
 
 
-def _left_s(member: unit_runs.Member) -> float:
+def _remaining_s(member: unit_runs.Member) -> float:
     rate = member.progress.rough_percent_per_s
     if not rate:
         return float("inf")
--- a/citronmount/fleet/task_progress.py
+++ b/citronmount/fleet/task_progress.py
@@ -2,8 +2,8 @@
 
 __all__ = ["TaskProgress"]
 
-LEAST_CHANGE_PERCENT = 15.0
-ROUGH_RATE_MS = 800
+MIN_CHANGE_PERCENT = 15.0
+MIN_ROUGH_RATE_MS = 800
 
 _WHOLE_PERCENT = 100.0
 _MS_PER_S = 1_000
@@ -22,7 +22,7 @@
         self._last: tuple[int, float] | None = None
         self._changed_ms = 0
 
-    def note(self, percent: float, clock_ms: int) -> None:
+    def add_report(self, percent: float, clock_ms: int) -> None:
         """Takes in a report.
 
         Args:
@@ -44,7 +44,7 @@
         if self._first is None or self._last is None:
             return None
         change = self._last[1] - self._first[1]
-        if change < LEAST_CHANGE_PERCENT:
+        if change < MIN_CHANGE_PERCENT:
             return None
         return change * _MS_PER_S / (self._last[0] - self._first[0])
 
@@ -62,12 +62,12 @@
         if self._first is None or self._last is None:
             return None
         elapsed_ms = self._last[0] - self._first[0]
-        if elapsed_ms < ROUGH_RATE_MS:
+        if elapsed_ms < MIN_ROUGH_RATE_MS:
             return None
         return (self._last[1] - self._first[1]) * _MS_PER_S / elapsed_ms
 
     @property
-    def still_ms(self) -> int:
+    def unchanged_ms(self) -> int:
         """How long the share has not changed by the newest report."""
         if self._last is None:
             return 0
--- a/citronmount/fleet/unit_runs.py
+++ b/citronmount/fleet/unit_runs.py
@@ -18,8 +18,8 @@
 class MemberState(enum.Enum):
     """Where one task of a run stands."""
 
-    HELD = "held"
-    ORDERED = "ordered"
+    RESERVED = "held"
+    STARTING = "ordered"
     RUNNING = "running"
     GONE = "gone"
 
@@ -72,7 +72,7 @@
 
     place: records.Place
     task: units.TaskName
-    state: MemberState = MemberState.HELD
+    state: MemberState = MemberState.RESERVED
     start_open: bool = False
     start_tries: int = 0
     start_sent_ms: int = 0
@@ -88,14 +88,14 @@
     )
 
     @property
-    def ordered(self) -> bool:
+    def may_have_started(self) -> bool:
         """Whether an order to start may have reached its worker."""
-        if self.state is MemberState.HELD:
+        if self.state is MemberState.RESERVED:
             return False
         return self.start_tries > 0 or self.start_answered
 
     @property
-    def certain(self) -> bool:
+    def start_settled(self) -> bool:
         """Whether no order on its way can make the task start any more."""
         if self.stop_open or self.start_open:
             return False
@@ -174,7 +174,7 @@
         return self.key.job
 
     @property
-    def at_work(self) -> bool:
+    def is_working(self) -> bool:
         """Whether all members run and nothing is known to have ended."""
         return (
             self.phase is RunPhase.ACTIVE
@@ -183,7 +183,7 @@
         )
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether no member runs or may still start."""
         return all(member.state is MemberState.GONE for member in self.members)
 
@@ -215,7 +215,7 @@
             member.state is MemberState.RUNNING for member in self.members
         )
 
-    def record(self, status: records.UnitStatus) -> records.UnitChanged:
+    def to_record(self, status: records.UnitStatus) -> records.UnitChanged:
         """Returns the record of the unit's present state.
 
         Args:
--- a/citronmount/fleet/waiting_units.py
+++ b/citronmount/fleet/waiting_units.py
@@ -10,7 +10,7 @@
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
-__all__ = ["Decision", "WaitingUnit", "has_room_for", "objective_end_ms"]
+__all__ = ["Decision", "WaitingUnit", "has_capacity_for", "objective_end_ms"]
 
 
 class WaitingUnit(msgspec.Struct, frozen=True, kw_only=True):
@@ -86,28 +86,28 @@
     return submission.accepted_ms + int(allowed_ms)
 
 
-def has_room_for(
+def has_capacity_for(
     unit: WaitingUnit,
     worker: worker_directory.Worker,
-    room: worker_allocations.WorkerAllocations,
+    allocations: worker_allocations.WorkerAllocations,
 ) -> bool:
     """Returns whether one task of a unit could start at a worker.
 
     Args:
         unit: The unit.
         worker: The worker.
-        room: What is given of the workers' room.
+        allocations: What is given of the workers' room.
 
     Returns:
         Whether the worker suits and has room.
     """
-    need = fitting.Need(
+    requirements = fitting.Requirements(
         tasks=1, step=unit.step, service=unit.submission.terms.service
     )
     free = worker_allocations.subtract_demands(
-        worker.capacity, room.used(worker.worker)
+        worker.capacity, allocations.used(worker.worker)
     )
     demand = worker_allocations.allocated_demand(unit.step)
-    return fitting.suits(need, worker) and bool(
+    return fitting.suits(requirements, worker) and bool(
         worker_allocations.max_task_count(free, demand, 1)
     )
--- a/citronmount/fleet/worker_directory.py
+++ b/citronmount/fleet/worker_directory.py
@@ -66,7 +66,7 @@
         """Initializes an empty directory."""
         self.version = 0
         self._workers: dict[ids.WorkerId, Worker] = {}
-        self._out: set[ids.FailureDomainId] = set()
+        self._domains_out_of_service: set[ids.FailureDomainId] = set()
 
     def __iter__(self) -> Iterator[Worker]:
         """Iterates over the workers that have an entry."""
@@ -109,16 +109,20 @@
         self, domain: ids.FailureDomainId, out: bool
     ) -> None:
         """Takes a failure domain out of service or back."""
-        (self._out.add if out else self._out.discard)(domain)
+        (
+            self._domains_out_of_service.add
+            if out
+            else self._domains_out_of_service.discard
+        )(domain)
 
     def clear_domains_out_of_service(self) -> None:
         """Takes every failure domain back into service."""
-        self._out.clear()
+        self._domains_out_of_service.clear()
 
     def is_usable(self, worker: Worker) -> bool:
         """Returns whether a worker may get new work."""
         return (
             self._workers.get(worker.worker) is worker
             and worker.state is WorkerState.READY
-            and worker.failure_domain not in self._out
+            and worker.failure_domain not in self._domains_out_of_service
         )
--- a/citronmount/fleet/worker_health.py
+++ b/citronmount/fleet/worker_health.py
@@ -16,8 +16,8 @@
 
 __all__ = ["Trust", "WorkerHealth"]
 
-RATIOS_KEPT = 6
-FLEET_RATIOS_KEPT = 200
+WORKER_RATIO_WINDOW = 6
+POOL_RATIO_WINDOW = 200
 SLOW_FACTOR = 2.0
 FLAPS_TO_DISTRUST = 2
 FLAP_WINDOW_MS = 30_000
@@ -40,16 +40,16 @@
     distrusted: bool = False
 
 
-class _Record:
+class _RunHistory:
     """What the runs of one worker did."""
 
     def __init__(self) -> None:
         self.ratios: collections.deque[float] = collections.deque(
-            maxlen=RATIOS_KEPT
+            maxlen=WORKER_RATIO_WINDOW
         )
         self.failed_jobs: set[ids.JobId] = set()
         self.distrusted_until_ms = 0
-        self.done_ms = -math.inf
+        self.last_success_ms = -math.inf
 
 
 class WorkerHealth:
@@ -57,17 +57,17 @@
 
     def __init__(self) -> None:
         """Initializes without any evidence."""
-        self._records: dict[ids.WorkerId, _Record] = collections.defaultdict(
-            _Record
+        self._histories: dict[ids.WorkerId, _RunHistory] = (
+            collections.defaultdict(_RunHistory)
         )
-        self._life_ends: dict[
+        self._incarnation_ends: dict[
             worker_directory.MachineId, collections.deque[int]
         ] = collections.defaultdict(collections.deque)
-        self._usual: collections.deque[float] = collections.deque(
-            maxlen=FLEET_RATIOS_KEPT
+        self._pool_ratios: collections.deque[float] = collections.deque(
+            maxlen=POOL_RATIO_WINDOW
         )
 
-    def done(
+    def record_success(
         self,
         worker: ids.WorkerId,
         elapsed_ms: int,
@@ -82,33 +82,35 @@
             estimate_ms: How long it was thought to take.
             now_ms: Steady time in milliseconds.
         """
-        record = self._records[worker]
-        record.failed_jobs.clear()
-        record.done_ms = now_ms
-        record.distrusted_until_ms = 0
+        history = self._histories[worker]
+        history.failed_jobs.clear()
+        history.last_success_ms = now_ms
+        history.distrusted_until_ms = 0
         if estimate_ms > 0:
             ratio = elapsed_ms / estimate_ms
-            record.ratios.append(ratio)
-            self._usual.append(ratio)
+            history.ratios.append(ratio)
+            self._pool_ratios.append(ratio)
 
-    def failed(self, worker: ids.WorkerId, job: ids.JobId, now_ms: int) -> bool:
+    def record_failure(
+        self, worker: ids.WorkerId, job: ids.JobId, now_ms: int
+    ) -> bool:
         """Notes a run that failed.
 
         Returns:
             Whether the worker lost its trust by it.
         """
-        record = self._records[worker]
-        record.failed_jobs.add(job)
-        if len(record.failed_jobs) < FAILURES_TO_DISTRUST:
+        history = self._histories[worker]
+        history.failed_jobs.add(job)
+        if len(history.failed_jobs) < FAILURES_TO_DISTRUST:
             return False
-        record.distrusted_until_ms = now_ms + DISTRUST_MS
+        history.distrusted_until_ms = now_ms + DISTRUST_MS
         return True
 
-    def stands_still(self, worker: ids.WorkerId, now_ms: int) -> None:
+    def mark_stalled(self, worker: ids.WorkerId, now_ms: int) -> None:
         """Notes that a task at a worker does not get on."""
-        self._records[worker].distrusted_until_ms = now_ms + DISTRUST_MS
+        self._histories[worker].distrusted_until_ms = now_ms + DISTRUST_MS
 
-    def overdue(
+    def overdue_factor(
         self,
         worker: ids.WorkerId,
         elapsed_ms: int,
@@ -129,53 +131,57 @@
         Returns:
             The multiple of the usual run time, or 0 if other runs end there.
         """
-        record = self._records[worker]
-        if record.done_ms >= now_ms - elapsed_ms:
+        history = self._histories[worker]
+        if history.last_success_ms >= now_ms - elapsed_ms:
             return 0.0
-        usual_ms = self._usual_ratio() * estimate_ms
-        factor = elapsed_ms / max(usual_ms, 1)
-        if factor > SLOW_FACTOR and elapsed_ms > usual_ms + OVERDUE_FLOOR_MS:
-            record.distrusted_until_ms = max(
-                record.distrusted_until_ms, now_ms + OVERDUE_DISTRUST_MS
+        typical_ms = self._typical_ratio() * estimate_ms
+        factor = elapsed_ms / max(typical_ms, 1)
+        if factor > SLOW_FACTOR and elapsed_ms > typical_ms + OVERDUE_FLOOR_MS:
+            history.distrusted_until_ms = max(
+                history.distrusted_until_ms, now_ms + OVERDUE_DISTRUST_MS
             )
         return factor
 
-    def life_over(self, worker: worker_directory.Worker, now_ms: int) -> None:
+    def record_incarnation_end(
+        self, worker: worker_directory.Worker, now_ms: int
+    ) -> None:
         """Drops the evidence on a worker and remembers the machine.
 
         A machine whose workers come and go gets no work for a while, longer
         with each time.
         """
-        self._records.pop(worker.worker, None)
+        self._histories.pop(worker.worker, None)
         if not worker.machine:
             return
-        ends = self._life_ends[worker.machine]
+        ends = self._incarnation_ends[worker.machine]
         ends.append(now_ms)
         while ends and ends[0] < now_ms - FLAP_WINDOW_MS:
             ends.popleft()
 
-    def flaps(self, machine: worker_directory.MachineId, now_ms: int) -> bool:
+    def is_flapping(
+        self, machine: worker_directory.MachineId, now_ms: int
+    ) -> bool:
         """Returns whether workers of a machine come and go."""
-        ends = self._life_ends.get(machine)
+        ends = self._incarnation_ends.get(machine)
         if not ends or len(ends) < FLAPS_TO_DISTRUST:
             return False
         return now_ms < ends[-1] + FLAP_DISTRUST_MS * (len(ends) - 1)
 
     def trust(self, worker: worker_directory.Worker, now_ms: int) -> Trust:
         """Returns what is believed of a worker."""
-        if self.flaps(worker.machine, now_ms):
+        if self.is_flapping(worker.machine, now_ms):
             return Trust(distrusted=True)
-        record = self._records.get(worker.worker)
-        if record is None:
+        history = self._histories.get(worker.worker)
+        if history is None:
             return Trust()
         slowness = 1.0
-        if record.ratios:
-            slowness = statistics.median(record.ratios) / self._usual_ratio()
+        if history.ratios:
+            slowness = statistics.median(history.ratios) / self._typical_ratio()
         return Trust(
-            slowness=slowness, distrusted=now_ms < record.distrusted_until_ms
+            slowness=slowness, distrusted=now_ms < history.distrusted_until_ms
         )
 
-    def _usual_ratio(self) -> float:
-        if not self._usual:
+    def _typical_ratio(self) -> float:
+        if not self._pool_ratios:
             return 1.0
-        return max(statistics.median(self._usual), 0.1)
+        return max(statistics.median(self._pool_ratios), 0.1)
--- a/citronmount/fleet/worker_reports.py
+++ b/citronmount/fleet/worker_reports.py
@@ -14,11 +14,11 @@
 
 __all__ = ["WorkerReports"]
 
-ORDER_RETRY_MS = 100
+COMMAND_RETRY_MS = 100
 SUSPENSION_MS = 1_000
-TOLD_AFTER_HOLDS = 3
+SILENT_AFTER_RENEWALS = 3
 
-_LOST_ROOM = (
+_SUSPENDING_OUTCOMES = (
     commands.StartOutcome.NO_CAPACITY,
     commands.StartOutcome.NOT_STARTED,
     commands.StartOutcome.LEASE_EXPIRED,
@@ -52,28 +52,28 @@
         now_ms: int,
     ) -> None:
         """Takes in what became of an order to start."""
-        self._state.heard.add(command.worker.worker)
-        self._heard(command.worker, clock_ms, now_ms)
+        self._state.answered_workers.add(command.worker.worker)
+        self._update_clock(command.worker, clock_ms, now_ms)
         if outcome is commands.StartOutcome.FENCED:
             self._state.fenced = True
             return
-        found = self._state.table.of_task(command.task, command.run)
+        found = self._state.table.find_task(command.task, command.run)
         if found is None:
             return
         run, member = found
         member.start_open = False
-        self._state.changed = True
-        if self._is_uncertain(member, outcome):
+        self._state.needs_planning = True
+        if self._may_still_start(member, outcome):
             member.start_uncertain = True
-            retry_ms = member.start_sent_ms + ORDER_RETRY_MS
+            retry_ms = member.start_sent_ms + COMMAND_RETRY_MS
             member.next_order_ms = max(now_ms, retry_ms)
             return
         member.start_answered = True
         member.settled_ms = now_ms
         if outcome is commands.StartOutcome.STARTED:
-            self._seen_running(run, member, now_ms)
+            self._mark_running(run, member, now_ms)
             if run.started_ms == now_ms:
-                self._begin_progress(run, now_ms)
+                self._start_progress(run, now_ms)
             return
         self._state.log.warning(
             "start_refused",
@@ -83,19 +83,21 @@
             verdict=outcome.value,
         )
         if outcome is commands.StartOutcome.NO_TICKET:
-            self._state.advice.drop(run.key.step_id, member.place.worker)
-        if outcome in _LOST_ROOM:
-            self._state.suspended[command.worker.worker] = (
+            self._state.advice.drop_ticket(run.key.step_id, member.place.worker)
+        if outcome in _SUSPENDING_OUTCOMES:
+            self._state.suspended_until_ms[command.worker.worker] = (
                 now_ms + SUSPENSION_MS
             )
-        same_life = outcome is not commands.StartOutcome.OTHER_INCARNATION
-        if not (member.start_uncertain and same_life):
-            self._state.table.gone(run, member)
+        same_incarnation = (
+            outcome is not commands.StartOutcome.OTHER_INCARNATION
+        )
+        if not (member.start_uncertain and same_incarnation):
+            self._state.table.mark_gone(run, member)
         # Else a stop settles what an earlier, unanswered order may have done.
         self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
 
     @staticmethod
-    def _is_uncertain(
+    def _may_still_start(
         member: unit_runs.Member, outcome: commands.StartOutcome
     ) -> bool:
         """Returns whether a member may still start by what was ordered."""
@@ -111,10 +113,10 @@
     ) -> None:
         """Takes in the answer to a question, or that there was none."""
         if answer is None:
-            self._state.advice.unanswered(now_ms)
+            self._state.advice.request_failed(now_ms)
             return
-        self._state.advice.answered(advice_request, answer, now_ms)
-        self._state.changed = True
+        self._state.advice.store_answer(advice_request, answer, now_ms)
+        self._state.needs_planning = True
         self._state.log.info(
             "advice_taken",
             step=advice_request.step,
@@ -130,46 +132,46 @@
         now_ms: int,
     ) -> None:
         """Takes in what became of an order to stop."""
-        self._state.heard.add(command.worker.worker)
-        self._heard(command.worker, clock_ms, now_ms)
+        self._state.answered_workers.add(command.worker.worker)
+        self._update_clock(command.worker, clock_ms, now_ms)
         if outcome is commands.StopOutcome.FENCED:
             self._state.fenced = True
             return
         session = self._state.sessions.get(command.worker.worker)
         if session is not None:
-            session.hold_soon(now_ms)
-        found = self._state.table.of_task(command.task, command.run)
+            session.renew_soon(now_ms)
+        found = self._state.table.find_task(command.task, command.run)
         if found is None:
             return
         run, member = found
         member.stop_open = False
-        self._state.changed = True
+        self._state.needs_planning = True
         if outcome is commands.StopOutcome.UNKNOWN:
-            member.next_order_ms = now_ms + ORDER_RETRY_MS
+            member.next_order_ms = now_ms + COMMAND_RETRY_MS
             return
         if outcome is commands.StopOutcome.OTHER_INCARNATION:
-            self._state.table.gone(run, member)
+            self._state.table.mark_gone(run, member)
             return
         member.stop_answered = True
         member.settled_ms = now_ms
-        never_seen = member.state is unit_runs.MemberState.ORDERED
+        never_seen = member.state is unit_runs.MemberState.STARTING
         if never_seen and session is not None:
-            session.look_soon()
+            session.poll_soon()
 
     def renewal_failed(
         self, command: commands.RenewLeases, fenced: bool, now_ms: int
     ) -> None:
         """Takes in that a hold brought no report."""
-        self._state.heard.add(command.worker.worker)
+        self._state.answered_workers.add(command.worker.worker)
         if fenced:
             self._state.fenced = True
-        session = self._state.session_of(command.worker)
+        session = self._state.session_for(command.worker)
         if session is None:
             return
         if command.look:
             return
-        session.hold_failed(now_ms)
-        if session.waits_unanswered == TOLD_AFTER_HOLDS:
+        session.renewal_failed(now_ms)
+        if session.unanswered_renewals == SILENT_AFTER_RENEWALS:
             self._state.log.warning(
                 "worker_silent",
                 worker=command.worker.worker,
@@ -192,27 +194,27 @@
             sent_ms: Steady time at which the hold was sent.
             now_ms: Steady time in milliseconds.
         """
-        self._state.heard.add(command.worker.worker)
-        session = self._state.session_of(command.worker)
+        self._state.answered_workers.add(command.worker.worker)
+        session = self._state.session_for(command.worker)
         if session is None:
             return
         if report.life_ms not in (None, session.worker.life_ms):
-            self._sessions.life_over(session, now_ms)
+            self._sessions.end_incarnation(session, now_ms)
             return
-        first = not session.primed
-        if session.waits_unanswered >= TOLD_AFTER_HOLDS:
+        first = not session.has_answered
+        if session.unanswered_renewals >= SILENT_AFTER_RENEWALS:
             self._state.log.info("worker_answers", worker=command.worker.worker)
         if command.look:
-            session.look_answered(report, now_ms)
+            session.poll_answered(report, now_ms)
         else:
-            session.hold_answered(report, now_ms)
-        self._state.changed = self._state.changed or first
+            session.renewal_answered(report, now_ms)
+        self._state.needs_planning = self._state.needs_planning or first
         for end in report.ended:
-            if session.note_end(end.number, now_ms):
-                self._ended(session, end, now_ms)
-        self._compare(session, report, sent_ms, now_ms)
+            if session.register_end(end.number, now_ms):
+                self._handle_end(session, end, now_ms)
+        self._reconcile(session, report, sent_ms, now_ms)
 
-    def _compare(
+    def _reconcile(
         self,
         session: lease_sessions.LeaseSession,
         report: commands.LeaseReport,
@@ -221,39 +223,41 @@
     ) -> None:
         """Compares what a worker runs with what it should run."""
         name = session.worker.worker
-        strangers = 0
+        unknown_count = 0
         seen = set()
         for task in report.running:
-            found = self._state.table.of_task(task.task, task.run)
+            found = self._state.table.find_task(task.task, task.run)
             if found is None or found[1].place.worker != name:
-                strangers += 1
-                self._stop_stranger(session, task)
+                unknown_count += 1
+                self._stop_unknown_run(session, task)
                 continue
             run, member = found
             seen.add(member.task)
             run.saved = task.saved or run.saved
-            self._seen_running(run, member, now_ms)
+            self._mark_running(run, member, now_ms)
             if run.started_ms is not None:
-                member.progress.note(task.percent, report.clock_ms)
-        if self._state.strangers.get(name, 0) != strangers:
-            self._state.strangers[name] = strangers
-            self._state.changed = True
+                member.progress.add_report(task.percent, report.clock_ms)
+        if self._state.unknown_runs.get(name, 0) != unknown_count:
+            self._state.unknown_runs[name] = unknown_count
+            self._state.needs_planning = True
         if report.complete:
-            self._miss(session, seen, sent_ms)
+            self._mark_missing(session, seen, sent_ms)
 
-    def _miss(
+    def _mark_missing(
         self,
         session: lease_sessions.LeaseSession,
         seen: set[units.TaskName],
         sent_ms: int,
     ) -> None:
-        for run, member in self._state.table.on_worker(session.worker.worker):
-            if member.task in seen or not member.certain:
+        for run, member in self._state.table.tasks_on_worker(
+            session.worker.worker
+        ):
+            if member.task in seen or not member.start_settled:
                 continue
             if sent_ms >= member.settled_ms:
-                self._state.member_gone(run, member)
+                self._state.mark_member_missing(run, member)
 
-    def _stop_stranger(
+    def _stop_unknown_run(
         self, session: lease_sessions.LeaseSession, task: commands.RunningTask
     ) -> None:
         self._state.log.warning(
@@ -271,7 +275,7 @@
             )
         )
 
-    def _ended(
+    def _handle_end(
         self,
         session: lease_sessions.LeaseSession,
         end: commands.EndedTask,
@@ -281,15 +285,15 @@
         place = records.Place(
             worker=session.worker.worker, life_ms=session.worker.life_ms
         )
-        found = self._state.table.of_task(end.task, end.run)
+        found = self._state.table.find_task(end.task, end.run)
         if found is None or found[1].place != place:
             session.resolve_end(end.number, now_ms)
             return
         run, member = found
-        self._state.changed = True
+        self._state.needs_planning = True
         run.saved = end.saved or run.saved
         if run.outcome is None:
-            self._learn_speeds(run, now_ms)
+            self._observe_speeds(run, now_ms)
         self._state.log.info(
             "run_ended",
             task=end.task,
@@ -297,32 +301,32 @@
             worker=place.worker,
             kind=end.kind.value,
         )
-        self._state.table.gone(run, member)
-        self._note_health(run, member, end.kind, now_ms)
-        status = self._outcome(run, end.kind)
-        if status is None and self._state.unrecorded[run.unit]:
-            self._state.later_ends[run.unit].append((place, end.number))
+        self._state.table.mark_gone(run, member)
+        self._record_health(run, member, end.kind, now_ms)
+        status = self._status_after_end(run, end.kind)
+        if status is None and self._state.pending_unit_records[run.unit]:
+            self._state.deferred_ends[run.unit].append((place, end.number))
             return
         if status is None:
             session.resolve_end(end.number, now_ms)
             return
-        change = run.record(status)
-        self._state.write(change, ends=((place, end.number),))
+        change = run.to_record(status)
+        self._state.append_record(change, ends=((place, end.number),))
 
-    def _learn_speeds(self, run: unit_runs.Run, now_ms: int) -> None:
+    def _observe_speeds(self, run: unit_runs.Run, now_ms: int) -> None:
         """Compares the workers of a gang by how its members got on."""
         if not run.step.gang:
             return
         rates = collections.defaultdict(list)
         for member in run.members:
-            session = self._state.session_at(member.place)
+            session = self._state.session_at_place(member.place)
             rate = member.progress.percent_per_s
             if session is not None and rate is not None:
                 rates[session.worker.speed_key].append(rate)
         found = {key: statistics.mean(each) for key, each in rates.items()}
-        self._state.speeds.learn(found, now_ms)
+        self._state.speeds.observe(found, now_ms)
 
-    def _note_health(
+    def _record_health(
         self,
         run: unit_runs.Run,
         member: unit_runs.Member,
@@ -334,13 +338,15 @@
         if kind is commands.EndKind.DONE and run.started_ms is not None:
             elapsed_ms = now_ms - run.started_ms
             estimate_ms = run.step.estimate_ms
-            self._state.health.done(worker, elapsed_ms, estimate_ms, now_ms)
+            self._state.health.record_success(
+                worker, elapsed_ms, estimate_ms, now_ms
+            )
         if kind is commands.EndKind.FAILED:
-            self._state.failed_at.setdefault(run.unit, set()).add(worker)
-            if self._state.health.failed(worker, run.job, now_ms):
+            self._state.failed_workers.setdefault(run.unit, set()).add(worker)
+            if self._state.health.record_failure(worker, run.job, now_ms):
                 self._state.log.warning("worker_distrusted", worker=worker)
 
-    def _outcome(
+    def _status_after_end(
         self, run: unit_runs.Run, kind: commands.EndKind
     ) -> records.UnitStatus | None:
         """Returns what to record of an end, or None if nothing changes."""
@@ -355,13 +361,13 @@
         self._state.end_run(run, unit_runs.EndCause.MEMBER_ENDED)
         if kind is commands.EndKind.FAILED:
             run.failures += 1
-            spent = run.failures >= run.submission.terms.max_attempts
-            if spent and not run.step.lasting:
+            exhausted = run.failures >= run.submission.terms.max_attempts
+            if exhausted and not run.step.lasting:
                 return records.UnitStatus.FAILED
             return records.UnitStatus.WAITING
         return records.UnitStatus.WAITING if run.saved else None
 
-    def _seen_running(
+    def _mark_running(
         self, run: unit_runs.Run, member: unit_runs.Member, now_ms: int
     ) -> None:
         member.start_answered = True
@@ -380,18 +386,22 @@
                 took_ms=now_ms - run.placed_ms,
             )
 
-    def _begin_progress(self, run: unit_runs.Run, now_ms: int) -> None:
+    def _start_progress(self, run: unit_runs.Run, now_ms: int) -> None:
         """Notes that a run which starts anew has done nothing so far."""
         if run.saved or run.restored:
             return
         for member in run.members:
-            session = self._state.session_at(member.place)
+            session = self._state.session_at_place(member.place)
             if session is not None:
-                member.progress.note(0, session.clock_ms(now_ms))
+                member.progress.add_report(0, session.clock_ms(now_ms))
 
-    def _heard(
+    def _update_clock(
         self, worker: worker_directory.Worker, clock_ms: int | None, now_ms: int
     ) -> None:
-        session = self._state.session_of(worker)
-        if session is not None and clock_ms is not None and session.primed:
-            session.heard(clock_ms, now_ms)
+        session = self._state.session_for(worker)
+        if (
+            session is not None
+            and clock_ms is not None
+            and session.has_answered
+        ):
+            session.update_clock(clock_ms, now_ms)
--- a/citronmount/fleet/worker_sessions.py
+++ b/citronmount/fleet/worker_sessions.py
@@ -10,8 +10,8 @@
 __all__ = ["WorkerSessions"]
 
 SILENCE_MARGIN_MS = 600
-WITNESSES = 2
-SHUNNED_AFTER_HOLDS = 2
+MIN_SILENT_WORKERS = 2
+MAX_UNANSWERED_RENEWALS = 2
 MAX_FIRST_RENEWALS = 128
 SCAN_PERIOD_MS = 50
 
@@ -29,15 +29,15 @@
         self._directory_version = -1
         self._next_scan_ms = 0
 
-    def follow_directory(self, now_ms: int, look: bool) -> None:
+    def sync_with_directory(self, now_ms: int, full_scan: bool) -> None:
         """Opens and closes sessions as the entries tell.
 
         Args:
             now_ms: Steady time in milliseconds.
-            look: Whether to look although no entry has changed.
+            full_scan: Whether to look although no entry has changed.
         """
         version = self._state.directory.version
-        if version == self._directory_version and not look:
+        if version == self._directory_version and not full_scan:
             return
         self._directory_version = version
         for worker in self._state.directory.newest_incarnations():
@@ -45,13 +45,13 @@
             if session is None:
                 self._open_session(worker, now_ms)
             elif session.worker.life_ms != worker.life_ms:
-                self.life_over(session, now_ms)
+                self.end_incarnation(session, now_ms)
                 self._open_session(worker, now_ms)
             else:
                 session.worker = worker
         for name in list(self._state.sessions):
             listed = self._state.directory.get(name) is not None
-            if not listed and not self._state.table.count_on(name):
+            if not listed and not self._state.table.task_count_on(name):
                 del self._state.sessions[name]
 
     def _open_session(
@@ -64,16 +64,16 @@
             now_ms=now_ms,
         )
         self._state.sessions[worker.worker] = session
-        for run, member in self._state.table.on_worker(worker.worker):
+        for run, member in self._state.table.tasks_on_worker(worker.worker):
             if member.place.life_ms != worker.life_ms:
-                self._state.member_gone(run, member)
+                self._state.mark_member_missing(run, member)
         for other in list(self._state.sessions.values()):
             same = other.worker.machine == worker.machine
             older = other.worker.life_ms < worker.life_ms
             if same and older and worker.machine:
-                self.life_over(other, now_ms)
+                self.end_incarnation(other, now_ms)
 
-    def life_over(
+    def end_incarnation(
         self, session: lease_sessions.LeaseSession, now_ms: int
     ) -> None:
         """Takes in that a life of a worker is over, with all it ran."""
@@ -83,14 +83,14 @@
         )
         if self._state.sessions.get(name) is session:
             del self._state.sessions[name]
-        self._state.strangers.pop(name, None)
-        self._state.health.life_over(session.worker, now_ms)
-        for run, member in self._state.table.on_worker(name):
+        self._state.unknown_runs.pop(name, None)
+        self._state.health.record_incarnation_end(session.worker, now_ms)
+        for run, member in self._state.table.tasks_on_worker(name):
             if member.place.life_ms == session.worker.life_ms:
-                self._state.member_gone(run, member)
-        self._state.changed = True
+                self._state.mark_member_missing(run, member)
+        self._state.needs_planning = True
 
-    def due_holds(self, now_ms: int) -> None:
+    def send_due_renewals(self, now_ms: int) -> None:
         """Sends the holds that are due.
 
         Load pattern: an owner takes over more than a thousand workers. Each
@@ -98,19 +98,24 @@
         times a second.
         """
         sessions = self._state.sessions
-        heard, self._state.heard = self._state.heard, set()
+        heard, self._state.answered_workers = (
+            self._state.answered_workers,
+            set(),
+        )
         if now_ms < self._next_scan_ms:
             due = [sessions[name] for name in heard if name in sessions]
         else:
             self._next_scan_ms = now_ms + SCAN_PERIOD_MS
             due = list(sessions.values())
-            self._prime(now_ms)
+            self._send_first_renewals(now_ms)
         for session in due:
-            session.runs = self._state.table.count_on(session.worker.worker)
-            if session.primed:
-                self._hold(session, now_ms)
+            session.runs = self._state.table.task_count_on(
+                session.worker.worker
+            )
+            if session.has_answered:
+                self._send_renewal(session, now_ms)
 
-    def _prime(self, now_ms: int) -> None:
+    def _send_first_renewals(self, now_ms: int) -> None:
         """Asks workers for the first time.
 
         Those that may hold runs come first, those that did not answer last.
@@ -120,38 +125,42 @@
         unprimed = [
             session
             for session in self._state.sessions.values()
-            if not session.primed
+            if not session.has_answered
         ]
-        free = MAX_FIRST_RENEWALS - sum(session.holding for session in unprimed)
+        free = MAX_FIRST_RENEWALS - sum(
+            session.renewal_pending for session in unprimed
+        )
         for session in unprimed:
             name = session.worker.worker
-            session.runs = self._state.table.count_on(name)
+            session.runs = self._state.table.task_count_on(name)
         unprimed.sort(
-            key=lambda session: (session.waits_unanswered, not session.runs)
+            key=lambda session: (session.unanswered_renewals, not session.runs)
         )
         for session in unprimed:
             if free <= 0:
                 return
-            free -= self._hold(session, now_ms)
+            free -= self._send_renewal(session, now_ms)
 
-    def _hold(self, session: lease_sessions.LeaseSession, now_ms: int) -> bool:
+    def _send_renewal(
+        self, session: lease_sessions.LeaseSession, now_ms: int
+    ) -> bool:
         """Sends a session's hold if it is due; returns whether it was."""
-        command = session.next_hold(now_ms)
+        command = session.next_renewal(now_ms)
         if command is not None:
             self._state.commands.append(command)
         return command is not None
 
-    def usable(self, now_ms: int) -> list[worker_directory.Worker]:
+    def usable_workers(self, now_ms: int) -> list[worker_directory.Worker]:
         """Returns the workers that may get work."""
         silent_domains = self._silent_domains(now_ms)
         return [
             session.worker
             for name, session in self._state.sessions.items()
-            if session.primed
+            if session.has_answered
             and not self._is_silent(session, now_ms)
             and session.worker.failure_domain not in silent_domains
-            and not self._state.strangers.get(name)
-            and self._state.suspended.get(name, 0) <= now_ms
+            and not self._state.unknown_runs.get(name)
+            and self._state.suspended_until_ms.get(name, 0) <= now_ms
             and self._state.directory.is_usable(session.worker)
         ]
 
@@ -162,7 +171,7 @@
 
         One that holds nothing is not asked, unless it did not answer before.
         """
-        if session.waits_unanswered >= SHUNNED_AFTER_HOLDS:
+        if session.unanswered_renewals >= MAX_UNANSWERED_RENEWALS:
             return True
         policy = self._state.policy
         limit_ms = policy.wait_ms + policy.retry_ms + SILENCE_MARGIN_MS
@@ -178,11 +187,11 @@
             list
         )
         for session in self._state.sessions.values():
-            if session.primed and session.runs:
+            if session.has_answered and session.runs:
                 domain = session.worker.failure_domain
                 silent[domain].append(self._is_silent(session, now_ms))
         return {
             domain
             for domain, each in silent.items()
-            if len(each) >= WITNESSES and all(each)
+            if len(each) >= MIN_SILENT_WORKERS and all(each)
         }
--- a/citronmount/fleet/worker_speeds.py
+++ b/citronmount/fleet/worker_speeds.py
@@ -15,22 +15,22 @@
 __all__ = ["SLOWER_FACTOR", "WorkerSpeeds"]
 
 SLOWER_FACTOR = 1.12
-LEAST_GAIN = 0.3
-SLUMP_FACTOR = 2.0
-SLUMP_MEMORY_MS = 10_000
-LEAST_KNOWN = 4
+MIN_GAIN = 0.3
+SEVERE_SLOWDOWN_FACTOR = 2.0
+SEVERE_SLOWDOWN_TTL_MS = 10_000
+MIN_BASELINE_MACHINES = 4
 
-_KEPT_DIGITS = 2
+_SNAPSHOT_DIGITS = 2
 _RESTORED_OBSERVATIONS = 2
 
 
-class _Speed:
+class _SpeedEstimate:
     """The estimate for one worker: logarithm of its relative speed."""
 
     def __init__(self) -> None:
         self.log = 0.0
         self.observations = 0
-        self.learned_ms = 0
+        self.observed_ms = 0
 
 
 class WorkerSpeeds:
@@ -38,10 +38,10 @@
 
     def __init__(self) -> None:
         """Initializes without any evidence."""
-        self._speeds: dict[worker_directory.MachineId, _Speed] = {}
-        self._usual: float | None = None
+        self._speeds: dict[worker_directory.MachineId, _SpeedEstimate] = {}
+        self._baseline_log: float | None = None
 
-    def learn(
+    def observe(
         self, rates: Mapping[worker_directory.MachineId, float], now_ms: int
     ) -> None:
         """Takes in how fast the members of a gang got on.
@@ -52,23 +52,23 @@
         """
         if len(rates) < 2:
             return
-        known = {
-            machine: self._speeds.setdefault(machine, _Speed())
+        speeds = {
+            machine: self._speeds.setdefault(machine, _SpeedEstimate())
             for machine in rates
         }
         level = statistics.median(
-            math.log(rate) - known[machine].log
+            math.log(rate) - speeds[machine].log
             for machine, rate in rates.items()
         )
         for machine, rate in rates.items():
-            speed = known[machine]
+            speed = speeds[machine]
             speed.observations += 1
-            gain = max(1 / speed.observations, LEAST_GAIN)
+            gain = max(1 / speed.observations, MIN_GAIN)
             speed.log += gain * (math.log(rate) - level - speed.log)
-            speed.learned_ms = now_ms
-        self._usual = None
+            speed.observed_ms = now_ms
+        self._baseline_log = None
 
-    def kept(
+    def snapshot(
         self, machines: Iterable[worker_directory.MachineId]
     ) -> dict[worker_directory.MachineId, float]:
         """Returns what a later owner should begin with.
@@ -79,28 +79,28 @@
         Returns:
             Logarithm of the relative speed of each machine that is known.
         """
-        known = ((each, self._speeds.get(each)) for each in machines)
+        speeds = ((each, self._speeds.get(each)) for each in machines)
         return {
-            machine: round(speed.log, _KEPT_DIGITS)
-            for machine, speed in known
+            machine: round(speed.log, _SNAPSHOT_DIGITS)
+            for machine, speed in speeds
             if speed is not None
         }
 
     def restore(
-        self, kept: Mapping[worker_directory.MachineId, float], now_ms: int
+        self, snapshot: Mapping[worker_directory.MachineId, float], now_ms: int
     ) -> None:
         """Begins with what an earlier owner has learned.
 
         Args:
-            kept: What `kept` returned there.
+            snapshot: What `kept` returned there.
             now_ms: Steady time in milliseconds.
         """
-        for machine, log in kept.items():
-            speed = self._speeds.setdefault(machine, _Speed())
+        for machine, log in snapshot.items():
+            speed = self._speeds.setdefault(machine, _SpeedEstimate())
             speed.log = log
             speed.observations = _RESTORED_OBSERVATIONS
-            speed.learned_ms = now_ms
-        self._usual = None
+            speed.observed_ms = now_ms
+        self._baseline_log = None
 
     def slowdown(
         self, machine: worker_directory.MachineId, now_ms: int
@@ -120,17 +120,17 @@
         speed = self._speeds.get(machine)
         if speed is None:
             return 1.0
-        factor = math.exp(self._quick_log() - speed.log)
-        stale = now_ms - speed.learned_ms > SLUMP_MEMORY_MS
-        if factor >= SLUMP_FACTOR and stale:
+        factor = math.exp(self._fast_log() - speed.log)
+        stale = now_ms - speed.observed_ms > SEVERE_SLOWDOWN_TTL_MS
+        if factor >= SEVERE_SLOWDOWN_FACTOR and stale:
             return 1.0
         return max(factor, 1.0)
 
-    def _quick_log(self) -> float:
+    def _fast_log(self) -> float:
         """Returns the logarithm that three quarters of the pool stay below."""
-        if self._usual is None:
+        if self._baseline_log is None:
             logs = [speed.log for speed in self._speeds.values()]
-            self._usual = 0.0
-            if len(logs) >= LEAST_KNOWN:
-                self._usual = statistics.quantiles(logs, n=4)[2]
-        return self._usual
+            self._baseline_log = 0.0
+            if len(logs) >= MIN_BASELINE_MACHINES:
+                self._baseline_log = statistics.quantiles(logs, n=4)[2]
+        return self._baseline_log
--- a/citronmount/workflow/job_views.py
+++ b/citronmount/workflow/job_views.py
@@ -39,7 +39,7 @@
         self.submission = submission
         self.offset = offset
         self.cancelled = False
-        self.progress = progress.Progress(workflow=submission.workflow)
+        self.progress = progress.JobProgress(workflow=submission.workflow)
 
     @property
     def state(self) -> states.JobState:
@@ -76,7 +76,7 @@
         self.ownership: records.OwnershipTaken | None = None
         self.speeds: dict[str, float] = {}
         self._offsets: dict[str, int] = {}
-        self._early: dict[ids.JobId, list[tuple[int, records.Record]]] = {}
+        self._deferred: dict[ids.JobId, list[tuple[int, records.Record]]] = {}
 
     def apply(self, offset: int, record: records.Record) -> bool:
         """Folds one record.
@@ -94,9 +94,9 @@
         self._offsets[key] = offset
         match record:
             case records.Submitted():
-                return self._submit(offset, record.submission)
+                return self._apply_submission(offset, record.submission)
             case records.Finished():
-                return self._finish(record)
+                return self._apply_final_state(record)
             case records.OwnershipTaken():
                 self.ownership = record
                 return True
@@ -104,9 +104,9 @@
                 self.speeds = record.logs
                 return False
             case records.Cancelled():
-                return self._change(record.job, offset, record)
+                return self._apply_change(record.job, offset, record)
             case records.UnitChanged():
-                return self._change_unit(offset, record)
+                return self._apply_unit_change(offset, record)
 
     def apply_removal(self, offset: int, key: str) -> None:
         """Folds a record that removes a key.
@@ -150,7 +150,7 @@
         if entry is None:
             return []
         cancel = [records.cancel_key(job)] if entry.cancelled else []
-        changed = map(records.unit_key, entry.progress.changed)
+        changed = map(records.unit_key, entry.progress.unit_records)
         return list(itertools.chain([records.job_key(job)], cancel, changed))
 
     def expired_jobs(self, before_ms: int) -> list[ids.JobId]:
@@ -161,36 +161,42 @@
             if final.finished_ms < before_ms
         ]
 
-    def _submit(self, offset: int, submission: spec.Submission) -> bool:
+    def _apply_submission(
+        self, offset: int, submission: spec.Submission
+    ) -> bool:
         job = submission.workflow.job
         if job in self.jobs or job in self.finished:
             return False
         self.jobs[job] = JobEntry(submission=submission, offset=offset)
-        self._replay(self._early.pop(job, ()))
+        self._apply_deferred(self._deferred.pop(job, ()))
         return True
 
-    def _replay(self, early: Iterable[tuple[int, records.Record]]) -> None:
-        for offset, record in early:
+    def _apply_deferred(
+        self, deferred: Iterable[tuple[int, records.Record]]
+    ) -> None:
+        for offset, record in deferred:
             self._offsets.pop(records.key_of(record), None)
             self.apply(offset, record)
 
-    def _finish(self, record: records.Finished) -> bool:
+    def _apply_final_state(self, record: records.Finished) -> bool:
         for key in self.keys_of(record.job):
             self._offsets.pop(key, None)
         self.jobs.pop(record.job, None)
-        self._early.pop(record.job, None)
+        self._deferred.pop(record.job, None)
         self.finished[record.job] = record
         return True
 
-    def _change_unit(self, offset: int, record: records.UnitChanged) -> bool:
+    def _apply_unit_change(
+        self, offset: int, record: records.UnitChanged
+    ) -> bool:
         """Folds the record of a unit, unless its job has no such step."""
         key = units.UnitKey.parse(record.unit)
         entry = self.jobs.get(key.job)
         if entry and key.step >= len(entry.submission.workflow.steps):
             return False
-        return self._change(key.job, offset, record)
+        return self._apply_change(key.job, offset, record)
 
-    def _change(
+    def _apply_change(
         self,
         job: ids.JobId,
         offset: int,
@@ -198,7 +204,7 @@
     ) -> bool:
         entry = self.jobs.get(job)
         if entry is None:
-            self._keep_early(job, offset, record)
+            self._defer(job, offset, record)
             return False
         if isinstance(record, records.Cancelled):
             entry.cancelled = True
@@ -206,7 +212,7 @@
             entry.progress.apply(record)
         return True
 
-    def _keep_early(
+    def _defer(
         self, job: ids.JobId, offset: int, record: records.Record
     ) -> None:
         """Keeps a record whose submission has yet to be read.
@@ -215,4 +221,4 @@
         that was repeated has a higher offset than the units of its job.
         """
         if job not in self.finished:
-            self._early.setdefault(job, []).append((offset, record))
+            self._deferred.setdefault(job, []).append((offset, record))
--- a/citronmount/workflow/progress.py
+++ b/citronmount/workflow/progress.py
@@ -6,13 +6,13 @@
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
-__all__ = ["Progress"]
+__all__ = ["JobProgress"]
 
 _FAILED = records.UnitStatus.FAILED
 _ENDED = (records.UnitStatus.DONE, records.UnitStatus.FAILED)
 
 
-class Progress:
+class JobProgress:
     """The units of one job and the order between its steps.
 
     Attributes:
@@ -26,11 +26,11 @@
             workflow: The job.
         """
         self._workflow = workflow
-        self.changed: dict[units.UnitId, records.UnitChanged] = {}
+        self.unit_records: dict[units.UnitId, records.UnitChanged] = {}
         self._done: dict[tuple[int, int], int] = {}
         self._failed = 0
-        self._open: list[units.UnitKey] = []
-        self._open_until_ms = -math.inf
+        self._open_units: list[units.UnitKey] = []
+        self._next_due_ms = -math.inf
         self._unit_counts = [
             1 if step.gang else step.tasks for step in workflow.steps
         ]
@@ -38,13 +38,13 @@
     @property
     def started(self) -> bool:
         """Whether any task was ever started."""
-        return any(unit.run for unit in self.changed.values())
+        return any(unit.run for unit in self.unit_records.values())
 
     @property
     def complete(self) -> bool:
         """Whether every unit of every occurrence is done."""
-        wanted = self._workflow.occurrence_count * sum(self._unit_counts)
-        return sum(self._done.values()) == wanted
+        expected = self._workflow.occurrence_count * sum(self._unit_counts)
+        return sum(self._done.values()) == expected
 
     @property
     def failed(self) -> bool:
@@ -57,16 +57,19 @@
         Args:
             change: The record.
         """
-        before = self.changed.get(change.unit)
-        self.changed[change.unit] = change
-        self._open_until_ms = -math.inf
+        previous = self.unit_records.get(change.unit)
+        self.unit_records[change.unit] = change
+        self._next_due_ms = -math.inf
         step = self._step_of(change.unit)
-        was_failed = before is not None and before.status is _FAILED
-        self._failed += (change.status is _FAILED) - was_failed
+        had_failed = previous is not None and previous.status is _FAILED
+        self._failed += (change.status is _FAILED) - had_failed
         self._done[step] = (
             self._done.get(step, 0)
             + (change.status is records.UnitStatus.DONE)
-            - (before is not None and before.status is records.UnitStatus.DONE)
+            - (
+                previous is not None
+                and previous.status is records.UnitStatus.DONE
+            )
         )
 
     def open_units(self, wall_ms: int) -> list[units.UnitKey]:
@@ -78,23 +81,25 @@
         Returns:
             Units that run or may run now.
         """
-        if wall_ms >= self._open_until_ms:
+        if wall_ms >= self._next_due_ms:
             self._refresh(wall_ms)
-        return self._open
+        return self._open_units
 
     def _refresh(self, wall_ms: int) -> None:
-        self._open = []
-        self._open_until_ms = math.inf
+        self._open_units = []
+        self._next_due_ms = math.inf
         for occurrence in range(self._workflow.occurrence_count):
             due_ms = self._workflow.due_ms(occurrence)
             if due_ms is not None and due_ms > wall_ms:
-                self._open_until_ms = due_ms
+                self._next_due_ms = due_ms
                 return
             for number, step in enumerate(self._workflow.steps):
-                if self._may_run(occurrence, number, step):
-                    self._open += self._not_ended(occurrence, number, step)
+                if self._is_ready(occurrence, number, step):
+                    self._open_units += self._unfinished_units(
+                        occurrence, number, step
+                    )
 
-    def _may_run(self, occurrence: int, number: int, step: spec.Step) -> bool:
+    def _is_ready(self, occurrence: int, number: int, step: spec.Step) -> bool:
         return not self._step_done(occurrence, number) and all(
             self._step_done(occurrence, earlier) for earlier in step.after
         )
@@ -103,14 +108,14 @@
         done = self._done.get((occurrence, number), 0)
         return done >= self._unit_counts[number]
 
-    def _not_ended(
+    def _unfinished_units(
         self, occurrence: int, number: int, step: spec.Step
     ) -> list[units.UnitKey]:
         keys = units.units_of_step(self._workflow.job, occurrence, number, step)
-        return [key for key in keys if not self._ended(key.unit)]
+        return [key for key in keys if not self._is_final(key.unit)]
 
-    def _ended(self, unit: units.UnitId) -> bool:
-        change = self.changed.get(unit)
+    def _is_final(self, unit: units.UnitId) -> bool:
+        change = self.unit_records.get(unit)
         return change is not None and change.status in _ENDED
 
     @staticmethod
--- a/citronmount/workflow/records.py
+++ b/citronmount/workflow/records.py
@@ -162,10 +162,10 @@
 SPEEDS_KEY = "w"
 
 _ENCODER = msgspec.msgpack.Encoder()
-_OBJECTS = msgspec.msgpack.Decoder(
+_RECORD_DECODER = msgspec.msgpack.Decoder(
     Submitted | Cancelled | Finished | OwnershipTaken | SpeedsLearned
 )
-_UNITS = msgspec.msgpack.Decoder(UnitChanged)
+_UNIT_DECODER = msgspec.msgpack.Decoder(UnitChanged)
 _UNIT_PREFIX = "u/"
 _FINAL_PREFIX = "e/"
 
@@ -247,7 +247,7 @@
     Raises:
         UnreadableRecordError: The bytes are no record, or one of another key.
     """
-    decoder = _UNITS if key.startswith(_UNIT_PREFIX) else _OBJECTS
+    decoder = _UNIT_DECODER if key.startswith(_UNIT_PREFIX) else _RECORD_DECODER
     try:
         record = decoder.decode(value)
     except msgspec.DecodeError as error:
