--- a/citronmount/fleet/__init__.py
+++ b/citronmount/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the owner of a whole pool; no input or output, no clock."""
+"""Scheduling decisions of a pool's owner, without I/O and clock access."""
--- a/citronmount/fleet/advice_cache.py
+++ b/citronmount/fleet/advice_cache.py
@@ -1,8 +1,9 @@
-"""Which workers a queue's policy allows for a step, as far as asked.
+"""Cache of the advice of queue policies: which workers may run a step.
 
-A step's answer on a worker never changes; a ticket is valid for a while and
-for one life of the worker. One question is on its way at a time, as the
-service answers each VM in turn.
+The policy's decision on a step and a worker never changes, but a ticket is
+valid only for a limited time and for one incarnation of the worker. At most
+one advice request is pending at a time, because the advice service handles the
+requests of a VM one by one.
 """
 
 from collections.abc import Iterable
@@ -30,23 +31,23 @@
 
 
 class AdviceCache:
-    """Tickets and refusals of every step."""
+    """Tickets and refusals per step."""
 
     def __init__(self) -> None:
-        """Initializes without any answer."""
+        """Initializes an empty cache."""
         self._tickets: dict[StepId, dict[ids.WorkerId, _Ticket]] = {}
         self._refused: dict[StepId, set[ids.WorkerId]] = {}
         self._request_pending = False
-        self._next_ms = 0
+        self._next_request_ms = 0
 
     def ticket(
         self, step: StepId, worker: worker_directory.Worker, now_ms: int
     ) -> str:
-        """Returns the valid ticket of a step for a worker, or empty."""
-        ticket = self._tickets.get(step, {}).get(worker.worker)
-        if ticket is None or ticket.life_ms != worker.life_ms:
+        """Returns a valid ticket of a step for a worker, or an empty string."""
+        cached = self._tickets.get(step, {}).get(worker.worker)
+        if cached is None or cached.life_ms != worker.life_ms:
             return ""
-        return ticket.text if now_ms < ticket.until_ms else ""
+        return cached.text if now_ms < cached.until_ms else ""
 
     def next_request(
         self,
@@ -54,30 +55,34 @@
         candidates: Iterable[worker_directory.Worker],
         now_ms: int,
     ) -> commands.RequestAdvice | None:
-        """Returns the question that is due for a step, if any.
+        """Returns the advice request that is due for a step, if any.
+
+        Covers the first `MAX_WORKERS_PER_REQUEST` candidates that have neither
+        a valid ticket nor a refusal.
 
         Args:
-            step: The step of one occurrence.
-            candidates: Workers that could run it, the best first.
-            now_ms: Steady time in milliseconds.
+            step: Id of the step in one occurrence.
+            candidates: Workers that could run the step, the best first.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
-            The question; its answer has to come before the next one.
+            The request, or None. No further request is returned before
+            `store_answer` or `request_failed` is called.
         """
-        if self._request_pending or now_ms < self._next_ms:
+        if self._request_pending or now_ms < self._next_request_ms:
             return None
         refused = self._refused.get(step, set())
-        unknown = [
+        undecided = [
             worker
             for worker in candidates
             if worker.worker not in refused
             and not self.ticket(step, worker, now_ms)
         ]
-        if not unknown:
+        if not undecided:
             return None
         self._request_pending = True
         return commands.RequestAdvice(
-            step=step, workers=tuple(unknown[:MAX_WORKERS_PER_REQUEST])
+            step=step, workers=tuple(undecided[:MAX_WORKERS_PER_REQUEST])
         )
 
     def store_answer(
@@ -86,7 +91,11 @@
         answer: commands.AdviceAnswer,
         now_ms: int,
     ) -> None:
-        """Takes in the answer to a question."""
+        """Stores the tickets and refusals of an answer.
+
+        Tickets expire `TICKET_MARGIN_MS` early, so that they are still valid
+        when they reach the worker.
+        """
         self._request_pending = False
         tickets = self._tickets.setdefault(StepId(advice_request.step), {})
         refused = self._refused.setdefault(StepId(advice_request.step), set())
@@ -101,17 +110,17 @@
             )
 
     def request_failed(self, now_ms: int) -> None:
-        """Takes in that a question got no answer."""
+        """Handles a request without an answer; allows a retry later."""
         self._request_pending = False
-        self._next_ms = now_ms + RETRY_MS
+        self._next_request_ms = now_ms + RETRY_MS
 
     def drop_ticket(self, step: StepId, worker: ids.WorkerId) -> None:
-        """Drops a ticket that a worker did not take."""
+        """Drops a ticket that a worker rejected."""
         self._tickets.get(step, {}).pop(worker, None)
 
     def forget_job(self, job: ids.JobId) -> None:
-        """Drops the answers on all steps of a job."""
+        """Drops the tickets and refusals of all steps of a job."""
         prefix = f"{job}."
-        for kept in (self._tickets, self._refused):
-            for step in [each for each in kept if each.startswith(prefix)]:
-                del kept[step]
+        for by_step in (self._tickets, self._refused):
+            for step in [each for each in by_step if each.startswith(prefix)]:
+                del by_step[step]
--- a/citronmount/fleet/commands.py
+++ b/citronmount/fleet/commands.py
@@ -1,4 +1,4 @@
-"""Orders to workers and what they answer."""
+"""Commands that the owner sends to workers, and their answers."""
 
 import enum
 
@@ -25,7 +25,7 @@
 
 
 class EndKind(enum.Enum):
-    """How a run ended."""
+    """How a worker reports that a run of a task ended."""
 
     DONE = "done"
     FAILED = "failed"
@@ -36,10 +36,10 @@
 
 
 class StartOutcome(enum.Enum):
-    """What became of an order to start.
+    """Outcome of a `Start` command.
 
-    UNREACHABLE tells that no byte of the order left, as the worker takes no
-    connection; after UNKNOWN it may still be carried out.
+    UNREACHABLE means that the worker accepted no connection, so no byte of the
+    command was sent. After UNKNOWN the worker may still execute the command.
     """
 
     STARTED = "started"
@@ -55,7 +55,10 @@
 
 
 class StopOutcome(enum.Enum):
-    """What became of an order to stop."""
+    """Outcome of a `Stop` command.
+
+    After UNKNOWN the worker may still execute the command.
+    """
 
     STOPPED = "stopped"
     FENCED = "fenced"
@@ -67,15 +70,15 @@
     """Starts one task.
 
     Attributes:
-        worker: Where.
+        worker: The worker that receives the command.
         task: The task.
-        run: The number of the run.
-        payload: Handed to the task.
-        until_ms: End of the lease on the worker's clock.
-        saved: The checkpoint to resume from, or empty.
-        token: The fencing token.
-        ticket: What the queue's policy gave for the step and worker, or empty.
-        attempt: Counts the orders to start this run of the task from 1.
+        run: Number of the run.
+        payload: Passed to the task.
+        until_ms: End of the lease on the worker's clock, in milliseconds.
+        saved: Checkpoint to resume from, or empty.
+        token: Fencing token of the owner.
+        ticket: Ticket of the queue's policy for the step and worker, or empty.
+        attempt: Number of this attempt to start the run, counted from 1.
     """
 
     worker: worker_directory.Worker
@@ -90,13 +93,13 @@
 
 
 class Stop(msgspec.Struct, frozen=True, kw_only=True):
-    """Stops one run of a task, or keeps it from starting.
+    """Stops one run of a task, or prevents it from starting later.
 
     Attributes:
-        worker: Where.
+        worker: The worker that receives the command.
         task: The task.
-        run: The number of the run.
-        token: The fencing token.
+        run: Number of the run.
+        token: Fencing token of the owner.
     """
 
     worker: worker_directory.Worker
@@ -106,15 +109,19 @@
 
 
 class RenewLeases(msgspec.Struct, frozen=True, kw_only=True):
-    """Renews the lease of all that runs on a worker and asks what runs.
+    """Renews the leases of all runs on a worker and requests a report.
+
+    The worker may delay its answer until another run ends (long polling).
 
     Attributes:
-        worker: Where.
-        until_ms: New end of the lease on the worker's clock, or None.
-        last_seen: The newest end that the worker may forget.
-        wait_ms: How long the answer may wait for a further end.
-        token: The fencing token.
-        look: Whether it only asks, beside a hold that may be waiting.
+        worker: The worker that receives the command.
+        until_ms: New end of the leases on the worker's clock, in
+            milliseconds, or None to request a report only.
+        last_seen: Number of the newest end that the worker may delete.
+        wait_ms: Maximum time that the worker may delay its answer.
+        token: Fencing token of the owner.
+        look: Whether the command is a status poll, which is sent although
+            another renewal may be waiting at the worker.
     """
 
     worker: worker_directory.Worker
@@ -126,11 +133,11 @@
 
 
 class RequestAdvice(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks which workers a queue's policy allows for a step.
+    """Requests the workers that a queue's policy allows for a step.
 
     Attributes:
-        step: The step of one occurrence, ``JOB.OCCURRENCE.STEP``.
-        workers: The workers asked about.
+        step: Id of the step in one occurrence, ``JOB.OCCURRENCE.STEP``.
+        workers: The candidate workers.
     """
 
     step: str
@@ -138,11 +145,11 @@
 
 
 class AdviceAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to `Ask`.
+    """Answer to `RequestAdvice`.
 
     Attributes:
-        tickets: A ticket for each worker that is allowed.
-        valid_ms: How long the tickets are valid.
+        tickets: Ticket of each allowed worker.
+        valid_ms: Validity of the tickets in milliseconds.
     """
 
     tickets: dict[ids.WorkerId, str]
@@ -153,16 +160,16 @@
 
 
 class RunningTask(msgspec.Struct, frozen=True, kw_only=True):
-    """A task at a worker.
+    """A task that runs on a worker.
 
     Attributes:
         task: The task.
-        run: The number of the run.
-        saved: Its newest checkpoint, or empty.
-        percent: The share of its work that is done; 100 for a lasting task
-            that is at work.
-        load: Tail of the response times in ms for a serving task, else the
-            millicores in use, as of the last half second.
+        run: Number of the run.
+        saved: Newest checkpoint, or empty.
+        percent: Completed share of the work in percent; 100 for a lasting
+            task that is running.
+        load: Tail latency in milliseconds for a serving task, otherwise the
+            millicores in use; measured over the last half second.
     """
 
     task: units.TaskName
@@ -173,14 +180,15 @@
 
 
 class EndedTask(msgspec.Struct, frozen=True, kw_only=True):
-    """The end of a run.
+    """The end of a run of a task on a worker.
 
     Attributes:
-        number: Counts the ends of this life of the worker from 1.
+        number: Sequence number of the end within the worker's incarnation,
+            counted from 1.
         task: The task.
-        run: The number of the run.
-        kind: How it ended.
-        saved: Its last checkpoint, or empty.
+        run: Number of the run.
+        kind: How the run ended.
+        saved: Last checkpoint, or empty.
     """
 
     number: int
@@ -191,14 +199,15 @@
 
 
 class LeaseReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a worker answers to a hold.
+    """Answer of a worker to `RenewLeases`.
 
     Attributes:
-        clock_ms: The worker's steady clock.
-        life_ms: The life that answered, or None if it does not say.
-        running: What runs.
-        ended: Ends after the last one that it was told it may forget.
-        complete: Whether `ended` holds all of them.
+        clock_ms: Reading of the worker's monotonic clock in milliseconds.
+        life_ms: Start of the incarnation that answered, or None if the worker
+            does not report it.
+        running: Tasks that run on the worker.
+        ended: Ends with higher numbers than the command's `last_seen`.
+        complete: Whether `ended` contains all of these ends.
     """
 
     clock_ms: int
--- a/citronmount/fleet/delay_scheduling.py
+++ b/citronmount/fleet/delay_scheduling.py
@@ -1,8 +1,9 @@
-"""How long a unit waits for better workers than those that are free.
+"""Delay scheduling: how long a unit waits for better workers.
 
-Load pattern: the preferred rack is full, or the quick workers are. Waiting pays
-as long as the run on other workers would take longer than the wait; inside a
-guarantee, and in a pool that is mostly idle, it is bounded.
+The preferred rack or the fast workers may be full while others are free.
+Waiting pays off as long as the wait is shorter than the time that the run would
+lose on worse workers. The wait is capped for units inside a guarantee and in a
+mostly idle pool. See Zaharia et al., "Delay Scheduling", EuroSys 2010.
 """
 
 import msgspec
@@ -18,11 +19,11 @@
 
 
 class DelayPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """What a unit takes after the time that it has waited.
+    """Decides which workers a unit accepts after its waiting time.
 
     Attributes:
-        now_ms: Steady time in milliseconds.
-        bounds: Times that the site sets.
+        now_ms: Monotonic time in milliseconds.
+        bounds: Time bounds and factors of the site.
         idle_pool: Whether the pool is mostly idle.
     """
 
@@ -31,25 +32,35 @@
     idle_pool: bool
 
     def accepts_distrusted(self, unit: waiting_units.WaitingUnit) -> bool:
-        """Returns whether any worker is better than further waiting.
+        """Returns whether a unit accepts distrusted workers.
 
-        Jobs that fail everywhere can cost many workers their trust.
+        A job that fails everywhere can make many workers distrusted, so their
+        exclusion must be limited in time.
         """
         return self.now_ms - unit.since_ms >= DISTRUSTED_DELAY_MS
 
     def accepts_slow(
         self, unit: waiting_units.WaitingUnit, guaranteed: bool
     ) -> bool:
-        """Returns whether a slow worker is better than further waiting."""
+        """Returns whether a unit accepts slow workers.
+
+        The limit is the estimated run time: a slow worker takes at least twice
+        as long.
+        """
         limit_ms = self._capped(unit.step.estimate_ms, guaranteed)
         return self.now_ms - unit.since_ms >= limit_ms
 
     def accepts_other_racks(
         self, unit: waiting_units.WaitingUnit, guaranteed: bool
     ) -> bool:
-        """Returns whether another rack is better than further waiting."""
-        slower = self.bounds.spread_factor - 1
-        limit_ms = self._capped(int(slower * unit.step.estimate_ms), guaranteed)
+        """Returns whether a unit accepts workers outside its preferred rack.
+
+        The limit is the additional run time on other racks.
+        """
+        extra_factor = self.bounds.spread_factor - 1
+        limit_ms = self._capped(
+            int(extra_factor * unit.step.estimate_ms), guaranteed
+        )
         return self.now_ms - unit.since_ms >= limit_ms
 
     def _capped(self, limit_ms: int, guaranteed: bool) -> int:
--- a/citronmount/fleet/fleet_configuration.py
+++ b/citronmount/fleet/fleet_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that operators publish for a pool, as decided on."""
+"""The published configuration of a pool, in the form the owner uses."""
 
 import msgspec
 
@@ -9,14 +9,14 @@
 
 
 class Queue(msgspec.Struct, frozen=True, kw_only=True):
-    """One queue and where callers reach it.
+    """A queue and the calls that are routed to it.
 
     Attributes:
-        terms: How its jobs are run.
-        host: The host name of its calls, or empty for any.
-        path_prefix: What the path of its calls begins with.
-        timeout_ms: The longest a call may take.
-        public: Whether calls need no key.
+        terms: Scheduling terms of the queue's jobs.
+        host: Host name of the calls, or empty for any host.
+        path_prefix: Prefix of the path of the calls.
+        timeout_ms: Maximum duration of a call.
+        public: Whether calls need no API key.
     """
 
     terms: spec.QueueTerms
@@ -30,10 +30,10 @@
     """A client account.
 
     Attributes:
-        account: The id.
-        keys: The keys of its callers.
-        guaranteed_accelerators: Accelerators that belong to its jobs of
-            priority 0 at all times.
+        account: Account id.
+        keys: API keys of the account's callers.
+        guaranteed_accelerators: Number of accelerators guaranteed to the
+            account's jobs of priority 0.
     """
 
     account: ids.AccountId
@@ -45,8 +45,8 @@
     """One version of the configuration.
 
     Attributes:
-        version: Rises with each change.
-        queues: The queues, those with the longest prefix first.
+        version: Version number, increased with each change.
+        queues: The queues, ordered by descending length of the path prefix.
         accounts: The client accounts.
     """
 
@@ -55,14 +55,14 @@
     accounts: tuple[Account, ...]
 
     def queue_at(self, host: str, path: str) -> Queue | None:
-        """Returns the queue that serves a call.
+        """Returns the queue that a call is routed to.
 
         Args:
-            host: The host name that the caller named, without a port.
-            path: The path of the call.
+            host: Host name of the request, without a port.
+            path: Path of the request.
 
         Returns:
-            The queue with the longest prefix, or None.
+            The matching queue with the longest prefix, or None.
         """
         matching = (
             queue
@@ -72,22 +72,22 @@
         return next(matching, None)
 
     def account_of(self, key: str) -> ids.AccountId | None:
-        """Returns the client account of a key, or None if it is unknown."""
+        """Returns the client account of an API key, or None if unknown."""
         owners = (each.account for each in self.accounts if key in each.keys)
         return next(owners, None)
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Times that the site sets.
+    """Time bounds and factors of the site.
 
     Attributes:
-        max_lease_ms: The longest lease that workers grant.
-        stop_ms: How long a stop takes at most.
-        status_s: How long final states must be told.
-        reclaim_ms: When jobs inside a guarantee must have begun.
-        spread_factor: How many times as long a step takes that is spread
-            over racks or runs far from its data.
-        save_s: Work between two checkpoints of a task.
+        max_lease_ms: Longest lease that workers accept.
+        stop_ms: Maximum time to stop a task.
+        status_s: Time for which final states must remain available to callers.
+        reclaim_ms: Time within which jobs inside a guarantee must start.
+        spread_factor: Factor by which a step takes longer when it is spread
+            over racks or runs on another rack than its data.
+        save_s: Work in seconds between two checkpoints of a task.
     """
 
     max_lease_ms: int = 6_000
--- a/citronmount/fleet/guarantees.py
+++ b/citronmount/fleet/guarantees.py
@@ -1,4 +1,4 @@
-"""Counts what is left of each client account's guarantee."""
+"""Accounting of the client accounts' guaranteed accelerators."""
 
 from collections.abc import Iterable
 
@@ -14,10 +14,12 @@
 
 
 class Guarantees:
-    """The guaranteed accelerators that no run of the first priority uses.
+    """Unused guaranteed accelerators per client account.
+
+    Only runs of the highest priority use a guarantee.
 
     Attributes:
-        inside: Runs that count as their account's guarantee.
+        guaranteed_units: Units whose runs are inside a guarantee.
     """
 
     def __init__(
@@ -26,7 +28,7 @@
         accounts: Iterable[fleet_configuration.Account],
         runs: Iterable[unit_runs.Run],
     ) -> None:
-        """Counts the runs inside guarantees, the oldest first.
+        """Assigns runs to guarantees in the order of their placement.
 
         Args:
             accounts: The client accounts with their guarantees.
@@ -42,14 +44,14 @@
                 self._count_run(run)
 
     def covers(self, unit: waiting_units.WaitingUnit) -> bool:
-        """Returns whether a unit fits into what is left."""
+        """Returns whether a unit fits into its account's unused guarantee."""
         if unit.submission.terms.priority != HIGHEST_PRIORITY:
             return False
         unused = self._unused.get(unit.submission.account, 0)
         return 0 < unit.accelerators <= unused
 
     def consume(self, unit: waiting_units.WaitingUnit) -> None:
-        """Counts a unit that starts, if it is inside the guarantee."""
+        """Deducts a unit that starts from the guarantee that covers it."""
         if self.covers(unit):
             self._unused[unit.submission.account] -= unit.accelerators
 
--- a/citronmount/fleet/lease_sessions.py
+++ b/citronmount/fleet/lease_sessions.py
@@ -1,4 +1,4 @@
-"""What the owner knows of one life of a worker: clock, lease, ends."""
+"""The owner's state per worker incarnation: clock, lease and ended runs."""
 
 import enum
 
@@ -14,24 +14,26 @@
 
 
 class RenewalState(enum.Enum):
-    """Whether a hold is on its way."""
+    """Whether a lease renewal awaits its answer."""
 
     IDLE = "idle"
     OPEN = "open"
 
 
 class LeasePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """How leases are renewed.
+    """Timing of leases and their renewal.
 
     Attributes:
-        lease_ms: How long a lease lasts from its renewal.
-        max_lease_ms: The longest lease that any owner may have given.
-        wait_ms: How long a hold waits for an end.
-        retry_ms: Time between holds that get no answer, or that only repeat
-            ends which are not recorded yet.
-        trust_ms: Silence after which a worker's lease is not renewed any
-            more, so that it surely runs out.
-        stop_ms: How long a worker takes to kill what has lapsed.
+        lease_ms: Duration of a lease from its renewal.
+        max_lease_ms: Longest lease that any owner may have granted.
+        wait_ms: Maximum time that a worker delays its answer to a renewal
+            while it waits for a run to end.
+        retry_ms: Interval between renewals that get no answer or that only
+            repeat ends which are not durable yet.
+        trust_ms: Silence after which the leases of a worker are no longer
+            renewed, so that they are certain to expire.
+        stop_ms: Time that a worker needs to kill tasks after their lease
+            expired.
     """
 
     lease_ms: int
@@ -43,13 +45,19 @@
 
 
 class LeaseSession:
-    """One life of a worker under one owner.
+    """Lease state of one worker incarnation under one owner.
+
+    The clocks of owner and worker are related through the readings in the
+    worker's answers. The worker's clock is assumed to run at no less than
+    `_MIN_CLOCK_RATE` of the owner's, so that the owner never considers a lease
+    expired while the worker still honours it.
 
     Attributes:
-        worker: Its newest entry.
-        answered_ms: Steady time of the last answer, or None before the first.
-        runs: How many runs of this owner it may hold.
-        waits_unanswered: Holds in a row that got no answer.
+        worker: Newest directory entry of the worker.
+        answered_ms: Monotonic time of the last answer, or None before the
+            first one.
+        runs: Number of tasks of this owner that the worker may hold.
+        unanswered_renewals: Number of consecutive renewals without an answer.
     """
 
     def __init__(
@@ -63,10 +71,10 @@
         """Initializes a session before its first answer.
 
         Args:
-            worker: The worker's entry.
-            policy: How leases are renewed.
-            token: The fencing token of the owner.
-            now_ms: Steady time in milliseconds.
+            worker: Directory entry of the worker.
+            policy: Timing of leases and their renewal.
+            token: Fencing token of the owner.
+            now_ms: Monotonic time in milliseconds.
         """
         self.worker = worker
         self.answered_ms: int | None = None
@@ -82,7 +90,7 @@
         self._sent_end = 0
         self._acknowledged_end = 0
         self._poll_requested = False
-        self._unresolved: set[int] = set()
+        self._unresolved_ends: set[int] = set()
         self._highest_end = 0
 
     @property
@@ -92,11 +100,11 @@
 
     @property
     def renewal_pending(self) -> bool:
-        """Whether a hold is on its way."""
+        """Whether a lease renewal awaits its answer."""
         return self._renewal is RenewalState.OPEN
 
     def clock_ms(self, now_ms: int) -> int:
-        """Returns what the worker's clock has reached at least."""
+        """Returns a lower bound of the worker's clock, 0 before any answer."""
         if self.answered_ms is None:
             return 0
         return self._clock_ms + int(
@@ -104,13 +112,13 @@
         )
 
     def grant_lease_ms(self, now_ms: int) -> int:
-        """Returns the end of a new lease and remembers that it was given.
+        """Grants a lease and stores its latest possible end.
 
         Args:
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
-            The end on the worker's clock.
+            End of the lease on the worker's clock, in milliseconds.
         """
         until_ms = self.clock_ms(now_ms) + self._policy.lease_ms
         end_ms = now_ms + self._max_owner_ms(self._policy.lease_ms)
@@ -118,29 +126,42 @@
         return until_ms
 
     def lease_expired(self, now_ms: int) -> bool:
-        """Returns whether every lease that was given has surely run out."""
+        """Returns whether all granted leases are certain to have expired.
+
+        Includes the time that the worker needs to kill the tasks.
+        """
         return now_ms > self._lease_end_ms + self._policy.stop_ms
 
     def silent_ms(self, now_ms: int) -> int:
-        """Returns how long the worker has not answered."""
+        """Returns the time since the last answer, 0 before the first one."""
         if self.answered_ms is None:
             return 0
         return now_ms - self.answered_ms
 
     def update_clock(self, clock_ms: int, now_ms: int) -> None:
-        """Takes in a clock reading from any answer."""
+        """Stores a clock reading of the worker unless it is outdated.
+
+        Answers can arrive out of order; a reading below the current lower bound
+        comes from an older answer.
+        """
         if self.answered_ms is None or clock_ms >= self.clock_ms(now_ms):
             self._clock_ms = clock_ms
             self.answered_ms = now_ms
 
     def next_renewal(self, now_ms: int) -> commands.RenewLeases | None:
-        """Returns the hold that is due, if any.
+        """Returns the renewal or status poll that is due, if any.
+
+        At most one renewal is pending at a time; a status poll may be sent
+        while a renewal is pending. Leases are renewed only for a worker that
+        holds runs and answered within `LeasePolicy.trust_ms`. The worker must
+        answer immediately if ends are unresolved, if it has not answered
+        before or if it holds no runs.
 
         Args:
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
-            The hold; the session then waits for its answer.
+            The command to send, or None.
         """
         if self._poll_requested:
             return self._next_poll()
@@ -152,7 +173,9 @@
         self._sent_end = self._forgettable_end
         trusted = self.silent_ms(now_ms) < self._policy.trust_ms
         renews = self.has_answered and self.runs and trusted
-        no_wait = self._unresolved or not self.has_answered or not self.runs
+        no_wait = (
+            self._unresolved_ends or not self.has_answered or not self.runs
+        )
         return commands.RenewLeases(
             worker=self.worker,
             until_ms=self.grant_lease_ms(now_ms) if renews else None,
@@ -162,7 +185,7 @@
         )
 
     def _next_poll(self) -> commands.RenewLeases:
-        """Returns a hold that only asks, beside one that may be waiting."""
+        """Returns a status poll, which renews no lease."""
         self._poll_requested = False
         return commands.RenewLeases(
             worker=self.worker,
@@ -174,14 +197,14 @@
         )
 
     def poll_answered(self, report: commands.LeaseReport, now_ms: int) -> None:
-        """Takes in the answer to a look."""
+        """Handles the answer to a status poll."""
         self.unanswered_renewals = 0
         self.update_clock(report.clock_ms, now_ms)
 
     def renewal_answered(
         self, report: commands.LeaseReport, now_ms: int
     ) -> None:
-        """Takes in the answer to a hold."""
+        """Handles the answer to a renewal; the next one is due immediately."""
         self._renewal = RenewalState.IDLE
         self.unanswered_renewals = 0
         self._clock_ms = report.clock_ms
@@ -190,49 +213,58 @@
         self._next_renewal_ms = now_ms
 
     def renewal_failed(self, now_ms: int) -> None:
-        """Takes in that a hold got no answer."""
+        """Handles a renewal without an answer; schedules a retry."""
         self._renewal = RenewalState.IDLE
         self.unanswered_renewals += 1
         self._next_renewal_ms = now_ms + self._policy.retry_ms
 
     def renew_soon(self, now_ms: int) -> None:
-        """Lets the next hold go out without a pause."""
+        """Makes the next renewal due immediately."""
         self._next_renewal_ms = now_ms
 
     def poll_soon(self) -> None:
-        """Has the worker asked at once what it runs.
+        """Requests a status poll.
 
-        A hold that is on its way waits for an end, which may be long.
+        A pending renewal may not be answered soon, because the worker delays
+        its answer until a run ends.
         """
         self._poll_requested = True
 
     def register_end(self, number: int, now_ms: int) -> bool:
-        """Takes in the number of an end.
+        """Registers an end from a report as unresolved.
+
+        A repeated report of an unresolved end delays the next renewal by
+        `LeasePolicy.retry_ms`.
 
         Args:
-            number: The number that the worker gave it.
-            now_ms: Steady time in milliseconds.
+            number: Sequence number of the end at the worker.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
-            Whether it is listed for the first time.
+            Whether the end was reported for the first time.
         """
         if number <= self._highest_end:
-            if number in self._unresolved:
+            if number in self._unresolved_ends:
                 self._next_renewal_ms = now_ms + self._policy.retry_ms
             return False
         self._highest_end = number
-        self._unresolved.add(number)
+        self._unresolved_ends.add(number)
         return True
 
     def resolve_end(self, number: int, now_ms: int) -> None:
-        """Lets the worker forget an end.
+        """Marks an end as resolved, so that the worker may delete it.
+
+        The worker deletes all ends up to a sequence number, so the number
+        advances only up to the first unresolved end.
 
         Args:
-            number: Its number.
-            now_ms: Steady time in milliseconds.
+            number: Sequence number of the end at the worker.
+            now_ms: Monotonic time in milliseconds.
         """
-        self._unresolved.discard(number)
-        forgettable = min(self._unresolved, default=self._highest_end + 1) - 1
+        self._unresolved_ends.discard(number)
+        forgettable = (
+            min(self._unresolved_ends, default=self._highest_end + 1) - 1
+        )
         if forgettable > self._forgettable_end:
             self._forgettable_end = forgettable
             self._next_renewal_ms = now_ms
@@ -242,7 +274,9 @@
         unacknowledged = self._acknowledged_end < self._forgettable_end
         unanswered = not self.has_answered or self.unanswered_renewals > 0
         return (
-            unanswered or bool(self.runs or self._unresolved) or unacknowledged
+            unanswered
+            or bool(self.runs or self._unresolved_ends)
+            or unacknowledged
         )
 
     def _max_owner_ms(self, worker_ms: int) -> int:
--- a/citronmount/fleet/owner_state.py
+++ b/citronmount/fleet/owner_state.py
@@ -54,8 +54,8 @@
         sessions: What is known of each worker's life.
         strangers: Runs at each worker that are not in the table.
         heard: Workers of which something was heard since the last step.
-        suspended: Steady times until which workers get no work.
-        ready_since: Steady times from which units could have started.
+        suspended: Monotonic times until which workers get no work.
+        ready_since: Monotonic times from which units could have started.
         clearing: The runs that each run waits for.
         finishing: Jobs whose final record is on its way.
         unrecorded: Records of each unit that are on their way.
@@ -68,7 +68,7 @@
         advice: Which workers policies allow.
         entries: Records to append.
         orders: Orders to send.
-        orphans_gone_ms: Steady time from which no lease of an earlier owner
+        orphans_gone_ms: Monotonic time from which no lease of an earlier owner
             can be left.
         changed: Whether anything happened that decisions depend on.
     """
@@ -91,7 +91,7 @@
             directory: The workers' entries.
             bounds: Times that the site sets.
             policy: How leases are renewed.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
         """
         self.token = token
         self.fenced = False
--- a/citronmount/fleet/planning.py
+++ b/citronmount/fleet/planning.py
@@ -76,7 +76,7 @@
             table: All runs.
             accounts: The client accounts with their guarantees.
             bounds: Times that the site sets.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
             trust: What is believed of a worker.
             slowdown: How much longer a worker takes than a quick one.
             allowed: Whether the queue's policy allows a worker for a unit.
@@ -342,7 +342,7 @@
         if unit.step.fills:
             self._filling_workers |= names
         for worker in decision.workers:
-            self._allocations.take(worker.worker, demand)
+            self._allocations.allocate(worker.worker, demand)
             self._placed_counts[_step_key(unit.key)][worker.worker] += 1
 
     def _free_capacity(self, worker: worker_directory.Worker) -> spec.Demand:
--- a/citronmount/fleet/pool_owner.py
+++ b/citronmount/fleet/pool_owner.py
@@ -41,7 +41,7 @@
 
         Args:
             state: What its parts share; nothing runs in it yet.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
         """
         self.token = state.token
         self._state = state
@@ -96,7 +96,7 @@
         Args:
             entries: The records of one append.
             offset: The offset of the first.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
         """
         for number, entry in enumerate(entries, offset):
             if entry.record is None:
@@ -118,7 +118,7 @@
         """Decides on all that happened and on the passing of time.
 
         Args:
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
             wall_ms: Unix time in milliseconds.
 
         Returns:
--- a/citronmount/fleet/preemption.py
+++ b/citronmount/fleet/preemption.py
@@ -53,7 +53,7 @@
 
     Args:
         run: The run.
-        now_ms: Steady time in milliseconds.
+        now_ms: Monotonic time in milliseconds.
         save_s: Work between two checkpoints.
 
     Returns:
--- a/citronmount/fleet/run_driver.py
+++ b/citronmount/fleet/run_driver.py
@@ -80,7 +80,7 @@
         run at work needs no order, so only the passing of time matters to it.
 
         Args:
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
             full_scan: Whether runs at work are looked at as well.
         """
         for run in self._state.table:
--- a/citronmount/fleet/run_table.py
+++ b/citronmount/fleet/run_table.py
@@ -73,7 +73,7 @@
         for member in run.members:
             self._by_task[member.task] = (run, member)
             self._on_worker[member.place.worker][member.task] = run
-            self.allocations.take(member.place.worker, demand)
+            self.allocations.allocate(member.place.worker, demand)
 
     def mark_gone(self, run: unit_runs.Run, member: unit_runs.Member) -> None:
         """Notes that a member does not run and cannot start any more."""
@@ -85,7 +85,7 @@
         if not self._on_worker[worker]:
             del self._on_worker[worker]
         self._by_task.pop(member.task, None)
-        self.allocations.give_back(
+        self.allocations.release(
             worker, worker_allocations.allocated_demand(run.step)
         )
 
--- a/citronmount/fleet/unit_runs.py
+++ b/citronmount/fleet/unit_runs.py
@@ -56,15 +56,15 @@
         state: Where it stands.
         start_open: Whether an order to start is on its way.
         start_tries: How many orders to start were sent.
-        start_sent_ms: Steady time of the last one.
+        start_sent_ms: Monotonic time of the last one.
         start_uncertain: Whether one got no answer and may still be carried
             out.
         start_answered: Whether the last order to start was answered, or the
             task was seen running.
         stop_open: Whether an order to stop is on its way.
         stop_answered: Whether an order to stop was answered.
-        settled_ms: Steady time of the last answer to an order.
-        next_order_ms: Steady time of the next order, after one that got no
+        settled_ms: Monotonic time of the last answer to an order.
+        next_order_ms: Monotonic time of the next order, after one that got no
             answer.
         saved: Its newest checkpoint.
         progress: How it gets on.
@@ -117,8 +117,8 @@
         failures: Failed runs of the unit, this one included.
         saved: The checkpoint that the run started from, or a newer one.
         restored: Whether an earlier owner started it.
-        placed_ms: Steady time of the decision.
-        started_ms: Steady time at which all members ran, if they did.
+        placed_ms: Monotonic time of the decision.
+        started_ms: Monotonic time at which all members ran, if they did.
     """
 
     def __init__(
@@ -147,7 +147,7 @@
             failures: Earlier runs of the unit that failed.
             saved: The checkpoint to start from, or empty.
             restored: Whether an earlier owner started it.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
         """
         self.key = key
         self.unit = key.unit
--- a/citronmount/fleet/waiting_units.py
+++ b/citronmount/fleet/waiting_units.py
@@ -20,7 +20,7 @@
         key: The unit.
         step: Its step.
         submission: Its job.
-        since_ms: Steady time from which it could have started.
+        since_ms: Monotonic time from which it could have started.
         run: The number of its last run.
         failures: Its failed runs.
         saved: Its newest checkpoint, or empty.
--- a/citronmount/fleet/worker_allocations.py
+++ b/citronmount/fleet/worker_allocations.py
@@ -1,4 +1,4 @@
-"""Room on workers: capacity less what was given to runs."""
+"""Accounting of the worker resources allocated to runs."""
 
 import collections
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 def add_demands(left: spec.Demand, right: spec.Demand) -> spec.Demand:
-    """Returns the sum of two amounts."""
+    """Returns the sum of two resource amounts."""
     return spec.Demand(
         millicores=left.millicores + right.millicores,
         memory_mb=left.memory_mb + right.memory_mb,
@@ -28,7 +28,7 @@
 
 
 def subtract_demands(left: spec.Demand, right: spec.Demand) -> spec.Demand:
-    """Returns the difference of two amounts, which may be negative."""
+    """Returns the difference of two resource amounts, possibly negative."""
     return spec.Demand(
         millicores=left.millicores - right.millicores,
         memory_mb=left.memory_mb - right.memory_mb,
@@ -37,10 +37,10 @@
 
 
 def allocated_demand(step: spec.Step) -> spec.Demand:
-    """Returns what a task of a step takes of a worker's room.
+    """Returns the resources that a task of a step allocates on a worker.
 
-    A filling task runs on processor time that others leave, so only its
-    memory and accelerators count.
+    A filling task uses only idle processor time, so only its memory and
+    accelerators are allocated.
     """
     if not step.fills:
         return step.demand
@@ -49,57 +49,65 @@
     )
 
 
-def max_task_count(free: spec.Demand, demand: spec.Demand, most: int) -> int:
-    """Returns how many tasks fit into free room.
+def max_task_count(free: spec.Demand, demand: spec.Demand, limit: int) -> int:
+    """Returns how many tasks fit into free capacity.
 
     Args:
-        free: The room.
-        demand: What one task takes.
-        most: The most that are wanted.
+        free: The free capacity.
+        demand: Resources that one task allocates.
+        limit: Maximum number of tasks.
 
     Returns:
-        A number from 0 to `most`.
+        A number from 0 to `limit`.
     """
     pairs = (
         (free.millicores, demand.millicores),
         (free.memory_mb, demand.memory_mb),
         (free.accelerators, demand.accelerators),
     )
-    return max(min([most, *(have // need for have, need in pairs if need)]), 0)
+    return max(
+        min(
+            [
+                limit,
+                *(available // needed for available, needed in pairs if needed),
+            ]
+        ),
+        0,
+    )
 
 
 class WorkerAllocations:
-    """What is given of each worker's room."""
+    """Resources allocated on each worker."""
 
     def __init__(self) -> None:
-        """Initializes with nothing given."""
+        """Initializes without allocations."""
         self._used: dict[ids.WorkerId, spec.Demand] = collections.defaultdict(
             spec.Demand
         )
 
     def used(self, worker: ids.WorkerId) -> spec.Demand:
-        """Returns what is given of a worker's room."""
+        """Returns the resources allocated on a worker."""
         return self._used.get(worker, NO_DEMAND)
 
-    def take(self, worker: ids.WorkerId, demand: spec.Demand) -> None:
-        """Gives room of a worker."""
+    def allocate(self, worker: ids.WorkerId, demand: spec.Demand) -> None:
+        """Allocates resources on a worker."""
         self._used[worker] = add_demands(self._used[worker], demand)
 
-    def give_back(self, worker: ids.WorkerId, demand: spec.Demand) -> None:
-        """Takes room of a worker back."""
-        left = subtract_demands(self._used[worker], demand)
-        self._used[worker] = left
-        if left == NO_DEMAND:
+    def release(self, worker: ids.WorkerId, demand: spec.Demand) -> None:
+        """Releases resources on a worker."""
+        remaining = subtract_demands(self._used[worker], demand)
+        self._used[worker] = remaining
+        if remaining == NO_DEMAND:
             del self._used[worker]
 
     def copy(self) -> "WorkerAllocations":
-        """Returns a copy to try decisions on."""
-        other = WorkerAllocations()
-        other._used.update(self._used)
-        return other
+        """Returns an independent copy, for decisions not yet applied."""
+        duplicate = WorkerAllocations()
+        duplicate._used.update(self._used)
+        return duplicate
 
     def total(self, workers: Iterable[ids.WorkerId]) -> spec.Demand:
-        """Returns what is given of the room of several workers."""
+        """Returns the resources allocated on several workers in total."""
         total = NO_DEMAND
         for worker in workers:
             total = add_demands(total, self.used(worker))
--- a/citronmount/fleet/worker_directory.py
+++ b/citronmount/fleet/worker_directory.py
@@ -1,4 +1,4 @@
-"""The workers of the pool, as their entries tell."""
+"""Directory of the workers of a pool and their published state."""
 
 from collections.abc import Iterator
 import enum
@@ -14,27 +14,27 @@
 
 
 class WorkerState(enum.Enum):
-    """What a worker says of itself."""
+    """State that a worker publishes of itself."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class Worker(msgspec.Struct, frozen=True, kw_only=True):
-    """One life of a worker.
+    """Directory entry of one incarnation of a worker.
 
     Attributes:
-        worker: The id; a later life may have the same.
-        life_ms: Unix time at which this life began.
-        machine: The machine that it runs on.
-        address: ``ip:port`` for orders.
-        failure_domain: Where it is.
-        service: The service that it belongs to.
-        state: Whether it takes new work.
-        capacity: Its whole room.
-        labels: What constraints may name.
-        rack: Its rack.
-        remaining_ms: How much longer it runs at least, while it drains.
+        worker: Worker id; a later incarnation may have the same id.
+        life_ms: Unix time in milliseconds at which the incarnation started.
+        machine: The machine that the worker runs on.
+        address: ``ip:port`` that accepts commands.
+        failure_domain: Failure domain of the worker.
+        service: Service that the worker belongs to.
+        state: Whether the worker accepts new tasks.
+        capacity: Total resources of the worker.
+        labels: Labels that a step can require.
+        rack: Rack of the worker.
+        remaining_ms: Minimum remaining run time of a draining worker.
     """
 
     worker: ids.WorkerId
@@ -51,15 +51,15 @@
 
     @property
     def speed_key(self) -> MachineId:
-        """What keeps its speed from one life to the next."""
+        """Key of the speed estimate, which outlives an incarnation."""
         return self.machine or self.worker
 
 
 class WorkerDirectory:
-    """The newest entry of each worker and the domains out of service.
+    """Newest entry of each worker, and the failure domains out of service.
 
     Attributes:
-        version: Rises with each change of an entry.
+        version: Increases with each change of an entry.
     """
 
     def __init__(self) -> None:
@@ -69,14 +69,14 @@
         self._domains_out_of_service: set[ids.FailureDomainId] = set()
 
     def __iter__(self) -> Iterator[Worker]:
-        """Iterates over the workers that have an entry."""
+        """Iterates over the entries of all workers."""
         return iter(self._workers.values())
 
     def newest_incarnations(self) -> list[Worker]:
-        """Returns the entries but for those of a machine's older lives.
+        """Returns the entry of the newest incarnation on each machine.
 
-        A worker that starts again under another id leaves its former entry
-        behind until that lapses.
+        A worker that restarts under another id leaves its former entry behind
+        until that entry expires.
         """
         newest: dict[MachineId, Worker] = {}
         for worker in self._workers.values():
@@ -87,28 +87,28 @@
         return list(newest.values())
 
     def get(self, worker: ids.WorkerId) -> Worker | None:
-        """Returns the newest entry of a worker, if it has one."""
+        """Returns the entry of a worker, or None if it has none."""
         return self._workers.get(worker)
 
     def put(self, worker: Worker) -> None:
-        """Takes in an entry."""
+        """Adds or replaces the entry of a worker."""
         self._workers[worker.worker] = worker
         self.version += 1
 
     def remove(self, worker: ids.WorkerId) -> None:
-        """Takes in that a worker has no entry any more."""
+        """Removes the entry of a worker."""
         self._workers.pop(worker, None)
         self.version += 1
 
     def replace(self, workers: tuple[Worker, ...]) -> None:
-        """Takes in all entries anew."""
+        """Replaces all entries."""
         self._workers = {worker.worker: worker for worker in workers}
         self.version += 1
 
     def set_domain_out_of_service(
         self, domain: ids.FailureDomainId, out: bool
     ) -> None:
-        """Takes a failure domain out of service or back."""
+        """Takes a failure domain out of service or returns it to service."""
         (
             self._domains_out_of_service.add
             if out
@@ -116,11 +116,14 @@
         )(domain)
 
     def clear_domains_out_of_service(self) -> None:
-        """Takes every failure domain back into service."""
+        """Returns all failure domains to service."""
         self._domains_out_of_service.clear()
 
     def is_usable(self, worker: Worker) -> bool:
-        """Returns whether a worker may get new work."""
+        """Returns whether an incarnation may receive new tasks.
+
+        It must be the current entry, ready and in a failure domain in service.
+        """
         return (
             self._workers.get(worker.worker) is worker
             and worker.state is WorkerState.READY
--- a/citronmount/fleet/worker_health.py
+++ b/citronmount/fleet/worker_health.py
@@ -80,7 +80,7 @@
             worker: Where.
             elapsed_ms: How long it took.
             estimate_ms: How long it was thought to take.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
         """
         history = self._histories[worker]
         history.failed_jobs.clear()
@@ -126,7 +126,7 @@
             worker: Where.
             elapsed_ms: How long the run has worked.
             estimate_ms: How long it was thought to take.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
             The multiple of the usual run time, or 0 if other runs end there.
--- a/citronmount/fleet/worker_reports.py
+++ b/citronmount/fleet/worker_reports.py
@@ -191,8 +191,8 @@
         Args:
             command: The hold.
             report: The answer.
-            sent_ms: Steady time at which the hold was sent.
-            now_ms: Steady time in milliseconds.
+            sent_ms: Monotonic time at which the hold was sent.
+            now_ms: Monotonic time in milliseconds.
         """
         self._state.answered_workers.add(command.worker.worker)
         session = self._state.session_for(command.worker)
--- a/citronmount/fleet/worker_sessions.py
+++ b/citronmount/fleet/worker_sessions.py
@@ -33,7 +33,7 @@
         """Opens and closes sessions as the entries tell.
 
         Args:
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
             full_scan: Whether to look although no entry has changed.
         """
         version = self._state.directory.version
--- a/citronmount/fleet/worker_speeds.py
+++ b/citronmount/fleet/worker_speeds.py
@@ -48,7 +48,7 @@
 
         Args:
             rates: Percent per second on each machine.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
         """
         if len(rates) < 2:
             return
@@ -93,7 +93,7 @@
 
         Args:
             snapshot: What `kept` returned there.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
         """
         for machine, log in snapshot.items():
             speed = self._speeds.setdefault(machine, _SpeedEstimate())
@@ -112,7 +112,7 @@
 
         Args:
             machine: The machine.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
             A factor, 1 for a quick machine.
--- a/citronmount/workflow/__init__.py
+++ b/citronmount/workflow/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of several steps: their description, records and progress."""
+"""Multi-step jobs: their specification, log records and progress."""
--- a/citronmount/workflow/job_views.py
+++ b/citronmount/workflow/job_views.py
@@ -1,4 +1,4 @@
-"""The fold of the job topic: every job that callers may still ask about."""
+"""State of all jobs that callers can query, folded from the job topic."""
 
 from collections.abc import Iterable
 import itertools
@@ -20,21 +20,21 @@
 
 
 class JobEntry:
-    """A job that has not got its final state.
+    """A job without a final state.
 
     Attributes:
-        submission: The job and its terms.
-        offset: The offset of its first submission.
-        cancelled: Whether a caller cancelled it.
-        progress: Its units.
+        submission: The job and the queue terms that apply to it.
+        offset: Log offset of the job's first submission record.
+        cancelled: Whether a caller cancelled the job.
+        progress: State of the job's units.
     """
 
     def __init__(self, *, submission: spec.Submission, offset: int) -> None:
-        """Initializes a job of which nothing has run.
+        """Initializes a job that has not started.
 
         Args:
-            submission: The job and its terms.
-            offset: The offset of its first submission.
+            submission: The job and the queue terms that apply to it.
+            offset: Log offset of the job's first submission record.
         """
         self.submission = submission
         self.offset = offset
@@ -43,7 +43,7 @@
 
     @property
     def state(self) -> states.JobState:
-        """The state that callers are told."""
+        """The state reported to callers."""
         if self.progress.complete:
             return states.JobState.DONE
         if self.cancelled:
@@ -56,21 +56,23 @@
 
 
 class JobView:
-    """Folds records by offset; folding one twice changes nothing.
+    """Folds the records of the job topic; folding is idempotent.
 
-    Records may come from the tail of the topic, from the newest record of
-    each key and from this VM's own acknowledged appends, in any mix: a record
-    that is not newer than what its key was folded at is passed over.
+    Records may arrive in any mix from the tail of the topic, from the compacted
+    topic (the newest record of each key) and from appends of this VM that the
+    log acknowledged. The view stores the offset of the last record folded for
+    each key and ignores records of that key with the same or a lower offset.
 
     Attributes:
         jobs: Jobs without a final state.
-        finished: Final states that callers may still ask for.
-        owned: Who took the pool over last, if anyone did.
-        speeds: What owners have learned of the speeds of machines.
+        finished: Final states that callers can still query.
+        ownership: Record of the latest pool takeover, or None.
+        speeds: Relative speeds of machines as last recorded by an owner, as
+            logarithms.
     """
 
     def __init__(self) -> None:
-        """Initializes an empty book."""
+        """Initializes a view without jobs."""
         self.jobs: dict[ids.JobId, JobEntry] = {}
         self.finished: dict[ids.JobId, records.Finished] = {}
         self.ownership: records.OwnershipTaken | None = None
@@ -82,11 +84,11 @@
         """Folds one record.
 
         Args:
-            offset: Its offset.
+            offset: Log offset of the record.
             record: The record.
 
         Returns:
-            Whether it changed anything.
+            Whether the record changed a job or the ownership of the pool.
         """
         key = records.key_of(record)
         if offset <= self._offsets.get(key, -1):
@@ -109,11 +111,11 @@
                 return self._apply_unit_change(offset, record)
 
     def apply_removal(self, offset: int, key: str) -> None:
-        """Folds a record that removes a key.
+        """Folds a tombstone, the record that removes a key.
 
         Args:
-            offset: The offset of the record.
-            key: The key.
+            offset: Log offset of the tombstone.
+            key: The removed key.
         """
         if offset <= self._offsets.get(key, -1):
             return
@@ -121,7 +123,7 @@
         self.finished.pop(records.job_of_final_key(key), None)
 
     def state_of(self, job: ids.JobId) -> states.JobState | None:
-        """Returns the state of a job, or None if it is not known."""
+        """Returns the state of a job, or None for an unknown job."""
         final = self.finished.get(job)
         if final is not None:
             return _FINAL_STATES[final.state]
@@ -129,7 +131,7 @@
         return entry.state if entry else None
 
     def queue_of(self, job: ids.JobId) -> spec.QueueName | None:
-        """Returns the queue of a job, or None if it is not known."""
+        """Returns the queue of a job, or None for an unknown job."""
         final = self.finished.get(job)
         if final is not None:
             return final.queue
@@ -137,7 +139,7 @@
         return entry.submission.terms.queue if entry else None
 
     def count_queued(self, queue: spec.QueueName) -> int:
-        """Returns how many jobs of a queue have not begun."""
+        """Returns the number of jobs of a queue that have not started."""
         return sum(
             entry.submission.terms.queue == queue
             and entry.state is states.JobState.QUEUED
@@ -145,7 +147,7 @@
         )
 
     def keys_of(self, job: ids.JobId) -> list[str]:
-        """Returns the keys that a job without final state has in the topic."""
+        """Returns the topic keys of an unfinished job, empty for other jobs."""
         entry = self.jobs.get(job)
         if entry is None:
             return []
@@ -154,7 +156,7 @@
         return list(itertools.chain([records.job_key(job)], cancel, changed))
 
     def expired_jobs(self, before_ms: int) -> list[ids.JobId]:
-        """Returns the jobs whose final state is older than a Unix time."""
+        """Returns the jobs that finished before `before_ms` (Unix time)."""
         return [
             job
             for job, final in self.finished.items()
@@ -189,7 +191,7 @@
     def _apply_unit_change(
         self, offset: int, record: records.UnitChanged
     ) -> bool:
-        """Folds the record of a unit, unless its job has no such step."""
+        """Folds the record of a unit; ignores it if the job lacks the step."""
         key = units.UnitKey.parse(record.unit)
         entry = self.jobs.get(key.job)
         if entry and key.step >= len(entry.submission.workflow.steps):
@@ -215,10 +217,11 @@
     def _defer(
         self, job: ids.JobId, offset: int, record: records.Record
     ) -> None:
-        """Keeps a record whose submission has yet to be read.
+        """Stores a record until the submission of its job has been folded.
 
-        The newest record of each key comes sorted by key, and a submission
-        that was repeated has a higher offset than the units of its job.
+        The compacted topic is read in the order of keys, and a repeated
+        submission has a higher offset than the unit records of its job, so
+        either can arrive before the submission.
         """
         if job not in self.finished:
             self._deferred.setdefault(job, []).append((offset, record))
--- a/citronmount/workflow/progress.py
+++ b/citronmount/workflow/progress.py
@@ -1,4 +1,4 @@
-"""Which units of a job may run at a moment."""
+"""Determines which units of a job can run at a given time."""
 
 import math
 
@@ -13,14 +13,14 @@
 
 
 class JobProgress:
-    """The units of one job and the order between its steps.
+    """Tracks the units of one job and the dependencies between its steps.
 
     Attributes:
-        changed: The newest record of each unit that was ever placed.
+        unit_records: Newest record of each unit that was placed at least once.
     """
 
     def __init__(self, *, workflow: spec.Workflow) -> None:
-        """Initializes a job of which nothing has run.
+        """Initializes the progress of a job that has not started.
 
         Args:
             workflow: The job.
@@ -37,25 +37,25 @@
 
     @property
     def started(self) -> bool:
-        """Whether any task was ever started."""
+        """Whether any unit has had a run."""
         return any(unit.run for unit in self.unit_records.values())
 
     @property
     def complete(self) -> bool:
-        """Whether every unit of every occurrence is done."""
+        """Whether all units of all occurrences are done."""
         expected = self._workflow.occurrence_count * sum(self._unit_counts)
         return sum(self._done.values()) == expected
 
     @property
     def failed(self) -> bool:
-        """Whether a unit has failed for good."""
+        """Whether any unit has failed permanently."""
         return self._failed > 0
 
     def apply(self, change: records.UnitChanged) -> None:
-        """Takes in the newest record of a unit.
+        """Replaces the record of a unit.
 
         Args:
-            change: The record.
+            change: The unit's newest record.
         """
         previous = self.unit_records.get(change.unit)
         self.unit_records[change.unit] = change
@@ -73,13 +73,16 @@
         )
 
     def open_units(self, wall_ms: int) -> list[units.UnitKey]:
-        """Returns the units whose turn has come and that have not ended.
+        """Returns the units that are due, ready and not yet finished.
+
+        A unit is ready once all steps that its step depends on are done. The
+        result is cached until a record changes or the next occurrence is due.
 
         Args:
-            wall_ms: The Unix time in milliseconds.
+            wall_ms: Unix time in milliseconds.
 
         Returns:
-            Units that run or may run now.
+            The units that run or may be started now.
         """
         if wall_ms >= self._next_due_ms:
             self._refresh(wall_ms)
@@ -93,25 +96,29 @@
             if due_ms is not None and due_ms > wall_ms:
                 self._next_due_ms = due_ms
                 return
-            for number, step in enumerate(self._workflow.steps):
-                if self._is_ready(occurrence, number, step):
+            for step_index, step in enumerate(self._workflow.steps):
+                if self._is_ready(occurrence, step_index, step):
                     self._open_units += self._unfinished_units(
-                        occurrence, number, step
+                        occurrence, step_index, step
                     )
 
-    def _is_ready(self, occurrence: int, number: int, step: spec.Step) -> bool:
-        return not self._step_done(occurrence, number) and all(
+    def _is_ready(
+        self, occurrence: int, step_index: int, step: spec.Step
+    ) -> bool:
+        return not self._step_done(occurrence, step_index) and all(
             self._step_done(occurrence, earlier) for earlier in step.after
         )
 
-    def _step_done(self, occurrence: int, number: int) -> bool:
-        done = self._done.get((occurrence, number), 0)
-        return done >= self._unit_counts[number]
+    def _step_done(self, occurrence: int, step_index: int) -> bool:
+        done = self._done.get((occurrence, step_index), 0)
+        return done >= self._unit_counts[step_index]
 
     def _unfinished_units(
-        self, occurrence: int, number: int, step: spec.Step
+        self, occurrence: int, step_index: int, step: spec.Step
     ) -> list[units.UnitKey]:
-        keys = units.units_of_step(self._workflow.job, occurrence, number, step)
+        keys = units.units_of_step(
+            self._workflow.job, occurrence, step_index, step
+        )
         return [key for key in keys if not self._is_final(key.unit)]
 
     def _is_final(self, unit: units.UnitId) -> bool:
--- a/citronmount/workflow/records.py
+++ b/citronmount/workflow/records.py
@@ -1,4 +1,8 @@
-"""Records of the job topic, their keys and their encoding."""
+"""Records of the job topic with their keys and encoding.
+
+The log compacts the topic by key: a newer record of a key replaces the older
+one.
+"""
 
 import enum
 import typing
@@ -35,11 +39,11 @@
 
 
 class UnreadableRecordError(errors.InvalidInputError):
-    """A record that this version did not write."""
+    """The bytes of a record do not decode to a record of its key."""
 
 
 class UnitStatus(enum.IntEnum):
-    """Where a unit stands."""
+    """Status of a unit."""
 
     WAITING = 1
     PLACED = 2
@@ -56,11 +60,11 @@
 
 
 class Place(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A worker that may hold a run.
+    """The worker incarnation that a task of a run is placed on.
 
     Attributes:
         worker: The worker.
-        life_ms: Unix time at which this life of the worker began.
+        life_ms: Unix time in milliseconds at which the incarnation started.
     """
 
     worker: ids.WorkerId
@@ -71,7 +75,7 @@
     """A job was accepted.
 
     Attributes:
-        submission: The job and its terms.
+        submission: The job and the queue terms that apply to it.
     """
 
     submission: spec.Submission
@@ -90,15 +94,17 @@
 class UnitChanged(
     msgspec.Struct, frozen=True, kw_only=True, tag="u", array_like=True
 ):
-    """The owner changed a unit.
+    """The owner changed the state of a unit.
 
     Attributes:
         unit: The unit.
-        status: Where it stands.
-        run: The number of its newest run, from 1, or 0 before the first.
-        failures: How many runs ended by a failure of their own.
-        places: Workers that may hold the newest run, in order of the tasks.
-        saved: The newest checkpoint, or empty.
+        status: Its new status.
+        run: Number of the unit's newest run, counted from 1; 0 before the
+            first run.
+        failures: Number of runs that failed by themselves.
+        places: Worker incarnations that may hold the newest run, in the order
+            of the tasks.
+        saved: Newest checkpoint, or empty.
     """
 
     unit: units.UnitId
@@ -110,13 +116,13 @@
 
 
 class Finished(msgspec.Struct, frozen=True, kw_only=True, tag="f"):
-    """A job has its final state.
+    """A job reached its final state.
 
     Attributes:
         job: The job.
-        state: How it ended.
-        queue: Its queue.
-        account: Its client account.
+        state: The final state.
+        queue: The job's queue.
+        account: The job's client account.
         finished_ms: Unix time of the end in milliseconds.
     """
 
@@ -128,11 +134,11 @@
 
 
 class OwnershipTaken(msgspec.Struct, frozen=True, kw_only=True, tag="o"):
-    """A process took the pool over.
+    """A process became the owner of the pool.
 
     Attributes:
-        epoch: The producer epoch that it raised.
-        member: Its name in the owners' group, unique to the process.
+        epoch: Producer epoch of the new owner; also its fencing token.
+        member: The process's name in the group of owners, unique per process.
     """
 
     epoch: int
@@ -140,10 +146,10 @@
 
 
 class SpeedsLearned(msgspec.Struct, frozen=True, kw_only=True, tag="w"):
-    """What the owner has learned of the speeds of machines.
+    """The owner's estimates of machine speeds, for the next owner.
 
     Attributes:
-        logs: Logarithm of the relative speed of each machine.
+        logs: Natural logarithm of each machine's relative speed.
     """
 
     logs: dict[str, float]
@@ -176,7 +182,7 @@
 
 
 def cancel_key(job: ids.JobId) -> str:
-    """Returns the key of a job's cancel."""
+    """Returns the key of a job's cancellation."""
     return f"c/{job}"
 
 
@@ -186,19 +192,19 @@
 
 
 def job_of_final_key(key: str) -> ids.JobId | None:
-    """Returns the job whose final state is kept under a key, if any."""
+    """Returns the job of a final-state key, or None for any other key."""
     if not key.startswith(_FINAL_PREFIX):
         return None
     return ids.JobId(key.removeprefix(_FINAL_PREFIX))
 
 
 def unit_key(unit: units.UnitId) -> str:
-    """Returns the key of a unit."""
+    """Returns the key of a unit's record."""
     return f"{_UNIT_PREFIX}{unit}"
 
 
 def key_of(record: Record) -> str:
-    """Returns the key under which a record is kept.
+    """Returns the topic key of a record.
 
     Args:
         record: Any record.
@@ -229,7 +235,7 @@
         record: Any record.
 
     Returns:
-        MessagePack bytes.
+        The record as MessagePack.
     """
     return _ENCODER.encode(record)
 
@@ -238,14 +244,15 @@
     """Decodes a record.
 
     Args:
-        key: The key of the record.
-        value: Bytes made by `encode`.
+        key: Topic key of the record.
+        value: Bytes produced by `encode`.
 
     Returns:
         The record.
 
     Raises:
-        UnreadableRecordError: The bytes are no record, or one of another key.
+        UnreadableRecordError: The bytes are not a valid record, or the record
+            belongs to another key.
     """
     decoder = _UNIT_DECODER if key.startswith(_UNIT_PREFIX) else _RECORD_DECODER
     try:
@@ -258,5 +265,7 @@
         except ValueError as error:
             raise UnreadableRecordError(f"record {key}: {error}") from error
     if key_of(record) != key:
-        raise UnreadableRecordError(f"record {key} holds another key")
+        raise UnreadableRecordError(
+            f"record under key {key} belongs to another key"
+        )
     return record
--- a/citronmount/workflow/spec.py
+++ b/citronmount/workflow/spec.py
@@ -1,4 +1,4 @@
-"""Typed description of a job that consists of steps."""
+"""Typed specification of a multi-step job."""
 
 import typing
 
@@ -26,7 +26,7 @@
     Attributes:
         millicores: Thousandths of a processor core.
         memory_mb: Memory in megabytes.
-        accelerators: Whole accelerators.
+        accelerators: Number of whole accelerators.
     """
 
     millicores: int = 0
@@ -35,28 +35,28 @@
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Tasks of a job that are described alike.
+    """A group of identical tasks within a job.
 
     Attributes:
-        tasks: How many tasks the step has.
-        demand: What each task needs.
-        estimate_ms: Rough run time of a task.
-        after: Numbers of earlier steps that must be done first.
-        gang: Whether the tasks work only all together.
-        one_rack: Whether the tasks slow down when spread over racks.
-        worker_label: A label that the worker must have, or empty.
-        data_rack: The rack with the data, or empty.
-        max_tasks_per_worker: Most tasks of one occurrence of the step on one
-            worker, or 0 for no limit.
-        checkpoints: Whether tasks save their progress.
-        speculative: Whether copies of a task may run at the same time.
+        tasks: Number of tasks.
+        demand: Resources that each task needs.
+        estimate_ms: Estimated run time of a task.
+        after: Indices of earlier steps that must be done first.
+        gang: Whether the tasks must run simultaneously (gang scheduling).
+        one_rack: Whether the tasks slow down when spread over several racks.
+        worker_label: Label that a worker must have, or empty.
+        data_rack: Rack that holds the input data, or empty.
+        max_tasks_per_worker: Maximum number of tasks of one occurrence of the
+            step on one worker, or 0 for no limit.
+        checkpoints: Whether tasks save checkpoints.
+        speculative: Whether several copies of a task may run at the same time.
         lasting: Whether tasks run until the job is cancelled.
-        image: What the tasks run; tasks of one image behave alike.
-        goal_ms: Bound on the tail of the response times of a serving task, or
-            0 if the task serves nobody.
-        fills: Whether the tasks run on processor time left over by others.
-        max_unavailable: How many lasting tasks of the step may be away at the
-            same time because of the scheduler.
+        image: Program that the tasks run; tasks of one image behave alike.
+        goal_ms: Upper bound on the tail latency of a serving task, or 0 if
+            the task does not serve requests.
+        fills: Whether the tasks use only processor time that others leave idle.
+        max_unavailable: Maximum number of lasting tasks of the step that the
+            scheduler may keep unavailable at the same time.
     """
 
     tasks: int
@@ -78,14 +78,14 @@
 
 
 class Workflow(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What a caller submits.
+    """A job as submitted by a caller.
 
     Attributes:
-        job: The id, chosen by the caller.
-        payload: Handed to every task, opaque to the scheduler.
-        steps: The steps; a step only depends on earlier ones.
-        occurrences: How often all steps run at set times, or 0 to run them
-            once, at once.
+        job: Job id, chosen by the caller.
+        payload: Passed to every task; opaque to the scheduler.
+        steps: The steps; a step depends only on earlier steps.
+        occurrences: Number of scheduled occurrences of all steps, or 0 to run
+            them once and immediately.
         first_due_ms: Unix time of the first occurrence in milliseconds.
         interval_ms: Time between occurrences.
     """
@@ -99,17 +99,17 @@
 
     @property
     def occurrence_count(self) -> int:
-        """How often the steps run in all."""
+        """Number of times the steps run, at least 1."""
         return max(self.occurrences, 1)
 
     def due_ms(self, occurrence: int) -> int | None:
-        """Returns the Unix time at which an occurrence may start.
+        """Returns the Unix time from which an occurrence may start.
 
         Args:
-            occurrence: Its number, counted from 0.
+            occurrence: Index of the occurrence, counted from 0.
 
         Returns:
-            Milliseconds, or None if it may start at once.
+            Milliseconds, or None if the occurrence may start immediately.
         """
         if not self.occurrences:
             return None
@@ -117,16 +117,19 @@
 
 
 class QueueTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """How a queue's jobs are to be run.
+    """Scheduling terms of a queue's jobs.
 
     Attributes:
         queue: The queue.
-        service: The service whose workers run the tasks.
-        priority: 0 comes first and may preempt others.
-        max_attempts: Failed runs after which a task has failed for good.
-        slack_factor: Objective as a multiple of the longest chain of work.
-        objective_ms: What the objective allows beyond that.
-        needs_advice: Whether each worker needs a ticket for the step.
+        service: Service whose workers run the tasks.
+        priority: Priority class; 0 is the highest and may preempt others.
+        max_attempts: Number of failed runs after which a task has failed
+            permanently.
+        slack_factor: Completion time objective as a multiple of the job's
+            critical path.
+        objective_ms: Time that the objective allows beyond that multiple.
+        needs_advice: Whether a worker needs a ticket from the queue's policy
+            before it may run a step.
     """
 
     queue: QueueName
@@ -139,12 +142,12 @@
 
 
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
-    """An accepted job with the terms in force when it came.
+    """An accepted job with the queue terms in force at its acceptance.
 
     Attributes:
         workflow: The job.
-        account: The client account, or empty on a public queue.
-        terms: The terms of its queue.
+        account: Client account, or empty on a public queue.
+        terms: Terms of the job's queue.
         accepted_ms: Unix time of acceptance in milliseconds.
     """
 
--- a/citronmount/workflow/tests/test_job_views.py
+++ b/citronmount/workflow/tests/test_job_views.py
@@ -37,16 +37,16 @@
     return [key.unit.partition(".")[2] for key in keys]
 
 
-class BookTest(unittest.TestCase):
+class JobViewTest(unittest.TestCase):
     def setUp(self) -> None:
         self.job_view = job_views.JobView()
 
-    def test_first_submission_wins(self) -> None:
+    def test_repeated_submission_does_not_replace_the_first(self) -> None:
         self.job_view.apply(1, submitted(spec.Step(tasks=1)))
         self.assertFalse(self.job_view.apply(2, submitted(spec.Step(tasks=9))))
         self.assertEqual(["0.0.0"], open_units(self.job_view))
 
-    def test_step_waits_for_the_steps_before_it(self) -> None:
+    def test_step_opens_only_after_its_dependencies_are_done(self) -> None:
         first = spec.Step(tasks=2)
         second = spec.Step(tasks=1, gang=True, after=(0,))
         self.job_view.apply(0, submitted(first, second))
@@ -57,7 +57,7 @@
         self.job_view.apply(3, changed("0.1", records.UnitStatus.DONE))
         self.assertTrue(self.job_view.jobs[JOB].progress.complete)
 
-    def test_occurrence_opens_at_its_time(self) -> None:
+    def test_occurrence_does_not_open_before_it_is_due(self) -> None:
         step = spec.Step(tasks=1)
         job = submitted(step, occurrences=2, first_due_ms=100, interval_ms=50)
         self.job_view.apply(0, job)
@@ -65,21 +65,21 @@
         self.assertEqual(["0.0.0"], open_units(self.job_view, 100))
         self.assertEqual(["0.0.0", "1.0.0"], open_units(self.job_view, 150))
 
-    def test_older_record_never_replaces_a_newer_one(self) -> None:
+    def test_older_record_does_not_replace_a_newer_one(self) -> None:
         self.job_view.apply(0, submitted(spec.Step(tasks=1)))
         self.job_view.apply(5, changed("0.0.0", records.UnitStatus.DONE, run=2))
         placed = changed("0.0.0", records.UnitStatus.PLACED, run=1)
         self.assertFalse(self.job_view.apply(3, placed))
         self.assertTrue(self.job_view.jobs[JOB].progress.complete)
 
-    def test_unit_read_before_its_repeated_submission(self) -> None:
+    def test_records_folded_before_the_submission_are_not_lost(self) -> None:
         self.job_view.apply(4, changed("0.0.0", records.UnitStatus.PLACED))
         self.job_view.apply(5, records.Cancelled(job=JOB))
         self.job_view.apply(9, submitted(spec.Step(tasks=1)))
         self.assertTrue(self.job_view.jobs[JOB].progress.started)
         self.assertTrue(self.job_view.jobs[JOB].cancelled)
 
-    def test_final_state_outlasts_a_late_submission(self) -> None:
+    def test_late_submission_does_not_reopen_a_finished_job(self) -> None:
         self.job_view.apply(0, submitted(spec.Step(tasks=1)))
         self.job_view.apply(
             1,
@@ -97,7 +97,7 @@
         self.job_view.apply_removal(3, records.final_key(JOB))
         self.assertIsNone(self.job_view.state_of(JOB))
 
-    def test_pending_counts_jobs_that_have_not_begun(self) -> None:
+    def test_started_jobs_are_not_counted_as_queued(self) -> None:
         self.job_view.apply(0, submitted(spec.Step(tasks=2)))
         self.assertEqual(1, self.job_view.count_queued(TERMS.queue))
         self.job_view.apply(1, changed("0.0.1", records.UnitStatus.PLACED))
@@ -105,7 +105,7 @@
 
 
 class RecordTest(unittest.TestCase):
-    def test_every_kind_survives_encoding(self) -> None:
+    def test_decode_restores_encoded_records(self) -> None:
         for record in (
             submitted(spec.Step(tasks=3, gang=True, image="i")),
             records.Cancelled(job=JOB),
@@ -115,12 +115,12 @@
             copy = records.decode(key, records.encode(record))
             self.assertEqual(record, copy)
 
-    def test_foreign_bytes_are_refused(self) -> None:
+    def test_malformed_bytes_raise_unreadable_record_error(self) -> None:
         for key, value in (("j/x", b"\xc1"), ("u/x", b"[]"), ("j/x", b"")):
             with self.assertRaises(records.UnreadableRecordError):
                 records.decode(key, value)
 
-    def test_record_under_another_key_is_refused(self) -> None:
+    def test_record_of_another_key_raises_unreadable_record_error(self) -> None:
         value = records.encode(records.Cancelled(job=JOB))
         with self.assertRaises(records.UnreadableRecordError):
             records.decode("c/other", value)
--- a/citronmount/workflow/units.py
+++ b/citronmount/workflow/units.py
@@ -1,4 +1,4 @@
-"""Units: what is started together, a gang or one task."""
+"""Units of scheduling: a whole gang or a single task."""
 
 import functools
 import typing
@@ -17,13 +17,13 @@
 
 
 class UnitKey(msgspec.Struct, frozen=True, kw_only=True, dict=True):
-    """Names one unit.
+    """Parsed id of a unit.
 
     Attributes:
         job: The job.
-        occurrence: The occurrence, counted from 0.
-        step: The step, counted from 0.
-        index: The task, counted from 0, or -1 for a whole gang.
+        occurrence: Index of the occurrence, counted from 0.
+        step: Index of the step, counted from 0.
+        index: Index of the task, counted from 0, or -1 for a whole gang.
     """
 
     job: ids.JobId
@@ -33,7 +33,7 @@
 
     @functools.cached_property
     def unit(self) -> UnitId:
-        """The id: ``JOB.OCCURRENCE.STEP`` or ``JOB.OCCURRENCE.STEP.INDEX``."""
+        """Unit id: ``JOB.OCCURRENCE.STEP`` or ``JOB.OCCURRENCE.STEP.INDEX``."""
         text = self.step_id
         if self.index == _WHOLE_GANG:
             return UnitId(text)
@@ -41,25 +41,27 @@
 
     @functools.cached_property
     def step_id(self) -> str:
-        """The id of its step: ``JOB.OCCURRENCE.STEP``."""
+        """Id of the unit's step: ``JOB.OCCURRENCE.STEP``."""
         return f"{self.job}.{self.occurrence}.{self.step}"
 
     @classmethod
     def parse(cls, unit: UnitId) -> "UnitKey":
-        """Returns the key of an id.
+        """Parses a unit id.
 
         Args:
-            unit: An id made by `unit`.
+            unit: Id as returned by the property `unit`.
 
         Returns:
             The key.
 
         Raises:
-            ValueError: The text is no such id.
+            ValueError: The text is not a unit id.
         """
         job, occurrence, step, *index = unit.split(".")
         if len(index) > 1:
-            raise ValueError(f"not a unit: {unit!r}")
+            raise ValueError(
+                f"expected JOB.OCCURRENCE.STEP[.INDEX], got {unit!r}"
+            )
         return cls(
             job=ids.JobId(job),
             occurrence=int(occurrence),
@@ -69,22 +71,22 @@
 
 
 def units_of_step(
-    job: ids.JobId, occurrence: int, number: int, step: spec.Step
+    job: ids.JobId, occurrence: int, step_index: int, step: spec.Step
 ) -> list[UnitKey]:
-    """Returns the units of one step of one occurrence.
+    """Returns the units of a step in one occurrence.
 
     Args:
         job: The job.
-        occurrence: The occurrence.
-        number: The number of the step.
+        occurrence: Index of the occurrence.
+        step_index: Index of the step.
         step: The step.
 
     Returns:
-        One unit for a gang, else one for each task.
+        One unit for a gang, otherwise one unit per task.
     """
     indexes = (_WHOLE_GANG,) if step.gang else range(step.tasks)
     return [
-        UnitKey(job=job, occurrence=occurrence, step=number, index=index)
+        UnitKey(job=job, occurrence=occurrence, step=step_index, index=index)
         for index in indexes
     ]
 
@@ -94,7 +96,7 @@
 
     Args:
         key: The unit.
-        step: Its step.
+        step: The unit's step.
 
     Returns:
         ``JOB.OCCURRENCE.STEP.INDEX`` for each task.
