--- a/citronmount/fleet/delay_scheduling.py
+++ b/citronmount/fleet/delay_scheduling.py
@@ -34,8 +34,8 @@
     def accepts_distrusted(self, unit: waiting_units.WaitingUnit) -> bool:
         """Returns whether a unit accepts distrusted workers.
 
-        A job that fails everywhere can make many workers distrusted, so their
-        exclusion must be limited in time.
+        Jobs that fail everywhere can make many workers distrusted, so the
+        exclusion of these is limited in time.
         """
         return self.now_ms - unit.since_ms >= DISTRUSTED_DELAY_MS
 
--- a/citronmount/fleet/fitting.py
+++ b/citronmount/fleet/fitting.py
@@ -1,7 +1,8 @@
-"""Finds workers for a unit: the tightest room that holds all of it.
+"""Best-fit placement of units on workers.
 
-Load pattern: small tasks and gangs of whole workers arrive mixed. Small ones
-go where least is left, so that whole racks stay free for gangs.
+The load mixes small tasks with gangs that need whole workers. Small tasks go to
+the workers with the least free capacity, so that whole racks stay free for
+gangs.
 """
 
 import collections
@@ -31,22 +32,23 @@
 
 
 class Spread(enum.Enum):
-    """How far a unit may be spread."""
+    """Whether a unit may be placed outside its preferred rack."""
 
     PREFERRED = "preferred"
     ANYWHERE = "anywhere"
 
 
 class Requirements(msgspec.Struct, frozen=True, kw_only=True):
-    """What one unit needs.
+    """Placement requirements of one unit.
 
     Attributes:
-        tasks: How many tasks start together.
-        step: Their step.
-        service: The service whose workers may run them.
+        tasks: Number of tasks that start together.
+        step: The step of the tasks.
+        service: Service whose workers may run the tasks.
         avoid: Workers that must not be used.
-        last: Workers that are used only where the others are full.
-        taken: Tasks of the same step and occurrence on each worker.
+        last: Workers that are used only if the others do not suffice.
+        taken: Number of tasks of the same step and occurrence that each worker
+            already holds.
     """
 
     tasks: int
@@ -58,32 +60,34 @@
 
 
 class TaskSlots:
-    """Room for single tasks of one shape, the tightest worker first.
+    """Slots for single tasks with equal requirements, in best-fit order.
 
-    Load pattern: steps of many equal tasks arrive at once. Taking a task's room
-    leaves a worker the tightest, so the order holds until the room is used up
-    and the workers are looked at once for all tasks.
+    Steps of many equal tasks arrive at once. A worker that receives a task
+    stays the one with the least free capacity, so the order remains valid
+    until all slots are used and the workers are examined only once for all
+    tasks.
     """
 
     def __init__(
         self, *, slots: Sequence[tuple[worker_directory.Worker, int]]
     ) -> None:
-        """Initializes the room.
+        """Initializes the slots.
 
         Args:
-            slots: Workers and how many tasks each can take, in order.
+            slots: Pairs of a worker and the number of tasks that fit on it, in
+                the order of use.
         """
         self._workers = itertools.chain.from_iterable(
             itertools.repeat(worker, count) for worker, count in slots
         )
 
     def take(self) -> worker_directory.Worker | None:
-        """Returns the worker for the next task, or None if there is none."""
+        """Returns the worker for the next task, or None if no slot is left."""
         return next(self._workers, None)
 
 
 def suits(requirements: Requirements, worker: worker_directory.Worker) -> bool:
-    """Returns whether a worker may ever run tasks of a unit."""
+    """Returns whether a worker may run tasks of a unit, capacity aside."""
     label = requirements.step.worker_label
     return (
         worker.service == requirements.service
@@ -98,12 +102,12 @@
     free: FreeCapacity,
     spread: Spread,
 ) -> list[worker_directory.Worker] | None:
-    """Finds workers for all tasks of a unit.
+    """Chooses workers for all tasks of a unit.
 
     Args:
-        requirements: The unit.
-        workers: The workers that may get work.
-        free: The free room of a worker.
+        requirements: Placement requirements of the unit.
+        workers: The workers that may receive tasks.
+        free: Returns the free capacity of a worker.
         spread: Whether the unit may leave its preferred rack.
 
     Returns:
@@ -138,16 +142,17 @@
     free: FreeCapacity,
     spread: Spread,
 ) -> TaskSlots:
-    """Finds the workers for many single tasks of one shape.
+    """Finds slots for many single tasks with equal requirements.
 
     Args:
-        requirements: The tasks; as many as may ever want to start.
-        workers: The workers that may get work.
-        free: The free room of a worker.
+        requirements: Placement requirements; `tasks` is the maximum number of
+            tasks that may start.
+        workers: The workers that may receive tasks.
+        free: Returns the free capacity of a worker.
         spread: Whether the tasks may leave their preferred rack.
 
     Returns:
-        The room, which holds as long as nothing else takes or gives any.
+        The slots, valid until other tasks allocate or release capacity.
     """
     slots = _slots(requirements, workers, free)
     slots = _tightest_first(requirements, slots, free)
@@ -192,7 +197,11 @@
     slots: Sequence[tuple[worker_directory.Worker, int]],
     free: FreeCapacity,
 ) -> list[worker_directory.Worker] | None:
-    """Finds the tightest rack, or any workers where racks do not matter."""
+    """Fills the rack with the fewest slots that suffice.
+
+    Uses the rack of the data if the step has one, and any workers if racks do
+    not matter for the unit.
+    """
     if requirements.step.data_rack:
         in_rack = [
             pair
@@ -230,7 +239,7 @@
     slots: Sequence[tuple[worker_directory.Worker, int]],
     free: FreeCapacity,
 ) -> list[tuple[worker_directory.Worker, int]]:
-    """Returns slots, the tightest first, those to be used last at the end."""
+    """Sorts slots by free capacity; workers of last resort come at the end."""
     return sorted(
         slots,
         key=lambda pair: (
@@ -243,15 +252,15 @@
 def _free_share(
     worker: worker_directory.Worker, free: FreeCapacity
 ) -> tuple[float, ids.WorkerId]:
-    """Ranks a worker by the share of its room that is free."""
-    left = free(worker)
-    whole = worker.capacity
+    """Returns a worker's sort key: the sum of its free shares, then its id."""
+    unused = free(worker)
+    capacity = worker.capacity
     share = sum(
-        have / total
-        for have, total in (
-            (left.millicores, whole.millicores),
-            (left.memory_mb, whole.memory_mb),
-            (left.accelerators, whole.accelerators),
+        amount / total
+        for amount, total in (
+            (unused.millicores, capacity.millicores),
+            (unused.memory_mb, capacity.memory_mb),
+            (unused.accelerators, capacity.accelerators),
         )
         if total
     )
--- a/citronmount/fleet/job_completion.py
+++ b/citronmount/fleet/job_completion.py
@@ -1,4 +1,4 @@
-"""Ends jobs: stops what is left of them and records their final state."""
+"""Completion of jobs: stops remaining runs, records the final state."""
 
 from citronmount.core import ids
 from citronmount.fleet import commands
@@ -17,7 +17,10 @@
 
 
 class JobCompletion:
-    """Gives jobs their final state and forgets it in time."""
+    """Records the final states of jobs and removes them after their retention.
+
+    Final states are kept `FINAL_STATE_MARGIN_S` longer than required.
+    """
 
     def __init__(
         self, *, state: owner_state.OwnerState, driver: run_driver.RunDriver
@@ -25,14 +28,22 @@
         """Initializes the part.
 
         Args:
-            state: What it shares with the other parts.
-            driver: Stops runs.
+            state: State shared by the parts of the owner.
+            driver: Sends the commands that stop runs.
         """
         self._state = state
         self._driver = driver
 
     def finish_ended_jobs(self, now_ms: int, wall_ms: int) -> None:
-        """Ends jobs that are complete, failed or cancelled."""
+        """Ends jobs that are complete, failed or cancelled.
+
+        The final state of a job is recorded once all of its runs are over. Runs
+        that are done are not stopped.
+
+        Args:
+            now_ms: Monotonic time in milliseconds.
+            wall_ms: Unix time in milliseconds.
+        """
         for job, entry in list(self._state.job_view.jobs.items()):
             final = final_state(entry)
             if final is None or job in self._state.finishing_jobs:
@@ -97,7 +108,7 @@
 def final_state(
     entry: job_views.JobEntry,
 ) -> records.FinalState | None:
-    """Returns how a job has ended, or None if it has not."""
+    """Returns the final state that a job has reached, or None."""
     if entry.progress.complete:
         return records.FinalState.COMPLETE
     if entry.cancelled:
--- a/citronmount/fleet/owner_state.py
+++ b/citronmount/fleet/owner_state.py
@@ -1,4 +1,4 @@
-"""What the parts of an owner share."""
+"""State shared by the parts of a pool's owner."""
 
 import collections
 
@@ -25,13 +25,13 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One record that the owner wants appended.
+    """A record to append to the job topic.
 
     Attributes:
-        key: Its key.
+        key: Topic key of the record.
         record: The record, or None to remove the key.
-        ends: Ends that workers may forget once it is durable, as pairs of
-            worker and number.
+        ends: Ends that workers may delete once the record is durable, as pairs
+            of worker incarnation and sequence number.
     """
 
     key: str
@@ -40,37 +40,42 @@
 
 
 class OwnerState:
-    """Runs, workers and records of one owner.
+    """Runs, worker sessions and pending records of one owner.
 
     Attributes:
-        token: The fencing token.
-        fenced: Whether a worker or the log has seen a newer owner.
-        log: Where decisions are told.
-        book: The fold of the job topic.
-        directory: The workers' entries.
-        bounds: Times that the site sets.
-        policy: How leases are renewed.
+        token: Fencing token of the owner.
+        fenced: Whether a worker has seen a newer owner.
+        log: Logger for the owner's decisions.
+        job_view: State of the jobs, folded from the job topic.
+        directory: Directory entries of the workers.
+        bounds: Time bounds and factors of the site.
+        policy: Timing of leases and their renewal.
         table: The runs.
-        sessions: What is known of each worker's life.
-        strangers: Runs at each worker that are not in the table.
-        heard: Workers of which something was heard since the last step.
-        suspended: Monotonic times until which workers get no work.
-        ready_since: Monotonic times from which units could have started.
-        clearing: The runs that each run waits for.
-        finishing: Jobs whose final record is on its way.
-        unrecorded: Records of each unit that are on their way.
-        later_ends: Ends that wait for a record that is on its way.
-        last_runs: The last run of each unit that is over.
-        failed_at: Workers at which each unit failed.
-        stalls: How often each unit stood still.
-        health: What the workers' runs did.
-        speeds: How fast the workers are.
-        advice: Which workers policies allow.
-        entries: Records to append.
-        orders: Orders to send.
-        orphans_gone_ms: Monotonic time from which no lease of an earlier owner
-            can be left.
-        changed: Whether anything happened that decisions depend on.
+        sessions: Session of each worker's current incarnation.
+        unknown_runs: Number of tasks on each worker that are not in the table.
+        changed_workers: Workers whose session may have changed since the last
+            step.
+        suspended_until_ms: Monotonic time until which each worker receives no
+            new tasks.
+        ready_since_ms: Monotonic time since which each unit is ready to start.
+        victims_by_unit: Runs that must end before the unit's run is recorded.
+        finishing_jobs: Jobs with a pending record of their final state or of
+            its removal.
+        pending_unit_records: Number of each unit's records that are not
+            durable yet.
+        deferred_ends: Ends of each unit that can be resolved once its pending
+            records are durable.
+        last_runs: Last run of each unit that is over.
+        failed_workers: Workers that each unit should avoid.
+        stall_counts: Number of stalls of each unit.
+        health: Assessment of the workers.
+        speeds: Speed estimates of the machines.
+        advice: Cached advice of the queues' policies.
+        entries: Records to append, oldest first.
+        commands: Commands to send.
+        orphan_leases_end_ms: Monotonic time after which all leases of earlier
+            owners have expired.
+        needs_planning: Whether anything changed that decisions depend on.
     """
 
     def __init__(
@@ -86,11 +91,11 @@
         """Initializes without runs.
 
         Args:
-            token: The fencing token.
-            job_view: The fold of the job topic, up to date.
-            directory: The workers' entries.
-            bounds: Times that the site sets.
-            policy: How leases are renewed.
+            token: Fencing token of the owner.
+            job_view: State of the jobs, folded up to the owner's takeover.
+            directory: Directory entries of the workers.
+            bounds: Time bounds and factors of the site.
+            policy: Timing of leases and their renewal.
             now_ms: Monotonic time in milliseconds.
         """
         self.token = token
@@ -103,7 +108,7 @@
         self.table = run_table.RunTable()
         self.sessions: dict[ids.WorkerId, lease_sessions.LeaseSession] = {}
         self.unknown_runs: dict[ids.WorkerId, int] = {}
-        self.answered_workers: set[ids.WorkerId] = set()
+        self.changed_workers: set[ids.WorkerId] = set()
         self.suspended_until_ms: dict[ids.WorkerId, int] = {}
         self.ready_since_ms: dict[units.UnitId, int] = {}
         self.victims_by_unit: dict[units.UnitId, list[unit_runs.Run]] = {}
@@ -131,7 +136,7 @@
         self.needs_planning = True
 
     def end_run(self, run: unit_runs.Run, cause: unit_runs.EndCause) -> None:
-        """Makes what is left of a run end, and tells why."""
+        """Starts to end a run and logs the cause of the first call."""
         if run.cause is None:
             self.log.info(
                 "run_ending",
@@ -148,7 +153,12 @@
         record: records.Record,
         ends: tuple[tuple[records.Place, int], ...] = (),
     ) -> None:
-        """Has a record appended, and ends told once it is durable."""
+        """Queues a record for the job topic.
+
+        Args:
+            record: The record.
+            ends: Ends that workers may delete once the record is durable.
+        """
         if isinstance(record, records.UnitChanged):
             self.pending_unit_records[record.unit] += 1
         self.entries.append(
@@ -158,16 +168,16 @@
     def resolve_end(
         self, place: records.Place, number: int, now_ms: int
     ) -> None:
-        """Lets a worker forget an end, if that life still lasts."""
+        """Marks an end as resolved if the worker incarnation still exists."""
         session = self.session_at_place(place)
         if session is not None:
             session.resolve_end(number, now_ms)
-            self.answered_workers.add(place.worker)
+            self.changed_workers.add(place.worker)
 
     def mark_member_missing(
         self, run: unit_runs.Run, member: unit_runs.Member
     ) -> None:
-        """Notes a task that its worker no longer has."""
+        """Marks a task as gone that its worker no longer holds."""
         self.log.info(
             "run_missing",
             task=member.task,
@@ -182,14 +192,14 @@
     def session_for(
         self, worker: worker_directory.Worker
     ) -> lease_sessions.LeaseSession | None:
-        """Returns the session of this life of a worker, if any."""
+        """Returns the session of a worker's incarnation, if it still exists."""
         session = self.sessions.get(worker.worker)
         if session is None or session.worker.life_ms != worker.life_ms:
             return None
         return session
 
     def on_record_durable(self, unit: units.UnitId, now_ms: int) -> None:
-        """Lets workers forget further ends of a run once it is recorded."""
+        """Resolves a unit's deferred ends once no record of it is pending."""
         self.pending_unit_records[unit] -= 1
         if self.pending_unit_records[unit] > 0:
             return
@@ -197,24 +207,24 @@
             self.resolve_end(place, number, now_ms)
 
     def remove_key(self, key: str) -> None:
-        """Has a key of the job topic removed."""
+        """Queues the removal of a key from the job topic."""
         self.entries.append(LogEntry(key=key, record=None))
 
     def forget_unit(self, unit: units.UnitId) -> None:
-        """Drops what is remembered of a unit whose job has ended."""
-        for kept in (
+        """Drops the state of a unit whose job has ended."""
+        for by_unit in (
             self.ready_since_ms,
             self.last_runs,
             self.failed_workers,
             self.stall_counts,
             self.pending_unit_records,
         ):
-            kept.pop(unit, None)
+            by_unit.pop(unit, None)
 
     def session_at_place(
         self, place: records.Place
     ) -> lease_sessions.LeaseSession | None:
-        """Returns the session of the life that a place names, if it lives."""
+        """Returns the session of a place's incarnation, if it still exists."""
         session = self.sessions.get(place.worker)
         if session is None or session.worker.life_ms != place.life_ms:
             return None
--- a/citronmount/fleet/planning.py
+++ b/citronmount/fleet/planning.py
@@ -1,4 +1,4 @@
-"""Decides which waiting units start where, and what is stopped for them."""
+"""Decides where waiting units start and which runs they preempt."""
 
 import collections
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 RELAXED_SLACK_FACTOR = 2.0
 _IDLE_POOL_MAX_USE = 0.5
 
-# What decides whether a unit fits: units with equal shapes fit alike.
+# All that determines where a unit fits; units of equal shape fit alike.
 _Shape = tuple
 
 
@@ -47,10 +47,10 @@
 
 
 class Planner:
-    """One round of decisions over a table of runs.
+    """One round of placement decisions.
 
-    Room that is decided on is taken in a copy, so that no two decisions of a
-    round use the same room.
+    Decisions allocate resources in a copy of the table's allocations, so that
+    no two decisions of a round use the same capacity.
     """
 
     def __init__(
@@ -72,14 +72,16 @@
         """Initializes a round.
 
         Args:
-            workers: The workers that may get work.
+            workers: The workers that may receive tasks.
             table: All runs.
             accounts: The client accounts with their guarantees.
-            bounds: Times that the site sets.
+            bounds: Time bounds and factors of the site.
             now_ms: Monotonic time in milliseconds.
-            trust: What is believed of a worker.
-            slowdown: How much longer a worker takes than a quick one.
-            allowed: Whether the queue's policy allows a worker for a unit.
+            trust: Returns the assessment of a worker.
+            slowdown: Returns by which factor a worker is slower than a fast
+                one.
+            allowed: Returns whether the queue's policy allows a worker for a
+                unit.
         """
         self._allowed = allowed
         trusts = {each.worker: trust(each) for each in workers}
@@ -94,12 +96,12 @@
             if trusts[each.worker].slowness < worker_health.SLOW_FACTOR
             and slowdowns[each.worker] < worker_health.SLOW_FACTOR
         ]
-        self._slower_names = frozenset(
+        self._slower_ids = frozenset(
             name
             for name, factor in slowdowns.items()
             if factor >= worker_speeds.SLOWER_FACTOR
         )
-        self._faster_names = frozenset(slowdowns) - self._slower_names
+        self._faster_ids = frozenset(slowdowns) - self._slower_ids
         self._table = table
         self._allocations = table.allocations.copy()
         self._bounds = bounds
@@ -128,10 +130,10 @@
     def decide(
         self, waiting: Iterable[waiting_units.WaitingUnit]
     ) -> list[waiting_units.Decision]:
-        """Returns what is to start now.
+        """Returns the units to start now.
 
         Args:
-            waiting: The units that may start.
+            waiting: The units that are ready to start.
 
         Returns:
             Decisions, the most urgent first.
@@ -157,36 +159,36 @@
         )
 
     def _objective_end_ms(self, unit: waiting_units.WaitingUnit) -> int:
-        known = self._objective_ends_ms.get(unit.key.job)
-        if known is None:
-            known = waiting_units.objective_end_ms(unit.submission)
-            self._objective_ends_ms[unit.key.job] = known
-        return known
+        cached = self._objective_ends_ms.get(unit.key.job)
+        if cached is None:
+            cached = waiting_units.objective_end_ms(unit.submission)
+            self._objective_ends_ms[unit.key.job] = cached
+        return cached
 
     def _decide_one(
         self, unit: waiting_units.WaitingUnit
     ) -> waiting_units.Decision | None:
-        within_guarantee = self._guarantees.covers(unit)
-        spread = self._spread(unit, within_guarantee)
-        shape = self._shape(unit, spread, within_guarantee)
-        if shape in self._unplaceable and not within_guarantee:
+        guaranteed = self._guarantees.covers(unit)
+        spread = self._spread(unit, guaranteed)
+        shape = self._shape(unit, spread, guaranteed)
+        if shape in self._unplaceable and not guaranteed:
             return None
-        chosen = self._fit(unit, shape, spread, within_guarantee)
+        chosen = self._fit(unit, shape, spread, guaranteed)
         if chosen is not None:
             return waiting_units.Decision(
                 waiting=unit,
                 workers=tuple(chosen),
-                within_guarantee=within_guarantee,
+                within_guarantee=guaranteed,
                 spread=spread,
             )
         self._unplaceable.add(shape)
-        return self._preempt(unit, spread, within_guarantee)
+        return self._preempt(unit, spread, guaranteed)
 
     def _shape(
         self,
         unit: waiting_units.WaitingUnit,
         spread: fitting.Spread,
-        within_guarantee: bool,
+        guaranteed: bool,
     ) -> _Shape:
         return (
             unit.submission.terms.service,
@@ -195,7 +197,7 @@
             spread,
             unit.avoid,
             unit.submission.terms.slack_factor,
-            self._delay_policy.accepts_slow(unit, within_guarantee),
+            self._delay_policy.accepts_slow(unit, guaranteed),
             self._delay_policy.accepts_distrusted(unit),
             _step_key(unit.key) if _has_step_limits(unit) else None,
         )
@@ -205,21 +207,21 @@
         unit: waiting_units.WaitingUnit,
         shape: _Shape,
         spread: fitting.Spread,
-        within_guarantee: bool,
+        guaranteed: bool,
     ) -> list[worker_directory.Worker] | None:
-        """Finds workers with room for a unit.
+        """Finds workers with free capacity for a unit.
 
-        Single tasks of one shape take from one shelf as long as nothing else
-        takes room between them.
+        Single tasks of equal shape share one `TaskSlots` until a gang or a
+        preemption changes the free capacity in between.
         """
         if unit.tasks > 1:
-            workers = self._acceptable_workers(unit, within_guarantee)
+            workers = self._acceptable_workers(unit, guaranteed)
             return fitting.choose_workers(
                 self._requirements(unit), workers, self._free_capacity, spread
             )
         if self._slots_of_shape is None or self._slots_of_shape[0] != shape:
             requirements = self._requirements(unit, task_count=unit.step.tasks)
-            workers = self._acceptable_workers(unit, within_guarantee)
+            workers = self._acceptable_workers(unit, guaranteed)
             slots = fitting.task_slots(
                 requirements, workers, self._free_capacity, spread
             )
@@ -228,11 +230,11 @@
         return None if worker is None else [worker]
 
     def _acceptable_workers(
-        self, unit: waiting_units.WaitingUnit, within_guarantee: bool
+        self, unit: waiting_units.WaitingUnit, guaranteed: bool
     ) -> list[worker_directory.Worker]:
-        """Returns the workers that are good enough for a unit by now."""
+        """Returns the workers that a unit accepts after its waiting time."""
         workers = self._fast_workers
-        if self._delay_policy.accepts_slow(unit, within_guarantee):
+        if self._delay_policy.accepts_slow(unit, guaranteed):
             workers = self._trusted_workers
         if self._delay_policy.accepts_distrusted(unit):
             workers = self._all_workers
@@ -241,10 +243,10 @@
     def _is_compatible(
         self, unit: waiting_units.WaitingUnit, worker: worker_directory.Worker
     ) -> bool:
-        """Returns whether a unit may and should go to a worker at all.
+        """Returns whether a unit may be placed on a worker, capacity aside.
 
-        Filling tasks slow down the answers of tasks that serve users, so the
-        two are kept apart.
+        Filling tasks increase the response times of serving tasks, so the two
+        never share a worker.
         """
         advised = unit.submission.terms.needs_advice
         if advised and not self._allowed(unit.key, worker):
@@ -259,14 +261,14 @@
         self,
         unit: waiting_units.WaitingUnit,
         spread: fitting.Spread,
-        within_guarantee: bool,
+        guaranteed: bool,
     ) -> waiting_units.Decision | None:
-        """Finds runs to stop for a unit of the first priority.
+        """Finds runs to preempt for a unit of the highest priority.
 
-        Inside the guarantee any run outside one may go. Beyond it only runs
-        of lower priority, and only if not much more work is lost than the
-        unit itself is: a burst of urgent jobs is then served at the cost of
-        young runs.
+        Inside its guarantee, a unit may preempt any run outside a guarantee.
+        Beyond it, only runs of lower priority, and only if they lose at most
+        `MAX_LOSS_FACTOR` times the work of the unit: a burst of urgent jobs is
+        then served at the cost of young runs.
         """
         if unit.submission.terms.priority != guarantees.HIGHEST_PRIORITY:
             return None
@@ -279,26 +281,26 @@
             self._requirements(unit),
             workers,
             self._free_capacity,
-            self._revocable(within_guarantee),
+            self._revocable(guaranteed),
             self._cost,
             spread,
         )
         if found is None:
             return None
         worth = preemption.planned_work(unit.step, unit.tasks)
-        if not within_guarantee and found.cost_core_s > MAX_LOSS_FACTOR * worth:
+        if not guaranteed and found.cost_core_s > MAX_LOSS_FACTOR * worth:
             return None
         return waiting_units.Decision(
             waiting=unit,
             workers=found.workers,
             victims=found.victims,
-            within_guarantee=within_guarantee,
+            within_guarantee=guaranteed,
             spread=spread,
             lost_core_s=found.cost_core_s,
         )
 
-    def _revocable(self, within_guarantee: bool) -> list[unit_runs.Run]:
-        """Returns the runs that may be stopped."""
+    def _revocable(self, guaranteed: bool) -> list[unit_runs.Run]:
+        """Returns the runs that may be preempted."""
         highest = guarantees.HIGHEST_PRIORITY
         revocable = [
             run
@@ -306,15 +308,15 @@
             if run.unit not in self._guarantees.guaranteed_units
             and run.unit not in self._victim_units
             and run.phase is unit_runs.RunPhase.ACTIVE
-            and (within_guarantee or run.submission.terms.priority > highest)
+            and (guaranteed or run.submission.terms.priority > highest)
             and not run.step.lasting
         ]
         return revocable + (
-            self._stoppable_lasting_runs() if within_guarantee else []
+            self._stoppable_lasting_runs() if guaranteed else []
         )
 
     def _stoppable_lasting_runs(self) -> list[unit_runs.Run]:
-        """Returns lasting runs that their steps can spare at present."""
+        """Returns the lasting runs that their steps can spare now."""
         steps = collections.defaultdict(list)
         for run in self._table:
             if (
@@ -336,11 +338,11 @@
         self._guarantees.consume(unit)
         self._victim_units.update(run.unit for run in decision.victims)
         demand = worker_allocations.allocated_demand(unit.step)
-        names = {worker.worker for worker in decision.workers}
+        worker_ids = {worker.worker for worker in decision.workers}
         if unit.step.goal_ms:
-            self._serving_workers |= names
+            self._serving_workers |= worker_ids
         if unit.step.fills:
-            self._filling_workers |= names
+            self._filling_workers |= worker_ids
         for worker in decision.workers:
             self._allocations.allocate(worker.worker, demand)
             self._placed_counts[_step_key(unit.key)][worker.worker] += 1
@@ -353,7 +355,7 @@
     def _requirements(
         self, unit: waiting_units.WaitingUnit, task_count: int = 0
     ) -> fitting.Requirements:
-        """Returns what a unit needs, or `most` single tasks like it."""
+        """Returns the requirements of a unit or of `task_count` such tasks."""
         return fitting.Requirements(
             tasks=task_count or unit.tasks,
             step=unit.step,
@@ -370,18 +372,18 @@
     ) -> frozenset[ids.WorkerId]:
         """Returns the workers that a unit should leave to others.
 
-        Load pattern: urgent gangs among work that can wait. Jobs with little
-        slack get the quick workers, the others leave those free for them.
+        Urgent gangs compete with work that can wait. Jobs with little slack
+        get the fast workers; jobs with much slack leave these free for them.
         """
         relaxed = unit.submission.terms.slack_factor >= RELAXED_SLACK_FACTOR
-        if self._slower_names and relaxed and not unit.step.lasting:
-            return self._faster_names
-        return self._slower_names
+        if self._slower_ids and relaxed and not unit.step.lasting:
+            return self._faster_ids
+        return self._slower_ids
 
     def _avoided_workers(
         self, unit: waiting_units.WaitingUnit
     ) -> frozenset[ids.WorkerId]:
-        """Returns where not to start, unless that leaves nowhere."""
+        """Returns the workers to avoid, or none if no others are suitable."""
         if not unit.avoid:
             return unit.avoid
         anywhere = _unplaced_requirements(unit)
@@ -405,52 +407,50 @@
         return running + self._placed_counts[step]
 
     def _spread(
-        self, unit: waiting_units.WaitingUnit, within_guarantee: bool
+        self, unit: waiting_units.WaitingUnit, guaranteed: bool
     ) -> fitting.Spread:
-        """Returns whether waiting for the preferred rack costs too much."""
+        """Returns whether a unit may be placed outside its preferred rack."""
         if not unit.step.one_rack and not unit.step.data_rack:
             return fitting.Spread.PREFERRED
-        other_racks = self._delay_policy.accepts_other_racks(
-            unit, within_guarantee
-        )
+        other_racks = self._delay_policy.accepts_other_racks(unit, guaranteed)
         if other_racks or not self._fits_one_rack(unit):
             return fitting.Spread.ANYWHERE
         return fitting.Spread.PREFERRED
 
     def _fits_one_rack(self, unit: waiting_units.WaitingUnit) -> bool:
-        """Returns whether an empty rack could hold a unit."""
+        """Returns whether a unit fits into one rack without other runs."""
         shape = (unit.submission.terms.service, unit.step, unit.tasks)
-        known = self._one_rack_fits.get(shape)
-        if known is None:
+        cached = self._one_rack_fits.get(shape)
+        if cached is None:
             chosen = fitting.choose_workers(
                 _unplaced_requirements(unit),
                 self._trusted_workers,
                 lambda worker: worker.capacity,
                 fitting.Spread.PREFERRED,
             )
-            known = chosen is not None
-            self._one_rack_fits[shape] = known
-        return known
+            cached = chosen is not None
+            self._one_rack_fits[shape] = cached
+        return cached
 
     def _used_fraction(self) -> float:
-        names = [worker.worker for worker in self._trusted_workers]
-        used = self._allocations.total(names)
-        whole = sum(
+        worker_ids = [worker.worker for worker in self._trusted_workers]
+        used = self._allocations.total(worker_ids)
+        accelerators = sum(
             worker.capacity.accelerators for worker in self._trusted_workers
         )
-        cores = sum(
+        millicores = sum(
             worker.capacity.millicores for worker in self._trusted_workers
         )
         return max(
-            used.accelerators / whole if whole else 0.0,
-            used.millicores / cores if cores else 0.0,
+            used.accelerators / accelerators if accelerators else 0.0,
+            used.millicores / millicores if millicores else 0.0,
         )
 
 
 def _unplaced_requirements(
     unit: waiting_units.WaitingUnit,
 ) -> fitting.Requirements:
-    """Returns what a unit needs of workers that hold nothing."""
+    """Returns the requirements of a unit regardless of other runs."""
     return fitting.Requirements(
         tasks=unit.tasks,
         step=unit.step,
@@ -459,33 +459,34 @@
 
 
 def _has_step_limits(unit: waiting_units.WaitingUnit) -> bool:
-    """Returns whether its own step decides where a unit may go."""
+    """Returns whether placement depends on the unit's particular step."""
     advised = unit.submission.terms.needs_advice
     return advised or unit.step.max_tasks_per_worker > 0
 
 
 def _step_key(key: units.UnitKey) -> tuple[ids.JobId, int, int]:
-    """Returns what units of one step and occurrence share."""
+    """Returns the key that the units of one step and occurrence share."""
     return key.job, key.occurrence, key.step
 
 
-def _workers_of(some: Iterable[unit_runs.Run]) -> set[ids.WorkerId]:
-    """Returns the workers that hold tasks of some runs."""
-    return {member.place.worker for run in some for member in run.live_members}
+def _workers_of(runs: Iterable[unit_runs.Run]) -> set[ids.WorkerId]:
+    """Returns the workers that hold tasks of the runs."""
+    return {member.place.worker for run in runs for member in run.live_members}
 
 
 def _stoppable(members: list[unit_runs.Run]) -> list[unit_runs.Run]:
-    """Returns how many runs of one lasting step may be away, as runs.
+    """Returns the runs of one lasting step that may be stopped.
 
-    A step without a bound on unavailable tasks can spare all of them.
+    All running ones may be stopped if the step does not limit the number of
+    unavailable tasks.
     """
-    working = [
+    active = [
         run
         for run in members
         if run.started_ms is not None and run.phase is unit_runs.RunPhase.ACTIVE
     ]
     step = members[0].step
     if not step.max_unavailable:
-        return working
-    unavailable = step.tasks - len(working)
-    return working[: max(step.max_unavailable - unavailable, 0)]
+        return active
+    unavailable = step.tasks - len(active)
+    return active[: max(step.max_unavailable - unavailable, 0)]
--- a/citronmount/fleet/pool_owner.py
+++ b/citronmount/fleet/pool_owner.py
@@ -1,4 +1,4 @@
-"""The owner of a pool: from records and reports to orders and records."""
+"""The owner of a pool: schedules its jobs on its workers."""
 
 from collections.abc import Iterable
 
@@ -25,22 +25,23 @@
 
 
 class PoolOwner:
-    """Decides for the whole pool under one fencing token.
+    """Schedules all jobs of a pool under one fencing token.
 
-    The caller feeds what happened and then calls `step`, which returns the
-    orders to send. Records to append are taken with `take_entries`; one append
-    is on its way at a time, and `appended` tells that it is durable.
+    The caller passes in events and then calls `step`, which returns the
+    commands to send. It takes the records to append with `take_entries` and
+    calls `records_appended` once they are durable; at most one append may be
+    pending.
 
     Attributes:
-        token: The fencing token, the producer epoch of the job topic.
-        reports: Takes in what workers answer.
+        token: Fencing token, equal to the producer epoch of the job topic.
+        reports: Handles the answers of workers.
     """
 
     def __init__(self, *, state: owner_state.OwnerState, now_ms: int) -> None:
-        """Takes over what the book says is placed.
+        """Takes over the pool and restores the runs that the job view lists.
 
         Args:
-            state: What its parts share; nothing runs in it yet.
+            state: State shared by the parts of the owner, without runs.
             now_ms: Monotonic time in milliseconds.
         """
         self.token = state.token
@@ -67,35 +68,35 @@
     def set_accounts(
         self, accounts: tuple[fleet_configuration.Account, ...]
     ) -> None:
-        """Takes in the client accounts of the configuration in force."""
+        """Sets the client accounts of the configuration in force."""
         self._accounts = accounts
         self._state.needs_planning = True
 
     def mark_changed(self) -> None:
-        """Takes in that the book or the directory changed."""
+        """Requests planning after a change of the job view or directory."""
         self._state.needs_planning = True
 
-    def take_entries(self, most: int) -> list[owner_state.LogEntry]:
-        """Returns the records to append next, oldest first.
+    def take_entries(self, limit: int) -> list[owner_state.LogEntry]:
+        """Removes and returns the records to append next, oldest first.
 
         Args:
-            most: How many one append may hold.
+            limit: Maximum number of records.
 
         Returns:
-            The records; those left over come with the next call.
+            The records; the remaining ones are returned by later calls.
         """
-        entries = self._state.entries[:most]
-        self._state.entries = self._state.entries[most:]
+        entries = self._state.entries[:limit]
+        self._state.entries = self._state.entries[limit:]
         return entries
 
     def records_appended(
         self, entries: Iterable[owner_state.LogEntry], offset: int, now_ms: int
     ) -> None:
-        """Takes in that records are durable.
+        """Handles an append that became durable.
 
         Args:
-            entries: The records of one append.
-            offset: The offset of the first.
+            entries: The records of the append.
+            offset: Log offset of the first record.
             now_ms: Monotonic time in milliseconds.
         """
         for number, entry in enumerate(entries, offset):
@@ -115,14 +116,14 @@
         self._state.needs_planning = True
 
     def step(self, now_ms: int, wall_ms: int) -> list[commands.Command]:
-        """Decides on all that happened and on the passing of time.
+        """Processes the events since the last step and the passing of time.
 
         Args:
             now_ms: Monotonic time in milliseconds.
             wall_ms: Unix time in milliseconds.
 
         Returns:
-            The orders to send.
+            The commands to send.
         """
         full_scan = now_ms >= self._next_full_scan_ms
         if full_scan:
@@ -137,11 +138,11 @@
             self._next_speeds_record_ms = now_ms + SPEEDS_RECORD_PERIOD_MS
             self._record_speeds()
         self._sessions.send_due_renewals(now_ms)
-        out, self._state.commands = self._state.commands, []
-        return out
+        due_commands, self._state.commands = self._state.commands, []
+        return due_commands
 
     def _record_speeds(self) -> None:
-        """Has the speeds of machines recorded for the next owner."""
+        """Records the speed estimates for the next owner if they changed."""
         machines = {each.speed_key for each in self._state.directory}
         speeds = self._state.speeds.snapshot(machines)
         previous = self._recorded_speeds
@@ -183,7 +184,10 @@
         usable: list[worker_directory.Worker],
         now_ms: int,
     ) -> None:
-        """Asks about workers with room for steps that need advice."""
+        """Requests advice for the first waiting unit that needs some.
+
+        Covers only workers with free capacity for a task of the unit.
+        """
         for unit in waiting:
             if not unit.submission.terms.needs_advice:
                 continue
@@ -222,21 +226,22 @@
         self, entry: job_views.JobEntry, key: units.UnitKey, now_ms: int
     ) -> waiting_units.WaitingUnit:
         previous = entry.progress.unit_records.get(key.unit)
-        last = self._state.last_runs.get(key.unit)
+        last_run = self._state.last_runs.get(key.unit)
         return waiting_units.WaitingUnit(
             key=key,
             step=entry.submission.workflow.steps[key.step],
             submission=entry.submission,
             since_ms=self._state.ready_since_ms.setdefault(key.unit, now_ms),
             run=max(
-                previous.run if previous else 0, last.number if last else 0
+                previous.run if previous else 0,
+                last_run.number if last_run else 0,
             ),
             avoid=frozenset(self._state.failed_workers.get(key.unit, ())),
             failures=max(
                 previous.failures if previous else 0,
-                last.failures if last else 0,
+                last_run.failures if last_run else 0,
             ),
-            saved=(last.saved if last else "")
+            saved=(last_run.saved if last_run else "")
             or (previous.saved if previous else ""),
         )
 
--- a/citronmount/fleet/preemption.py
+++ b/citronmount/fleet/preemption.py
@@ -1,8 +1,8 @@
-"""Chooses runs to stop so that a guaranteed unit fits.
+"""Chooses the runs to preempt so that a unit of the highest priority fits.
 
-Load pattern: a job inside its guarantee arrives while others use the room.
-The least work is thrown away: time since the last checkpoint, weighted by the
-resources of the whole gang.
+A job inside its guarantee may arrive while runs of other jobs use the capacity.
+The chosen runs lose the least work, which is the time since the last checkpoint
+weighted by the resources of the whole gang.
 """
 
 from collections.abc import Callable
@@ -35,12 +35,12 @@
 
 
 class PreemptionPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a unit fits once some runs are stopped.
+    """Placement of a unit that becomes possible by stopping runs.
 
     Attributes:
         workers: A worker for each task.
         victims: The runs to stop.
-        cost_core_s: Work that is thrown away.
+        cost_core_s: Work that the victims lose, in core-seconds.
     """
 
     workers: tuple[worker_directory.Worker, ...]
@@ -49,15 +49,15 @@
 
 
 def lost_work(run: unit_runs.Run, now_ms: int, save_s: float) -> float:
-    """Returns the work that a stop of a run throws away.
+    """Returns the work that a run loses if it is stopped.
 
     Args:
         run: The run.
         now_ms: Monotonic time in milliseconds.
-        save_s: Work between two checkpoints.
+        save_s: Work in seconds between two checkpoints of a task.
 
     Returns:
-        Core-seconds; an accelerator counts as several cores.
+        Core-seconds; an accelerator counts as `CORES_PER_ACCELERATOR` cores.
     """
     started_ms = run.placed_ms if run.started_ms is None else run.started_ms
     elapsed_s = max(now_ms - started_ms, 0) / _MS_PER_S
@@ -67,14 +67,14 @@
 
 
 def planned_work(step: spec.Step, tasks: int) -> float:
-    """Returns the work of a unit as declared.
+    """Returns the work of a unit according to its declared run time.
 
     Args:
-        step: Its step.
-        tasks: How many tasks start together.
+        step: The unit's step.
+        tasks: Number of tasks that start together.
 
     Returns:
-        Core-seconds; an accelerator counts as several cores.
+        Core-seconds; an accelerator counts as `CORES_PER_ACCELERATOR` cores.
     """
     return step.estimate_ms / _MS_PER_S * _cores(step) * tasks
 
@@ -95,34 +95,42 @@
     cost: Cost,
     spread: fitting.Spread,
 ) -> PreemptionPlan | None:
-    """Finds the cheapest set of runs whose stop makes room for a unit.
+    """Finds a cheap set of runs whose preemption makes a unit fit.
+
+    A greedy search: adds victims in the order of their cost until the unit
+    fits, then spares the most expensive ones that are not needed. If the unit
+    must stay in one rack, each rack is searched and the cheapest plan is
+    returned.
 
     Args:
-        requirements: The unit.
-        workers: The workers that may get work.
-        free: The free room of a worker.
+        requirements: Placement requirements of the unit.
+        workers: The workers that may receive tasks.
+        free: Returns the free capacity of a worker.
         revocable: Runs that may be stopped.
-        cost: What the stop of a run throws away.
+        cost: Returns the work that a run loses if it is stopped.
         spread: Whether the unit may leave its preferred rack.
 
     Returns:
-        The workers and victims, or None if no set makes room.
+        The plan, or None if the unit does not fit even without any revocable
+        run.
     """
     ranked = sorted(revocable, key=cost)
-    groups: list[Sequence[worker_directory.Worker]] = [workers]
+    worker_groups: list[Sequence[worker_directory.Worker]] = [workers]
     if spread is fitting.Spread.PREFERRED and requirements.step.one_rack:
         racks = sorted({worker.rack for worker in workers})
-        groups = [[w for w in workers if w.rack == rack] for rack in racks]
-    found = [
+        worker_groups = [
+            [w for w in workers if w.rack == rack] for rack in racks
+        ]
+    plans = [
         plan
-        for group in groups
+        for group in worker_groups
         if (
             plan := _find_in_group(
                 requirements, group, free, ranked, cost, spread
             )
         )
     ]
-    return min(found, key=lambda each: each.cost_core_s, default=None)
+    return min(plans, key=lambda each: each.cost_core_s, default=None)
 
 
 def _find_in_group(
@@ -133,11 +141,11 @@
     cost: Cost,
     spread: fitting.Spread,
 ) -> PreemptionPlan | None:
-    names = {worker.worker for worker in group}
-    useful = [run for run in ranked if _runs_on(run, names)]
+    worker_ids = {worker.worker for worker in group}
+    candidates = [run for run in ranked if _runs_on(run, worker_ids)]
     victims: list[unit_runs.Run] = []
     chosen = None
-    for run in useful:
+    for run in candidates:
         victims.append(run)
         chosen = _workers_without(requirements, group, free, victims, spread)
         if chosen is not None:
@@ -145,10 +153,12 @@
     if chosen is None:
         return None
     for run in sorted(victims, key=cost, reverse=True):
-        fewer = [each for each in victims if each is not run]
-        without = _workers_without(requirements, group, free, fewer, spread)
-        if without is not None:
-            victims, chosen = fewer, without
+        remaining_victims = [each for each in victims if each is not run]
+        alternative = _workers_without(
+            requirements, group, free, remaining_victims, spread
+        )
+        if alternative is not None:
+            victims, chosen = remaining_victims, alternative
     return PreemptionPlan(
         workers=tuple(chosen),
         victims=tuple(victims),
@@ -156,8 +166,8 @@
     )
 
 
-def _runs_on(run: unit_runs.Run, names: set[ids.WorkerId]) -> bool:
-    return any(member.place.worker in names for member in run.live_members)
+def _runs_on(run: unit_runs.Run, worker_ids: set[ids.WorkerId]) -> bool:
+    return any(member.place.worker in worker_ids for member in run.live_members)
 
 
 def _workers_without(
--- a/citronmount/fleet/run_driver.py
+++ b/citronmount/fleet/run_driver.py
@@ -1,4 +1,4 @@
-"""Drives runs from their decision to their end."""
+"""Advances runs from their placement to their end."""
 
 from collections.abc import Iterable
 
@@ -22,18 +22,18 @@
 
 
 class RunDriver:
-    """Records runs, sends their orders and gives up what has lapsed."""
+    """Records runs, sends their commands, drops tasks with expired leases."""
 
     def __init__(self, *, state: owner_state.OwnerState) -> None:
-        """Initializes the part.
+        """Initializes the driver.
 
         Args:
-            state: What it shares with the other parts.
+            state: State shared by the parts of the owner.
         """
         self._state = state
 
     def restore(self, now_ms: int) -> None:
-        """Makes runs of all that workers may still hold."""
+        """Restores the runs that workers may still hold from the job view."""
         for entry in self._state.job_view.jobs.values():
             workflow = entry.submission.workflow
             for change in entry.progress.unit_records.values():
@@ -60,7 +60,7 @@
                 self._state.table.add(run)
 
     def activate_recorded_run(self, change: records.UnitChanged) -> None:
-        """Takes in that the record of a run is durable."""
+        """Lets a run start after the record of its placement became durable."""
         run = self._state.table.get(change.unit)
         if (
             run is None
@@ -74,14 +74,15 @@
             member.state = unit_runs.MemberState.STARTING
 
     def advance_runs(self, now_ms: int, full_scan: bool) -> None:
-        """Brings every run a step further and removes those over.
+        """Advances every run by one step and removes those that are over.
 
-        Load pattern: hundreds of runs are at work while a few start or end. A
-        run at work needs no order, so only the passing of time matters to it.
+        Usually hundreds of runs are fully running while a few start or end. A
+        running one needs no command and depends only on the passing of time, so
+        it is checked only in a full scan.
 
         Args:
             now_ms: Monotonic time in milliseconds.
-            full_scan: Whether runs at work are looked at as well.
+            full_scan: Whether to check the running ones as well.
         """
         for run in self._state.table:
             if run.is_working and not full_scan:
@@ -105,14 +106,14 @@
                 self._state.needs_planning = True
 
     def record_if_cleared(self, run: unit_runs.Run) -> None:
-        """Records a run once what it waits for has ended."""
+        """Records a run's placement once the runs that it preempts are over."""
         victims = self._state.victims_by_unit.get(run.unit, [])
         if all(victim.is_over for victim in victims):
             run.phase = unit_runs.RunPhase.RECORDING
             self._state.append_record(run.to_record(records.UnitStatus.PLACED))
 
     def _send_due_starts(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Sends the orders to start that are due."""
+        """Sends the `Start` commands that are due."""
         for member in run.live_members:
             if member.state is not unit_runs.MemberState.STARTING:
                 continue
@@ -126,9 +127,9 @@
             self._send_start(run, member, now_ms)
 
     def _end_if_member_stalled(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Ends a run of which a member does not get on, so that it moves.
+        """Ends a run with a stalled member, so that the unit moves elsewhere.
 
-        Each time the limit doubles, as with `_end_if_hanging`.
+        The limit doubles with each stall of the unit, as in `_end_if_overdue`.
         """
         if run.started_ms is None or run.step.lasting:
             return
@@ -153,7 +154,7 @@
             )
 
     def _end_if_slow_member(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Ends a gang that is done sooner if it begins again elsewhere."""
+        """Ends a gang that would finish sooner if restarted elsewhere."""
         if run.phase is not unit_runs.RunPhase.ACTIVE or run.step.lasting:
             return
         if run.started_ms is None or len(run.members) < 2:
@@ -176,22 +177,24 @@
     def _end_and_avoid(
         self,
         run: unit_runs.Run,
-        places: Iterable[ids.WorkerId],
+        worker_ids: Iterable[ids.WorkerId],
         cause: unit_runs.EndCause,
         now_ms: int,
     ) -> None:
-        """Ends a run whose unit shall avoid some workers from now on."""
+        """Ends a run and makes its unit avoid some workers from now on."""
         self._state.stall_counts[run.unit] += 1
-        self._state.failed_workers.setdefault(run.unit, set()).update(places)
-        for worker in places:
+        self._state.failed_workers.setdefault(run.unit, set()).update(
+            worker_ids
+        )
+        for worker in worker_ids:
             self._state.health.mark_stalled(worker, now_ms)
         self._state.end_run(run, cause)
 
     def _end_if_overdue(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Ends a run that stands still, so that it goes on elsewhere.
+        """Ends a run that is far overdue, so that the unit moves elsewhere.
 
-        Each time the limit doubles: a job that is far longer than it said
-        ends all the same.
+        The limit doubles with each stall of the unit, so that a job whose run
+        time is far above its estimate completes nevertheless.
         """
         estimate_ms = run.step.estimate_ms
         if run.started_ms is None or run.step.lasting or not estimate_ms:
@@ -221,10 +224,10 @@
             self._state.end_run(run, unit_runs.EndCause.STALLED)
 
     def _leave_draining_workers(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Ends a run that loses nothing by going on elsewhere.
+        """Ends a run on a draining worker if a move loses no work.
 
-        What runs on a worker ends when that leaves. Lasting tasks, and those
-        that save their work and would not be done by then, move before.
+        A draining worker stops its tasks when it leaves. Lasting tasks, and
+        tasks with checkpoints that would not finish before, are moved earlier.
         """
         if run.started_ms is None:
             return
@@ -270,7 +273,10 @@
         )
 
     def send_due_stops(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Sends the orders to stop that are due."""
+        """Sends the `Stop` commands that are due.
+
+        Members that cannot have started need none and are gone at once.
+        """
         for member in run.live_members:
             if not member.may_have_started:
                 self._state.table.mark_gone(run, member)
@@ -296,7 +302,7 @@
         )
 
     def _drop_expired_members(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Gives up members whose lease has surely run out."""
+        """Drops members whose lease is certain to have expired."""
         for member in run.live_members:
             if member.state is unit_runs.MemberState.RESERVED:
                 continue
--- a/citronmount/fleet/run_table.py
+++ b/citronmount/fleet/run_table.py
@@ -1,4 +1,4 @@
-"""All runs of an owner, with the room that they hold."""
+"""Index of all runs of an owner and the resources they allocate."""
 
 import collections
 from collections.abc import Iterator
@@ -12,10 +12,10 @@
 
 
 class RunTable:
-    """Runs by unit, job, worker and task.
+    """Index of runs by unit, job, worker and task.
 
     Attributes:
-        room: What the runs hold of each worker.
+        allocations: Resources that the runs allocate on each worker.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         return len(self._by_unit)
 
     def get(self, unit: units.UnitId) -> unit_runs.Run | None:
-        """Returns the run of a unit, if it has one."""
+        """Returns the run of a unit, or None if it has none."""
         return self._by_unit.get(unit)
 
     def runs_of_job(self, job: ids.JobId) -> list[unit_runs.Run]:
@@ -49,7 +49,16 @@
     def find_task(
         self, task: units.TaskName, number: int
     ) -> tuple[unit_runs.Run, unit_runs.Member] | None:
-        """Returns the run and member of a task, if it is that run."""
+        """Returns the run and member of a task.
+
+        Args:
+            task: The task.
+            number: Number of the run.
+
+        Returns:
+            The run and its member, or None if the task is not in the table
+            under a run of that number.
+        """
         found = self._by_task.get(task)
         if found is None or found[0].number != number:
             return None
@@ -58,15 +67,15 @@
     def tasks_on_worker(
         self, worker: ids.WorkerId
     ) -> list[tuple[unit_runs.Run, unit_runs.Member]]:
-        """Returns what a worker may hold."""
+        """Returns the runs and members that a worker may hold."""
         return [self._by_task[task] for task in self._on_worker.get(worker, ())]
 
     def task_count_on(self, worker: ids.WorkerId) -> int:
-        """Returns how many tasks a worker may hold."""
+        """Returns the number of tasks that a worker may hold."""
         return len(self._on_worker.get(worker, ()))
 
     def add(self, run: unit_runs.Run) -> None:
-        """Adds a run and takes the room of its members."""
+        """Adds a run and allocates the resources of its members."""
         self._by_unit[run.unit] = run
         self._by_job.setdefault(run.job, {})[run.unit] = run
         demand = worker_allocations.allocated_demand(run.step)
@@ -76,7 +85,7 @@
             self.allocations.allocate(member.place.worker, demand)
 
     def mark_gone(self, run: unit_runs.Run, member: unit_runs.Member) -> None:
-        """Notes that a member does not run and cannot start any more."""
+        """Marks a member as gone and releases its resources; idempotent."""
         if member.state is unit_runs.MemberState.GONE:
             return
         member.state = unit_runs.MemberState.GONE
@@ -90,7 +99,7 @@
         )
 
     def remove(self, run: unit_runs.Run) -> None:
-        """Removes a run that is over."""
+        """Removes a run whose members are all gone."""
         del self._by_unit[run.unit]
         runs_of_job = self._by_job[run.job]
         del runs_of_job[run.unit]
--- a/citronmount/fleet/slow_members.py
+++ b/citronmount/fleet/slow_members.py
@@ -1,7 +1,7 @@
-"""Finds gangs that would be done sooner if they began again elsewhere.
+"""Detects gangs that would finish sooner if restarted on other workers.
 
-Load pattern: workers turn several times slower for a while, and one slow
-member holds up a whole gang with all its room.
+Workers may become several times slower for a while, and one slow member delays
+its whole gang and blocks all resources that the gang allocates.
 """
 
 from citronmount.core import ids
@@ -13,21 +13,21 @@
 RESTART_FACTOR = 1.3
 RESTART_OVERHEAD_S = 0.6
 
-_WHOLE_PERCENT = 100.0
+_FULL_PERCENT = 100.0
 
 
 def slow_workers(run: unit_runs.Run) -> frozenset[ids.WorkerId]:
     """Returns the workers that a gang should leave.
 
-    Members of a gang do equal work, so the quickest one tells how long a run
-    without the slow ones would take.
+    Members of a gang do equal work, so the progress rate of the fastest member
+    yields the run time on workers that are not slow.
 
     Args:
-        run: A run at work.
+        run: A run whose members are all running.
 
     Returns:
-        The workers whose members get on at less than half the best rate, if
-        waiting for them takes longer than beginning again.
+        The workers whose members progress at less than half the best rate, if
+        waiting for them takes longer than a restart; otherwise an empty set.
     """
     rates = {
         member.task: member.progress.rough_percent_per_s
@@ -43,7 +43,7 @@
         if (rate := rates[member.task]) is not None
         and rate * SLOW_FACTOR < best
     ]
-    restart_s = RESTART_FACTOR * _WHOLE_PERCENT / best + RESTART_OVERHEAD_S
+    restart_s = RESTART_FACTOR * _FULL_PERCENT / best + RESTART_OVERHEAD_S
     remaining_s = max((_remaining_s(member) for member in slow), default=0.0)
     if remaining_s <= restart_s:
         return frozenset()
@@ -54,4 +54,4 @@
     rate = member.progress.rough_percent_per_s
     if not rate:
         return float("inf")
-    return (_WHOLE_PERCENT - member.progress.percent) / rate
+    return (_FULL_PERCENT - member.progress.percent) / rate
--- a/citronmount/fleet/task_progress.py
+++ b/citronmount/fleet/task_progress.py
@@ -1,74 +1,75 @@
-"""How a running task gets on, from the shares that its worker reports."""
+"""Progress rate of a running task, from the percentages its worker reports."""
 
 __all__ = ["TaskProgress"]
 
 MIN_CHANGE_PERCENT = 15.0
 MIN_ROUGH_RATE_MS = 800
 
-_WHOLE_PERCENT = 100.0
+_FULL_PERCENT = 100.0
 _MS_PER_S = 1_000
 
 
 class TaskProgress:
-    """The first and the newest share of one run of a task.
+    """First and newest progress report of one run of a task.
 
-    A task that has done its work but waits for the rest of its gang stays at
-    100 percent, which tells nothing of its rate.
+    Reports of 100 percent do not enter the rate: a task that has finished its
+    work stays at 100 percent while it waits for the rest of its gang.
     """
 
     def __init__(self) -> None:
-        """Initializes a task of which nothing was reported."""
+        """Initializes a task without reports."""
         self._first: tuple[int, float] | None = None
-        self._last: tuple[int, float] | None = None
+        self._newest: tuple[int, float] | None = None
         self._changed_ms = 0
 
     def add_report(self, percent: float, clock_ms: int) -> None:
-        """Takes in a report.
+        """Adds a report; ignores one that is not newer than the last.
 
         Args:
-            percent: The share of its work that is done.
-            clock_ms: The worker's clock.
+            percent: Completed share of the work in percent.
+            clock_ms: Worker's clock at the report, in milliseconds.
         """
-        if self._last is not None and clock_ms <= self._last[0]:
+        if self._newest is not None and clock_ms <= self._newest[0]:
             return
-        if self._last is None or percent != self._last[1]:
+        if self._newest is None or percent != self._newest[1]:
             self._changed_ms = clock_ms
-        if percent >= _WHOLE_PERCENT:
+        if percent >= _FULL_PERCENT:
             return
         self._first = self._first or (clock_ms, percent)
-        self._last = (clock_ms, percent)
+        self._newest = (clock_ms, percent)
 
     @property
     def percent_per_s(self) -> float | None:
-        """The rate at which the task gets on, or None if it is not known."""
-        if self._first is None or self._last is None:
+        """Progress rate, or None before `MIN_CHANGE_PERCENT` of progress."""
+        if self._first is None or self._newest is None:
             return None
-        change = self._last[1] - self._first[1]
-        if change < MIN_CHANGE_PERCENT:
+        gained = self._newest[1] - self._first[1]
+        if gained < MIN_CHANGE_PERCENT:
             return None
-        return change * _MS_PER_S / (self._last[0] - self._first[0])
+        return gained * _MS_PER_S / (self._newest[0] - self._first[0])
 
     @property
     def percent(self) -> float:
-        """The newest share that is below the whole."""
-        return self._last[1] if self._last else 0.0
+        """Newest reported percentage below 100."""
+        return self._newest[1] if self._newest else 0.0
 
     @property
     def rough_percent_per_s(self) -> float | None:
-        """The rate as far as it shows by now, or None before that.
+        """Rough progress rate, None before `MIN_ROUGH_RATE_MS` of reports.
 
-        Good enough to tell a multiple, not to compare speeds.
+        Accurate enough to detect a member that is several times slower, but not
+        to compare the speeds of workers.
         """
-        if self._first is None or self._last is None:
+        if self._first is None or self._newest is None:
             return None
-        elapsed_ms = self._last[0] - self._first[0]
+        elapsed_ms = self._newest[0] - self._first[0]
         if elapsed_ms < MIN_ROUGH_RATE_MS:
             return None
-        return (self._last[1] - self._first[1]) * _MS_PER_S / elapsed_ms
+        return (self._newest[1] - self._first[1]) * _MS_PER_S / elapsed_ms
 
     @property
     def unchanged_ms(self) -> int:
-        """How long the share has not changed by the newest report."""
-        if self._last is None:
+        """Time without change of the percentage, up to the newest report."""
+        if self._newest is None:
             return 0
-        return max(self._last[0] - self._changed_ms, 0)
+        return max(self._newest[0] - self._changed_ms, 0)
--- a/citronmount/fleet/unit_runs.py
+++ b/citronmount/fleet/unit_runs.py
@@ -1,4 +1,4 @@
-"""Runs of units: where their members are and when they are over."""
+"""State of the runs of units and of their tasks."""
 
 from collections.abc import Sequence
 import enum
@@ -16,7 +16,12 @@
 
 
 class MemberState(enum.Enum):
-    """Where one task of a run stands."""
+    """State of one task of a run.
+
+    RESERVED: placed, but no `Start` command may be sent yet. STARTING: `Start`
+    commands may be sent. RUNNING: seen running. GONE: not running and unable
+    to start any more.
+    """
 
     RESERVED = "held"
     STARTING = "ordered"
@@ -25,7 +30,12 @@
 
 
 class RunPhase(enum.Enum):
-    """Where a run stands."""
+    """Phase of a run.
+
+    CLEARING: waits until the runs that it preempts have ended. RECORDING: waits
+    until the record of its placement is durable. ACTIVE: its tasks may start
+    and run. ENDING: its tasks are being stopped.
+    """
 
     CLEARING = "clearing"
     RECORDING = "recording"
@@ -51,23 +61,23 @@
     """One task of a run.
 
     Attributes:
-        place: Its worker.
-        task: Its name.
-        state: Where it stands.
-        start_open: Whether an order to start is on its way.
-        start_tries: How many orders to start were sent.
-        start_sent_ms: Monotonic time of the last one.
-        start_uncertain: Whether one got no answer and may still be carried
-            out.
-        start_answered: Whether the last order to start was answered, or the
+        place: Worker incarnation that the task is placed on.
+        task: Name of the task.
+        state: State of the task.
+        start_open: Whether a `Start` command is pending.
+        start_tries: Number of `Start` commands sent.
+        start_sent_ms: Monotonic time of the last `Start` command.
+        start_uncertain: Whether the outcome of a `Start` command is unknown,
+            so that the worker may still execute it.
+        start_answered: Whether the last `Start` command was answered, or the
             task was seen running.
-        stop_open: Whether an order to stop is on its way.
-        stop_answered: Whether an order to stop was answered.
-        settled_ms: Monotonic time of the last answer to an order.
-        next_order_ms: Monotonic time of the next order, after one that got no
-            answer.
-        saved: Its newest checkpoint.
-        progress: How it gets on.
+        stop_open: Whether a `Stop` command is pending.
+        stop_answered: Whether a `Stop` command was answered.
+        settled_ms: Monotonic time of the last answer to a command.
+        next_order_ms: Earliest monotonic time of the next command after one
+            without an answer.
+        saved: Newest checkpoint.
+        progress: Progress of the task.
     """
 
     place: records.Place
@@ -89,14 +99,14 @@
 
     @property
     def may_have_started(self) -> bool:
-        """Whether an order to start may have reached its worker."""
+        """Whether a `Start` command may have reached the worker."""
         if self.state is MemberState.RESERVED:
             return False
         return self.start_tries > 0 or self.start_answered
 
     @property
     def start_settled(self) -> bool:
-        """Whether no order on its way can make the task start any more."""
+        """Whether no pending command can still start the task."""
         if self.stop_open or self.start_open:
             return False
         return self.stop_answered or self.start_answered
@@ -107,18 +117,20 @@
 
     Attributes:
         key: The unit.
-        step: Its step.
-        submission: Its job.
-        number: The number of the run.
-        members: One for each task, in order.
-        phase: Where the run stands.
-        cause: Why the owner ends it, if it does.
-        outcome: The end that decides, once one was listed.
-        failures: Failed runs of the unit, this one included.
-        saved: The checkpoint that the run started from, or a newer one.
-        restored: Whether an earlier owner started it.
-        placed_ms: Monotonic time of the decision.
-        started_ms: Monotonic time at which all members ran, if they did.
+        unit: Id of the unit.
+        step: The unit's step.
+        submission: The unit's job.
+        number: Number of the run, counted from 1.
+        members: One member per task, in the order of the tasks.
+        phase: Phase of the run.
+        cause: Why the owner ends the run, or None.
+        outcome: The reported end that determines the outcome of the run, or
+            None before any was reported.
+        failures: Number of failed runs of the unit, including this one.
+        saved: Checkpoint that the run started from, or a newer one.
+        restored: Whether an earlier owner started the run.
+        placed_ms: Monotonic time of the placement.
+        started_ms: Monotonic time at which all members were running, or None.
     """
 
     def __init__(
@@ -139,14 +151,14 @@
 
         Args:
             key: The unit.
-            step: Its step.
-            submission: Its job.
-            number: The number of the run.
-            places: A worker for each task, in order.
-            phase: Where the run stands.
-            failures: Earlier runs of the unit that failed.
-            saved: The checkpoint to start from, or empty.
-            restored: Whether an earlier owner started it.
+            step: The unit's step.
+            submission: The unit's job.
+            number: Number of the run, counted from 1.
+            places: Worker incarnation of each task, in the order of the tasks.
+            phase: Initial phase of the run.
+            failures: Number of earlier runs of the unit that failed.
+            saved: Checkpoint to start from, or empty.
+            restored: Whether an earlier owner started the run.
             now_ms: Monotonic time in milliseconds.
         """
         self.key = key
@@ -170,12 +182,12 @@
 
     @property
     def job(self) -> ids.JobId:
-        """The job."""
+        """Id of the unit's job."""
         return self.key.job
 
     @property
     def is_working(self) -> bool:
-        """Whether all members run and nothing is known to have ended."""
+        """Whether all members are running and no end was reported."""
         return (
             self.phase is RunPhase.ACTIVE
             and self.started_ms is not None
@@ -184,12 +196,12 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether no member runs or may still start."""
+        """Whether no member is running or can still start."""
         return all(member.state is MemberState.GONE for member in self.members)
 
     @property
     def live_members(self) -> list[Member]:
-        """Members that run or may still start."""
+        """Members that are running or can still start."""
         return [
             member
             for member in self.members
@@ -197,32 +209,33 @@
         ]
 
     def member_of(self, task: units.TaskName) -> Member | None:
-        """Returns the member of a task, if the run has it."""
+        """Returns the member of a task, or None if the run has no such task."""
         return next((m for m in self.members if m.task == task), None)
 
     def end(self, cause: EndCause) -> None:
-        """Makes the owner stop what is left of the run.
+        """Moves the run to the phase ENDING, so that its members are stopped.
 
         Args:
-            cause: Why; the first one stays.
+            cause: Why the run ends; the cause of the first call is kept.
         """
         self.phase = RunPhase.ENDING
         self.cause = self.cause or cause
 
     def all_running(self) -> bool:
-        """Returns whether every member was seen at work."""
+        """Returns whether all members are running."""
         return all(
             member.state is MemberState.RUNNING for member in self.members
         )
 
     def to_record(self, status: records.UnitStatus) -> records.UnitChanged:
-        """Returns the record of the unit's present state.
+        """Returns the log record of the unit's current state.
 
         Args:
-            status: Where the unit stands.
+            status: Status of the unit to record.
 
         Returns:
-            The record, with the places that may still hold the run.
+            The record. Its places are all members' for a placed unit, those of
+            live members for a waiting unit and none for a finished unit.
         """
         ended = status in (records.UnitStatus.DONE, records.UnitStatus.FAILED)
         places = () if ended else tuple(m.place for m in self.members)
--- a/citronmount/fleet/waiting_units.py
+++ b/citronmount/fleet/waiting_units.py
@@ -1,4 +1,4 @@
-"""Units that may start, and decisions on where they start."""
+"""Units that wait for a start, and placement decisions on them."""
 
 import msgspec
 
@@ -14,17 +14,17 @@
 
 
 class WaitingUnit(msgspec.Struct, frozen=True, kw_only=True):
-    """A unit that may start.
+    """A unit that is ready to start.
 
     Attributes:
         key: The unit.
-        step: Its step.
-        submission: Its job.
-        since_ms: Monotonic time from which it could have started.
-        run: The number of its last run.
-        failures: Its failed runs.
-        saved: Its newest checkpoint, or empty.
-        avoid: Workers at which it failed.
+        step: The unit's step.
+        submission: The unit's job.
+        since_ms: Monotonic time since which the unit is ready.
+        run: Number of the last run, or 0.
+        failures: Number of failed runs.
+        saved: Newest checkpoint, or empty.
+        avoid: Workers on which the unit failed.
     """
 
     key: units.UnitKey
@@ -38,25 +38,25 @@
 
     @property
     def tasks(self) -> int:
-        """How many tasks start together."""
+        """Number of tasks that start together."""
         return self.step.tasks if self.step.gang else 1
 
     @property
     def accelerators(self) -> int:
-        """Accelerators of all its tasks."""
+        """Number of accelerators of all tasks of the unit."""
         return self.tasks * self.step.demand.accelerators
 
 
 class Decision(msgspec.Struct, frozen=True, kw_only=True):
-    """A unit that is to start.
+    """Decision to start a unit.
 
     Attributes:
         waiting: The unit.
         workers: A worker for each task.
-        victims: Runs that are to be stopped first.
+        victims: Runs to stop before the start.
         within_guarantee: Whether the unit is inside its account's guarantee.
-        spread: Whether it was allowed to leave its preferred rack.
-        lost_core_s: Work that the stops throw away.
+        spread: Whether the unit was allowed to leave its preferred rack.
+        lost_core_s: Work that the victims lose, in core-seconds.
     """
 
     waiting: WaitingUnit
@@ -68,7 +68,10 @@
 
 
 def objective_end_ms(submission: spec.Submission) -> int:
-    """Returns the Unix time at which a job's objective ends, as estimated.
+    """Returns the Unix time by which a job should complete.
+
+    The objective allows the estimated critical path times the queue's slack
+    factor, plus the queue's fixed allowance.
 
     Args:
         submission: The job.
@@ -76,13 +79,13 @@
     Returns:
         Milliseconds.
     """
-    chain: list[int] = []
+    chain_ends: list[int] = []
     for step in submission.workflow.steps:
-        before = max((chain[earlier] for earlier in step.after), default=0)
-        chain.append(before + step.estimate_ms)
-    longest = max(chain, default=0)
+        before = max((chain_ends[earlier] for earlier in step.after), default=0)
+        chain_ends.append(before + step.estimate_ms)
+    critical_path_ms = max(chain_ends, default=0)
     terms = submission.terms
-    allowed_ms = terms.slack_factor * longest + terms.objective_ms
+    allowed_ms = terms.slack_factor * critical_path_ms + terms.objective_ms
     return submission.accepted_ms + int(allowed_ms)
 
 
@@ -91,15 +94,15 @@
     worker: worker_directory.Worker,
     allocations: worker_allocations.WorkerAllocations,
 ) -> bool:
-    """Returns whether one task of a unit could start at a worker.
+    """Returns whether one task of a unit could start on a worker.
 
     Args:
         unit: The unit.
         worker: The worker.
-        allocations: What is given of the workers' room.
+        allocations: Resources allocated on the workers.
 
     Returns:
-        Whether the worker suits and has room.
+        Whether the worker suits the unit and has free capacity for one task.
     """
     requirements = fitting.Requirements(
         tasks=1, step=unit.step, service=unit.submission.terms.service
--- a/citronmount/fleet/worker_health.py
+++ b/citronmount/fleet/worker_health.py
@@ -1,8 +1,9 @@
-"""Tells slow, failing and hanging workers apart from jobs that fail anywhere.
+"""Detects slow, failing and hanging workers from the results of their runs.
 
-Load pattern: some workers take several times as long, fail all they start or
-let tasks stand still, while they say that they are ready. Only what their runs
-did counts.
+Some workers take several times as long as others, fail every task or let tasks
+hang although they report that they are ready, so only the results of their runs
+count. Failures count per job, so that a job that fails everywhere does not make
+its workers distrusted.
 """
 
 import collections
@@ -29,11 +30,12 @@
 
 
 class Trust(msgspec.Struct, frozen=True, kw_only=True):
-    """What is believed of a worker.
+    """Assessment of a worker.
 
     Attributes:
-        slowness: Its run times as a multiple of what is usual in the pool.
-        distrusted: Whether it should get no work for now.
+        slowness: Run times of the worker as a multiple of those typical in the
+            pool.
+        distrusted: Whether the worker should receive no tasks for now.
     """
 
     slowness: float = 1.0
@@ -41,7 +43,7 @@
 
 
 class _RunHistory:
-    """What the runs of one worker did."""
+    """Results of the runs on one worker."""
 
     def __init__(self) -> None:
         self.ratios: collections.deque[float] = collections.deque(
@@ -53,10 +55,10 @@
 
 
 class WorkerHealth:
-    """Follows the ends of runs on every worker."""
+    """Collects the results of runs on all workers and assesses the workers."""
 
     def __init__(self) -> None:
-        """Initializes without any evidence."""
+        """Initializes without results."""
         self._histories: dict[ids.WorkerId, _RunHistory] = (
             collections.defaultdict(_RunHistory)
         )
@@ -74,12 +76,12 @@
         estimate_ms: int,
         now_ms: int,
     ) -> None:
-        """Notes a run that ended well.
+        """Records a successful run, which ends the distrust of the worker.
 
         Args:
-            worker: Where.
-            elapsed_ms: How long it took.
-            estimate_ms: How long it was thought to take.
+            worker: The worker of the run.
+            elapsed_ms: Run time in milliseconds.
+            estimate_ms: Estimated run time in milliseconds, or 0 if unknown.
             now_ms: Monotonic time in milliseconds.
         """
         history = self._histories[worker]
@@ -94,10 +96,13 @@
     def record_failure(
         self, worker: ids.WorkerId, job: ids.JobId, now_ms: int
     ) -> bool:
-        """Notes a run that failed.
+        """Records a failed run.
+
+        A worker becomes distrusted once `FAILURES_TO_DISTRUST` different jobs
+        failed on it without a successful run in between.
 
         Returns:
-            Whether the worker lost its trust by it.
+            Whether the worker is distrusted because of this failure.
         """
         history = self._histories[worker]
         history.failed_jobs.add(job)
@@ -107,7 +112,7 @@
         return True
 
     def mark_stalled(self, worker: ids.WorkerId, now_ms: int) -> None:
-        """Notes that a task at a worker does not get on."""
+        """Marks a worker as distrusted because a task on it is stalled."""
         self._histories[worker].distrusted_until_ms = now_ms + DISTRUST_MS
 
     def overdue_factor(
@@ -117,19 +122,21 @@
         estimate_ms: int,
         now_ms: int,
     ) -> float:
-        """Returns how far a run is overdue where nothing else ends.
+        """Returns how far a run is overdue on a worker that completes no runs.
 
-        A run that is overdue on a worker that finishes other runs is taken as
-        long. Where nothing ends, the worker gets no work for a while.
+        If the worker has completed another run since this one started, the run
+        itself is considered long. Otherwise an overdue run makes the worker
+        distrusted for a while.
 
         Args:
-            worker: Where.
-            elapsed_ms: How long the run has worked.
-            estimate_ms: How long it was thought to take.
+            worker: The worker of the run.
+            elapsed_ms: Time since the run started, in milliseconds.
+            estimate_ms: Estimated run time in milliseconds.
             now_ms: Monotonic time in milliseconds.
 
         Returns:
-            The multiple of the usual run time, or 0 if other runs end there.
+            Elapsed time as a multiple of the typical run time, or 0 if the
+            worker has completed another run since the start of this one.
         """
         history = self._histories[worker]
         if history.last_success_ms >= now_ms - elapsed_ms:
@@ -145,10 +152,10 @@
     def record_incarnation_end(
         self, worker: worker_directory.Worker, now_ms: int
     ) -> None:
-        """Drops the evidence on a worker and remembers the machine.
+        """Drops the results of a worker and records the end on its machine.
 
-        A machine whose workers come and go gets no work for a while, longer
-        with each time.
+        A machine whose workers restart repeatedly (flapping) receives no tasks
+        for a while, and for longer with each restart.
         """
         self._histories.pop(worker.worker, None)
         if not worker.machine:
@@ -161,14 +168,14 @@
     def is_flapping(
         self, machine: worker_directory.MachineId, now_ms: int
     ) -> bool:
-        """Returns whether workers of a machine come and go."""
+        """Returns whether the workers of a machine restart repeatedly."""
         ends = self._incarnation_ends.get(machine)
         if not ends or len(ends) < FLAPS_TO_DISTRUST:
             return False
         return now_ms < ends[-1] + FLAP_DISTRUST_MS * (len(ends) - 1)
 
     def trust(self, worker: worker_directory.Worker, now_ms: int) -> Trust:
-        """Returns what is believed of a worker."""
+        """Returns the assessment of a worker."""
         if self.is_flapping(worker.machine, now_ms):
             return Trust(distrusted=True)
         history = self._histories.get(worker.worker)
--- a/citronmount/fleet/worker_reports.py
+++ b/citronmount/fleet/worker_reports.py
@@ -1,4 +1,4 @@
-"""Takes in what workers answer to orders."""
+"""Handles the answers of workers to commands."""
 
 import collections
 import statistics
@@ -27,7 +27,7 @@
 
 
 class WorkerReports:
-    """Brings runs and sessions up to date with answers and reports."""
+    """Updates runs and sessions from the answers and reports of workers."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         state: owner_state.OwnerState,
         sessions: worker_sessions.WorkerSessions,
     ) -> None:
-        """Initializes the part.
+        """Initializes the handler.
 
         Args:
-            state: What it shares with the other parts.
-            sessions: Closes sessions whose life is over.
+            state: State shared by the parts of the owner.
+            sessions: Ends the sessions of incarnations that are over.
         """
         self._state = state
         self._sessions = sessions
@@ -51,16 +51,21 @@
         clock_ms: int | None,
         now_ms: int,
     ) -> None:
-        """Takes in what became of an order to start."""
-        self._state.answered_workers.add(command.worker.worker)
+        """Handles the outcome of a `Start` command.
+
+        If an earlier `Start` of the member has an unknown outcome, a refusal
+        by the same incarnation does not prove that the task will not run. The
+        member is then kept until a `Stop` has settled it.
+        """
+        self._state.changed_workers.add(command.worker.worker)
         self._update_clock(command.worker, clock_ms, now_ms)
         if outcome is commands.StartOutcome.FENCED:
             self._state.fenced = True
             return
-        found = self._state.table.find_task(command.task, command.run)
-        if found is None:
+        entry = self._state.table.find_task(command.task, command.run)
+        if entry is None:
             return
-        run, member = found
+        run, member = entry
         member.start_open = False
         self._state.needs_planning = True
         if self._may_still_start(member, outcome):
@@ -93,14 +98,17 @@
         )
         if not (member.start_uncertain and same_incarnation):
             self._state.table.mark_gone(run, member)
-        # Else a stop settles what an earlier, unanswered order may have done.
+        # Otherwise a Stop settles the earlier Start with unknown outcome.
         self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
 
     @staticmethod
     def _may_still_start(
         member: unit_runs.Member, outcome: commands.StartOutcome
     ) -> bool:
-        """Returns whether a member may still start by what was ordered."""
+        """Returns whether a command may still start a member.
+
+        After UNREACHABLE only an earlier `Start` with unknown outcome may.
+        """
         if outcome is commands.StartOutcome.UNREACHABLE:
             return member.start_uncertain
         return outcome is commands.StartOutcome.UNKNOWN
@@ -111,7 +119,7 @@
         answer: commands.AdviceAnswer | None,
         now_ms: int,
     ) -> None:
-        """Takes in the answer to a question, or that there was none."""
+        """Handles the answer to an advice request, or None for no answer."""
         if answer is None:
             self._state.advice.request_failed(now_ms)
             return
@@ -131,8 +139,12 @@
         clock_ms: int | None,
         now_ms: int,
     ) -> None:
-        """Takes in what became of an order to stop."""
-        self._state.answered_workers.add(command.worker.worker)
+        """Handles the outcome of a `Stop` command.
+
+        A stopped task that was never seen running gets a status poll, because
+        no end of its run may be reported.
+        """
+        self._state.changed_workers.add(command.worker.worker)
         self._update_clock(command.worker, clock_ms, now_ms)
         if outcome is commands.StopOutcome.FENCED:
             self._state.fenced = True
@@ -140,10 +152,10 @@
         session = self._state.sessions.get(command.worker.worker)
         if session is not None:
             session.renew_soon(now_ms)
-        found = self._state.table.find_task(command.task, command.run)
-        if found is None:
+        entry = self._state.table.find_task(command.task, command.run)
+        if entry is None:
             return
-        run, member = found
+        run, member = entry
         member.stop_open = False
         self._state.needs_planning = True
         if outcome is commands.StopOutcome.UNKNOWN:
@@ -154,15 +166,15 @@
             return
         member.stop_answered = True
         member.settled_ms = now_ms
-        never_seen = member.state is unit_runs.MemberState.STARTING
-        if never_seen and session is not None:
+        never_running = member.state is unit_runs.MemberState.STARTING
+        if never_running and session is not None:
             session.poll_soon()
 
     def renewal_failed(
         self, command: commands.RenewLeases, fenced: bool, now_ms: int
     ) -> None:
-        """Takes in that a hold brought no report."""
-        self._state.answered_workers.add(command.worker.worker)
+        """Handles a lease renewal or status poll without a report."""
+        self._state.changed_workers.add(command.worker.worker)
         if fenced:
             self._state.fenced = True
         session = self._state.session_for(command.worker)
@@ -186,15 +198,15 @@
         sent_ms: int,
         now_ms: int,
     ) -> None:
-        """Takes in what a worker reports.
+        """Handles the report of a worker.
 
         Args:
-            command: The hold.
-            report: The answer.
-            sent_ms: Monotonic time at which the hold was sent.
+            command: The lease renewal or status poll.
+            report: The worker's report.
+            sent_ms: Monotonic time at which the command was sent.
             now_ms: Monotonic time in milliseconds.
         """
-        self._state.answered_workers.add(command.worker.worker)
+        self._state.changed_workers.add(command.worker.worker)
         session = self._state.session_for(command.worker)
         if session is None:
             return
@@ -221,24 +233,28 @@
         sent_ms: int,
         now_ms: int,
     ) -> None:
-        """Compares what a worker runs with what it should run."""
-        name = session.worker.worker
+        """Reconciles the tasks that a worker runs with the run table.
+
+        Stops tasks that are not in the table and marks members as missing that
+        the worker does not report.
+        """
+        worker_id = session.worker.worker
         unknown_count = 0
         seen = set()
         for task in report.running:
-            found = self._state.table.find_task(task.task, task.run)
-            if found is None or found[1].place.worker != name:
+            entry = self._state.table.find_task(task.task, task.run)
+            if entry is None or entry[1].place.worker != worker_id:
                 unknown_count += 1
                 self._stop_unknown_run(session, task)
                 continue
-            run, member = found
+            run, member = entry
             seen.add(member.task)
             run.saved = task.saved or run.saved
             self._mark_running(run, member, now_ms)
             if run.started_ms is not None:
                 member.progress.add_report(task.percent, report.clock_ms)
-        if self._state.unknown_runs.get(name, 0) != unknown_count:
-            self._state.unknown_runs[name] = unknown_count
+        if self._state.unknown_runs.get(worker_id, 0) != unknown_count:
+            self._state.unknown_runs[worker_id] = unknown_count
             self._state.needs_planning = True
         if report.complete:
             self._mark_missing(session, seen, sent_ms)
@@ -281,15 +297,19 @@
         end: commands.EndedTask,
         now_ms: int,
     ) -> None:
-        """Takes in one end that a worker lists for the first time."""
+        """Handles an end that a worker reports for the first time.
+
+        The worker may delete the end once its record is durable. An end that
+        needs no record of its own waits for the unit's pending records.
+        """
         place = records.Place(
             worker=session.worker.worker, life_ms=session.worker.life_ms
         )
-        found = self._state.table.find_task(end.task, end.run)
-        if found is None or found[1].place != place:
+        entry = self._state.table.find_task(end.task, end.run)
+        if entry is None or entry[1].place != place:
             session.resolve_end(end.number, now_ms)
             return
-        run, member = found
+        run, member = entry
         self._state.needs_planning = True
         run.saved = end.saved or run.saved
         if run.outcome is None:
@@ -314,7 +334,7 @@
         self._state.append_record(change, ends=((place, end.number),))
 
     def _observe_speeds(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Compares the workers of a gang by how its members got on."""
+        """Updates the speed estimates with the progress rates of a gang."""
         if not run.step.gang:
             return
         rates = collections.defaultdict(list)
@@ -323,8 +343,8 @@
             rate = member.progress.percent_per_s
             if session is not None and rate is not None:
                 rates[session.worker.speed_key].append(rate)
-        found = {key: statistics.mean(each) for key, each in rates.items()}
-        self._state.speeds.observe(found, now_ms)
+        entry = {key: statistics.mean(each) for key, each in rates.items()}
+        self._state.speeds.observe(entry, now_ms)
 
     def _record_health(
         self,
@@ -333,7 +353,7 @@
         kind: commands.EndKind,
         now_ms: int,
     ) -> None:
-        """Learns from an end what the worker is like."""
+        """Updates the assessment of a worker after the end of a task."""
         worker = member.place.worker
         if kind is commands.EndKind.DONE and run.started_ms is not None:
             elapsed_ms = now_ms - run.started_ms
@@ -349,7 +369,10 @@
     def _status_after_end(
         self, run: unit_runs.Run, kind: commands.EndKind
     ) -> records.UnitStatus | None:
-        """Returns what to record of an end, or None if nothing changes."""
+        """Returns the unit's status to record, or None if it is unchanged.
+
+        The first success or failure of a member decides the outcome of the run.
+        """
         decided = (commands.EndKind.DONE, commands.EndKind.FAILED)
         if run.outcome in decided:
             return None
@@ -387,7 +410,7 @@
             )
 
     def _start_progress(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Notes that a run which starts anew has done nothing so far."""
+        """Adds a report of 0 percent for a run that starts from scratch."""
         if run.saved or run.restored:
             return
         for member in run.members:
--- a/citronmount/fleet/worker_sessions.py
+++ b/citronmount/fleet/worker_sessions.py
@@ -1,4 +1,4 @@
-"""Opens and closes sessions with workers as their lives begin and end."""
+"""Opens and closes the sessions of worker incarnations; renews their leases."""
 
 import collections
 
@@ -17,24 +17,24 @@
 
 
 class WorkerSessions:
-    """One session for each life of a worker."""
+    """Manages one session per worker incarnation."""
 
     def __init__(self, *, state: owner_state.OwnerState) -> None:
         """Initializes the part.
 
         Args:
-            state: What it shares with the other parts.
+            state: State shared by the parts of the owner.
         """
         self._state = state
         self._directory_version = -1
         self._next_scan_ms = 0
 
     def sync_with_directory(self, now_ms: int, full_scan: bool) -> None:
-        """Opens and closes sessions as the entries tell.
+        """Opens and closes sessions according to the worker directory.
 
         Args:
             now_ms: Monotonic time in milliseconds.
-            full_scan: Whether to look although no entry has changed.
+            full_scan: Whether to check even if no entry has changed.
         """
         version = self._state.directory.version
         if version == self._directory_version and not full_scan:
@@ -49,10 +49,10 @@
                 self._open_session(worker, now_ms)
             else:
                 session.worker = worker
-        for name in list(self._state.sessions):
-            listed = self._state.directory.get(name) is not None
-            if not listed and not self._state.table.task_count_on(name):
-                del self._state.sessions[name]
+        for worker_id in list(self._state.sessions):
+            listed = self._state.directory.get(worker_id) is not None
+            if not listed and not self._state.table.task_count_on(worker_id):
+                del self._state.sessions[worker_id]
 
     def _open_session(
         self, worker: worker_directory.Worker, now_ms: int
@@ -67,43 +67,47 @@
         for run, member in self._state.table.tasks_on_worker(worker.worker):
             if member.place.life_ms != worker.life_ms:
                 self._state.mark_member_missing(run, member)
-        for other in list(self._state.sessions.values()):
-            same = other.worker.machine == worker.machine
-            older = other.worker.life_ms < worker.life_ms
+        for former in list(self._state.sessions.values()):
+            same = former.worker.machine == worker.machine
+            older = former.worker.life_ms < worker.life_ms
             if same and older and worker.machine:
-                self.end_incarnation(other, now_ms)
+                self.end_incarnation(former, now_ms)
 
     def end_incarnation(
         self, session: lease_sessions.LeaseSession, now_ms: int
     ) -> None:
-        """Takes in that a life of a worker is over, with all it ran."""
-        name = session.worker.worker
+        """Ends the session of an incarnation and drops all of its tasks."""
+        worker_id = session.worker.worker
         self._state.log.info(
-            "worker_life_over", worker=name, life_ms=session.worker.life_ms
+            "worker_life_over", worker=worker_id, life_ms=session.worker.life_ms
         )
-        if self._state.sessions.get(name) is session:
-            del self._state.sessions[name]
-        self._state.unknown_runs.pop(name, None)
+        if self._state.sessions.get(worker_id) is session:
+            del self._state.sessions[worker_id]
+        self._state.unknown_runs.pop(worker_id, None)
         self._state.health.record_incarnation_end(session.worker, now_ms)
-        for run, member in self._state.table.tasks_on_worker(name):
+        for run, member in self._state.table.tasks_on_worker(worker_id):
             if member.place.life_ms == session.worker.life_ms:
                 self._state.mark_member_missing(run, member)
         self._state.needs_planning = True
 
     def send_due_renewals(self, now_ms: int) -> None:
-        """Sends the holds that are due.
+        """Sends the lease renewals that are due.
 
-        Load pattern: an owner takes over more than a thousand workers. Each
-        step looks at those of which something was heard, and at all a few
-        times a second.
+        An owner may have more than a thousand workers. Each step checks only
+        the workers whose session may have changed; all workers are checked
+        every `SCAN_PERIOD_MS`.
         """
         sessions = self._state.sessions
-        heard, self._state.answered_workers = (
-            self._state.answered_workers,
+        changed, self._state.changed_workers = (
+            self._state.changed_workers,
             set(),
         )
         if now_ms < self._next_scan_ms:
-            due = [sessions[name] for name in heard if name in sessions]
+            due = [
+                sessions[worker_id]
+                for worker_id in changed
+                if worker_id in sessions
+            ]
         else:
             self._next_scan_ms = now_ms + SCAN_PERIOD_MS
             due = list(sessions.values())
@@ -116,60 +120,62 @@
                 self._send_renewal(session, now_ms)
 
     def _send_first_renewals(self, now_ms: int) -> None:
-        """Asks workers for the first time.
+        """Sends the first renewals to workers that have not answered yet.
 
-        Those that may hold runs come first, those that did not answer last.
-
-        So many first calls at once would each be too late, and be repeated.
+        Workers that may hold runs come first, those that left renewals
+        unanswered last. At most `MAX_FIRST_RENEWALS` are pending at a time:
+        with more concurrent calls, each would exceed its time limit and be
+        retried.
         """
-        unprimed = [
+        unanswered = [
             session
             for session in self._state.sessions.values()
             if not session.has_answered
         ]
-        free = MAX_FIRST_RENEWALS - sum(
-            session.renewal_pending for session in unprimed
+        free_slots = MAX_FIRST_RENEWALS - sum(
+            session.renewal_pending for session in unanswered
         )
-        for session in unprimed:
-            name = session.worker.worker
-            session.runs = self._state.table.task_count_on(name)
-        unprimed.sort(
+        for session in unanswered:
+            worker_id = session.worker.worker
+            session.runs = self._state.table.task_count_on(worker_id)
+        unanswered.sort(
             key=lambda session: (session.unanswered_renewals, not session.runs)
         )
-        for session in unprimed:
-            if free <= 0:
+        for session in unanswered:
+            if free_slots <= 0:
                 return
-            free -= self._send_renewal(session, now_ms)
+            free_slots -= self._send_renewal(session, now_ms)
 
     def _send_renewal(
         self, session: lease_sessions.LeaseSession, now_ms: int
     ) -> bool:
-        """Sends a session's hold if it is due; returns whether it was."""
+        """Sends a session's renewal if it is due; returns whether it was."""
         command = session.next_renewal(now_ms)
         if command is not None:
             self._state.commands.append(command)
         return command is not None
 
     def usable_workers(self, now_ms: int) -> list[worker_directory.Worker]:
-        """Returns the workers that may get work."""
+        """Returns the workers that may receive new tasks."""
         silent_domains = self._silent_domains(now_ms)
         return [
             session.worker
-            for name, session in self._state.sessions.items()
+            for worker_id, session in self._state.sessions.items()
             if session.has_answered
             and not self._is_silent(session, now_ms)
             and session.worker.failure_domain not in silent_domains
-            and not self._state.unknown_runs.get(name)
-            and self._state.suspended_until_ms.get(name, 0) <= now_ms
+            and not self._state.unknown_runs.get(worker_id)
+            and self._state.suspended_until_ms.get(worker_id, 0) <= now_ms
             and self._state.directory.is_usable(session.worker)
         ]
 
     def _is_silent(
         self, session: lease_sessions.LeaseSession, now_ms: int
     ) -> bool:
-        """Returns whether a worker should have answered by now.
+        """Returns whether a worker has not answered although it should have.
 
-        One that holds nothing is not asked, unless it did not answer before.
+        A worker without runs receives no renewals, unless it left one
+        unanswered, so its silence alone proves nothing.
         """
         if session.unanswered_renewals >= MAX_UNANSWERED_RENEWALS:
             return True
@@ -178,10 +184,11 @@
         return bool(session.runs) and session.silent_ms(now_ms) >= limit_ms
 
     def _silent_domains(self, now_ms: int) -> set[ids.FailureDomainId]:
-        """Returns the failure domains in which no worker answers.
+        """Returns the failure domains in which no busy worker answers.
 
-        Load pattern: a failure domain is cut off. Its idle workers are not
-        asked anything, so the busy ones tell for them.
+        The idle workers of an unreachable failure domain receive no renewals,
+        so they are judged by the busy ones, of which at least
+        `MIN_SILENT_WORKERS` must be silent.
         """
         silent: dict[ids.FailureDomainId, list[bool]] = collections.defaultdict(
             list
--- a/citronmount/fleet/worker_speeds.py
+++ b/citronmount/fleet/worker_speeds.py
@@ -1,8 +1,8 @@
-"""Learns how fast workers are, compared with each other.
+"""Estimates the relative speeds of machines.
 
-Load pattern: some machines take longer for the same work, and urgent gangs are
-as slow as their slowest member. The members of a gang do equal work, so the
-rates at which they get on compare their workers.
+Some machines take longer for the same work, and an urgent gang is as slow as
+its slowest member. The members of a gang do equal work, so their progress rates
+show the relative speeds of their machines.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 
 
 class _SpeedEstimate:
-    """The estimate for one worker: logarithm of its relative speed."""
+    """Speed estimate of one machine, as a natural logarithm."""
 
     def __init__(self) -> None:
         self.log = 0.0
@@ -37,17 +37,23 @@
     """Relative speeds of machines."""
 
     def __init__(self) -> None:
-        """Initializes without any evidence."""
+        """Initializes without observations."""
         self._speeds: dict[worker_directory.MachineId, _SpeedEstimate] = {}
         self._baseline_log: float | None = None
 
     def observe(
         self, rates: Mapping[worker_directory.MachineId, float], now_ms: int
     ) -> None:
-        """Takes in how fast the members of a gang got on.
+        """Updates the estimates with the progress rates of a gang's members.
+
+        The level of the rates depends on the job, so the median of the rates
+        relative to the current estimates is subtracted from them. Each estimate
+        is an exponential moving average in which the first observations weigh
+        more.
 
         Args:
-            rates: Percent per second on each machine.
+            rates: Mean progress rate on each machine, in percent per second.
+                Rates on a single machine are ignored.
             now_ms: Monotonic time in milliseconds.
         """
         if len(rates) < 2:
@@ -71,13 +77,14 @@
     def snapshot(
         self, machines: Iterable[worker_directory.MachineId]
     ) -> dict[worker_directory.MachineId, float]:
-        """Returns what a later owner should begin with.
+        """Returns the estimates to record for the next owner.
 
         Args:
-            machines: The machines that are there.
+            machines: The machines of the pool.
 
         Returns:
-            Logarithm of the relative speed of each machine that is known.
+            Natural logarithm of the relative speed of each machine that has an
+            estimate.
         """
         speeds = ((each, self._speeds.get(each)) for each in machines)
         return {
@@ -89,10 +96,10 @@
     def restore(
         self, snapshot: Mapping[worker_directory.MachineId, float], now_ms: int
     ) -> None:
-        """Begins with what an earlier owner has learned.
+        """Restores the estimates of an earlier owner.
 
         Args:
-            snapshot: What `kept` returned there.
+            snapshot: Return value of `snapshot` at the earlier owner.
             now_ms: Monotonic time in milliseconds.
         """
         for machine, log in snapshot.items():
@@ -105,17 +112,18 @@
     def slowdown(
         self, machine: worker_directory.MachineId, now_ms: int
     ) -> float:
-        """Returns how much longer a machine takes than a quick one.
+        """Returns the factor by which a machine is slower than a fast one.
 
-        A machine on which nothing is known counts as quick. One that was very
-        slow is tried again after a while.
+        A machine without an estimate counts as fast. A severe slowdown may be
+        transient, so it is ignored `SEVERE_SLOWDOWN_TTL_MS` after the last
+        observation and the machine is tried again.
 
         Args:
             machine: The machine.
             now_ms: Monotonic time in milliseconds.
 
         Returns:
-            A factor, 1 for a quick machine.
+            The factor, at least 1.
         """
         speed = self._speeds.get(machine)
         if speed is None:
@@ -127,7 +135,7 @@
         return max(factor, 1.0)
 
     def _fast_log(self) -> float:
-        """Returns the logarithm that three quarters of the pool stay below."""
+        """Returns the log speed of a fast machine (the upper quartile)."""
         if self._baseline_log is None:
             logs = [speed.log for speed in self._speeds.values()]
             self._baseline_log = 0.0
