--- a/citronmount/fleet/fitting.py
+++ b/citronmount/fleet/fitting.py
@@ -21,11 +21,11 @@
 
 __all__ = [
     "Requirements",
-    "TaskSlots",
     "Spread",
+    "TaskSlots",
     "choose_workers",
-    "task_slots",
     "suits",
+    "task_slots",
 ]
 
 FreeCapacity = Callable[[worker_directory.Worker], spec.Demand]
--- a/citronmount/fleet/job_completion.py
+++ b/citronmount/fleet/job_completion.py
@@ -25,7 +25,7 @@
     def __init__(
         self, *, state: owner_state.OwnerState, driver: run_driver.RunDriver
     ) -> None:
-        """Initializes the part.
+        """Initializes the completion of jobs.
 
         Args:
             state: State shared by the parts of the owner.
--- a/citronmount/fleet/lease_sessions.py
+++ b/citronmount/fleet/lease_sessions.py
@@ -8,7 +8,7 @@
 from citronmount.fleet import commands
 from citronmount.fleet import worker_directory
 
-__all__ = ["RenewalState", "LeasePolicy", "LeaseSession"]
+__all__ = ["LeasePolicy", "LeaseSession", "RenewalState"]
 
 _MIN_CLOCK_RATE = 0.98
 
@@ -50,7 +50,7 @@
     The clocks of owner and worker are related through the readings in the
     worker's answers. The worker's clock is assumed to run at no less than
     `_MIN_CLOCK_RATE` of the owner's, so that the owner never considers a lease
-    expired while the worker still honours it.
+    expired while it is still valid at the worker.
 
     Attributes:
         worker: Newest directory entry of the worker.
@@ -86,7 +86,7 @@
         self._next_renewal_ms = now_ms
         self._clock_ms = 0
         self._lease_end_ms = now_ms + self._max_owner_ms(policy.max_lease_ms)
-        self._forgettable_end = 0
+        self._deletable_end = 0
         self._sent_end = 0
         self._acknowledged_end = 0
         self._poll_requested = False
@@ -170,7 +170,7 @@
         if not self._has_reason_to_renew:
             return None
         self._renewal = RenewalState.OPEN
-        self._sent_end = self._forgettable_end
+        self._sent_end = self._deletable_end
         trusted = self.silent_ms(now_ms) < self._policy.trust_ms
         renews = self.has_answered and self.runs and trusted
         no_wait = (
@@ -179,7 +179,7 @@
         return commands.RenewLeases(
             worker=self.worker,
             until_ms=self.grant_lease_ms(now_ms) if renews else None,
-            last_seen=self._forgettable_end,
+            last_seen=self._deletable_end,
             wait_ms=0 if no_wait else self._policy.wait_ms,
             token=self._token,
         )
@@ -254,24 +254,24 @@
     def resolve_end(self, number: int, now_ms: int) -> None:
         """Marks an end as resolved, so that the worker may delete it.
 
-        The worker deletes all ends up to a sequence number, so the number
-        advances only up to the first unresolved end.
+        The worker deletes all ends up to a given sequence number, so only the
+        ends below the lowest unresolved one can be deleted.
 
         Args:
             number: Sequence number of the end at the worker.
             now_ms: Monotonic time in milliseconds.
         """
         self._unresolved_ends.discard(number)
-        forgettable = (
+        deletable = (
             min(self._unresolved_ends, default=self._highest_end + 1) - 1
         )
-        if forgettable > self._forgettable_end:
-            self._forgettable_end = forgettable
+        if deletable > self._deletable_end:
+            self._deletable_end = deletable
             self._next_renewal_ms = now_ms
 
     @property
     def _has_reason_to_renew(self) -> bool:
-        unacknowledged = self._acknowledged_end < self._forgettable_end
+        unacknowledged = self._acknowledged_end < self._deletable_end
         unanswered = not self.has_answered or self.unanswered_renewals > 0
         return (
             unanswered
--- a/citronmount/fleet/planning.py
+++ b/citronmount/fleet/planning.py
@@ -31,12 +31,14 @@
 _Shape = tuple
 
 
-def _full_trust(worker: worker_directory.Worker) -> worker_health.Trust:
+def _assume_healthy(
+    worker: worker_directory.Worker,
+) -> worker_health.Assessment:
     del worker
-    return worker_health.Trust()
+    return worker_health.Assessment()
 
 
-def _full_speed(worker: worker_directory.Worker) -> float:
+def _assume_fast(worker: worker_directory.Worker) -> float:
     del worker
     return 1.0
 
@@ -61,10 +63,10 @@
         accounts: Iterable[fleet_configuration.Account],
         bounds: fleet_configuration.Bounds,
         now_ms: int,
-        trust: Callable[
-            [worker_directory.Worker], worker_health.Trust
-        ] = _full_trust,
-        slowdown: Callable[[worker_directory.Worker], float] = _full_speed,
+        assess: Callable[
+            [worker_directory.Worker], worker_health.Assessment
+        ] = _assume_healthy,
+        slowdown: Callable[[worker_directory.Worker], float] = _assume_fast,
         allowed: Callable[
             [units.UnitKey, worker_directory.Worker], bool
         ] = _any_worker,
@@ -77,23 +79,23 @@
             accounts: The client accounts with their guarantees.
             bounds: Time bounds and factors of the site.
             now_ms: Monotonic time in milliseconds.
-            trust: Returns the assessment of a worker.
+            assess: Returns the assessment of a worker.
             slowdown: Returns by which factor a worker is slower than a fast
                 one.
             allowed: Returns whether the queue's policy allows a worker for a
                 unit.
         """
         self._allowed = allowed
-        trusts = {each.worker: trust(each) for each in workers}
+        assessments = {each.worker: assess(each) for each in workers}
         slowdowns = {each.worker: slowdown(each) for each in workers}
         self._all_workers = list(workers)
         self._trusted_workers = [
-            each for each in workers if not trusts[each.worker].distrusted
+            each for each in workers if not assessments[each.worker].distrusted
         ]
         self._fast_workers = [
             each
             for each in self._trusted_workers
-            if trusts[each.worker].slowness < worker_health.SLOW_FACTOR
+            if assessments[each.worker].slowness < worker_health.SLOW_FACTOR
             and slowdowns[each.worker] < worker_health.SLOW_FACTOR
         ]
         self._slower_ids = frozenset(
--- a/citronmount/fleet/pool_owner.py
+++ b/citronmount/fleet/pool_owner.py
@@ -99,13 +99,13 @@
             offset: Log offset of the first record.
             now_ms: Monotonic time in milliseconds.
         """
-        for number, entry in enumerate(entries, offset):
+        for record_offset, entry in enumerate(entries, offset):
             if entry.record is None:
-                self._state.job_view.apply_removal(number, entry.key)
+                self._state.job_view.apply_removal(record_offset, entry.key)
                 job = records.job_of_final_key(entry.key)
                 self._state.finishing_jobs.discard(job)
             else:
-                self._state.job_view.apply(number, entry.record)
+                self._state.job_view.apply(record_offset, entry.record)
             for place, end in entry.ends:
                 self._state.resolve_end(place, end, now_ms)
             if isinstance(entry.record, records.UnitChanged):
@@ -159,14 +159,14 @@
         waiting = self._waiting_units(now_ms, wall_ms)
         if not waiting:
             return
-        usable = self._sessions.usable_workers(now_ms)
-        self._request_advice(waiting, usable, now_ms)
+        usable_workers = self._sessions.usable_workers(now_ms)
+        self._request_advice(waiting, usable_workers, now_ms)
         planner = planning.Planner(
-            workers=usable,
+            workers=usable_workers,
             table=self._state.table,
             accounts=self._accounts,
             bounds=self._state.bounds,
-            trust=lambda worker: self._state.health.trust(worker, now_ms),
+            assess=lambda worker: self._state.health.assess(worker, now_ms),
             slowdown=lambda worker: self._state.speeds.slowdown(
                 worker.speed_key, now_ms
             ),
@@ -181,7 +181,7 @@
     def _request_advice(
         self,
         waiting: list[waiting_units.WaitingUnit],
-        usable: list[worker_directory.Worker],
+        usable_workers: list[worker_directory.Worker],
         now_ms: int,
     ) -> None:
         """Requests advice for the first waiting unit that needs some.
@@ -194,7 +194,7 @@
             allocations = self._state.table.allocations
             candidates = [
                 worker
-                for worker in usable
+                for worker in usable_workers
                 if waiting_units.has_capacity_for(unit, worker, allocations)
             ]
             advice_request = self._state.advice.next_request(
--- a/citronmount/fleet/tests/test_worker_health.py
+++ b/citronmount/fleet/tests/test_worker_health.py
@@ -33,8 +33,8 @@
     def test_slow_worker_is_detected_by_its_run_times(self) -> None:
         for _ in range(3):
             self.health.record_success(WORKER, 4_800, 1_000, 0)
-        self.assertAlmostEqual(4.0, self.health.trust(ENTRY, 0).slowness)
-        self.assertAlmostEqual(1.0, self.health.trust(OTHER_ENTRY, 0).slowness)
+        self.assertAlmostEqual(4.0, self.health.assess(ENTRY, 0).slowness)
+        self.assertAlmostEqual(1.0, self.health.assess(OTHER_ENTRY, 0).slowness)
 
     def test_worker_that_fails_distinct_jobs_is_distrusted_temporarily(
         self,
@@ -42,9 +42,9 @@
         self.assertFalse(self.health.record_failure(WORKER, ids.JobId("a"), 0))
         self.assertFalse(self.health.record_failure(WORKER, ids.JobId("a"), 1))
         self.assertTrue(self.health.record_failure(WORKER, ids.JobId("b"), 2))
-        self.assertTrue(self.health.trust(ENTRY, 3).distrusted)
+        self.assertTrue(self.health.assess(ENTRY, 3).distrusted)
         later_ms = 3 + worker_health.DISTRUST_MS
-        self.assertFalse(self.health.trust(ENTRY, later_ms).distrusted)
+        self.assertFalse(self.health.assess(ENTRY, later_ms).distrusted)
 
     def test_success_between_failures_prevents_distrust(self) -> None:
         self.health.record_failure(WORKER, ids.JobId("a"), 0)
@@ -55,24 +55,24 @@
         self,
     ) -> None:
         self.health.overdue_factor(WORKER, 3_000, 1_000, 3_000)
-        self.assertFalse(self.health.trust(ENTRY, 3_001).distrusted)
+        self.assertFalse(self.health.assess(ENTRY, 3_001).distrusted)
         factor = self.health.overdue_factor(WORKER, 9_000, 1_000, 9_000)
         self.assertAlmostEqual(7.5, factor)
-        self.assertTrue(self.health.trust(ENTRY, 9_001).distrusted)
+        self.assertTrue(self.health.assess(ENTRY, 9_001).distrusted)
         self.health.record_success(OTHER, 1_000, 1_000, 5_000)
         self.assertEqual(
             0, self.health.overdue_factor(OTHER, 9_000, 1_000, 9_000)
         )
-        self.assertFalse(self.health.trust(OTHER_ENTRY, 9_001).distrusted)
+        self.assertFalse(self.health.assess(OTHER_ENTRY, 9_001).distrusted)
 
     def test_machine_with_flapping_workers_is_distrusted(self) -> None:
         self.health.record_incarnation_end(ENTRY, 1_000)
-        self.assertFalse(self.health.trust(ENTRY, 1_001).distrusted)
+        self.assertFalse(self.health.assess(ENTRY, 1_001).distrusted)
         self.health.record_incarnation_end(ENTRY, 3_000)
-        self.assertTrue(self.health.trust(ENTRY, 3_001).distrusted)
-        self.assertFalse(self.health.trust(OTHER_ENTRY, 3_001).distrusted)
+        self.assertTrue(self.health.assess(ENTRY, 3_001).distrusted)
+        self.assertFalse(self.health.assess(OTHER_ENTRY, 3_001).distrusted)
         later_ms = 3_000 + worker_health.FLAP_DISTRUST_MS
-        self.assertFalse(self.health.trust(ENTRY, later_ms).distrusted)
+        self.assertFalse(self.health.assess(ENTRY, later_ms).distrusted)
 
 
 if __name__ == "__main__":
--- a/citronmount/fleet/worker_health.py
+++ b/citronmount/fleet/worker_health.py
@@ -15,7 +15,7 @@
 from citronmount.core import ids
 from citronmount.fleet import worker_directory
 
-__all__ = ["Trust", "WorkerHealth"]
+__all__ = ["Assessment", "WorkerHealth"]
 
 WORKER_RATIO_WINDOW = 6
 POOL_RATIO_WINDOW = 200
@@ -23,13 +23,13 @@
 FLAPS_TO_DISTRUST = 2
 FLAP_WINDOW_MS = 30_000
 FLAP_DISTRUST_MS = 6_000
-OVERDUE_FLOOR_MS = 2_000
+MIN_OVERDUE_MS = 2_000
 OVERDUE_DISTRUST_MS = 1_000
 FAILURES_TO_DISTRUST = 2
 DISTRUST_MS = 10_000
 
 
-class Trust(msgspec.Struct, frozen=True, kw_only=True):
+class Assessment(msgspec.Struct, frozen=True, kw_only=True):
     """Assessment of a worker.
 
     Attributes:
@@ -143,7 +143,7 @@
             return 0.0
         typical_ms = self._typical_ratio() * estimate_ms
         factor = elapsed_ms / max(typical_ms, 1)
-        if factor > SLOW_FACTOR and elapsed_ms > typical_ms + OVERDUE_FLOOR_MS:
+        if factor > SLOW_FACTOR and elapsed_ms > typical_ms + MIN_OVERDUE_MS:
             history.distrusted_until_ms = max(
                 history.distrusted_until_ms, now_ms + OVERDUE_DISTRUST_MS
             )
@@ -174,17 +174,19 @@
             return False
         return now_ms < ends[-1] + FLAP_DISTRUST_MS * (len(ends) - 1)
 
-    def trust(self, worker: worker_directory.Worker, now_ms: int) -> Trust:
+    def assess(
+        self, worker: worker_directory.Worker, now_ms: int
+    ) -> Assessment:
         """Returns the assessment of a worker."""
         if self.is_flapping(worker.machine, now_ms):
-            return Trust(distrusted=True)
+            return Assessment(distrusted=True)
         history = self._histories.get(worker.worker)
         if history is None:
-            return Trust()
+            return Assessment()
         slowness = 1.0
         if history.ratios:
             slowness = statistics.median(history.ratios) / self._typical_ratio()
-        return Trust(
+        return Assessment(
             slowness=slowness, distrusted=now_ms < history.distrusted_until_ms
         )
 
--- a/citronmount/fleet/worker_reports.py
+++ b/citronmount/fleet/worker_reports.py
@@ -62,10 +62,10 @@
         if outcome is commands.StartOutcome.FENCED:
             self._state.fenced = True
             return
-        entry = self._state.table.find_task(command.task, command.run)
-        if entry is None:
+        found = self._state.table.find_task(command.task, command.run)
+        if found is None:
             return
-        run, member = entry
+        run, member = found
         member.start_open = False
         self._state.needs_planning = True
         if self._may_still_start(member, outcome):
@@ -152,10 +152,10 @@
         session = self._state.sessions.get(command.worker.worker)
         if session is not None:
             session.renew_soon(now_ms)
-        entry = self._state.table.find_task(command.task, command.run)
-        if entry is None:
+        found = self._state.table.find_task(command.task, command.run)
+        if found is None:
             return
-        run, member = entry
+        run, member = found
         member.stop_open = False
         self._state.needs_planning = True
         if outcome is commands.StopOutcome.UNKNOWN:
@@ -242,12 +242,12 @@
         unknown_count = 0
         seen = set()
         for task in report.running:
-            entry = self._state.table.find_task(task.task, task.run)
-            if entry is None or entry[1].place.worker != worker_id:
+            found = self._state.table.find_task(task.task, task.run)
+            if found is None or found[1].place.worker != worker_id:
                 unknown_count += 1
                 self._stop_unknown_run(session, task)
                 continue
-            run, member = entry
+            run, member = found
             seen.add(member.task)
             run.saved = task.saved or run.saved
             self._mark_running(run, member, now_ms)
@@ -305,11 +305,11 @@
         place = records.Place(
             worker=session.worker.worker, life_ms=session.worker.life_ms
         )
-        entry = self._state.table.find_task(end.task, end.run)
-        if entry is None or entry[1].place != place:
+        found = self._state.table.find_task(end.task, end.run)
+        if found is None or found[1].place != place:
             session.resolve_end(end.number, now_ms)
             return
-        run, member = entry
+        run, member = found
         self._state.needs_planning = True
         run.saved = end.saved or run.saved
         if run.outcome is None:
@@ -343,8 +343,8 @@
             rate = member.progress.percent_per_s
             if session is not None and rate is not None:
                 rates[session.worker.speed_key].append(rate)
-        entry = {key: statistics.mean(each) for key, each in rates.items()}
-        self._state.speeds.observe(entry, now_ms)
+        mean_rates = {key: statistics.mean(each) for key, each in rates.items()}
+        self._state.speeds.observe(mean_rates, now_ms)
 
     def _record_health(
         self,
--- a/citronmount/fleet/worker_sessions.py
+++ b/citronmount/fleet/worker_sessions.py
@@ -20,7 +20,7 @@
     """Manages one session per worker incarnation."""
 
     def __init__(self, *, state: owner_state.OwnerState) -> None:
-        """Initializes the part.
+        """Initializes without sessions.
 
         Args:
             state: State shared by the parts of the owner.
