--- a/citronmount/fleet/guarantees.py
+++ b/citronmount/fleet/guarantees.py
@@ -1,4 +1,4 @@
-"""Counts what is left of each client account's guarantee."""
+"""Accounting of the client accounts' guaranteed accelerators."""
 
 from collections.abc import Iterable
 
@@ -8,16 +8,18 @@
 from citronmount.fleet import waiting_units
 from citronmount.workflow import units
 
-__all__ = ["FIRST_PRIORITY", "Guarantees"]
+__all__ = ["HIGHEST_PRIORITY", "Guarantees"]
 
-FIRST_PRIORITY = 0
+HIGHEST_PRIORITY = 0
 
 
 class Guarantees:
-    """The guaranteed accelerators that no run of the first priority uses.
+    """Unused guaranteed accelerators per client account.
+
+    Only runs of the highest priority use a guarantee.
 
     Attributes:
-        inside: Runs that count as their account's guarantee.
+        guaranteed_units: Units whose runs are inside a guarantee.
     """
 
     def __init__(
@@ -26,36 +28,36 @@
         accounts: Iterable[fleet_configuration.Account],
         runs: Iterable[unit_runs.Run],
     ) -> None:
-        """Counts the runs inside guarantees, the oldest first.
+        """Assigns runs to guarantees in the order of their placement.
 
         Args:
             accounts: The client accounts with their guarantees.
             runs: All runs.
         """
-        self._left = {
+        self._unused = {
             account.account: account.guaranteed_accelerators
             for account in accounts
         }
-        self.inside: set[units.UnitId] = set()
+        self.guaranteed_units: set[units.UnitId] = set()
         for run in sorted(runs, key=lambda each: each.placed_ms):
-            if run.submission.terms.priority == FIRST_PRIORITY:
-                self._count(run)
+            if run.submission.terms.priority == HIGHEST_PRIORITY:
+                self._count_run(run)
 
     def covers(self, unit: waiting_units.WaitingUnit) -> bool:
-        """Returns whether a unit fits into what is left."""
-        if unit.submission.terms.priority != FIRST_PRIORITY:
+        """Returns whether a unit fits into its account's unused guarantee."""
+        if unit.submission.terms.priority != HIGHEST_PRIORITY:
             return False
-        left = self._left.get(unit.submission.account, 0)
-        return 0 < unit.accelerators <= left
+        unused = self._unused.get(unit.submission.account, 0)
+        return 0 < unit.accelerators <= unused
 
-    def use(self, unit: waiting_units.WaitingUnit) -> None:
-        """Counts a unit that starts, if it is inside the guarantee."""
+    def consume(self, unit: waiting_units.WaitingUnit) -> None:
+        """Deducts a unit that starts from the guarantee that covers it."""
         if self.covers(unit):
-            self._left[unit.submission.account] -= unit.accelerators
+            self._unused[unit.submission.account] -= unit.accelerators
 
-    def _count(self, run: unit_runs.Run) -> None:
+    def _count_run(self, run: unit_runs.Run) -> None:
         account: ids.AccountId = run.submission.account
         used = len(run.members) * run.step.demand.accelerators
-        if used <= self._left.get(account, 0):
-            self._left[account] -= used
-            self.inside.add(run.unit)
+        if used <= self._unused.get(account, 0):
+            self._unused[account] -= used
+            self.guaranteed_units.add(run.unit)
--- a/citronmount/fleet/job_completion.py
+++ b/citronmount/fleet/job_completion.py
@@ -1,4 +1,4 @@
-"""Ends jobs: stops what is left of them and records their final state."""
+"""Completion of jobs: stops remaining runs, records the final state."""
 
 from citronmount.core import ids
 from citronmount.fleet import commands
@@ -17,46 +17,57 @@
 
 
 class JobCompletion:
-    """Gives jobs their final state and forgets it in time."""
+    """Records the final states of jobs and removes them after their retention.
+
+    Final states are kept `FINAL_STATE_MARGIN_S` longer than required.
+    """
 
     def __init__(
         self, *, state: owner_state.OwnerState, driver: run_driver.RunDriver
     ) -> None:
-        """Initializes the part.
+        """Initializes the completion of jobs.
 
         Args:
-            state: What it shares with the other parts.
-            driver: Stops runs.
+            state: State shared by the parts of the owner.
+            driver: Sends the commands that stop runs.
         """
         self._state = state
         self._driver = driver
 
-    def end_jobs(self, now_ms: int, wall_ms: int) -> None:
-        """Ends jobs that are complete, failed or cancelled."""
+    def finish_ended_jobs(self, now_ms: int, wall_ms: int) -> None:
+        """Ends jobs that are complete, failed or cancelled.
+
+        The final state of a job is recorded once all of its runs are over. Runs
+        that are done are not stopped.
+
+        Args:
+            now_ms: Monotonic time in milliseconds.
+            wall_ms: Unix time in milliseconds.
+        """
         for job, entry in list(self._state.job_view.jobs.items()):
             final = final_state(entry)
-            if final is None or job in self._state.finishing:
+            if final is None or job in self._state.finishing_jobs:
                 continue
             cause = unit_runs.EndCause.JOB_FAILED
             if final is records.FinalState.CANCELLED:
                 cause = unit_runs.EndCause.CANCELLED
-            left = self._state.table.of_job(job)
-            for run in left:
+            remaining_runs = self._state.table.runs_of_job(job)
+            for run in remaining_runs:
                 if run.outcome is not commands.EndKind.DONE:
                     self._state.end_run(run, cause)
-                    self._driver.drive_to_end(run, now_ms)
-            if not left:
-                self._finish(job, entry, final, wall_ms)
-        self._forget_old(wall_ms)
+                    self._driver.send_due_stops(run, now_ms)
+            if not remaining_runs:
+                self._record_final_state(job, entry, final, wall_ms)
+        self._forget_expired_jobs(wall_ms)
 
-    def _finish(
+    def _record_final_state(
         self,
         job: ids.JobId,
         entry: job_views.JobEntry,
         final: records.FinalState,
         wall_ms: int,
     ) -> None:
-        self._state.finishing.add(job)
+        self._state.finishing_jobs.add(job)
         record = records.Finished(
             job=job,
             state=final,
@@ -65,11 +76,11 @@
             finished_ms=wall_ms,
         )
         keys = self._state.job_view.keys_of(job)
-        self._state.write(record)
+        self._state.append_record(record)
         for key in keys:
-            self._state.drop_key(key)
+            self._state.remove_key(key)
         self._state.advice.forget_job(job)
-        for unit in entry.progress.changed:
+        for unit in entry.progress.unit_records:
             self._state.forget_unit(unit)
         self._state.log.info(
             "job_finished",
@@ -83,21 +94,21 @@
             margin_ms=entry.submission.terms.objective_ms,
         )
 
-    def _forget_old(self, wall_ms: int) -> None:
+    def _forget_expired_jobs(self, wall_ms: int) -> None:
         kept_s = self._state.bounds.status_s + FINAL_STATE_MARGIN_S
         for job in self._state.job_view.expired_jobs(
             wall_ms - kept_s * _MS_PER_S
         ):
-            if job not in self._state.finishing:
-                self._state.finishing.add(job)
+            if job not in self._state.finishing_jobs:
+                self._state.finishing_jobs.add(job)
                 key = records.final_key(job)
-                self._state.drop_key(key)
+                self._state.remove_key(key)
 
 
 def final_state(
     entry: job_views.JobEntry,
 ) -> records.FinalState | None:
-    """Returns how a job has ended, or None if it has not."""
+    """Returns the final state that a job has reached, or None."""
     if entry.progress.complete:
         return records.FinalState.COMPLETE
     if entry.cancelled:
--- a/citronmount/fleet/owner_state.py
+++ b/citronmount/fleet/owner_state.py
@@ -1,4 +1,4 @@
-"""What the parts of an owner share."""
+"""State shared by the parts of a pool's owner."""
 
 import collections
 
@@ -25,13 +25,13 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One record that the owner wants appended.
+    """A record to append to the job topic.
 
     Attributes:
-        key: Its key.
+        key: Topic key of the record.
         record: The record, or None to remove the key.
-        ends: Ends that workers may forget once it is durable, as pairs of
-            worker and number.
+        ends: Ends that workers may delete once the record is durable, as pairs
+            of worker incarnation and sequence number.
     """
 
     key: str
@@ -40,37 +40,42 @@
 
 
 class OwnerState:
-    """Runs, workers and records of one owner.
+    """Runs, worker sessions and pending records of one owner.
 
     Attributes:
-        token: The fencing token.
-        fenced: Whether a worker or the log has seen a newer owner.
-        log: Where decisions are told.
-        book: The fold of the job topic.
-        directory: The workers' entries.
-        bounds: Times that the site sets.
-        policy: How leases are renewed.
+        token: Fencing token of the owner.
+        fenced: Whether a worker has seen a newer owner.
+        log: Logger for the owner's decisions.
+        job_view: State of the jobs, folded from the job topic.
+        directory: Directory entries of the workers.
+        bounds: Time bounds and factors of the site.
+        policy: Timing of leases and their renewal.
         table: The runs.
-        sessions: What is known of each worker's life.
-        strangers: Runs at each worker that are not in the table.
-        heard: Workers of which something was heard since the last step.
-        suspended: Steady times until which workers get no work.
-        ready_since: Steady times from which units could have started.
-        clearing: The runs that each run waits for.
-        finishing: Jobs whose final record is on its way.
-        unrecorded: Records of each unit that are on their way.
-        later_ends: Ends that wait for a record that is on its way.
-        last_runs: The last run of each unit that is over.
-        failed_at: Workers at which each unit failed.
-        stalls: How often each unit stood still.
-        health: What the workers' runs did.
-        speeds: How fast the workers are.
-        advice: Which workers policies allow.
-        entries: Records to append.
-        orders: Orders to send.
-        orphans_gone_ms: Steady time from which no lease of an earlier owner
-            can be left.
-        changed: Whether anything happened that decisions depend on.
+        sessions: Session of each worker's current incarnation.
+        unknown_runs: Number of tasks on each worker that are not in the table.
+        changed_workers: Workers whose session may have changed since the last
+            step.
+        suspended_until_ms: Monotonic time until which each worker receives no
+            new tasks.
+        ready_since_ms: Monotonic time since which each unit is ready to start.
+        victims_by_unit: Runs that must end before the unit's run is recorded.
+        finishing_jobs: Jobs with a pending record of their final state or of
+            its removal.
+        pending_unit_records: Number of each unit's records that are not
+            durable yet.
+        deferred_ends: Ends of each unit that can be resolved once its pending
+            records are durable.
+        last_runs: Last run of each unit that is over.
+        failed_workers: Workers that each unit should avoid.
+        stall_counts: Number of stalls of each unit.
+        health: Assessment of the workers.
+        speeds: Speed estimates of the machines.
+        advice: Cached advice of the queues' policies.
+        entries: Records to append, oldest first.
+        commands: Commands to send.
+        orphan_leases_end_ms: Monotonic time after which all leases of earlier
+            owners have expired.
+        needs_planning: Whether anything changed that decisions depend on.
     """
 
     def __init__(
@@ -86,12 +91,12 @@
         """Initializes without runs.
 
         Args:
-            token: The fencing token.
-            job_view: The fold of the job topic, up to date.
-            directory: The workers' entries.
-            bounds: Times that the site sets.
-            policy: How leases are renewed.
-            now_ms: Steady time in milliseconds.
+            token: Fencing token of the owner.
+            job_view: State of the jobs, folded up to the owner's takeover.
+            directory: Directory entries of the workers.
+            bounds: Time bounds and factors of the site.
+            policy: Timing of leases and their renewal.
+            now_ms: Monotonic time in milliseconds.
         """
         self.token = token
         self.fenced = False
@@ -102,34 +107,36 @@
         self.policy = policy
         self.table = run_table.RunTable()
         self.sessions: dict[ids.WorkerId, lease_sessions.LeaseSession] = {}
-        self.strangers: dict[ids.WorkerId, int] = {}
-        self.heard: set[ids.WorkerId] = set()
-        self.suspended: dict[ids.WorkerId, int] = {}
-        self.ready_since: dict[units.UnitId, int] = {}
-        self.clearing: dict[units.UnitId, list[unit_runs.Run]] = {}
-        self.finishing: set[ids.JobId] = set()
-        self.unrecorded: collections.Counter[units.UnitId] = (
+        self.unknown_runs: dict[ids.WorkerId, int] = {}
+        self.changed_workers: set[ids.WorkerId] = set()
+        self.suspended_until_ms: dict[ids.WorkerId, int] = {}
+        self.ready_since_ms: dict[units.UnitId, int] = {}
+        self.victims_by_unit: dict[units.UnitId, list[unit_runs.Run]] = {}
+        self.finishing_jobs: set[ids.JobId] = set()
+        self.pending_unit_records: collections.Counter[units.UnitId] = (
             collections.Counter()
         )
-        self.later_ends: dict[units.UnitId, list[tuple[records.Place, int]]] = (
-            collections.defaultdict(list)
-        )
+        self.deferred_ends: dict[
+            units.UnitId, list[tuple[records.Place, int]]
+        ] = collections.defaultdict(list)
         self.last_runs: dict[units.UnitId, unit_runs.Run] = {}
-        self.failed_at: dict[units.UnitId, set[ids.WorkerId]] = {}
-        self.stalls: collections.Counter[units.UnitId] = collections.Counter()
+        self.failed_workers: dict[units.UnitId, set[ids.WorkerId]] = {}
+        self.stall_counts: collections.Counter[units.UnitId] = (
+            collections.Counter()
+        )
         self.health = worker_health.WorkerHealth()
         self.speeds = worker_speeds.WorkerSpeeds()
         self.speeds.restore(job_view.speeds, now_ms)
         self.advice = advice_cache.AdviceCache()
         self.entries: list[LogEntry] = []
         self.commands: list[commands.Command] = []
-        self.orphans_gone_ms = now_ms + int(
+        self.orphan_leases_end_ms = now_ms + int(
             policy.max_lease_ms * CLOCK_DRIFT_FACTOR + policy.stop_ms
         )
-        self.changed = True
+        self.needs_planning = True
 
     def end_run(self, run: unit_runs.Run, cause: unit_runs.EndCause) -> None:
-        """Makes what is left of a run end, and tells why."""
+        """Starts to end a run and logs the cause of the first call."""
         if run.cause is None:
             self.log.info(
                 "run_ending",
@@ -141,74 +148,83 @@
             )
         run.end(cause)
 
-    def write(
+    def append_record(
         self,
         record: records.Record,
         ends: tuple[tuple[records.Place, int], ...] = (),
     ) -> None:
-        """Has a record appended, and ends told once it is durable."""
+        """Queues a record for the job topic.
+
+        Args:
+            record: The record.
+            ends: Ends that workers may delete once the record is durable.
+        """
         if isinstance(record, records.UnitChanged):
-            self.unrecorded[record.unit] += 1
+            self.pending_unit_records[record.unit] += 1
         self.entries.append(
             LogEntry(key=records.key_of(record), record=record, ends=ends)
         )
 
-    def resolve(self, place: records.Place, number: int, now_ms: int) -> None:
-        """Lets a worker forget an end, if that life still lasts."""
-        session = self.session_at(place)
+    def resolve_end(
+        self, place: records.Place, number: int, now_ms: int
+    ) -> None:
+        """Marks an end as resolved if the worker incarnation still exists."""
+        session = self.session_at_place(place)
         if session is not None:
             session.resolve_end(number, now_ms)
-            self.heard.add(place.worker)
+            self.changed_workers.add(place.worker)
 
-    def member_gone(self, run: unit_runs.Run, member: unit_runs.Member) -> None:
-        """Notes a task that its worker no longer has."""
+    def mark_member_missing(
+        self, run: unit_runs.Run, member: unit_runs.Member
+    ) -> None:
+        """Marks a task as gone that its worker no longer holds."""
         self.log.info(
             "run_missing",
             task=member.task,
             run=run.number,
             worker=member.place.worker,
         )
-        self.table.gone(run, member)
-        self.changed = True
+        self.table.mark_gone(run, member)
+        self.needs_planning = True
         if run.outcome is not commands.EndKind.DONE:
             self.end_run(run, unit_runs.EndCause.MEMBER_ENDED)
 
-    def session_of(
+    def session_for(
         self, worker: worker_directory.Worker
     ) -> lease_sessions.LeaseSession | None:
-        """Returns the session of this life of a worker, if any."""
+        """Returns the session of a worker's incarnation, if it still exists."""
         session = self.sessions.get(worker.worker)
         if session is None or session.worker.life_ms != worker.life_ms:
             return None
         return session
 
-    def note_durable(self, unit: units.UnitId, now_ms: int) -> None:
-        """Lets workers forget further ends of a run once it is recorded."""
-        self.unrecorded[unit] -= 1
-        if self.unrecorded[unit] > 0:
+    def on_record_durable(self, unit: units.UnitId, now_ms: int) -> None:
+        """Resolves a unit's deferred ends once no record of it is pending."""
+        self.pending_unit_records[unit] -= 1
+        if self.pending_unit_records[unit] > 0:
             return
-        for place, number in self.later_ends.pop(unit, ()):
-            self.resolve(place, number, now_ms)
+        for place, number in self.deferred_ends.pop(unit, ()):
+            self.resolve_end(place, number, now_ms)
 
-    def drop_key(self, key: str) -> None:
-        """Has a key of the job topic removed."""
+    def remove_key(self, key: str) -> None:
+        """Queues the removal of a key from the job topic."""
         self.entries.append(LogEntry(key=key, record=None))
 
     def forget_unit(self, unit: units.UnitId) -> None:
-        """Drops what is remembered of a unit whose job has ended."""
-        for kept in (
-            self.ready_since,
+        """Drops the state of a unit whose job has ended."""
+        for by_unit in (
+            self.ready_since_ms,
             self.last_runs,
-            self.failed_at,
-            self.stalls,
-            self.unrecorded,
+            self.failed_workers,
+            self.stall_counts,
+            self.pending_unit_records,
         ):
-            kept.pop(unit, None)
+            by_unit.pop(unit, None)
 
-    def session_at(
+    def session_at_place(
         self, place: records.Place
     ) -> lease_sessions.LeaseSession | None:
-        """Returns the session of the life that a place names, if it lives."""
+        """Returns the session of a place's incarnation, if it still exists."""
         session = self.sessions.get(place.worker)
         if session is None or session.worker.life_ms != place.life_ms:
             return None
--- a/citronmount/fleet/preemption.py
+++ b/citronmount/fleet/preemption.py
@@ -1,8 +1,8 @@
-"""Chooses runs to stop so that a guaranteed unit fits.
+"""Chooses the runs to preempt so that a unit of the highest priority fits.
 
-Load pattern: a job inside its guarantee arrives while others use the room.
-The least work is thrown away: time since the last checkpoint, weighted by the
-resources of the whole gang.
+A job inside its guarantee may arrive while runs of other jobs use the capacity.
+The chosen runs lose the least work, which is the time since the last checkpoint
+weighted by the resources of the whole gang.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 __all__ = [
     "CORES_PER_ACCELERATOR",
-    "Reclaim",
+    "PreemptionPlan",
     "find",
     "lost_work",
     "planned_work",
@@ -34,13 +34,13 @@
 Cost = Callable[[unit_runs.Run], float]
 
 
-class Reclaim(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a unit fits once some runs are stopped.
+class PreemptionPlan(msgspec.Struct, frozen=True, kw_only=True):
+    """Placement of a unit that becomes possible by stopping runs.
 
     Attributes:
         workers: A worker for each task.
         victims: The runs to stop.
-        cost_core_s: Work that is thrown away.
+        cost_core_s: Work that the victims lose, in core-seconds.
     """
 
     workers: tuple[worker_directory.Worker, ...]
@@ -49,15 +49,15 @@
 
 
 def lost_work(run: unit_runs.Run, now_ms: int, save_s: float) -> float:
-    """Returns the work that a stop of a run throws away.
+    """Returns the work that a run loses if it is stopped.
 
     Args:
         run: The run.
-        now_ms: Steady time in milliseconds.
-        save_s: Work between two checkpoints.
+        now_ms: Monotonic time in milliseconds.
+        save_s: Work in seconds between two checkpoints of a task.
 
     Returns:
-        Core-seconds; an accelerator counts as several cores.
+        Core-seconds; an accelerator counts as `CORES_PER_ACCELERATOR` cores.
     """
     started_ms = run.placed_ms if run.started_ms is None else run.started_ms
     elapsed_s = max(now_ms - started_ms, 0) / _MS_PER_S
@@ -67,14 +67,14 @@
 
 
 def planned_work(step: spec.Step, tasks: int) -> float:
-    """Returns the work of a unit as declared.
+    """Returns the work of a unit according to its declared run time.
 
     Args:
-        step: Its step.
-        tasks: How many tasks start together.
+        step: The unit's step.
+        tasks: Number of tasks that start together.
 
     Returns:
-        Core-seconds; an accelerator counts as several cores.
+        Core-seconds; an accelerator counts as `CORES_PER_ACCELERATOR` cores.
     """
     return step.estimate_ms / _MS_PER_S * _cores(step) * tasks
 
@@ -88,78 +88,92 @@
 
 
 def find(
-    need: fitting.Need,
+    requirements: fitting.Requirements,
     workers: Sequence[worker_directory.Worker],
-    free: fitting.FreeRoom,
+    free: fitting.FreeCapacity,
     revocable: Iterable[unit_runs.Run],
     cost: Cost,
     spread: fitting.Spread,
-) -> Reclaim | None:
-    """Finds the cheapest set of runs whose stop makes room for a unit.
+) -> PreemptionPlan | None:
+    """Finds a cheap set of runs whose preemption makes a unit fit.
+
+    A greedy search: adds victims in the order of their cost until the unit
+    fits, then spares the most expensive ones that are not needed. If the unit
+    must stay in one rack, each rack is searched and the cheapest plan is
+    returned.
 
     Args:
-        need: The unit.
-        workers: The workers that may get work.
-        free: The free room of a worker.
+        requirements: Placement requirements of the unit.
+        workers: The workers that may receive tasks.
+        free: Returns the free capacity of a worker.
         revocable: Runs that may be stopped.
-        cost: What the stop of a run throws away.
+        cost: Returns the work that a run loses if it is stopped.
         spread: Whether the unit may leave its preferred rack.
 
     Returns:
-        The workers and victims, or None if no set makes room.
+        The plan, or None if the unit does not fit even without any revocable
+        run.
     """
     ranked = sorted(revocable, key=cost)
-    groups: list[Sequence[worker_directory.Worker]] = [workers]
-    if spread is fitting.Spread.PREFERRED and need.step.one_rack:
+    worker_groups: list[Sequence[worker_directory.Worker]] = [workers]
+    if spread is fitting.Spread.PREFERRED and requirements.step.one_rack:
         racks = sorted({worker.rack for worker in workers})
-        groups = [[w for w in workers if w.rack == rack] for rack in racks]
-    found = [
-        reclaim
-        for group in groups
-        if (reclaim := _in_group(need, group, free, ranked, cost, spread))
+        worker_groups = [
+            [w for w in workers if w.rack == rack] for rack in racks
+        ]
+    plans = [
+        plan
+        for group in worker_groups
+        if (
+            plan := _find_in_group(
+                requirements, group, free, ranked, cost, spread
+            )
+        )
     ]
-    return min(found, key=lambda each: each.cost_core_s, default=None)
+    return min(plans, key=lambda each: each.cost_core_s, default=None)
 
 
-def _in_group(
-    need: fitting.Need,
+def _find_in_group(
+    requirements: fitting.Requirements,
     group: Sequence[worker_directory.Worker],
-    free: fitting.FreeRoom,
+    free: fitting.FreeCapacity,
     ranked: Sequence[unit_runs.Run],
     cost: Cost,
     spread: fitting.Spread,
-) -> Reclaim | None:
-    names = {worker.worker for worker in group}
-    useful = [run for run in ranked if _touches(run, names)]
+) -> PreemptionPlan | None:
+    worker_ids = {worker.worker for worker in group}
+    candidates = [run for run in ranked if _runs_on(run, worker_ids)]
     victims: list[unit_runs.Run] = []
     chosen = None
-    for run in useful:
+    for run in candidates:
         victims.append(run)
-        chosen = _fit_without(need, group, free, victims, spread)
+        chosen = _workers_without(requirements, group, free, victims, spread)
         if chosen is not None:
             break
     if chosen is None:
         return None
     for run in sorted(victims, key=cost, reverse=True):
-        fewer = [each for each in victims if each is not run]
-        without = _fit_without(need, group, free, fewer, spread)
-        if without is not None:
-            victims, chosen = fewer, without
-    return Reclaim(
+        remaining_victims = [each for each in victims if each is not run]
+        alternative = _workers_without(
+            requirements, group, free, remaining_victims, spread
+        )
+        if alternative is not None:
+            victims, chosen = remaining_victims, alternative
+    return PreemptionPlan(
         workers=tuple(chosen),
         victims=tuple(victims),
         cost_core_s=sum(map(cost, victims)),
     )
 
 
-def _touches(run: unit_runs.Run, names: set[ids.WorkerId]) -> bool:
-    return any(member.place.worker in names for member in run.live_members)
+def _runs_on(run: unit_runs.Run, worker_ids: set[ids.WorkerId]) -> bool:
+    return any(member.place.worker in worker_ids for member in run.live_members)
 
 
-def _fit_without(
-    need: fitting.Need,
+def _workers_without(
+    requirements: fitting.Requirements,
     group: Sequence[worker_directory.Worker],
-    free: fitting.FreeRoom,
+    free: fitting.FreeCapacity,
     victims: Iterable[unit_runs.Run],
     spread: fitting.Spread,
 ) -> list[worker_directory.Worker] | None:
@@ -172,11 +186,11 @@
                 freed.get(worker, worker_allocations.NO_DEMAND), demand
             )
 
-    def with_freed(
+    def free_after_stops(
         worker: worker_directory.Worker,
     ) -> worker_allocations.spec.Demand:
         return worker_allocations.add_demands(
             free(worker), freed.get(worker.worker, worker_allocations.NO_DEMAND)
         )
 
-    return fitting.fit(need, group, with_freed, spread)
+    return fitting.choose_workers(requirements, group, free_after_stops, spread)
--- a/citronmount/fleet/worker_health.py
+++ b/citronmount/fleet/worker_health.py
@@ -1,8 +1,9 @@
-"""Tells slow, failing and hanging workers apart from jobs that fail anywhere.
+"""Detects slow, failing and hanging workers from the results of their runs.
 
-Load pattern: some workers take several times as long, fail all they start or
-let tasks stand still, while they say that they are ready. Only what their runs
-did counts.
+Some workers take several times as long as others, fail every task or let tasks
+hang although they report that they are ready, so only the results of their runs
+count. Failures count per job, so that a job that fails everywhere does not make
+its workers distrusted.
 """
 
 import collections
@@ -14,168 +15,182 @@
 from citronmount.core import ids
 from citronmount.fleet import worker_directory
 
-__all__ = ["Trust", "WorkerHealth"]
+__all__ = ["Assessment", "WorkerHealth"]
 
-RATIOS_KEPT = 6
-FLEET_RATIOS_KEPT = 200
+WORKER_RATIO_WINDOW = 6
+POOL_RATIO_WINDOW = 200
 SLOW_FACTOR = 2.0
 FLAPS_TO_DISTRUST = 2
 FLAP_WINDOW_MS = 30_000
 FLAP_DISTRUST_MS = 6_000
-OVERDUE_FLOOR_MS = 2_000
+MIN_OVERDUE_MS = 2_000
 OVERDUE_DISTRUST_MS = 1_000
 FAILURES_TO_DISTRUST = 2
 DISTRUST_MS = 10_000
 
 
-class Trust(msgspec.Struct, frozen=True, kw_only=True):
-    """What is believed of a worker.
+class Assessment(msgspec.Struct, frozen=True, kw_only=True):
+    """Assessment of a worker.
 
     Attributes:
-        slowness: Its run times as a multiple of what is usual in the pool.
-        distrusted: Whether it should get no work for now.
+        slowness: Run times of the worker as a multiple of those typical in the
+            pool.
+        distrusted: Whether the worker should receive no tasks for now.
     """
 
     slowness: float = 1.0
     distrusted: bool = False
 
 
-class _Record:
-    """What the runs of one worker did."""
+class _RunHistory:
+    """Results of the runs on one worker."""
 
     def __init__(self) -> None:
         self.ratios: collections.deque[float] = collections.deque(
-            maxlen=RATIOS_KEPT
+            maxlen=WORKER_RATIO_WINDOW
         )
         self.failed_jobs: set[ids.JobId] = set()
         self.distrusted_until_ms = 0
-        self.done_ms = -math.inf
+        self.last_success_ms = -math.inf
 
 
 class WorkerHealth:
-    """Follows the ends of runs on every worker."""
+    """Collects the results of runs on all workers and assesses the workers."""
 
     def __init__(self) -> None:
-        """Initializes without any evidence."""
-        self._records: dict[ids.WorkerId, _Record] = collections.defaultdict(
-            _Record
+        """Initializes without results."""
+        self._histories: dict[ids.WorkerId, _RunHistory] = (
+            collections.defaultdict(_RunHistory)
         )
-        self._life_ends: dict[
+        self._incarnation_ends: dict[
             worker_directory.MachineId, collections.deque[int]
         ] = collections.defaultdict(collections.deque)
-        self._usual: collections.deque[float] = collections.deque(
-            maxlen=FLEET_RATIOS_KEPT
+        self._pool_ratios: collections.deque[float] = collections.deque(
+            maxlen=POOL_RATIO_WINDOW
         )
 
-    def done(
+    def record_success(
         self,
         worker: ids.WorkerId,
         elapsed_ms: int,
         estimate_ms: int,
         now_ms: int,
     ) -> None:
-        """Notes a run that ended well.
+        """Records a successful run, which ends the distrust of the worker.
 
         Args:
-            worker: Where.
-            elapsed_ms: How long it took.
-            estimate_ms: How long it was thought to take.
-            now_ms: Steady time in milliseconds.
+            worker: The worker of the run.
+            elapsed_ms: Run time in milliseconds.
+            estimate_ms: Estimated run time in milliseconds, or 0 if unknown.
+            now_ms: Monotonic time in milliseconds.
         """
-        record = self._records[worker]
-        record.failed_jobs.clear()
-        record.done_ms = now_ms
-        record.distrusted_until_ms = 0
+        history = self._histories[worker]
+        history.failed_jobs.clear()
+        history.last_success_ms = now_ms
+        history.distrusted_until_ms = 0
         if estimate_ms > 0:
             ratio = elapsed_ms / estimate_ms
-            record.ratios.append(ratio)
-            self._usual.append(ratio)
+            history.ratios.append(ratio)
+            self._pool_ratios.append(ratio)
 
-    def failed(self, worker: ids.WorkerId, job: ids.JobId, now_ms: int) -> bool:
-        """Notes a run that failed.
+    def record_failure(
+        self, worker: ids.WorkerId, job: ids.JobId, now_ms: int
+    ) -> bool:
+        """Records a failed run.
+
+        A worker becomes distrusted once `FAILURES_TO_DISTRUST` different jobs
+        failed on it without a successful run in between.
 
         Returns:
-            Whether the worker lost its trust by it.
+            Whether the worker is distrusted because of this failure.
         """
-        record = self._records[worker]
-        record.failed_jobs.add(job)
-        if len(record.failed_jobs) < FAILURES_TO_DISTRUST:
+        history = self._histories[worker]
+        history.failed_jobs.add(job)
+        if len(history.failed_jobs) < FAILURES_TO_DISTRUST:
             return False
-        record.distrusted_until_ms = now_ms + DISTRUST_MS
+        history.distrusted_until_ms = now_ms + DISTRUST_MS
         return True
 
-    def stands_still(self, worker: ids.WorkerId, now_ms: int) -> None:
-        """Notes that a task at a worker does not get on."""
-        self._records[worker].distrusted_until_ms = now_ms + DISTRUST_MS
+    def mark_stalled(self, worker: ids.WorkerId, now_ms: int) -> None:
+        """Marks a worker as distrusted because a task on it is stalled."""
+        self._histories[worker].distrusted_until_ms = now_ms + DISTRUST_MS
 
-    def overdue(
+    def overdue_factor(
         self,
         worker: ids.WorkerId,
         elapsed_ms: int,
         estimate_ms: int,
         now_ms: int,
     ) -> float:
-        """Returns how far a run is overdue where nothing else ends.
+        """Returns how far a run is overdue on a worker that completes no runs.
 
-        A run that is overdue on a worker that finishes other runs is taken as
-        long. Where nothing ends, the worker gets no work for a while.
+        If the worker has completed another run since this one started, the run
+        itself is considered long. Otherwise an overdue run makes the worker
+        distrusted for a while.
 
         Args:
-            worker: Where.
-            elapsed_ms: How long the run has worked.
-            estimate_ms: How long it was thought to take.
-            now_ms: Steady time in milliseconds.
+            worker: The worker of the run.
+            elapsed_ms: Time since the run started, in milliseconds.
+            estimate_ms: Estimated run time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
-            The multiple of the usual run time, or 0 if other runs end there.
+            Elapsed time as a multiple of the typical run time, or 0 if the
+            worker has completed another run since the start of this one.
         """
-        record = self._records[worker]
-        if record.done_ms >= now_ms - elapsed_ms:
+        history = self._histories[worker]
+        if history.last_success_ms >= now_ms - elapsed_ms:
             return 0.0
-        usual_ms = self._usual_ratio() * estimate_ms
-        factor = elapsed_ms / max(usual_ms, 1)
-        if factor > SLOW_FACTOR and elapsed_ms > usual_ms + OVERDUE_FLOOR_MS:
-            record.distrusted_until_ms = max(
-                record.distrusted_until_ms, now_ms + OVERDUE_DISTRUST_MS
+        typical_ms = self._typical_ratio() * estimate_ms
+        factor = elapsed_ms / max(typical_ms, 1)
+        if factor > SLOW_FACTOR and elapsed_ms > typical_ms + MIN_OVERDUE_MS:
+            history.distrusted_until_ms = max(
+                history.distrusted_until_ms, now_ms + OVERDUE_DISTRUST_MS
             )
         return factor
 
-    def life_over(self, worker: worker_directory.Worker, now_ms: int) -> None:
-        """Drops the evidence on a worker and remembers the machine.
+    def record_incarnation_end(
+        self, worker: worker_directory.Worker, now_ms: int
+    ) -> None:
+        """Drops the results of a worker and records the end on its machine.
 
-        A machine whose workers come and go gets no work for a while, longer
-        with each time.
+        A machine whose workers restart repeatedly (flapping) receives no tasks
+        for a while, and for longer with each restart.
         """
-        self._records.pop(worker.worker, None)
+        self._histories.pop(worker.worker, None)
         if not worker.machine:
             return
-        ends = self._life_ends[worker.machine]
+        ends = self._incarnation_ends[worker.machine]
         ends.append(now_ms)
         while ends and ends[0] < now_ms - FLAP_WINDOW_MS:
             ends.popleft()
 
-    def flaps(self, machine: worker_directory.MachineId, now_ms: int) -> bool:
-        """Returns whether workers of a machine come and go."""
-        ends = self._life_ends.get(machine)
+    def is_flapping(
+        self, machine: worker_directory.MachineId, now_ms: int
+    ) -> bool:
+        """Returns whether the workers of a machine restart repeatedly."""
+        ends = self._incarnation_ends.get(machine)
         if not ends or len(ends) < FLAPS_TO_DISTRUST:
             return False
         return now_ms < ends[-1] + FLAP_DISTRUST_MS * (len(ends) - 1)
 
-    def trust(self, worker: worker_directory.Worker, now_ms: int) -> Trust:
-        """Returns what is believed of a worker."""
-        if self.flaps(worker.machine, now_ms):
-            return Trust(distrusted=True)
-        record = self._records.get(worker.worker)
-        if record is None:
-            return Trust()
+    def assess(
+        self, worker: worker_directory.Worker, now_ms: int
+    ) -> Assessment:
+        """Returns the assessment of a worker."""
+        if self.is_flapping(worker.machine, now_ms):
+            return Assessment(distrusted=True)
+        history = self._histories.get(worker.worker)
+        if history is None:
+            return Assessment()
         slowness = 1.0
-        if record.ratios:
-            slowness = statistics.median(record.ratios) / self._usual_ratio()
-        return Trust(
-            slowness=slowness, distrusted=now_ms < record.distrusted_until_ms
+        if history.ratios:
+            slowness = statistics.median(history.ratios) / self._typical_ratio()
+        return Assessment(
+            slowness=slowness, distrusted=now_ms < history.distrusted_until_ms
         )
 
-    def _usual_ratio(self) -> float:
-        if not self._usual:
+    def _typical_ratio(self) -> float:
+        if not self._pool_ratios:
             return 1.0
-        return max(statistics.median(self._usual), 0.1)
+        return max(statistics.median(self._pool_ratios), 0.1)
--- a/citronmount/fleet/worker_reports.py
+++ b/citronmount/fleet/worker_reports.py
@@ -1,4 +1,4 @@
-"""Takes in what workers answer to orders."""
+"""Handles the answers of workers to commands."""
 
 import collections
 import statistics
@@ -14,11 +14,11 @@
 
 __all__ = ["WorkerReports"]
 
-ORDER_RETRY_MS = 100
+COMMAND_RETRY_MS = 100
 SUSPENSION_MS = 1_000
-TOLD_AFTER_HOLDS = 3
+SILENT_AFTER_RENEWALS = 3
 
-_LOST_ROOM = (
+_SUSPENDING_OUTCOMES = (
     commands.StartOutcome.NO_CAPACITY,
     commands.StartOutcome.NOT_STARTED,
     commands.StartOutcome.LEASE_EXPIRED,
@@ -27,7 +27,7 @@
 
 
 class WorkerReports:
-    """Brings runs and sessions up to date with answers and reports."""
+    """Updates runs and sessions from the answers and reports of workers."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         state: owner_state.OwnerState,
         sessions: worker_sessions.WorkerSessions,
     ) -> None:
-        """Initializes the part.
+        """Initializes the handler.
 
         Args:
-            state: What it shares with the other parts.
-            sessions: Closes sessions whose life is over.
+            state: State shared by the parts of the owner.
+            sessions: Ends the sessions of incarnations that are over.
         """
         self._state = state
         self._sessions = sessions
@@ -51,29 +51,34 @@
         clock_ms: int | None,
         now_ms: int,
     ) -> None:
-        """Takes in what became of an order to start."""
-        self._state.heard.add(command.worker.worker)
-        self._heard(command.worker, clock_ms, now_ms)
+        """Handles the outcome of a `Start` command.
+
+        If an earlier `Start` of the member has an unknown outcome, a refusal
+        by the same incarnation does not prove that the task will not run. The
+        member is then kept until a `Stop` has settled it.
+        """
+        self._state.changed_workers.add(command.worker.worker)
+        self._update_clock(command.worker, clock_ms, now_ms)
         if outcome is commands.StartOutcome.FENCED:
             self._state.fenced = True
             return
-        found = self._state.table.of_task(command.task, command.run)
+        found = self._state.table.find_task(command.task, command.run)
         if found is None:
             return
         run, member = found
         member.start_open = False
-        self._state.changed = True
-        if self._is_uncertain(member, outcome):
+        self._state.needs_planning = True
+        if self._may_still_start(member, outcome):
             member.start_uncertain = True
-            retry_ms = member.start_sent_ms + ORDER_RETRY_MS
+            retry_ms = member.start_sent_ms + COMMAND_RETRY_MS
             member.next_order_ms = max(now_ms, retry_ms)
             return
         member.start_answered = True
         member.settled_ms = now_ms
         if outcome is commands.StartOutcome.STARTED:
-            self._seen_running(run, member, now_ms)
+            self._mark_running(run, member, now_ms)
             if run.started_ms == now_ms:
-                self._begin_progress(run, now_ms)
+                self._start_progress(run, now_ms)
             return
         self._state.log.warning(
             "start_refused",
@@ -83,22 +88,27 @@
             verdict=outcome.value,
         )
         if outcome is commands.StartOutcome.NO_TICKET:
-            self._state.advice.drop(run.key.step_id, member.place.worker)
-        if outcome in _LOST_ROOM:
-            self._state.suspended[command.worker.worker] = (
+            self._state.advice.drop_ticket(run.key.step_id, member.place.worker)
+        if outcome in _SUSPENDING_OUTCOMES:
+            self._state.suspended_until_ms[command.worker.worker] = (
                 now_ms + SUSPENSION_MS
             )
-        same_life = outcome is not commands.StartOutcome.OTHER_INCARNATION
-        if not (member.start_uncertain and same_life):
-            self._state.table.gone(run, member)
-        # Else a stop settles what an earlier, unanswered order may have done.
+        same_incarnation = (
+            outcome is not commands.StartOutcome.OTHER_INCARNATION
+        )
+        if not (member.start_uncertain and same_incarnation):
+            self._state.table.mark_gone(run, member)
+        # Otherwise a Stop settles the earlier Start with unknown outcome.
         self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
 
     @staticmethod
-    def _is_uncertain(
+    def _may_still_start(
         member: unit_runs.Member, outcome: commands.StartOutcome
     ) -> bool:
-        """Returns whether a member may still start by what was ordered."""
+        """Returns whether a command may still start a member.
+
+        After UNREACHABLE only an earlier `Start` with unknown outcome may.
+        """
         if outcome is commands.StartOutcome.UNREACHABLE:
             return member.start_uncertain
         return outcome is commands.StartOutcome.UNKNOWN
@@ -109,12 +119,12 @@
         answer: commands.AdviceAnswer | None,
         now_ms: int,
     ) -> None:
-        """Takes in the answer to a question, or that there was none."""
+        """Handles the answer to an advice request, or None for no answer."""
         if answer is None:
-            self._state.advice.unanswered(now_ms)
+            self._state.advice.request_failed(now_ms)
             return
-        self._state.advice.answered(advice_request, answer, now_ms)
-        self._state.changed = True
+        self._state.advice.store_answer(advice_request, answer, now_ms)
+        self._state.needs_planning = True
         self._state.log.info(
             "advice_taken",
             step=advice_request.step,
@@ -129,47 +139,51 @@
         clock_ms: int | None,
         now_ms: int,
     ) -> None:
-        """Takes in what became of an order to stop."""
-        self._state.heard.add(command.worker.worker)
-        self._heard(command.worker, clock_ms, now_ms)
+        """Handles the outcome of a `Stop` command.
+
+        A stopped task that was never seen running gets a status poll, because
+        no end of its run may be reported.
+        """
+        self._state.changed_workers.add(command.worker.worker)
+        self._update_clock(command.worker, clock_ms, now_ms)
         if outcome is commands.StopOutcome.FENCED:
             self._state.fenced = True
             return
         session = self._state.sessions.get(command.worker.worker)
         if session is not None:
-            session.hold_soon(now_ms)
-        found = self._state.table.of_task(command.task, command.run)
+            session.renew_soon(now_ms)
+        found = self._state.table.find_task(command.task, command.run)
         if found is None:
             return
         run, member = found
         member.stop_open = False
-        self._state.changed = True
+        self._state.needs_planning = True
         if outcome is commands.StopOutcome.UNKNOWN:
-            member.next_order_ms = now_ms + ORDER_RETRY_MS
+            member.next_order_ms = now_ms + COMMAND_RETRY_MS
             return
         if outcome is commands.StopOutcome.OTHER_INCARNATION:
-            self._state.table.gone(run, member)
+            self._state.table.mark_gone(run, member)
             return
         member.stop_answered = True
         member.settled_ms = now_ms
-        never_seen = member.state is unit_runs.MemberState.ORDERED
-        if never_seen and session is not None:
-            session.look_soon()
+        never_running = member.state is unit_runs.MemberState.STARTING
+        if never_running and session is not None:
+            session.poll_soon()
 
     def renewal_failed(
         self, command: commands.RenewLeases, fenced: bool, now_ms: int
     ) -> None:
-        """Takes in that a hold brought no report."""
-        self._state.heard.add(command.worker.worker)
+        """Handles a lease renewal or status poll without a report."""
+        self._state.changed_workers.add(command.worker.worker)
         if fenced:
             self._state.fenced = True
-        session = self._state.session_of(command.worker)
+        session = self._state.session_for(command.worker)
         if session is None:
             return
         if command.look:
             return
-        session.hold_failed(now_ms)
-        if session.waits_unanswered == TOLD_AFTER_HOLDS:
+        session.renewal_failed(now_ms)
+        if session.unanswered_renewals == SILENT_AFTER_RENEWALS:
             self._state.log.warning(
                 "worker_silent",
                 worker=command.worker.worker,
@@ -184,76 +198,82 @@
         sent_ms: int,
         now_ms: int,
     ) -> None:
-        """Takes in what a worker reports.
+        """Handles the report of a worker.
 
         Args:
-            command: The hold.
-            report: The answer.
-            sent_ms: Steady time at which the hold was sent.
-            now_ms: Steady time in milliseconds.
+            command: The lease renewal or status poll.
+            report: The worker's report.
+            sent_ms: Monotonic time at which the command was sent.
+            now_ms: Monotonic time in milliseconds.
         """
-        self._state.heard.add(command.worker.worker)
-        session = self._state.session_of(command.worker)
+        self._state.changed_workers.add(command.worker.worker)
+        session = self._state.session_for(command.worker)
         if session is None:
             return
         if report.life_ms not in (None, session.worker.life_ms):
-            self._sessions.life_over(session, now_ms)
+            self._sessions.end_incarnation(session, now_ms)
             return
-        first = not session.primed
-        if session.waits_unanswered >= TOLD_AFTER_HOLDS:
+        first = not session.has_answered
+        if session.unanswered_renewals >= SILENT_AFTER_RENEWALS:
             self._state.log.info("worker_answers", worker=command.worker.worker)
         if command.look:
-            session.look_answered(report, now_ms)
+            session.poll_answered(report, now_ms)
         else:
-            session.hold_answered(report, now_ms)
-        self._state.changed = self._state.changed or first
+            session.renewal_answered(report, now_ms)
+        self._state.needs_planning = self._state.needs_planning or first
         for end in report.ended:
-            if session.note_end(end.number, now_ms):
-                self._ended(session, end, now_ms)
-        self._compare(session, report, sent_ms, now_ms)
+            if session.register_end(end.number, now_ms):
+                self._handle_end(session, end, now_ms)
+        self._reconcile(session, report, sent_ms, now_ms)
 
-    def _compare(
+    def _reconcile(
         self,
         session: lease_sessions.LeaseSession,
         report: commands.LeaseReport,
         sent_ms: int,
         now_ms: int,
     ) -> None:
-        """Compares what a worker runs with what it should run."""
-        name = session.worker.worker
-        strangers = 0
+        """Reconciles the tasks that a worker runs with the run table.
+
+        Stops tasks that are not in the table and marks members as missing that
+        the worker does not report.
+        """
+        worker_id = session.worker.worker
+        unknown_count = 0
         seen = set()
         for task in report.running:
-            found = self._state.table.of_task(task.task, task.run)
-            if found is None or found[1].place.worker != name:
-                strangers += 1
-                self._stop_stranger(session, task)
+            found = self._state.table.find_task(task.task, task.run)
+            if found is None or found[1].place.worker != worker_id:
+                unknown_count += 1
+                self._stop_unknown_run(session, task)
                 continue
             run, member = found
             seen.add(member.task)
             run.saved = task.saved or run.saved
-            self._seen_running(run, member, now_ms)
+            self._mark_running(run, member, now_ms)
             if run.started_ms is not None:
-                member.progress.note(task.percent, report.clock_ms)
-        if self._state.strangers.get(name, 0) != strangers:
-            self._state.strangers[name] = strangers
-            self._state.changed = True
+                member.progress.add_report(task.percent, report.clock_ms)
+        if self._state.unknown_runs.get(worker_id, 0) != unknown_count:
+            self._state.unknown_runs[worker_id] = unknown_count
+            self._state.needs_planning = True
         if report.complete:
-            self._miss(session, seen, sent_ms)
+            self._mark_missing(session, seen, sent_ms)
 
-    def _miss(
+    def _mark_missing(
         self,
         session: lease_sessions.LeaseSession,
         seen: set[units.TaskName],
         sent_ms: int,
     ) -> None:
-        for run, member in self._state.table.on_worker(session.worker.worker):
-            if member.task in seen or not member.certain:
+        for run, member in self._state.table.tasks_on_worker(
+            session.worker.worker
+        ):
+            if member.task in seen or not member.start_settled:
                 continue
             if sent_ms >= member.settled_ms:
-                self._state.member_gone(run, member)
+                self._state.mark_member_missing(run, member)
 
-    def _stop_stranger(
+    def _stop_unknown_run(
         self, session: lease_sessions.LeaseSession, task: commands.RunningTask
     ) -> None:
         self._state.log.warning(
@@ -271,25 +291,29 @@
             )
         )
 
-    def _ended(
+    def _handle_end(
         self,
         session: lease_sessions.LeaseSession,
         end: commands.EndedTask,
         now_ms: int,
     ) -> None:
-        """Takes in one end that a worker lists for the first time."""
+        """Handles an end that a worker reports for the first time.
+
+        The worker may delete the end once its record is durable. An end that
+        needs no record of its own waits for the unit's pending records.
+        """
         place = records.Place(
             worker=session.worker.worker, life_ms=session.worker.life_ms
         )
-        found = self._state.table.of_task(end.task, end.run)
+        found = self._state.table.find_task(end.task, end.run)
         if found is None or found[1].place != place:
             session.resolve_end(end.number, now_ms)
             return
         run, member = found
-        self._state.changed = True
+        self._state.needs_planning = True
         run.saved = end.saved or run.saved
         if run.outcome is None:
-            self._learn_speeds(run, now_ms)
+            self._observe_speeds(run, now_ms)
         self._state.log.info(
             "run_ended",
             task=end.task,
@@ -297,53 +321,58 @@
             worker=place.worker,
             kind=end.kind.value,
         )
-        self._state.table.gone(run, member)
-        self._note_health(run, member, end.kind, now_ms)
-        status = self._outcome(run, end.kind)
-        if status is None and self._state.unrecorded[run.unit]:
-            self._state.later_ends[run.unit].append((place, end.number))
+        self._state.table.mark_gone(run, member)
+        self._record_health(run, member, end.kind, now_ms)
+        status = self._status_after_end(run, end.kind)
+        if status is None and self._state.pending_unit_records[run.unit]:
+            self._state.deferred_ends[run.unit].append((place, end.number))
             return
         if status is None:
             session.resolve_end(end.number, now_ms)
             return
-        change = run.record(status)
-        self._state.write(change, ends=((place, end.number),))
+        change = run.to_record(status)
+        self._state.append_record(change, ends=((place, end.number),))
 
-    def _learn_speeds(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Compares the workers of a gang by how its members got on."""
+    def _observe_speeds(self, run: unit_runs.Run, now_ms: int) -> None:
+        """Updates the speed estimates with the progress rates of a gang."""
         if not run.step.gang:
             return
         rates = collections.defaultdict(list)
         for member in run.members:
-            session = self._state.session_at(member.place)
+            session = self._state.session_at_place(member.place)
             rate = member.progress.percent_per_s
             if session is not None and rate is not None:
                 rates[session.worker.speed_key].append(rate)
-        found = {key: statistics.mean(each) for key, each in rates.items()}
-        self._state.speeds.learn(found, now_ms)
+        mean_rates = {key: statistics.mean(each) for key, each in rates.items()}
+        self._state.speeds.observe(mean_rates, now_ms)
 
-    def _note_health(
+    def _record_health(
         self,
         run: unit_runs.Run,
         member: unit_runs.Member,
         kind: commands.EndKind,
         now_ms: int,
     ) -> None:
-        """Learns from an end what the worker is like."""
+        """Updates the assessment of a worker after the end of a task."""
         worker = member.place.worker
         if kind is commands.EndKind.DONE and run.started_ms is not None:
             elapsed_ms = now_ms - run.started_ms
             estimate_ms = run.step.estimate_ms
-            self._state.health.done(worker, elapsed_ms, estimate_ms, now_ms)
+            self._state.health.record_success(
+                worker, elapsed_ms, estimate_ms, now_ms
+            )
         if kind is commands.EndKind.FAILED:
-            self._state.failed_at.setdefault(run.unit, set()).add(worker)
-            if self._state.health.failed(worker, run.job, now_ms):
+            self._state.failed_workers.setdefault(run.unit, set()).add(worker)
+            if self._state.health.record_failure(worker, run.job, now_ms):
                 self._state.log.warning("worker_distrusted", worker=worker)
 
-    def _outcome(
+    def _status_after_end(
         self, run: unit_runs.Run, kind: commands.EndKind
     ) -> records.UnitStatus | None:
-        """Returns what to record of an end, or None if nothing changes."""
+        """Returns the unit's status to record, or None if it is unchanged.
+
+        The first success or failure of a member decides the outcome of the run.
+        """
         decided = (commands.EndKind.DONE, commands.EndKind.FAILED)
         if run.outcome in decided:
             return None
@@ -355,13 +384,13 @@
         self._state.end_run(run, unit_runs.EndCause.MEMBER_ENDED)
         if kind is commands.EndKind.FAILED:
             run.failures += 1
-            spent = run.failures >= run.submission.terms.max_attempts
-            if spent and not run.step.lasting:
+            exhausted = run.failures >= run.submission.terms.max_attempts
+            if exhausted and not run.step.lasting:
                 return records.UnitStatus.FAILED
             return records.UnitStatus.WAITING
         return records.UnitStatus.WAITING if run.saved else None
 
-    def _seen_running(
+    def _mark_running(
         self, run: unit_runs.Run, member: unit_runs.Member, now_ms: int
     ) -> None:
         member.start_answered = True
@@ -380,18 +409,22 @@
                 took_ms=now_ms - run.placed_ms,
             )
 
-    def _begin_progress(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Notes that a run which starts anew has done nothing so far."""
+    def _start_progress(self, run: unit_runs.Run, now_ms: int) -> None:
+        """Adds a report of 0 percent for a run that starts from scratch."""
         if run.saved or run.restored:
             return
         for member in run.members:
-            session = self._state.session_at(member.place)
+            session = self._state.session_at_place(member.place)
             if session is not None:
-                member.progress.note(0, session.clock_ms(now_ms))
+                member.progress.add_report(0, session.clock_ms(now_ms))
 
-    def _heard(
+    def _update_clock(
         self, worker: worker_directory.Worker, clock_ms: int | None, now_ms: int
     ) -> None:
-        session = self._state.session_of(worker)
-        if session is not None and clock_ms is not None and session.primed:
-            session.heard(clock_ms, now_ms)
+        session = self._state.session_for(worker)
+        if (
+            session is not None
+            and clock_ms is not None
+            and session.has_answered
+        ):
+            session.update_clock(clock_ms, now_ms)
--- a/citronmount/fleet/worker_speeds.py
+++ b/citronmount/fleet/worker_speeds.py
@@ -1,8 +1,8 @@
-"""Learns how fast workers are, compared with each other.
+"""Estimates the relative speeds of machines.
 
-Load pattern: some machines take longer for the same work, and urgent gangs are
-as slow as their slowest member. The members of a gang do equal work, so the
-rates at which they get on compare their workers.
+Some machines take longer for the same work, and an urgent gang is as slow as
+its slowest member. The members of a gang do equal work, so their progress rates
+show the relative speeds of their machines.
 """
 
 from collections.abc import Iterable
@@ -15,122 +15,130 @@
 __all__ = ["SLOWER_FACTOR", "WorkerSpeeds"]
 
 SLOWER_FACTOR = 1.12
-LEAST_GAIN = 0.3
-SLUMP_FACTOR = 2.0
-SLUMP_MEMORY_MS = 10_000
-LEAST_KNOWN = 4
+MIN_GAIN = 0.3
+SEVERE_SLOWDOWN_FACTOR = 2.0
+SEVERE_SLOWDOWN_TTL_MS = 10_000
+MIN_BASELINE_MACHINES = 4
 
-_KEPT_DIGITS = 2
+_SNAPSHOT_DIGITS = 2
 _RESTORED_OBSERVATIONS = 2
 
 
-class _Speed:
-    """The estimate for one worker: logarithm of its relative speed."""
+class _SpeedEstimate:
+    """Speed estimate of one machine, as a natural logarithm."""
 
     def __init__(self) -> None:
         self.log = 0.0
         self.observations = 0
-        self.learned_ms = 0
+        self.observed_ms = 0
 
 
 class WorkerSpeeds:
     """Relative speeds of machines."""
 
     def __init__(self) -> None:
-        """Initializes without any evidence."""
-        self._speeds: dict[worker_directory.MachineId, _Speed] = {}
-        self._usual: float | None = None
+        """Initializes without observations."""
+        self._speeds: dict[worker_directory.MachineId, _SpeedEstimate] = {}
+        self._baseline_log: float | None = None
 
-    def learn(
+    def observe(
         self, rates: Mapping[worker_directory.MachineId, float], now_ms: int
     ) -> None:
-        """Takes in how fast the members of a gang got on.
+        """Updates the estimates with the progress rates of a gang's members.
+
+        The level of the rates depends on the job, so the median of the rates
+        relative to the current estimates is subtracted from them. Each estimate
+        is an exponential moving average in which the first observations weigh
+        more.
 
         Args:
-            rates: Percent per second on each machine.
-            now_ms: Steady time in milliseconds.
+            rates: Mean progress rate on each machine, in percent per second.
+                Rates on a single machine are ignored.
+            now_ms: Monotonic time in milliseconds.
         """
         if len(rates) < 2:
             return
-        known = {
-            machine: self._speeds.setdefault(machine, _Speed())
+        speeds = {
+            machine: self._speeds.setdefault(machine, _SpeedEstimate())
             for machine in rates
         }
         level = statistics.median(
-            math.log(rate) - known[machine].log
+            math.log(rate) - speeds[machine].log
             for machine, rate in rates.items()
         )
         for machine, rate in rates.items():
-            speed = known[machine]
+            speed = speeds[machine]
             speed.observations += 1
-            gain = max(1 / speed.observations, LEAST_GAIN)
+            gain = max(1 / speed.observations, MIN_GAIN)
             speed.log += gain * (math.log(rate) - level - speed.log)
-            speed.learned_ms = now_ms
-        self._usual = None
+            speed.observed_ms = now_ms
+        self._baseline_log = None
 
-    def kept(
+    def snapshot(
         self, machines: Iterable[worker_directory.MachineId]
     ) -> dict[worker_directory.MachineId, float]:
-        """Returns what a later owner should begin with.
+        """Returns the estimates to record for the next owner.
 
         Args:
-            machines: The machines that are there.
+            machines: The machines of the pool.
 
         Returns:
-            Logarithm of the relative speed of each machine that is known.
+            Natural logarithm of the relative speed of each machine that has an
+            estimate.
         """
-        known = ((each, self._speeds.get(each)) for each in machines)
+        speeds = ((each, self._speeds.get(each)) for each in machines)
         return {
-            machine: round(speed.log, _KEPT_DIGITS)
-            for machine, speed in known
+            machine: round(speed.log, _SNAPSHOT_DIGITS)
+            for machine, speed in speeds
             if speed is not None
         }
 
     def restore(
-        self, kept: Mapping[worker_directory.MachineId, float], now_ms: int
+        self, snapshot: Mapping[worker_directory.MachineId, float], now_ms: int
     ) -> None:
-        """Begins with what an earlier owner has learned.
+        """Restores the estimates of an earlier owner.
 
         Args:
-            kept: What `kept` returned there.
-            now_ms: Steady time in milliseconds.
+            snapshot: Return value of `snapshot` at the earlier owner.
+            now_ms: Monotonic time in milliseconds.
         """
-        for machine, log in kept.items():
-            speed = self._speeds.setdefault(machine, _Speed())
+        for machine, log in snapshot.items():
+            speed = self._speeds.setdefault(machine, _SpeedEstimate())
             speed.log = log
             speed.observations = _RESTORED_OBSERVATIONS
-            speed.learned_ms = now_ms
-        self._usual = None
+            speed.observed_ms = now_ms
+        self._baseline_log = None
 
     def slowdown(
         self, machine: worker_directory.MachineId, now_ms: int
     ) -> float:
-        """Returns how much longer a machine takes than a quick one.
+        """Returns the factor by which a machine is slower than a fast one.
 
-        A machine on which nothing is known counts as quick. One that was very
-        slow is tried again after a while.
+        A machine without an estimate counts as fast. A severe slowdown may be
+        transient, so it is ignored `SEVERE_SLOWDOWN_TTL_MS` after the last
+        observation and the machine is tried again.
 
         Args:
             machine: The machine.
-            now_ms: Steady time in milliseconds.
+            now_ms: Monotonic time in milliseconds.
 
         Returns:
-            A factor, 1 for a quick machine.
+            The factor, at least 1.
         """
         speed = self._speeds.get(machine)
         if speed is None:
             return 1.0
-        factor = math.exp(self._quick_log() - speed.log)
-        stale = now_ms - speed.learned_ms > SLUMP_MEMORY_MS
-        if factor >= SLUMP_FACTOR and stale:
+        factor = math.exp(self._fast_log() - speed.log)
+        stale = now_ms - speed.observed_ms > SEVERE_SLOWDOWN_TTL_MS
+        if factor >= SEVERE_SLOWDOWN_FACTOR and stale:
             return 1.0
         return max(factor, 1.0)
 
-    def _quick_log(self) -> float:
-        """Returns the logarithm that three quarters of the pool stay below."""
-        if self._usual is None:
+    def _fast_log(self) -> float:
+        """Returns the log speed of a fast machine (the upper quartile)."""
+        if self._baseline_log is None:
             logs = [speed.log for speed in self._speeds.values()]
-            self._usual = 0.0
-            if len(logs) >= LEAST_KNOWN:
-                self._usual = statistics.quantiles(logs, n=4)[2]
-        return self._usual
+            self._baseline_log = 0.0
+            if len(logs) >= MIN_BASELINE_MACHINES:
+                self._baseline_log = statistics.quantiles(logs, n=4)[2]
+        return self._baseline_log
