--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -19,13 +19,13 @@
 from citronmount.agent import request_desk
 from citronmount.agent import settings as settings_lib
 from citronmount.agent import stream_reader
+from citronmount.clients import messages
 from citronmount.config import configuration
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import job_view
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
--- a/citronmount/agent/attempts.py
+++ b/citronmount/agent/attempts.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from citronmount.agent import context
+from citronmount.clients import messages
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.leases import gang as gang_lib
-from citronmount.services import messages
 
 __all__ = ["Attempt", "AttemptHandlers", "AttemptResult"]
 
--- a/citronmount/agent/configuration.py
+++ b/citronmount/agent/configuration.py
@@ -6,6 +6,7 @@
 
 from citronmount.agent import context
 from citronmount.agent import outbox as outbox_lib
+from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
 from citronmount.config import fold as fold_lib
 from citronmount.core import codes
@@ -15,7 +16,6 @@
 from citronmount.membership import rendezvous
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
--- a/citronmount/agent/context.py
+++ b/citronmount/agent/context.py
@@ -8,9 +8,9 @@
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.agent import settings as settings_lib
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 from citronmount.telemetry import hlc
--- a/citronmount/agent/domain_core.py
+++ b/citronmount/agent/domain_core.py
@@ -8,11 +8,11 @@
 from citronmount.agent import job_table
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import token_check
+from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import ids
 from citronmount.core import scheduler as scheduler_lib
 from citronmount.core import states
-from citronmount.services import messages
 from citronmount.state import job_view
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
--- a/citronmount/agent/effects.py
+++ b/citronmount/agent/effects.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
+from citronmount.clients import messages as platform_messages
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages as platform_messages
 from citronmount.telemetry import events as timeline_events
 
 __all__ = [
--- a/citronmount/agent/events.py
+++ b/citronmount/agent/events.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from citronmount.clients import messages as platform_messages
 from citronmount.core import ids
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages as platform_messages
 
 __all__ = [
     "CallArrived",
--- a/citronmount/agent/job_rebuilding.py
+++ b/citronmount/agent/job_rebuilding.py
@@ -6,10 +6,10 @@
 from citronmount.agent import job_runs
 from citronmount.agent import job_table
 from citronmount.agent import worker_reports
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import messages
 
 __all__ = ["JobRebuilding"]
 
--- a/citronmount/agent/job_runs.py
+++ b/citronmount/agent/job_runs.py
@@ -6,13 +6,13 @@
 from citronmount.agent import job_ends
 from citronmount.agent import job_table
 from citronmount.agent import outbox as outbox_lib
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.leases import gang as gang_lib
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
--- a/citronmount/agent/keeping.py
+++ b/citronmount/agent/keeping.py
@@ -6,10 +6,10 @@
 import msgspec
 
 from citronmount.agent import context
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 
 __all__ = ["Keeping"]
 
--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -8,13 +8,13 @@
 from citronmount.agent import job_runs
 from citronmount.agent import job_table
 from citronmount.agent import worker_reports
+from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import states
 from citronmount.leases import gang as gang_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 
 __all__ = ["OwnedDomain"]
 
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -11,10 +11,10 @@
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import owned_domain
 from citronmount.agent import stream_reader
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import job_view
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
--- a/citronmount/agent/request_desk.py
+++ b/citronmount/agent/request_desk.py
@@ -12,6 +12,7 @@
 from citronmount.agent import events
 from citronmount.agent import homes
 from citronmount.agent import request_forwarding
+from citronmount.clients import messages
 from citronmount.config import configuration
 from citronmount.core import codes
 from citronmount.core import ids
@@ -21,7 +22,6 @@
 from citronmount.membership import rendezvous
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
--- a/citronmount/agent/stream_reader.py
+++ b/citronmount/agent/stream_reader.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from citronmount.agent import context
-from citronmount.services import messages
+from citronmount.clients import messages
 from citronmount.state import job_view
 from citronmount.state import records
 
--- a/citronmount/agent/token_check.py
+++ b/citronmount/agent/token_check.py
@@ -4,8 +4,8 @@
 import itertools
 
 from citronmount.agent import context
+from citronmount.clients import messages
 from citronmount.core import ids
-from citronmount.services import messages
 
 __all__ = ["TokenCheck"]
 
--- a/citronmount/agent/worker_reports.py
+++ b/citronmount/agent/worker_reports.py
@@ -3,10 +3,10 @@
 from citronmount.agent import domain_core
 from citronmount.agent import job_runs
 from citronmount.agent import job_table
+from citronmount.clients import messages
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.services import messages
 from citronmount.telemetry import events as timeline
 
 __all__ = ["WorkerReports"]
--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -15,6 +15,7 @@
 from citronmount.bench import capacity_page
 from citronmount.bench import capacity_plan
 from citronmount.bench import harness_traffic
+from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
 from citronmount.config import fold as fold_lib
 from citronmount.core import ids
@@ -22,7 +23,6 @@
 from citronmount.core import scheduler
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events
 
--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -14,12 +14,12 @@
 from citronmount.agent import settings as agent_settings
 from citronmount.bench import harness as harness_lib
 from citronmount.bench import harness_site
+from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 
 __all__ = [
     "EventCost",
--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -9,15 +9,15 @@
 from citronmount.bench import harness_site
 from citronmount.bench import loopback_cluster
 from citronmount.bench import loopback_steps as steps
+from citronmount.clients import clients
+from citronmount.clients import exchange
+from citronmount.clients import messages
 from citronmount.config import pool_file
 from citronmount.config import sheet
 from citronmount.core import ids
 from citronmount.peers import keys
 from citronmount.peers import messages as peer_messages
 from citronmount.peers import transport
-from citronmount.services import clients
-from citronmount.services import exchange
-from citronmount.services import messages
 from citronmount.testing import loop
 
 __all__ = [
--- a/citronmount/bench/faults/agents.py
+++ b/citronmount/bench/faults/agents.py
@@ -2,7 +2,7 @@
 
 from citronmount.agent import agent as agent_lib
 from citronmount.agent import settings
-from citronmount.services import messages
+from citronmount.clients import messages
 
 __all__ = ["make_agent"]
 
--- a/citronmount/bench/faults/evidence.py
+++ b/citronmount/bench/faults/evidence.py
@@ -10,12 +10,12 @@
 from citronmount.bench import harness as harness_lib
 from citronmount.bench import harness_process as process_lib
 from citronmount.bench.faults import callers as callers_lib
+from citronmount.clients import messages
 from citronmount.config import configuration
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline_events
 
--- a/citronmount/bench/faults/sabotage.py
+++ b/citronmount/bench/faults/sabotage.py
@@ -22,11 +22,11 @@
 from citronmount.bench.faults import agents
 from citronmount.bench.faults import cell as cell_lib
 from citronmount.bench.faults import matrix
+from citronmount.clients import messages
 from citronmount.config import configuration
 from citronmount.core import decisions
 from citronmount.core import scheduler
 from citronmount.core import states
-from citronmount.services import messages
 from citronmount.standins import worker as worker_lib
 from citronmount.state import records
 
--- a/citronmount/bench/faults/steps.py
+++ b/citronmount/bench/faults/steps.py
@@ -5,9 +5,9 @@
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.bench.faults import registry
+from citronmount.clients import messages
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline_events
 
--- a/citronmount/bench/harness.py
+++ b/citronmount/bench/harness.py
@@ -17,10 +17,10 @@
 from citronmount.bench import harness_process as process_lib
 from citronmount.bench import harness_services as services_lib
 from citronmount.bench import harness_site
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline_events
 
--- a/citronmount/bench/harness_process.py
+++ b/citronmount/bench/harness_process.py
@@ -8,8 +8,8 @@
 
 from citronmount.agent import effects
 from citronmount.agent import events
+from citronmount.clients import messages
 from citronmount.core import ids
-from citronmount.services import messages
 
 __all__ = ["AgentLike", "HTTP_HEADER_BYTES", "Process", "Traffic"]
 
--- a/citronmount/bench/harness_services.py
+++ b/citronmount/bench/harness_services.py
@@ -5,9 +5,9 @@
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.bench import harness_clock
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.services import messages
 from citronmount.standins import log
 from citronmount.standins import platform
 from citronmount.standins import runner
--- a/citronmount/bench/harness_site.py
+++ b/citronmount/bench/harness_site.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.config import configuration
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import messages
 
 __all__ = ["Site", "make_site"]
 
--- a/citronmount/bench/harness_traffic.py
+++ b/citronmount/bench/harness_traffic.py
@@ -7,7 +7,7 @@
 from citronmount.bench import harness as harness_lib
 from citronmount.bench import harness_process
 from citronmount.bench import harness_site
-from citronmount.services import messages
+from citronmount.clients import messages
 
 __all__ = ["TrafficRow", "measure_traffic", "slope"]
 
--- a/citronmount/bench/loopback.py
+++ b/citronmount/bench/loopback.py
@@ -20,10 +20,10 @@
 from citronmount.bench import loopback_cluster
 from citronmount.bench import loopback_load
 from citronmount.bench import loopback_steps as steps
+from citronmount.clients import messages
 from citronmount.config import pool_file
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.services import messages
 from citronmount.telemetry import events
 from citronmount.telemetry import metrics as metrics_lib
 
--- a/citronmount/bench/loopback_cluster.py
+++ b/citronmount/bench/loopback_cluster.py
@@ -20,10 +20,10 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.config import pool_file
 from citronmount.core import ids
 from citronmount.peers import keys as keys_lib
-from citronmount.services import messages
 
 __all__ = ["Answer", "Cluster", "Vm", "call", "open_cluster"]
 
--- a/citronmount/bench/loopback_load.py
+++ b/citronmount/bench/loopback_load.py
@@ -15,10 +15,10 @@
 from twisted.web import client as web_client
 
 from citronmount.bench import loopback_cluster
+from citronmount.clients import counted
+from citronmount.clients import exchange
 from citronmount.core import codes
 from citronmount.core import states
-from citronmount.services import counted
-from citronmount.services import exchange
 from citronmount.telemetry import metrics as metrics_lib
 
 __all__ = ["Load", "Tally"]
--- a/citronmount/bench/pool_usage.py
+++ b/citronmount/bench/pool_usage.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import messages
 
 __all__ = ["Fragmentation", "PoolUsage", "Shape", "shape_of", "tasks_that_fit"]
 
--- a/citronmount/bench/request_replay.py
+++ b/citronmount/bench/request_replay.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from citronmount.bench import request_workload
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import request_decisions
 from citronmount.core import request_router
-from citronmount.services import messages
 
 __all__ = ["Answered", "RouterReplay", "random_runner", "single_queue"]
 
--- a/citronmount/bench/request_workload.py
+++ b/citronmount/bench/request_workload.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from citronmount.bench import workload
+from citronmount.clients import messages
 from citronmount.core import ids
-from citronmount.services import messages
 
 __all__ = ["RequestSite", "TracedRequest", "perchero_site", "requests"]
 
--- a/citronmount/bench/tests/test_harness.py
+++ b/citronmount/bench/tests/test_harness.py
@@ -6,11 +6,11 @@
 from citronmount.bench import harness_network
 from citronmount.bench import harness_site
 from citronmount.bench import harness_traffic
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 
 _VM = ids.VmId("fd-a.vm0")
 _OTHER = ids.VmId("fd-b.vm0")
--- a/citronmount/bench/tests/test_loopback_cluster.py
+++ b/citronmount/bench/tests/test_loopback_cluster.py
@@ -5,10 +5,10 @@
 
 from citronmount.bench import loopback_cluster
 from citronmount.bench import loopback_steps as steps
+from citronmount.clients import messages
 from citronmount.config import pool_file
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.services import messages
 
 _DOMAIN = ids.FailureDomainId("kr-a")
 _SHEET = b"""\
--- a/citronmount/services/clients.py
+++ b/citronmount/clients/clients.py
@@ -2,12 +2,12 @@
 
 from twisted.internet import defer
 
+from citronmount.clients import exchange
+from citronmount.clients import messages
+from citronmount.clients import wire
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.services import exchange
-from citronmount.services import messages
-from citronmount.services import wire
 
 __all__ = ["append_log", "call_runner", "call_worker", "list_all", "read_log"]
 
--- a/citronmount/services/exchange.py
+++ b/citronmount/clients/exchange.py
@@ -17,10 +17,10 @@
 from twisted.web import iweb
 from zope.interface import implementer
 
+from citronmount.clients import counted
+from citronmount.clients import wire
 from citronmount.core import codes
 from citronmount.core import errors
-from citronmount.services import counted
-from citronmount.services import wire
 
 __all__ = ["NOT_SENT", "Answer", "Exchange", "NoAnswerError", "make_agent"]
 
--- a/citronmount/services/tests/test_clients.py
+++ b/citronmount/clients/tests/test_clients.py
@@ -10,14 +10,14 @@
 from twisted.internet import reactor
 from twisted.web import client
 
+from citronmount.clients import clients
+from citronmount.clients import counted
+from citronmount.clients import exchange
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import clients
-from citronmount.services import counted
-from citronmount.services import exchange
-from citronmount.services import messages
 from citronmount.standins import http
 from citronmount.standins import http_faults
 from citronmount.testing import loop
--- a/citronmount/config/fold.py
+++ b/citronmount/config/fold.py
@@ -3,9 +3,9 @@
 import collections
 import enum
 
+from citronmount.clients import messages
 from citronmount.config import configuration
 from citronmount.core import ids
-from citronmount.services import messages
 from citronmount.state import records
 
 __all__ = ["ChangeOutcome", "ConfigurationFold"]
--- a/citronmount/config/pool_file.py
+++ b/citronmount/config/pool_file.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import errors
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.services import messages
 
 __all__ = ["Pool", "load"]
 
--- a/citronmount/config/tests/test_fold.py
+++ b/citronmount/config/tests/test_fold.py
@@ -1,10 +1,10 @@
 import unittest
 
+from citronmount.clients import messages
 from citronmount.config import configuration
 from citronmount.config import fold as fold_lib
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.services import messages
 from citronmount.state import records
 
 
--- a/citronmount/core/guarantee_feasibility.py
+++ b/citronmount/core/guarantee_feasibility.py
@@ -2,12 +2,12 @@
 
 import collections
 
+from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import cells
 from citronmount.core import ids
 from citronmount.core import shapes
 from citronmount.core import shares
-from citronmount.services import messages
 
 __all__ = ["cell_copies", "infeasible_guarantees"]
 
--- a/citronmount/core/pool.py
+++ b/citronmount/core/pool.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterator
 import itertools
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import resources
 from citronmount.core import states
-from citronmount.services import messages
 
 __all__ = ["CapacityIndex", "Pool"]
 
--- a/citronmount/core/request_router.py
+++ b/citronmount/core/request_router.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -20,7 +21,6 @@
 from citronmount.core import request_queue
 from citronmount.core import request_slots
 from citronmount.core import states
-from citronmount.services import messages
 
 __all__ = ["RequestRouter"]
 
--- a/citronmount/core/request_slots.py
+++ b/citronmount/core/request_slots.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.services import messages
 
 __all__ = ["RunnerSlots", "split_evenly"]
 
--- a/citronmount/core/scheduler.py
+++ b/citronmount/core/scheduler.py
@@ -3,6 +3,7 @@
 import heapq
 import itertools
 
+from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import admission
 from citronmount.core import attempt_outcomes
@@ -18,7 +19,6 @@
 from citronmount.core import shapes
 from citronmount.core import start_prediction
 from citronmount.core import states
-from citronmount.services import messages
 
 __all__ = ["DomainScheduler"]
 
--- a/citronmount/core/tests/fixtures.py
+++ b/citronmount/core/tests/fixtures.py
@@ -1,10 +1,10 @@
 """Builders of small pools, configurations and jobs for tests."""
 
+from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import messages
 
 FAILURE_DOMAIN = ids.FailureDomainId("kr-a")
 
--- a/citronmount/core/tests/test_request_router.py
+++ b/citronmount/core/tests/test_request_router.py
@@ -7,6 +7,7 @@
 import hypothesis
 from hypothesis import strategies
 
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -14,7 +15,6 @@
 from citronmount.core import request_router
 from citronmount.core import request_slots
 from citronmount.core import states
-from citronmount.services import messages
 
 _Outcome = messages.RunnerOutcome
 
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -19,6 +19,7 @@
 from twisted.web import resource
 from twisted.web import server
 
+from citronmount.clients import exchange
 from citronmount.fleet import lease_sessions
 from citronmount.fleet_service import front as front_lib
 from citronmount.fleet_service import node as node_lib
@@ -28,7 +29,6 @@
 from citronmount.fleet_service import vm_settings
 from citronmount.service import closing
 from citronmount.service import site
-from citronmount.services import exchange
 from citronmount.telemetry import bounded_sink
 from citronmount.telemetry import event_metrics
 from citronmount.telemetry import logs
--- a/citronmount/membership/tests/test_view.py
+++ b/citronmount/membership/tests/test_view.py
@@ -1,9 +1,9 @@
 import unittest
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 
 HERE = ids.FailureDomainId("fd-a")
 THERE = ids.FailureDomainId("fd-b")
--- a/citronmount/membership/view.py
+++ b/citronmount/membership/view.py
@@ -2,11 +2,11 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import states
 from citronmount.membership import rendezvous
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 
 __all__ = ["MembershipView", "Peer"]
 
--- a/citronmount/peers/messages.py
+++ b/citronmount/peers/messages.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
+from citronmount.clients import messages as platform_messages
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.services import messages as platform_messages
 from citronmount.state import records
 from citronmount.telemetry import events
 
--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -5,6 +5,7 @@
 
 import click
 
+from citronmount.clients import exchange
 from citronmount.fleet_service import front as front_lib
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import vm_process
@@ -14,7 +15,6 @@
 from citronmount.platform import log as log_lib
 from citronmount.platform import runners
 from citronmount.platform import settings as settings_lib
-from citronmount.services import exchange
 
 __all__ = ["UsersPlatform", "check", "main", "run"]
 
--- a/citronmount/platform/log.py
+++ b/citronmount/platform/log.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
+from citronmount.clients import exchange
 from citronmount.core import codes
 from citronmount.fleet_service import ports
 from citronmount.platform import framing
-from citronmount.services import exchange
 
 __all__ = ["JOBS_TOPIC", "TOPICS", "StoreLog"]
 
--- a/citronmount/platform/runners.py
+++ b/citronmount/platform/runners.py
@@ -6,9 +6,9 @@
 import msgspec
 from twisted.internet import defer
 
+from citronmount.clients import exchange
 from citronmount.core import ids
 from citronmount.fleet import commands
-from citronmount.services import exchange
 from citronmount.workflow import units
 
 __all__ = ["RunnerOrders"]
--- a/citronmount/platform/tests/log_burst.py
+++ b/citronmount/platform/tests/log_burst.py
@@ -16,9 +16,9 @@
 from twisted.internet import defer
 from twisted.internet import reactor
 
+from citronmount.clients import exchange
 from citronmount.platform.tests import loopback_site as site
 from citronmount.platform.tests import soak as soak_lib
-from citronmount.services import exchange
 
 USUAL_PER_S = 10
 BURST_FACTOR = 10
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -23,11 +23,11 @@
 from twisted.internet import task
 from twisted.web import server
 
+from citronmount.clients import exchange
 from citronmount.core import ids
 from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
 from citronmount.platform.tests import loopback_site as site
-from citronmount.services import exchange
 from citronmount.standins import pool_log
 from citronmount.standins import pool_workers
 from citronmount.workflow import spec
--- a/citronmount/service/runtime.py
+++ b/citronmount/service/runtime.py
@@ -15,15 +15,15 @@
 
 from citronmount.agent import effects
 from citronmount.agent import events
+from citronmount.clients import clients
+from citronmount.clients import exchange
+from citronmount.clients import messages as platform_messages
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.peers import messages as peer_messages
 from citronmount.peers import transport as transport_lib
 from citronmount.service import brain as brain_lib
-from citronmount.services import clients
-from citronmount.services import exchange
-from citronmount.services import messages as platform_messages
 from citronmount.telemetry import events as timeline_events
 from citronmount.telemetry import metrics as metrics_lib
 
--- a/citronmount/service/tests/test_runtime.py
+++ b/citronmount/service/tests/test_runtime.py
@@ -8,15 +8,15 @@
 
 from citronmount.agent import effects
 from citronmount.agent import events
+from citronmount.clients import exchange
+from citronmount.clients import messages
+from citronmount.clients import wire
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.peers import messages as peer_messages
 from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
-from citronmount.services import exchange
-from citronmount.services import messages
-from citronmount.services import wire
 from citronmount.telemetry import metrics as metrics_lib
 
 _CALL = ids.CallId("c1")
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -7,6 +7,8 @@
 
 from citronmount.agent import agent as agent_lib
 from citronmount.agent import settings as agent_settings
+from citronmount.clients import counted
+from citronmount.clients import exchange
 from citronmount.core import ids
 from citronmount.peers import keys
 from citronmount.peers import transport
@@ -16,8 +18,6 @@
 from citronmount.service import rate_limit
 from citronmount.service import runtime as runtime_lib
 from citronmount.service import settings as settings_lib
-from citronmount.services import counted
-from citronmount.services import exchange
 from citronmount.telemetry import events
 from citronmount.telemetry import logs
 from citronmount.telemetry import metrics as metrics_lib
--- a/citronmount/standins/http.py
+++ b/citronmount/standins/http.py
@@ -14,11 +14,11 @@
 from twisted.web import http
 from twisted.web import server
 
+from citronmount.clients import messages
+from citronmount.clients import wire
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import messages
-from citronmount.services import wire
 from citronmount.standins import http_faults
 from citronmount.standins import log
 from citronmount.standins import platform
--- a/citronmount/standins/log.py
+++ b/citronmount/standins/log.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.core import ids
-from citronmount.services import messages
 
 __all__ = ["LogModel"]
 
--- a/citronmount/standins/platform.py
+++ b/citronmount/standins/platform.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.services import messages
 
 __all__ = ["PlatformModel"]
 
--- a/citronmount/standins/runner.py
+++ b/citronmount/standins/runner.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 import json
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import messages
 from citronmount.telemetry import events
 
 __all__ = ["RunnerModel", "answer_payload", "service_ms"]
--- a/citronmount/standins/tests/test_models.py
+++ b/citronmount/standins/tests/test_models.py
@@ -1,9 +1,9 @@
 import unittest
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import messages
 from citronmount.standins import log
 from citronmount.standins import platform
 from citronmount.standins import runner
--- a/citronmount/standins/worker.py
+++ b/citronmount/standins/worker.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.services import messages
 from citronmount.telemetry import events
 
 __all__ = ["Behaviour", "WorkerModel", "behaviour"]
--- a/citronmount/state/job_view.py
+++ b/citronmount/state/job_view.py
@@ -2,10 +2,10 @@
 
 import collections
 
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.services import messages
 from citronmount.state import records
 
 __all__ = ["JobView"]
