--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -9,9 +9,9 @@
 from citronmount.bench import harness_site
 from citronmount.bench import loopback_cluster
 from citronmount.bench import loopback_steps as steps
-from citronmount.clients import clients
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.clients import messages
+from citronmount.clients import platform_api
 from citronmount.config import pool_file
 from citronmount.config import sheet
 from citronmount.core import ids
@@ -140,15 +140,15 @@
 
 
 async def _renew_often(address: str) -> ExchangeCost:
-    http = exchange.Exchange(reactor=reactor)
+    http = http_client.HttpClient(reactor=reactor)
     call = messages.WorkerCall(
         token=ids.FenceToken(1), acts=(messages.Renew(ttl_ms=10_000),)
     )
-    answer = await clients.call_worker(http, address, call, _TIMEOUT_MS)
+    answer = await platform_api.call_worker(http, address, call, _TIMEOUT_MS)
     known = msgspec.structs.replace(call, known_sequence=answer.report.sequence)
     before, begin_s = _bytes(http), time.process_time()
     for _ in range(CALLS):
-        await clients.call_worker(http, address, known, _TIMEOUT_MS)
+        await platform_api.call_worker(http, address, known, _TIMEOUT_MS)
     spent_s = time.process_time() - begin_s
     wire_bytes = (_bytes(http) - before) / CALLS
     await http.close()
@@ -158,7 +158,7 @@
     )
 
 
-def _bytes(http: exchange.Exchange) -> int:
+def _bytes(http: http_client.HttpClient) -> int:
     return http.traffic.sent_bytes + http.traffic.received_bytes
 
 
--- a/citronmount/bench/loopback_load.py
+++ b/citronmount/bench/loopback_load.py
@@ -15,8 +15,8 @@
 from twisted.web import client as web_client
 
 from citronmount.bench import loopback_cluster
-from citronmount.clients import counted
-from citronmount.clients import exchange
+from citronmount.clients import byte_counting
+from citronmount.clients import http_client
 from citronmount.core import codes
 from citronmount.core import states
 from citronmount.telemetry import metrics as metrics_lib
@@ -91,7 +91,9 @@
         self._numbers = itertools.count()
         self._stopped = False
         pool = web_client.HTTPConnectionPool(reactor)
-        agent = exchange.make_agent(reactor, pool, counted.Traffic())
+        agent = http_client.make_http_agent(
+            reactor, pool, byte_counting.Traffic()
+        )
         self._pool = pool
         self._http = treq_client.HTTPClient(agent)
 
@@ -236,7 +238,7 @@
         """Calls a VM; a connection that is lost half-way counts as cut."""
         try:
             _, found = await self._call(vm, method, path, body)
-        except exchange.NOT_SENT:
+        except http_client.NOT_SENT:
             return None
         except Exception:
             self.tally.cut[vm.name] = self.tally.cut.get(vm.name, 0) + 1
--- a/citronmount/clients/counted.py
+++ b/citronmount/clients/byte_counting.py
@@ -7,7 +7,7 @@
 from twisted.protocols import policies
 from zope.interface import implementer
 
-__all__ = ["CountedEndpoint", "Traffic"]
+__all__ = ["ByteCountingEndpoint", "Traffic"]
 
 
 class Traffic(msgspec.Struct, kw_only=True):
@@ -22,7 +22,7 @@
     received_bytes: int = 0
 
 
-class _CountedProtocol(policies.ProtocolWrapper):
+class _ByteCountingProtocol(policies.ProtocolWrapper):
     """Adds the bytes of one connection to the traffic of its factory."""
 
     def makeConnection(  # noqa: N802
@@ -48,10 +48,10 @@
         super().dataReceived(data)
 
 
-class _CountedFactory(policies.WrappingFactory):
+class _ByteCountingFactory(policies.WrappingFactory):
     """Wraps the protocols of one connection attempt."""
 
-    protocol = _CountedProtocol
+    protocol = _ByteCountingProtocol
     noisy = False
 
     def __init__(
@@ -62,7 +62,7 @@
 
 
 @implementer(interfaces.IStreamClientEndpoint)
-class CountedEndpoint:
+class ByteCountingEndpoint:
     """Connects like another endpoint and counts the bytes."""
 
     def __init__(
@@ -92,6 +92,6 @@
             Fires with the protocol that the factory made.
         """
         connected = self._endpoint.connect(
-            _CountedFactory(factory, self._traffic)
+            _ByteCountingFactory(factory, self._traffic)
         )
         return connected.addCallback(lambda wrapper: wrapper.wrappedProtocol)
--- a/citronmount/clients/exchange.py
+++ b/citronmount/clients/http_client.py
@@ -17,12 +17,18 @@
 from twisted.web import iweb
 from zope.interface import implementer
 
-from citronmount.clients import counted
-from citronmount.clients import wire
+from citronmount.clients import byte_counting
+from citronmount.clients import wire_format
 from citronmount.core import codes
 from citronmount.core import errors
 
-__all__ = ["NOT_SENT", "Answer", "Exchange", "NoAnswerError", "make_agent"]
+__all__ = [
+    "NOT_SENT",
+    "HttpClient",
+    "HttpResponse",
+    "NoAnswerError",
+    "make_http_agent",
+]
 
 CONNECT_TIMEOUT_MS = 500
 IDLE_CONNECTION_S = 30
@@ -65,7 +71,7 @@
     """Connects to IP numbers, with no resolver and so with no thread."""
 
     def __init__(
-        self, reactor: interfaces.IReactorTCP, traffic: counted.Traffic
+        self, reactor: interfaces.IReactorTCP, traffic: byte_counting.Traffic
     ) -> None:
         self._reactor = reactor
         self._traffic = traffic
@@ -82,13 +88,15 @@
         )
         timeout_s = CONNECT_TIMEOUT_MS / _MS_PER_S
         endpoint = make(self._reactor, host, uri.port, timeout=timeout_s)
-        return counted.CountedEndpoint(endpoint=endpoint, traffic=self._traffic)
+        return byte_counting.ByteCountingEndpoint(
+            endpoint=endpoint, traffic=self._traffic
+        )
 
 
-def make_agent(
+def make_http_agent(
     reactor: interfaces.IReactorTCP,
     pool: web_client.HTTPConnectionPool,
-    traffic: counted.Traffic,
+    traffic: byte_counting.Traffic,
 ) -> iweb.IAgent:
     """Returns an HTTP agent for services that are named by IP numbers.
 
@@ -133,7 +141,7 @@
         """Does nothing, as all is written at once."""
 
 
-class Answer(msgspec.Struct, frozen=True, kw_only=True):
+class HttpResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Any answer, whatever its status.
 
     Attributes:
@@ -145,14 +153,14 @@
     body: bytes
 
 
-class _Kept(msgspec.Struct, frozen=True, kw_only=True):
+class _CachedResponse(msgspec.Struct, frozen=True, kw_only=True):
     """An answer that may still be valid."""
 
     etag: str
     body: msgspec.Struct
 
 
-class Exchange:
+class HttpClient:
     """Sends requests over bounded pools of persistent connections.
 
     Attributes:
@@ -175,11 +183,11 @@
         self._pool = web_client.HTTPConnectionPool(reactor)
         self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS_PER_HOST
         self._pool.cachedConnectionTimeout = IDLE_CONNECTION_S
-        self.traffic = counted.Traffic()
-        pooled = make_agent(reactor, self._pool, self.traffic)
+        self.traffic = byte_counting.Traffic()
+        pooled = make_http_agent(reactor, self._pool, self.traffic)
         self._http = treq_client.HTTPClient(agent or pooled)
         self._urls: dict[tuple[str, str], hyperlink.EncodedURL] = {}
-        self._kept: dict[tuple[str, str], _Kept] = {}
+        self._kept: dict[tuple[str, str], _CachedResponse] = {}
 
     def get(
         self,
@@ -232,7 +240,7 @@
         Returns:
             Fires with the answer or fails with `NoAnswerError`.
         """
-        data = _BytesProducer(wire.encode(body))
+        data = _BytesProducer(wire_format.encode(body))
         request = self._request("POST", address, path, kind, data=data)
         return self._bounded(request, timeout_ms)
 
@@ -246,7 +254,7 @@
         query: str = "",
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
-    ) -> defer.Deferred[Answer]:
+    ) -> defer.Deferred[HttpResponse]:
         """Makes a call whose status and body the caller reads itself.
 
         Args:
@@ -274,7 +282,7 @@
         url: hyperlink.EncodedURL,
         headers: dict[str, str],
         data: _BytesProducer | None,
-    ) -> Answer:
+    ) -> HttpResponse:
         response = await self._http.request(
             method,
             url,
@@ -283,7 +291,7 @@
             allow_redirects=False,
             unbuffered=True,
         )
-        return Answer(status=response.code, body=await _content(response))
+        return HttpResponse(status=response.code, body=await _content(response))
 
     def close(self) -> defer.Deferred[None]:
         """Closes every idle connection.
@@ -326,7 +334,9 @@
         etags = response.headers.getRawHeaders("ETag", [])
         self._kept.pop((address, path), None)
         if etags:
-            self._kept[address, path] = _Kept(etag=etags[0], body=body)
+            self._kept[address, path] = _CachedResponse(
+                etag=etags[0], body=body
+            )
         return body
 
     def _respond(
@@ -340,7 +350,10 @@
         return self._http.request(
             method,
             self._url(address, path),
-            headers={"Content-Type": wire.CONTENT_TYPE, **(headers or {})},
+            headers={
+                "Content-Type": wire_format.CONTENT_TYPE,
+                **(headers or {}),
+            },
             allow_redirects=False,
             unbuffered=True,
             **options,
@@ -366,7 +379,7 @@
             code=codes.ResultCode.UNREACHABLE,
             sent=True,
         )
-    return wire.decode(data, kind)
+    return wire_format.decode(data, kind)
 
 
 async def _content(response: iweb.IResponse) -> bytes:
--- a/citronmount/clients/clients.py
+++ b/citronmount/clients/platform_api.py
@@ -2,23 +2,29 @@
 
 from twisted.internet import defer
 
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.clients import messages
-from citronmount.clients import wire
+from citronmount.clients import wire_format
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 
-__all__ = ["append_log", "call_runner", "call_worker", "list_all", "read_log"]
+__all__ = [
+    "append_log",
+    "call_runner",
+    "call_worker",
+    "list_platform",
+    "read_log",
+]
 
 
 def append_log(
-    http: exchange.Exchange,
+    http: http_client.HttpClient,
     address: str,
     stream: ids.StreamName,
     records: tuple[tuple[ids.RecordId, bytes], ...],
     timeout_ms: int,
-) -> defer.Deferred[wire.AppendAnswer]:
+) -> defer.Deferred[wire_format.AppendAnswer]:
     """Appends records to a stream of the log service.
 
     Args:
@@ -34,15 +40,15 @@
     """
     return http.post(
         address,
-        wire.records_path(stream),
-        wire.AppendRequest(records=records),
-        wire.AppendAnswer,
+        wire_format.records_path(stream),
+        wire_format.AppendRequest(records=records),
+        wire_format.AppendAnswer,
         timeout_ms,
     )
 
 
 def read_log(
-    http: exchange.Exchange,
+    http: http_client.HttpClient,
     address: str,
     stream: ids.StreamName,
     start: ids.Offset,
@@ -64,15 +70,15 @@
     """
     return http.get(
         address,
-        wire.records_path(stream),
+        wire_format.records_path(stream),
         messages.LogPage,
         timeout_ms,
         params={"start": str(start), "limit": str(limit)},
     )
 
 
-def list_all(
-    http: exchange.Exchange, address: str, timeout_ms: int
+def list_platform(
+    http: http_client.HttpClient, address: str, timeout_ms: int
 ) -> defer.Deferred[messages.PlatformView]:
     """Reads the platform's list of VMs and targets.
 
@@ -86,7 +92,7 @@
     """
     return http.get(
         address,
-        wire.PLATFORM_PATH,
+        wire_format.PLATFORM_PATH,
         messages.PlatformView,
         timeout_ms,
         revalidate=True,
@@ -94,7 +100,7 @@
 
 
 def call_worker(
-    http: exchange.Exchange,
+    http: http_client.HttpClient,
     address: str,
     body: messages.WorkerCall,
     timeout_ms: int,
@@ -111,12 +117,12 @@
         Fires with the answer. After a failure the acts may have taken effect.
     """
     return http.post(
-        address, wire.ACTS_PATH, body, messages.WorkerAnswer, timeout_ms
+        address, wire_format.ACTS_PATH, body, messages.WorkerAnswer, timeout_ms
     )
 
 
 def call_runner(
-    http: exchange.Exchange,
+    http: http_client.HttpClient,
     address: str,
     spec: jobs.RequestSpec,
     timeout_ms: int,
@@ -134,7 +140,11 @@
         runner may have got the request.
     """
     answer = http.post(
-        address, wire.REQUESTS_PATH, spec, messages.RunnerAnswer, timeout_ms
+        address,
+        wire_format.REQUESTS_PATH,
+        spec,
+        messages.RunnerAnswer,
+        timeout_ms,
     )
     return answer.addCallback(_check_request, spec.request)
 
@@ -144,7 +154,7 @@
 ) -> messages.RunnerAnswer:
     """Refuses an answer that belongs to another request."""
     if answer.request != request:
-        raise exchange.NoAnswerError(
+        raise http_client.NoAnswerError(
             "the answer names another request",
             code=codes.ResultCode.UNREACHABLE,
             sent=True,
--- a/citronmount/clients/tests/test_clients.py
+++ b/citronmount/clients/tests/test_platform_api.py
@@ -10,10 +10,10 @@
 from twisted.internet import reactor
 from twisted.web import client
 
-from citronmount.clients import clients
-from citronmount.clients import counted
-from citronmount.clients import exchange
+from citronmount.clients import byte_counting
+from citronmount.clients import http_client
 from citronmount.clients import messages
+from citronmount.clients import platform_api
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -61,7 +61,7 @@
     )
 
 
-class ClientsTest(unittest.TestCase):
+class PlatformApiTest(unittest.TestCase):
     """Every client against its stand-in, over sockets of loopback."""
 
     def setUp(self) -> None:
@@ -74,7 +74,7 @@
         self.events = []
         stack = http.serve_all(self.settings, reactor, self.events)
         self.addCleanup(_close, stack)
-        self.http = exchange.Exchange(reactor=reactor)
+        self.http = http_client.HttpClient(reactor=reactor)
         self.addCleanup(lambda: loop.run(_wait(self.http.close())))
 
     def test_log_keeps_bytes_and_order(self) -> None:
@@ -93,7 +93,7 @@
             self.settings.log_address, http_faults.Faults(lost_answers=1)
         )
         records = ((ids.RecordId("r1"), b"x"),)
-        with self.assertRaises(exchange.NoAnswerError) as caught:
+        with self.assertRaises(http_client.NoAnswerError) as caught:
             loop.run(_wait(self._append(records)))
         self.assertTrue(caught.exception.sent)
         self.assertEqual(1, loop.run(_wait(self._read())).end)
@@ -102,7 +102,7 @@
         self._put_faults(
             self.settings.log_address, http_faults.Faults(down=True)
         )
-        with self.assertRaises(exchange.NoAnswerError) as caught:
+        with self.assertRaises(http_client.NoAnswerError) as caught:
             loop.run(_wait(self._read()))
         self.assertIs(codes.ResultCode.UNREACHABLE, caught.exception.code)
 
@@ -110,7 +110,7 @@
         self._put_faults(
             self.settings.log_address, http_faults.Faults(delay_ms=500)
         )
-        with self.assertRaises(exchange.NoAnswerError) as caught:
+        with self.assertRaises(http_client.NoAnswerError) as caught:
             loop.run(_wait(self._read(timeout_ms=50)))
         self.assertIs(codes.ResultCode.TIMED_OUT, caught.exception.code)
         self.assertTrue(caught.exception.sent)
@@ -121,7 +121,7 @@
         )
         view = loop.run(
             _wait(
-                clients.list_all(
+                platform_api.list_platform(
                     self.http, self.settings.vm_list_address, _TIMEOUT_MS
                 )
             )
@@ -134,13 +134,17 @@
     def test_unchanged_list_costs_little(self) -> None:
         address = self.settings.vm_list_address
         first, second = (
-            loop.run(_wait(clients.list_all(self.http, address, _TIMEOUT_MS)))
+            loop.run(
+                _wait(
+                    platform_api.list_platform(self.http, address, _TIMEOUT_MS)
+                )
+            )
             for _ in range(2)
         )
         self.assertIs(first, second)
         self._put(address, "/targets/w1/state", b"leaving")
         third = loop.run(
-            _wait(clients.list_all(self.http, address, _TIMEOUT_MS))
+            _wait(platform_api.list_platform(self.http, address, _TIMEOUT_MS))
         )
         self.assertIs(states.TargetState.LEAVING, third.workers[0].state)
 
@@ -177,16 +181,16 @@
     def test_lost_runner_answer_was_sent(self) -> None:
         address = self.settings.runners[0].address
         self._put_faults(address, http_faults.Faults(lost_answers=1))
-        with self.assertRaises(exchange.NoAnswerError) as caught:
+        with self.assertRaises(http_client.NoAnswerError) as caught:
             loop.run(_wait(self._run(_request("q1"))))
         self.assertTrue(caught.exception.sent)
         self.assertEqual(2, len(self.events))
 
     def test_refused_connection_was_not_sent(self) -> None:
-        answer = clients.call_runner(
+        answer = platform_api.call_runner(
             self.http, _free_address(), _request("q1"), _TIMEOUT_MS
         )
-        with self.assertRaises(exchange.NoAnswerError) as caught:
+        with self.assertRaises(http_client.NoAnswerError) as caught:
             loop.run(_wait(answer))
         self.assertFalse(caught.exception.sent)
 
@@ -195,27 +199,27 @@
         answer = self.http.get(
             address, "/timeline", messages.PlatformView, _TIMEOUT_MS
         )
-        with self.assertRaises(exchange.NoAnswerError):
+        with self.assertRaises(http_client.NoAnswerError):
             loop.run(_wait(answer))
 
     def _append(self, records: tuple) -> defer.Deferred:
-        return clients.append_log(
+        return platform_api.append_log(
             self.http, self.settings.log_address, _STREAM, records, _TIMEOUT_MS
         )
 
     def _read(self, timeout_ms: int = _TIMEOUT_MS) -> defer.Deferred:
-        return clients.read_log(
+        return platform_api.read_log(
             self.http, self.settings.log_address, _STREAM, 0, 10, timeout_ms
         )
 
     def _act(self, token: int, *acts: messages.Act) -> defer.Deferred:
         call = messages.WorkerCall(token=ids.FenceToken(token), acts=acts)
-        return clients.call_worker(
+        return platform_api.call_worker(
             self.http, self.settings.workers[0].address, call, _TIMEOUT_MS
         )
 
     def _run(self, spec: jobs.RequestSpec) -> defer.Deferred:
-        return clients.call_runner(
+        return platform_api.call_runner(
             self.http, self.settings.runners[0].address, spec, _TIMEOUT_MS
         )
 
@@ -224,11 +228,11 @@
 
     def _put(self, address: str, path: str, body: bytes) -> None:
         pool = client.HTTPConnectionPool(reactor, persistent=False)
-        http_client = treq_client.HTTPClient(
-            exchange.make_agent(reactor, pool, counted.Traffic())
+        plain_client = treq_client.HTTPClient(
+            http_client.make_http_agent(reactor, pool, byte_counting.Traffic())
         )
         url = f"http://{address}{path}"
-        response = loop.run(_wait(http_client.put(url, body)))
+        response = loop.run(_wait(plain_client.put(url, body)))
         self.assertEqual(200, response.code)
 
 
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -19,7 +19,7 @@
 from twisted.web import resource
 from twisted.web import server
 
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.fleet import lease_sessions
 from citronmount.fleet_service import front as front_lib
 from citronmount.fleet_service import node as node_lib
@@ -76,7 +76,7 @@
     def log(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
         member: str,
     ) -> ports.Log:
         """Returns the site's log."""
@@ -84,7 +84,7 @@
     def worker_orders(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
     ) -> ports.WorkerOrders:
         """Returns the orders that the site's workers take."""
 
@@ -116,7 +116,7 @@
     Raises:
         ExceptionGroup: Parts could not be closed.
     """
-    http = exchange.Exchange(reactor=reactor)
+    http = http_client.HttpClient(reactor=reactor)
     member = f"{settings.vm}/{secrets.token_hex(PROCESS_NONCE_BYTES)}"
     log = adapter.log(settings, http, member)
     node = _node(reactor, adapter, settings, http, log)
@@ -167,7 +167,7 @@
     reactor: interfaces.IReactorCore,
     adapter: Adapter,
     settings: vm_settings.VmSettings,
-    http: exchange.Exchange,
+    http: http_client.HttpClient,
     log: ports.Log,
 ) -> node_lib.Node:
     lease_ms = min(LEASE_MS, settings.bounds.max_lease_ms - LEASE_MARGIN_MS)
--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -5,7 +5,7 @@
 
 import click
 
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.fleet_service import front as front_lib
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import vm_process
@@ -29,7 +29,7 @@
     def log(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
         member: str,
     ) -> ports.Log:
         """Returns the platform's store as the log."""
@@ -42,7 +42,7 @@
     def worker_orders(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
     ) -> ports.WorkerOrders:
         """Returns the orders that the platform's runners take."""
         return runners.RunnerOrders(
--- a/citronmount/platform/log.py
+++ b/citronmount/platform/log.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.core import codes
 from citronmount.fleet_service import ports
 from citronmount.platform import framing
@@ -91,7 +91,7 @@
     """Makes the calls of `ports.Log` at the platform's store."""
 
     def __init__(
-        self, *, connections: exchange.Exchange, address: str, member: str
+        self, *, connections: http_client.HttpClient, address: str, member: str
     ) -> None:
         """Initializes a client of one store.
 
@@ -198,7 +198,7 @@
 
     async def _append(
         self, query: dict[str, object], body: bytes, timeout_ms: int
-    ) -> exchange.Answer:
+    ) -> http_client.HttpResponse:
         place = _place(ports.Topic.JOBS)
         answer = await self._call(
             "POST", "/-/log-append", {**place, **query}, timeout_ms, body
@@ -214,7 +214,7 @@
         query: dict[str, object],
         timeout_ms: int,
         body: bytes | None = None,
-    ) -> exchange.Answer:
+    ) -> http_client.HttpResponse:
         try:
             return await self._connections.call(
                 method,
@@ -224,7 +224,7 @@
                 query=parse.urlencode(query),
                 body=body,
             )
-        except exchange.NoAnswerError as error:
+        except http_client.NoAnswerError as error:
             kind = ports.UnansweredError if error.sent else ports.NotDoneError
             raise kind(f"{path}: {error}", code=error.code) from error
 
@@ -241,7 +241,7 @@
     )
 
 
-def _checked(answer: exchange.Answer) -> exchange.Answer:
+def _checked(answer: http_client.HttpResponse) -> http_client.HttpResponse:
     if answer.status == http.HTTPStatus.OK:
         return answer
     nothing_done = answer.status in _NOTHING_DONE
@@ -251,9 +251,9 @@
     )
 
 
-def _decoded(answer: exchange.Answer, kind: type[_Body]) -> _Body:
+def _decoded(answer: http_client.HttpResponse, kind: type[_Body]) -> _Body:
     return msgspec.json.decode(_checked(answer).body, type=kind)
 
 
-def _conflicting_epoch(answer: exchange.Answer) -> int | None:
+def _conflicting_epoch(answer: http_client.HttpResponse) -> int | None:
     return msgspec.json.decode(answer.body, type=_Conflict).epoch
--- a/citronmount/platform/runners.py
+++ b/citronmount/platform/runners.py
@@ -6,7 +6,7 @@
 import msgspec
 from twisted.internet import defer
 
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.core import ids
 from citronmount.fleet import commands
 from citronmount.workflow import units
@@ -91,7 +91,7 @@
     """Makes the calls of `ports.WorkerOrders` at the platform's runners."""
 
     def __init__(
-        self, *, connections: exchange.Exchange, advice_address: str = ""
+        self, *, connections: http_client.HttpClient, advice_address: str = ""
     ) -> None:
         """Initializes a client.
 
@@ -117,7 +117,7 @@
         )
         try:
             answer = await self._call("/-/run-start", command, body, timeout_ms)
-        except exchange.NoAnswerError as error:
+        except http_client.NoAnswerError as error:
             if error.sent:
                 return commands.StartOutcome.UNKNOWN, None
             return commands.StartOutcome.UNREACHABLE, None
@@ -178,7 +178,7 @@
             if answer.status != http.HTTPStatus.OK:
                 return None
             said = msgspec.json.decode(answer.body, type=_Advice)
-        except (exchange.NoAnswerError, msgspec.DecodeError):
+        except (http_client.NoAnswerError, msgspec.DecodeError):
             return None
         return commands.AdviceAnswer(
             tickets={ids.WorkerId(name): text for name, text in said.granted},
@@ -191,10 +191,10 @@
         command: commands.Command,
         body: msgspec.Struct,
         timeout_ms: int,
-    ) -> exchange.Answer | None:
+    ) -> http_client.HttpResponse | None:
         try:
             return await self._call(path, command, body, timeout_ms)
-        except exchange.NoAnswerError:
+        except http_client.NoAnswerError:
             return None
 
     def _call(
@@ -203,7 +203,7 @@
         command: commands.Command,
         body: msgspec.Struct,
         timeout_ms: int,
-    ) -> defer.Deferred[exchange.Answer]:
+    ) -> defer.Deferred[http_client.HttpResponse]:
         return self._connections.call(
             "POST",
             command.worker.address,
@@ -217,7 +217,7 @@
         )
 
 
-def _decoded(answer: exchange.Answer) -> _Answer:
+def _decoded(answer: http_client.HttpResponse) -> _Answer:
     try:
         return msgspec.json.decode(answer.body, type=_Answer)
     except msgspec.DecodeError:
--- a/citronmount/platform/tests/log_burst.py
+++ b/citronmount/platform/tests/log_burst.py
@@ -16,7 +16,7 @@
 from twisted.internet import defer
 from twisted.internet import reactor
 
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.platform.tests import loopback_site as site
 from citronmount.platform.tests import soak as soak_lib
 
@@ -134,7 +134,7 @@
     async def scrape(self, address: str) -> str:
         try:
             answer = await self.http.call("GET", address, "/metrics", 3_000)
-        except exchange.NoAnswerError:
+        except http_client.NoAnswerError:
             return ""
         return answer.body.decode()
 
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -23,7 +23,7 @@
 from twisted.internet import task
 from twisted.web import server
 
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.core import ids
 from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
@@ -91,7 +91,7 @@
         self.folder = pathlib.Path(folder)
         self.log = pool_log.PoolLog(clock=reactor)
         self.pool = pool_workers.PoolWorkers(clock=reactor, plans=self.plan)
-        self.http = exchange.Exchange(reactor=reactor)
+        self.http = http_client.HttpClient(reactor=reactor)
         self.links: list[site.Link] = []
         self.fronts: list[str] = []
         self.processes: dict[int, subprocess.Popen] = {}
@@ -264,7 +264,7 @@
                 headers=KEY,
                 body=body,
             )
-        except exchange.NoAnswerError:
+        except http_client.NoAnswerError:
             return 0, b""
         return answer.status, answer.body
 
@@ -336,7 +336,7 @@
     async def up(self, address: str) -> bool:
         try:
             await self.http.call("GET", address, QUEUE, 1_000, headers=KEY)
-        except exchange.NoAnswerError:
+        except http_client.NoAnswerError:
             return False
         return True
 
--- a/citronmount/service/runtime.py
+++ b/citronmount/service/runtime.py
@@ -15,9 +15,9 @@
 
 from citronmount.agent import effects
 from citronmount.agent import events
-from citronmount.clients import clients
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.clients import messages as platform_messages
+from citronmount.clients import platform_api
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -75,7 +75,7 @@
         reactor: interfaces.IReactorTime,
         brain: brain_lib.Brain,
         peers: transport_lib.Transport,
-        http: exchange.Exchange,
+        http: http_client.HttpClient,
         addresses: Addresses,
         on_trace: Callable[[timeline_events.TimelineEvent], None],
         metrics: metrics_lib.Metrics,
@@ -251,7 +251,7 @@
 
     @_performs(effects.AppendLog)
     def _append_log(self, effect: effects.AppendLog) -> None:
-        answer = clients.append_log(
+        answer = platform_api.append_log(
             self._http,
             self._addresses.log,
             effect.stream,
@@ -268,7 +268,7 @@
 
     @_performs(effects.ReadLog)
     def _read_log(self, effect: effects.ReadLog) -> None:
-        answer = clients.read_log(
+        answer = platform_api.read_log(
             self._http,
             self._addresses.log,
             effect.stream,
@@ -286,7 +286,7 @@
 
     @_performs(effects.ListPlatform)
     def _list_platform(self, effect: effects.ListPlatform) -> None:
-        answer = clients.list_all(
+        answer = platform_api.list_platform(
             self._http, self._addresses.vm_list, effect.timeout_ms
         )
 
@@ -303,7 +303,7 @@
 
     @_performs(effects.CallWorker)
     def _call_worker(self, effect: effects.CallWorker) -> None:
-        answer = clients.call_worker(
+        answer = platform_api.call_worker(
             self._http, effect.address, effect.body, effect.timeout_ms
         )
         self._ask(
@@ -318,7 +318,7 @@
 
     @_performs(effects.CallRunner)
     def _call_runner(self, effect: effects.CallRunner) -> None:
-        answer = clients.call_runner(
+        answer = platform_api.call_runner(
             self._http, effect.address, effect.spec, effect.timeout_ms
         )
         self._ask(
@@ -353,5 +353,5 @@
 def _may_be_sent(result: typing.Any) -> bool:
     if isinstance(result, failure.Failure):
         error = result.value
-        return not isinstance(error, exchange.NoAnswerError) or error.sent
+        return not isinstance(error, http_client.NoAnswerError) or error.sent
     return True
--- a/citronmount/service/tests/test_runtime.py
+++ b/citronmount/service/tests/test_runtime.py
@@ -8,9 +8,9 @@
 
 from citronmount.agent import effects
 from citronmount.agent import events
-from citronmount.clients import exchange
+from citronmount.clients import http_client
 from citronmount.clients import messages
-from citronmount.clients import wire
+from citronmount.clients import wire_format
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -41,8 +41,8 @@
 )
 
 
-def _no_answer(sent: bool = True) -> exchange.NoAnswerError:
-    return exchange.NoAnswerError(
+def _no_answer(sent: bool = True) -> http_client.NoAnswerError:
+    return http_client.NoAnswerError(
         "lost", code=codes.ResultCode.UNREACHABLE, sent=sent
     )
 
@@ -102,7 +102,9 @@
         }
         self.runtime.feed(events.Started())
         self.http.open[0].callback(view)
-        self.http.open[1].callback(wire.AppendAnswer(offset=ids.Offset(9)))
+        self.http.open[1].callback(
+            wire_format.AppendAnswer(offset=ids.Offset(9))
+        )
         self.assertEqual(
             [
                 events.PlatformListed(call=_CALL, view=view),
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -7,8 +7,8 @@
 
 from citronmount.agent import agent as agent_lib
 from citronmount.agent import settings as agent_settings
-from citronmount.clients import counted
-from citronmount.clients import exchange
+from citronmount.clients import byte_counting
+from citronmount.clients import http_client
 from citronmount.core import ids
 from citronmount.peers import keys
 from citronmount.peers import transport
@@ -58,7 +58,7 @@
         """
         self.brain = brain
         self.metrics = metrics_lib.Metrics()
-        self.http = exchange.Exchange(reactor=reactor)
+        self.http = http_client.HttpClient(reactor=reactor)
         self.peers = transport.Transport(
             reactor=reactor,
             vm=settings.vm.vm_id,
@@ -120,7 +120,7 @@
         self.metrics.gauge("process.resident_bytes", process.resident_bytes)
         for name in transport.Counters.__struct_fields__:
             self.metrics.gauge(f"peers.{name}", self._peer_counter(name))
-        for name in counted.Traffic.__struct_fields__:
+        for name in byte_counting.Traffic.__struct_fields__:
             self.metrics.gauge(f"http.{name}", self._http_counter(name))
         self.metrics.gauge("open_calls", lambda: self.runtime.open_calls)
 
--- a/citronmount/standins/http.py
+++ b/citronmount/standins/http.py
@@ -15,7 +15,7 @@
 from twisted.web import server
 
 from citronmount.clients import messages
-from citronmount.clients import wire
+from citronmount.clients import wire_format
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
@@ -83,7 +83,7 @@
         request: http.Request,
         act: Callable[[], bytes | defer.Deferred[bytes]],
     ) -> defer.Deferred[bytes]:
-        request.setHeader("Content-Type", wire.CONTENT_TYPE)
+        request.setHeader("Content-Type", wire_format.CONTENT_TYPE)
         return defer.ensureDeferred(
             http_faults.serve(self.faults, self._reactor, request, act)
         )
@@ -116,7 +116,9 @@
         self, request: http.Request, stream: str
     ) -> defer.Deferred[bytes]:
         """Appends the records of the body to a stream."""
-        body = wire.decode(request.content.read(), wire.AppendRequest)
+        body = wire_format.decode(
+            request.content.read(), wire_format.AppendRequest
+        )
         name = ids.StreamName(stream)
         return self._serve(request, lambda: self._append(name, body))
 
@@ -128,7 +130,7 @@
         limit = min(int(request.args[b"limit"][0]), _MAX_PAGE_RECORDS)
         return self._serve(
             request,
-            lambda: wire.encode(
+            lambda: wire_format.encode(
                 self._model.read(name, start, limit, _now_ms())
             ),
         )
@@ -139,10 +141,10 @@
         return self._set_faults(request)
 
     def _append(
-        self, stream: ids.StreamName, body: wire.AppendRequest
+        self, stream: ids.StreamName, body: wire_format.AppendRequest
     ) -> bytes:
         offset = self._model.append(stream, body.records, _now_ms())
-        return wire.encode(wire.AppendAnswer(offset=offset))
+        return wire_format.encode(wire_format.AppendAnswer(offset=offset))
 
 
 class PlatformServer(_Server):
@@ -171,13 +173,13 @@
         self._timeline = timeline
         self._on_target_state = on_target_state
 
-    @app.route(wire.PLATFORM_PATH, methods=["GET"])
+    @app.route(wire_format.PLATFORM_PATH, methods=["GET"])
     def view(self, request: http.Request) -> defer.Deferred[bytes]:
         """Returns the list, or 304 if the caller has it."""
         return self._serve(request, lambda: self._view(request))
 
     def _view(self, request: http.Request) -> bytes:
-        body = wire.encode(self._model.view(_now_ms()))
+        body = wire_format.encode(self._model.view(_now_ms()))
         etag = hashlib.blake2b(body, digest_size=_ETAG_BYTES).hexdigest()
         if request.setETag(f'"{etag}"'.encode("ascii")) is http.CACHED:
             return b""
@@ -233,12 +235,13 @@
         super().__init__(reactor=reactor)
         self._model = model
 
-    @app.route(wire.ACTS_PATH, methods=["POST"])
+    @app.route(wire_format.ACTS_PATH, methods=["POST"])
     def acts(self, request: http.Request) -> defer.Deferred[bytes]:
         """Carries out the acts of the body."""
-        call = wire.decode(request.content.read(), messages.WorkerCall)
+        call = wire_format.decode(request.content.read(), messages.WorkerCall)
         return self._serve(
-            request, lambda: wire.encode(self._model.call(call, _now_ms()))
+            request,
+            lambda: wire_format.encode(self._model.call(call, _now_ms())),
         )
 
     @app.route("/faults", methods=["PUT"])
@@ -264,10 +267,10 @@
         super().__init__(reactor=reactor)
         self._model = model
 
-    @app.route(wire.REQUESTS_PATH, methods=["POST"])
+    @app.route(wire_format.REQUESTS_PATH, methods=["POST"])
     def run(self, request: http.Request) -> defer.Deferred[bytes]:
         """Runs the request of the body to its end."""
-        spec = wire.decode(request.content.read(), jobs.RequestSpec)
+        spec = wire_format.decode(request.content.read(), jobs.RequestSpec)
         return self._serve(
             request, lambda: defer.ensureDeferred(self._run(spec))
         )
@@ -283,7 +286,7 @@
             service_s = runner.service_ms(spec) / _MS_PER_S
             await task.deferLater(self._reactor, service_s)
             answer = self._model.finish(spec.request, _now_ms())
-        return wire.encode(answer)
+        return wire_format.encode(answer)
 
 
 class _Fleet:
