--- a/citronmount/cli/output.py
+++ b/citronmount/cli/output.py
@@ -121,4 +121,4 @@
     first = failures[0]
     if isinstance(first, client_lib.RefusedError):
         return first.refusal
-    return bodies.refusal(first.code, "; ".join(map(str, failures)))
+    return bodies.make_refusal(first.code, "; ".join(map(str, failures)))
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -27,8 +27,8 @@
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import reloading
 from citronmount.fleet_service import vm_settings
-from citronmount.service import closing
-from citronmount.service import site
+from citronmount.service import cleanup
+from citronmount.service import http_server
 from citronmount.telemetry import bounded_sink
 from citronmount.telemetry import event_metrics
 from citronmount.telemetry import logs
@@ -131,9 +131,9 @@
     api = adapter.api(node.front)
     terminated: defer.Deferred[None] = defer.Deferred()
     _on_signals(reactor, terminated, reloader)
-    async with closing.ClosingStack() as stack:
+    async with cleanup.CleanupStack() as stack:
         stack.push("platform connections", http.close)
-        factory = site.make_factory(api.resource(), MAX_BODY_BYTES)
+        factory = http_server.make_http_factory(api.resource(), MAX_BODY_BYTES)
         port = await _listen(reactor, settings.caller_address, factory)
         stack.push(
             "caller connections", lambda: factory.close_connections(reactor)
--- a/citronmount/service/bodies.py
+++ b/citronmount/service/bodies.py
@@ -21,7 +21,7 @@
     "Refusal",
     "RequestBody",
     "TimelineBody",
-    "refusal",
+    "make_refusal",
 ]
 
 _MAX_TASKS = 100_000
@@ -143,7 +143,7 @@
     retry_after_ms: int | None = None
 
 
-def refusal(
+def make_refusal(
     code: codes.ResultCode,
     detail: str = "",
     retry_after_ms: int | None = None,
--- a/citronmount/service/closing.py
+++ b/citronmount/service/cleanup.py
@@ -7,10 +7,10 @@
 from typing import Any
 from typing import Self
 
-__all__ = ["ClosingStack"]
+__all__ = ["CleanupStack"]
 
 
-class ClosingStack:
+class CleanupStack:
     """An asynchronous exit stack that raises all errors as one group.
 
     Callbacks run last in, first out; one that fails does not keep the others
--- a/citronmount/service/daemon.py
+++ b/citronmount/service/daemon.py
@@ -13,10 +13,10 @@
 
 import citronmount
 from citronmount.agent import events
-from citronmount.service import closing
+from citronmount.service import cleanup
+from citronmount.service import http_server
 from citronmount.service import listening
 from citronmount.service import settings as settings_lib
-from citronmount.service import site
 from citronmount.service import wiring
 from citronmount.telemetry import logs
 
@@ -42,7 +42,7 @@
     log = structlog.get_logger()
     brain = wiring.make_brain(settings)
     parts = wiring.Parts(reactor=reactor, settings=settings, brain=brain)
-    async with closing.ClosingStack() as stack:
+    async with cleanup.CleanupStack() as stack:
         stack.push("platform connections", parts.http.close)
         parts.peers.open()
         stack.push("peer sockets", parts.peers.close)
@@ -63,9 +63,9 @@
     reactor: interfaces.IReactorCore,
     settings: settings_lib.Settings,
     parts: wiring.Parts,
-    stack: closing.ClosingStack,
+    stack: cleanup.CleanupStack,
 ) -> None:
-    factory = site.make_factory(
+    factory = http_server.make_http_factory(
         parts.api.app.resource(), settings.limits.max_body_bytes
     )
     port = await listening.listen(reactor, settings.listen, factory)
--- a/citronmount/service/site.py
+++ b/citronmount/service/http_server.py
@@ -15,14 +15,16 @@
 from citronmount.core import codes
 from citronmount.service import bodies
 
-__all__ = ["ApiFactory", "make_factory"]
+__all__ = ["ApiFactory", "make_http_factory"]
 
 IDLE_TIMEOUT_S = 60
 FLUSH_LIMIT_S = 5
 MAX_CONNECTIONS = 5_000
 
 
-def make_factory(root: resource.Resource, max_body_bytes: int) -> "ApiFactory":
+def make_http_factory(
+    root: resource.Resource, max_body_bytes: int
+) -> "ApiFactory":
     """Returns the factory that serves a resource.
 
     Args:
@@ -72,7 +74,9 @@
         if self._refused:
             return
         self._refused = True
-        body = msgspec.json.encode(bodies.refusal(codes.ResultCode.TOO_LARGE))
+        body = msgspec.json.encode(
+            bodies.make_refusal(codes.ResultCode.TOO_LARGE)
+        )
         head = (
             b"HTTP/1.1 413 Request Entity Too Large\r\n"
             b"Content-Type: application/json\r\nConnection: close\r\n"
--- a/citronmount/service/tests/test_closing.py
+++ b/citronmount/service/tests/test_cleanup.py
@@ -3,10 +3,10 @@
 import asyncio
 import unittest
 
-from citronmount.service import closing
+from citronmount.service import cleanup
 
 
-class ClosingStackTest(unittest.TestCase):
+class CleanupStackTest(unittest.TestCase):
     """Every callback runs, and every error is told."""
 
     def test_all_run_last_first_and_errors_are_gathered(self) -> None:
@@ -21,7 +21,7 @@
             order.append("later")
 
         async def run() -> None:
-            async with closing.ClosingStack() as stack:
+            async with cleanup.CleanupStack() as stack:
                 for name in "abc":
                     stack.push(name, lambda name=name: close(name))
                 stack.push("later", close_later)
--- a/citronmount/service/tests/test_site.py
+++ b/citronmount/service/tests/test_http_server.py
@@ -8,7 +8,7 @@
 from twisted.web import resource
 from twisted.web import server
 
-from citronmount.service import site
+from citronmount.service import http_server
 
 _LIMIT_BYTES = 10
 _ADDRESS = testing.StringTransport().getPeer()
@@ -35,12 +35,12 @@
         return server.NOT_DONE_YET
 
 
-class SiteTest(unittest.TestCase):
+class HttpServerTest(unittest.TestCase):
     """The factory with in-memory connections."""
 
     def setUp(self) -> None:
         self.echo = _Echo()
-        self.factory = site.make_factory(self.echo, _LIMIT_BYTES)
+        self.factory = http_server.make_http_factory(self.echo, _LIMIT_BYTES)
 
     def _connect(self) -> testing.StringTransport:
         transport = testing.StringTransport()
@@ -107,5 +107,5 @@
         aborted = []
         transport.abortConnection = lambda: aborted.append(True)
         defer.ensureDeferred(self.factory.close_connections(clock))
-        clock.advance(site.FLUSH_LIMIT_S)
+        clock.advance(http_server.FLUSH_LIMIT_S)
         self.assertEqual([True], aborted)
