--- a/citronmount/service/__main__.py
+++ b/citronmount/service/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon by ``python -m citronmount.service``."""
+"""Runs the daemon for ``python -m citronmount.service``."""
 
 from citronmount.service import daemon
 
--- a/citronmount/service/agent_brain.py
+++ b/citronmount/service/agent_state_machine.py
@@ -1,4 +1,4 @@
-"""Shows an agent to the shell: its state as the HTTP API tells it."""
+"""Adapts an agent to the state machine interface of the daemon."""
 
 from citronmount.agent import agent as agent_lib
 from citronmount.agent import effects
@@ -7,17 +7,17 @@
 from citronmount.membership import view as view_lib
 from citronmount.service import bodies
 
-__all__ = ["AgentBrain"]
+__all__ = ["AgentStateMachine"]
 
 
-class AgentBrain:
-    """The `brain.Brain` that is an agent."""
+class AgentStateMachine:
+    """Implements `vm_state_machine.VmStateMachine` with an agent."""
 
     def __init__(self, *, agent: agent_lib.Agent) -> None:
-        """Initializes the brain.
+        """Initializes the state machine.
 
         Args:
-            agent: The agent.
+            agent: The agent to adapt.
         """
         self._agent = agent
 
@@ -27,24 +27,24 @@
         """Passes an event to the agent.
 
         Args:
-            event: What happened.
+            event: The event.
             now_ms: Monotonic time.
-            wall_ms: Wall-clock time since the epoch.
+            wall_ms: Unix time.
 
         Returns:
-            What the shell has to do, in order.
+            The effects to execute, in order.
         """
         return self._agent.handle(event, now_ms, wall_ms)
 
     @property
     def configuration(self) -> configuration_lib.Configuration | None:
-        """The configuration in force, or None without a trustworthy one."""
-        keeper = self._agent.configuration
-        return keeper.fold.current if keeper.fold.trusted else None
+        """The configuration in force, or None if none can be trusted."""
+        manager = self._agent.configuration
+        return manager.fold.current if manager.fold.trusted else None
 
     @property
     def ready(self) -> bool:
-        """Whether the VM takes new work."""
+        """Whether the VM accepts new work."""
         return self._agent.ready
 
     @property
@@ -53,27 +53,29 @@
         return self._agent.view.draining
 
     def members(self, now_ms: int) -> tuple[bodies.Member, ...]:
-        """Returns the VMs that the agent knows.
+        """Returns this VM and the peers that the agent knows.
 
         Args:
             now_ms: Monotonic time.
 
         Returns:
-            One entry for each VM, sorted by name.
+            One entry per VM, sorted by name.
         """
         view = self._agent.view
-        others = (_member(view, peer, now_ms) for peer in view.peers.values())
-        return tuple(sorted((self._own(now_ms), *others), key=_by_name))
+        others = (
+            _peer_member(view, peer, now_ms) for peer in view.peers.values()
+        )
+        return tuple(sorted((self._own_member(now_ms), *others), key=_vm_name))
 
     def fragmentation(self) -> float:
         """Returns the share of free accelerators that queued work cannot use.
 
-        It is 0 at a VM that owns no failure domain.
+        The share is 0 on a VM that owns no failure domain.
         """
         domain = self._agent.ownership.domain
         return 0.0 if domain is None else domain.fragmentation()
 
-    def _own(self, now_ms: int) -> bodies.Member:
+    def _own_member(self, now_ms: int) -> bodies.Member:
         view = self._agent.view
         return bodies.Member(
             vm=view.vm,
@@ -87,21 +89,21 @@
         )
 
 
-def _member(
+def _peer_member(
     view: view_lib.MembershipView, peer: view_lib.Peer, now_ms: int
 ) -> bodies.Member:
-    last = peer.heartbeat
+    heartbeat = peer.heartbeat
     return bodies.Member(
         vm=peer.vm,
         failure_domain=peer.failure_domain,
         listed=peer.listed,
         alive=view.alive(peer.vm, now_ms),
-        ready=last is not None and last.ready,
-        draining=last is not None and last.draining,
+        ready=heartbeat is not None and heartbeat.ready,
+        draining=heartbeat is not None and heartbeat.draining,
         owner=view.owner(peer.failure_domain, now_ms) == peer.vm,
-        config_version=last.config_version if last is not None else 0,
+        config_version=heartbeat.config_version if heartbeat is not None else 0,
     )
 
 
-def _by_name(member: bodies.Member) -> str:
+def _vm_name(member: bodies.Member) -> str:
     return member.vm
--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -20,10 +20,10 @@
 from citronmount.core import jobs
 from citronmount.peers import messages as peer_messages
 from citronmount.service import bodies
-from citronmount.service import brain as brain_lib
 from citronmount.service import http_status
-from citronmount.service import rate_limit
+from citronmount.service import rate_limiter
 from citronmount.service import runtime as runtime_lib
+from citronmount.service import vm_state_machine
 from citronmount.state import records
 from citronmount.telemetry import metrics as metrics_lib
 from citronmount.telemetry import store
@@ -67,10 +67,10 @@
         vm: ids.VmId,
         failure_domain: ids.FailureDomainId,
         runtime: runtime_lib.Runtime,
-        brain: brain_lib.Brain,
+        state_machine: vm_state_machine.VmStateMachine,
         timeline: store.TimelineStore,
         metrics: metrics_lib.Metrics,
-        limit: rate_limit.RateLimit,
+        limit: rate_limiter.RateLimiter,
         now_ms: Callable[[], int],
         wall_ms: Callable[[], int],
         new_id: Callable[[], str] = lambda: uuid.uuid4().hex,
@@ -81,7 +81,7 @@
             vm: This VM.
             failure_domain: Where it is.
             runtime: Takes the calls.
-            brain: Tells the configuration, members and readiness.
+            state_machine: Tells the configuration, members and readiness.
             timeline: This VM's part of the time line.
             metrics: What to export.
             limit: The rate limit of accounts.
@@ -92,7 +92,7 @@
         self._vm = vm
         self._failure_domain = failure_domain
         self._runtime = runtime
-        self._brain = brain
+        self._state_machine = state_machine
         self._timeline = timeline
         self._metrics = metrics
         self._limit = limit
@@ -174,7 +174,7 @@
     @app.route("/v1/configuration", methods=["GET"])
     def get_configuration(self, request: http.Request) -> bytes:
         """Returns the configuration in force at this VM."""
-        content = self._brain.configuration
+        content = self._state_machine.configuration
         if content is None:
             raise _RefusedError(codes.ResultCode.NO_CONFIGURATION)
         body = bodies.ConfigurationBody(
@@ -217,7 +217,7 @@
     @app.route("/v1/drain", methods=["POST"])
     def drain(self, request: http.Request) -> bytes:
         """Starts the planned stop of this VM."""
-        self._runtime.feed(events.DrainRequested())
+        self._runtime.dispatch(events.DrainRequested())
         return self._refuse(request, codes.ResultCode.ACCEPTED, "draining")
 
     @app.route("/v1/health", methods=["GET"])
@@ -228,14 +228,14 @@
     @app.route("/v1/ready", methods=["GET"])
     def ready(self, request: http.Request) -> bytes:
         """Returns 200 while the VM takes new work, otherwise 503."""
-        if self._brain.ready:
+        if self._state_machine.ready:
             return self._refuse(request, codes.ResultCode.OK, "ready")
         return self._refuse(request, self._why_not_ready())
 
     def _why_not_ready(self) -> codes.ResultCode:
-        if self._brain.draining:
+        if self._state_machine.draining:
             return codes.ResultCode.DRAINING
-        current = self._brain.configuration
+        current = self._state_machine.configuration
         if current is None or current.version == 0:
             return codes.ResultCode.NO_CONFIGURATION
         return codes.ResultCode.REBUILDING
@@ -249,7 +249,7 @@
     @app.route("/v1/membership", methods=["GET"])
     def membership(self, request: http.Request) -> bytes:
         """Returns which VMs this VM knows and what it thinks of them."""
-        members = self._brain.members(self._now_ms())
+        members = self._state_machine.members(self._now_ms())
         body = bodies.MembersBody(vm=self._vm, members=members)
         return self._send(request, codes.ResultCode.OK, body)
 
@@ -295,7 +295,7 @@
         raise _RefusedError(codes.ResultCode.INTERNAL)
 
     def _refuse_sheet(self, request: http.Request, found: sheet.Sheet) -> bytes:
-        content = self._brain.configuration
+        content = self._state_machine.configuration
         code = codes.ResultCode.CONFIGURATION_INVALID
         count = len(found.faults) + found.further_faults
         body = _publish_body(
@@ -326,7 +326,7 @@
     ) -> bytes:
         request.setResponseCode(http_status.status_of(code))
         request.setHeader("Content-Type", "application/json")
-        if self._brain.draining:
+        if self._state_machine.draining:
             request.setHeader("Connection", "close")
             request.channel.persistent = False
         return msgspec.json.encode(body)
--- a/citronmount/service/cleanup.py
+++ b/citronmount/service/cleanup.py
@@ -1,4 +1,4 @@
-"""Closes what a process owns and gathers every error on the way."""
+"""Closes the resources of a process and collects every error."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -13,8 +13,7 @@
 class CleanupStack:
     """An asynchronous exit stack that raises all errors as one group.
 
-    Callbacks run last in, first out; one that fails does not keep the others
-    from running.
+    Callbacks run last in, first out. All of them run, even if some fail.
     """
 
     def __init__(self) -> None:
@@ -30,8 +29,8 @@
         """Adds a callback.
 
         Args:
-            name: What it closes, for the error message.
-            close: Closes it; an awaitable result is waited for.
+            name: What the callback closes; added as a note to its error.
+            close: Closes the resource; an awaitable result is awaited.
         """
 
         async def run() -> None:
--- a/citronmount/service/daemon.py
+++ b/citronmount/service/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon ``citronmountd``: one process on each VM."""
+"""The daemon ``citronmountd``, which runs once on each VM."""
 
 import signal
 import sys
@@ -30,18 +30,20 @@
 async def serve(
     reactor: interfaces.IReactorCore, settings: settings_lib.Settings
 ) -> None:
-    """Runs one daemon until it is drained.
+    """Runs the daemon until its drain is complete.
 
     Args:
         reactor: The reactor of the process.
-        settings: The checked settings.
+        settings: The validated settings.
 
     Raises:
-        ExceptionGroup: Parts could not be closed.
+        ExceptionGroup: Some components could not be closed.
     """
     log = structlog.get_logger()
-    brain = wiring.make_brain(settings)
-    parts = wiring.Parts(reactor=reactor, settings=settings, brain=brain)
+    state_machine = wiring.make_state_machine(settings)
+    parts = wiring.Components(
+        reactor=reactor, settings=settings, state_machine=state_machine
+    )
     async with cleanup.CleanupStack() as stack:
         stack.push("platform connections", parts.http.close)
         parts.peers.open()
@@ -62,7 +64,7 @@
 async def _open_api(
     reactor: interfaces.IReactorCore,
     settings: settings_lib.Settings,
-    parts: wiring.Parts,
+    parts: wiring.Components,
     stack: cleanup.CleanupStack,
 ) -> None:
     factory = http_server.make_http_factory(
@@ -74,52 +76,52 @@
 
 
 def _drain_on_signal(
-    reactor: interfaces.IReactorCore, parts: wiring.Parts
+    reactor: interfaces.IReactorCore, parts: wiring.Components
 ) -> None:
-    """Makes SIGTERM and SIGINT start the planned stop."""
+    """Installs handlers by which SIGTERM and SIGINT start a drain."""
 
-    def drain(number: int, frame: object) -> None:
-        reactor.callFromThread(parts.runtime.feed, events.DrainRequested())
+    def drain(signal_number: int, frame: object) -> None:
+        reactor.callFromThread(parts.runtime.dispatch, events.DrainRequested())
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, drain)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, drain)
 
 
 def _run(settings: settings_lib.Settings) -> int:
-    """Runs the reactor until the daemon has ended.
+    """Runs the reactor until the daemon exits.
 
     Args:
-        settings: The checked settings.
+        settings: The validated settings.
 
     Returns:
-        The exit status.
+        The exit status of the process.
     """
     from twisted.internet import reactor
 
-    statuses: list[int] = []
+    exit_statuses: list[int] = []
 
-    def end(result: typing.Any) -> None:
+    def finish(result: typing.Any) -> None:
         if isinstance(result, failure.Failure):
             structlog.get_logger().error(
                 "daemon_failed", error=result.getTraceback()
             )
-            statuses.append(EXIT_FAILED)
+            exit_statuses.append(EXIT_FAILED)
         else:
-            statuses.append(EXIT_OK)
+            exit_statuses.append(EXIT_OK)
         reactor.stop()
 
     def start() -> None:
-        defer.ensureDeferred(serve(reactor, settings)).addBoth(end)
+        defer.ensureDeferred(serve(reactor, settings)).addBoth(finish)
 
     logger.globalLogBeginner.beginLoggingTo(
         [], discardBuffer=True, redirectStandardIO=False
     )
     reactor.callWhenRunning(start)
     reactor.run()
-    return statuses[0] if statuses else EXIT_FAILED
+    return exit_statuses[0] if exit_statuses else EXIT_FAILED
 
 
-def _print_faults(group: ExceptionGroup) -> None:
+def _print_errors(group: ExceptionGroup) -> None:
     for error in group.exceptions:
         click.echo(str(error), err=True)
 
@@ -161,7 +163,7 @@
     try:
         settings = settings_lib.load(settings_path)
     except ExceptionGroup as group:
-        _print_faults(group)
+        _print_errors(group)
         sys.exit(EXIT_BAD_SETTINGS)
     logging = settings.logging
     with logs.configure(
@@ -174,7 +176,11 @@
 
 
 def _on_platform(settings_path: str | None, check_path: str | None) -> int:
-    """Runs the other composition, whose modules load only here."""
+    """Runs or checks the daemon of the users' platform.
+
+    Its modules are imported only here, so that the other daemon does not load
+    them.
+    """
     from citronmount.platform import daemon as platform_daemon
 
     if check_path is not None:
--- a/citronmount/service/http_server.py
+++ b/citronmount/service/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of the API: bounded bodies and a close that cuts nothing."""
+"""The HTTP server: size-limited bodies and a graceful shutdown."""
 
 import contextlib
 
@@ -18,46 +18,46 @@
 __all__ = ["ApiFactory", "make_http_factory"]
 
 IDLE_TIMEOUT_S = 60
-FLUSH_LIMIT_S = 5
+FLUSH_TIMEOUT_S = 5
 MAX_CONNECTIONS = 5_000
 
 
 def make_http_factory(
     root: resource.Resource, max_body_bytes: int
 ) -> "ApiFactory":
-    """Returns the factory that serves a resource.
+    """Returns a factory that serves a resource over HTTP.
 
     Args:
-        root: The resource.
-        max_body_bytes: The longest body of a request.
+        root: The root resource.
+        max_body_bytes: The largest request body that is accepted.
 
     Returns:
         The factory to listen with.
     """
 
-    class BoundedRequest(_BoundedRequest):
+    class LimitedRequest(_SizeLimitedRequest):
         limit_bytes = max_body_bytes
 
     site = server.Site(
-        root, requestFactory=BoundedRequest, timeout=IDLE_TIMEOUT_S
+        root, requestFactory=LimitedRequest, timeout=IDLE_TIMEOUT_S
     )
     return ApiFactory(site)
 
 
-class _BoundedRequest(server.Request):
-    """A request that is refused once its body is too long."""
+class _SizeLimitedRequest(server.Request):
+    """A request that is refused with 413 if its body is too large."""
 
     limit_bytes = 0
     _refused = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Refuses a body that announces too many bytes."""
+        """Refuses a body whose Content-Length exceeds the limit."""
         super().gotLength(length)
         if length is not None and length > self.limit_bytes:
             self._refuse()
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Refuses a body of unknown length that grows too long."""
+        """Refuses a chunked body once it exceeds the limit."""
         if self.content.tell() + len(data) > self.limit_bytes:
             self._refuse()
         if not self._refused:
@@ -66,7 +66,7 @@
     def requestReceived(  # noqa: N802
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
-        """Serves the request unless its body was refused."""
+        """Serves the request unless it was refused."""
         if not self._refused:
             super().requestReceived(command, path, version)
 
@@ -87,13 +87,13 @@
 
 
 class ApiFactory(policies.WrappingFactory):
-    """Tracks the open connections, so that a close can wait for them."""
+    """Tracks open connections, so that a shutdown can wait for them."""
 
     def __init__(self, wrapped: http.HTTPFactory) -> None:
         """Initializes the factory.
 
         Args:
-            wrapped: The factory of the HTTP protocol.
+            wrapped: Builds the HTTP protocols.
         """
         super().__init__(wrapped)
         self._all_closed: defer.Deferred[None] | None = None
@@ -101,13 +101,13 @@
     def buildProtocol(  # noqa: N802
         self, address: interfaces.IAddress
     ) -> protocol.Protocol | None:
-        """Accepts a connection unless there are too many.
+        """Accepts a connection unless `MAX_CONNECTIONS` are open.
 
         Args:
-            address: Of the peer.
+            address: The address of the client.
 
         Returns:
-            The protocol, or None to refuse the connection.
+            The protocol, or None to close the connection at once.
         """
         if len(self.protocols) >= MAX_CONNECTIONS:
             return None
@@ -116,32 +116,34 @@
     def unregisterProtocol(  # noqa: N802
         self, wrapper: policies.ProtocolWrapper
     ) -> None:
-        """Notes that a connection is closed.
+        """Records that a connection is closed.
 
         Args:
-            wrapper: Its protocol.
+            wrapper: The protocol of the connection.
         """
         with contextlib.suppress(KeyError):
             super().unregisterProtocol(wrapper)
         if not self.protocols and self._all_closed is not None:
-            waiting, self._all_closed = self._all_closed, None
-            waiting.callback(None)
+            all_closed, self._all_closed = self._all_closed, None
+            all_closed.callback(None)
 
     async def close_connections(self, clock: interfaces.IReactorTime) -> None:
-        """Closes every connection after what was written has left.
+        """Closes every connection once its written data has been sent.
+
+        Connections that are still open after `FLUSH_TIMEOUT_S` are aborted.
 
         Args:
-            clock: Times the limit after which connections are aborted.
+            clock: Schedules the abort.
         """
         if not self.protocols:
             return
-        closed = self._all_closed = defer.Deferred()
+        all_closed = self._all_closed = defer.Deferred()
         for wrapper in list(self.protocols):
             wrapper.loseConnection()
-        abort = clock.callLater(FLUSH_LIMIT_S, self._abort_all)
-        await closed
-        if abort.active():
-            abort.cancel()
+        abort_call = clock.callLater(FLUSH_TIMEOUT_S, self._abort_all)
+        await all_closed
+        if abort_call.active():
+            abort_call.cancel()
         await task.deferLater(clock, 0)
 
     def _abort_all(self) -> None:
--- a/citronmount/service/http_status.py
+++ b/citronmount/service/http_status.py
@@ -1,4 +1,4 @@
-"""HTTP statuses of result codes."""
+"""Maps result codes to HTTP statuses."""
 
 from twisted.web import http
 
@@ -6,8 +6,8 @@
 
 __all__ = ["status_of"]
 
-_FAMILY = 1_000
-_BY_FAMILY = {
+_CODES_PER_FAMILY = 1_000
+_STATUS_BY_FAMILY = {
     1: http.OK,
     2: http.BAD_REQUEST,
     3: http.SERVICE_UNAVAILABLE,
@@ -19,7 +19,7 @@
 }
 _TOO_MANY_REQUESTS = 429
 _UNPROCESSABLE = 422
-_BY_CODE = {
+_STATUS_BY_CODE = {
     codes.ResultCode.ACCEPTED: http.ACCEPTED,
     codes.ResultCode.UNKNOWN_JOB: http.NOT_FOUND,
     codes.ResultCode.TOO_LARGE: http.REQUEST_ENTITY_TOO_LARGE,
@@ -34,16 +34,18 @@
 
 
 def status_of(code: codes.ResultCode) -> int:
-    """Returns the HTTP status that goes with a result code.
+    """Returns the HTTP status for a result code.
 
     Args:
         code: Any result code.
 
     Returns:
-        The status, by the code itself or by its family.
+        The status set for the code itself, otherwise that of its family.
 
     Example:
         >>> status_of(codes.ResultCode.QUEUE_FULL)
         503
     """
-    return _BY_CODE.get(code, _BY_FAMILY[code // _FAMILY])
+    return _STATUS_BY_CODE.get(
+        code, _STATUS_BY_FAMILY[code // _CODES_PER_FAMILY]
+    )
--- a/citronmount/service/listening.py
+++ b/citronmount/service/listening.py
@@ -1,4 +1,4 @@
-"""Listens for callers, with TLS if the settings name a certificate."""
+"""Opens the HTTP port, with TLS if the settings name a certificate."""
 
 from twisted.internet import defer
 from twisted.internet import endpoints
@@ -19,18 +19,20 @@
     Args:
         reactor: The reactor to listen with.
         settings: Address, certificate and key.
-        factory: Serves the connections.
+        factory: Builds the protocols that serve the connections.
 
     Returns:
-        Fires with the open port.
+        A Deferred that fires with the open port.
     """
     host, _, port = settings.caller_address.rpartition(":")
     quote = endpoints.quoteStringArgument
-    place = f"{port}:interface={quote(host.strip('[]'))}"
+    port_and_interface = f"{port}:interface={quote(host.strip('[]'))}"
     if settings.tls_certificate_path and settings.tls_key_path:
         key = quote(settings.tls_key_path)
         certificate = quote(settings.tls_certificate_path)
-        text = f"ssl:{place}:privateKey={key}:certKey={certificate}"
+        description = (
+            f"ssl:{port_and_interface}:privateKey={key}:certKey={certificate}"
+        )
     else:
-        text = f"tcp:{place}"
-    return endpoints.serverFromString(reactor, text).listen(factory)
+        description = f"tcp:{port_and_interface}"
+    return endpoints.serverFromString(reactor, description).listen(factory)
--- a/citronmount/service/rate_limit.py
+++ b/citronmount/service/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Limits how fast each client account may send, by token buckets."""
+"""Token buckets that limit the request rate of each client account."""
 
 import collections
 
@@ -6,7 +6,7 @@
 
 from citronmount.core import ids
 
-__all__ = ["MAX_ACCOUNTS", "RateLimit"]
+__all__ = ["MAX_ACCOUNTS", "RateLimiter"]
 
 MAX_ACCOUNTS = 10_000
 
@@ -14,25 +14,25 @@
 
 
 class _Bucket(msgspec.Struct, kw_only=True):
-    """Tokens left to an account at one moment."""
+    """Tokens that an account had at one time."""
 
     tokens: float
     as_of_ms: int
 
 
-class RateLimit:
-    """One token bucket for each account that sent lately.
+class RateLimiter:
+    """One token bucket for each recently active account.
 
-    Beyond `MAX_ACCOUNTS` the account that has not sent for the longest time
-    is forgotten, so that made-up names cannot fill the memory.
+    Beyond `MAX_ACCOUNTS` buckets, the least recently used one is evicted, so
+    that invented account names cannot exhaust the memory.
     """
 
     def __init__(self, *, rate_per_s: float, burst: int) -> None:
-        """Initializes with full buckets.
+        """Initializes the limiter; every account starts with a full bucket.
 
         Args:
-            rate_per_s: Sustained rate of one account.
-            burst: How many requests may come at once.
+            rate_per_s: Sustained rate of one account, in requests per second.
+            burst: Capacity of a bucket, in requests.
         """
         self._rate_per_ms = rate_per_s / _MS_PER_S
         self._burst = burst
@@ -48,16 +48,17 @@
             now_ms: Monotonic time.
 
         Returns:
-            0 if the request may go on, otherwise in how many ms to come back.
+            0 if the request is allowed, otherwise the time in ms until the
+            next token.
 
         Example:
-            >>> limit = RateLimit(rate_per_s=10, burst=1)
-            >>> limit.take("a", 0), limit.take("a", 0), limit.take("a", 100)
-            (0, 100, 0)
+            >>> limiter = RateLimiter(rate_per_s=10, burst=1)
+            >>> [limiter.take("a", now_ms) for now_ms in (0, 0, 100)]
+            [0, 100, 0]
         """
         bucket = self._bucket(account, now_ms)
-        earned = (now_ms - bucket.as_of_ms) * self._rate_per_ms
-        bucket.tokens = min(self._burst, bucket.tokens + earned)
+        refill = (now_ms - bucket.as_of_ms) * self._rate_per_ms
+        bucket.tokens = min(self._burst, bucket.tokens + refill)
         bucket.as_of_ms = now_ms
         if bucket.tokens >= 1:
             bucket.tokens -= 1
--- a/citronmount/service/runtime.py
+++ b/citronmount/service/runtime.py
@@ -23,7 +23,7 @@
 from citronmount.core import jobs
 from citronmount.peers import messages as peer_messages
 from citronmount.peers import transport as transport_lib
-from citronmount.service import brain as brain_lib
+from citronmount.service import vm_state_machine
 from citronmount.telemetry import events as timeline_events
 from citronmount.telemetry import metrics as metrics_lib
 
@@ -32,17 +32,17 @@
 _MS_PER_S = 1_000
 _NS_PER_MS = 1_000_000
 
-_PERFORMERS: dict[type, Callable[..., None]] = {}
+_EXECUTORS: dict[type, Callable[..., None]] = {}
 _Effect = typing.TypeVar("_Effect")
-_Performer = Callable[["Runtime", _Effect], None]
+_Executor = Callable[["Runtime", _Effect], None]
 
 
-def _performs(kind: type[_Effect]) -> Callable[[_Performer], _Performer]:
+def _executes(kind: type[_Effect]) -> Callable[[_Executor], _Executor]:
     """Registers the method that carries out one kind of effect."""
 
-    def register(performer: _Performer) -> _Performer:
-        _PERFORMERS[kind] = performer
-        return performer
+    def register(executor: _Executor) -> _Executor:
+        _EXECUTORS[kind] = executor
+        return executor
 
     return register
 
@@ -73,7 +73,7 @@
         self,
         *,
         reactor: interfaces.IReactorTime,
-        brain: brain_lib.Brain,
+        state_machine: vm_state_machine.VmStateMachine,
         peers: transport_lib.Transport,
         http: http_client.HttpClient,
         addresses: Addresses,
@@ -86,7 +86,7 @@
 
         Args:
             reactor: The reactor to time with.
-            brain: The state machine.
+            state_machine: The state machine.
             peers: Sends messages to other VMs.
             http: Talks to platform and targets.
             addresses: Where the platform listens.
@@ -96,7 +96,7 @@
             wall_ns: The wall clock.
         """
         self.exited: defer.Deferred[None] = defer.Deferred()
-        self._brain = brain
+        self._state_machine = state_machine
         self._peers = peers
         self._http = http
         self._addresses = addresses
@@ -112,7 +112,7 @@
         self._calls: dict[
             ids.TicketId, defer.Deferred[peer_messages.Answer]
         ] = {}
-        self._ticker = task.LoopingCall(self.feed, events.Tick())
+        self._ticker = task.LoopingCall(self.dispatch, events.Tick())
         self._ticker.clock = reactor
 
     @property
@@ -126,7 +126,7 @@
         Args:
             tick_ms: Period of the ticks.
         """
-        self.feed(events.Started())
+        self.dispatch(events.Started())
         self._ticker.start(tick_ms / _MS_PER_S, now=False)
 
     def stop(self) -> None:
@@ -147,12 +147,12 @@
             Fires with the answer; cancelled when the caller has left.
         """
         ticket = ids.TicketId(f"t{next(self._tickets)}")
-        answer = defer.Deferred(lambda _: self._leave(ticket))
+        answer = defer.Deferred(lambda _: self._drop_call(ticket))
         self._calls[ticket] = answer
-        self.feed(events.CallArrived(ticket=ticket, body=body))
+        self.dispatch(events.CallArrived(ticket=ticket, body=body))
         return answer
 
-    def feed(self, event: events.Event) -> None:
+    def dispatch(self, event: events.Event) -> None:
         """Takes in an event and carries out what follows from it.
 
         Args:
@@ -164,11 +164,11 @@
         self._handling = True
         try:
             while self._events and not self._stopped:
-                self._take_in(self._events.popleft())
+                self._handle(self._events.popleft())
         finally:
             self._handling = False
 
-    def peer_arrived(
+    def receive_peer_message(
         self, sender: ids.VmId, message: peer_messages.PeerMessage
     ) -> None:
         """Takes in a message of a peer.
@@ -177,51 +177,53 @@
             sender: The VM that sent it.
             message: The message.
         """
-        self.feed(events.PeerArrived(sender=sender, message=message))
+        self.dispatch(events.PeerArrived(sender=sender, message=message))
 
-    def _take_in(self, event: events.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
         kind = type(event).__name__
         begin_ns = self._now_ns()
         try:
-            wanted = self._brain.handle(
+            wanted = self._state_machine.handle(
                 event, begin_ns // _NS_PER_MS, self._wall_ns() // _NS_PER_MS
             )
         except Exception:
             self._metrics.count("events_failed")
             self._logger.exception("event_failed", kind=kind)
-            self._answer_failed(event)
+            self._answer_internal_error(event)
             return
         duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
         self._metrics.record("event", kind, duration_ms)
         for effect in wanted:
-            self._perform(effect)
+            self._execute(effect)
 
-    def _perform(self, effect: effects.Effect) -> None:
+    def _execute(self, effect: effects.Effect) -> None:
         try:
-            _PERFORMERS[type(effect)](self, effect)
+            _EXECUTORS[type(effect)](self, effect)
         except Exception:
             self._metrics.count("effects_failed")
             kind = type(effect).__name__
             self._logger.exception("effect_failed", kind=kind)
 
-    def _answer_failed(self, event: events.Event) -> None:
+    def _answer_internal_error(self, event: events.Event) -> None:
         """Answers a caller whose call the state machine could not take in."""
         if isinstance(event, events.CallArrived):
             result = jobs.JobResult(code=codes.ResultCode.INTERNAL)
-            self._settle(event.ticket, peer_messages.Failure(result=result))
+            self._answer_call(
+                event.ticket, peer_messages.Failure(result=result)
+            )
 
-    def _leave(self, ticket: ids.TicketId) -> None:
+    def _drop_call(self, ticket: ids.TicketId) -> None:
         if self._calls.pop(ticket, None) is not None:
-            self.feed(events.CallerLeft(ticket=ticket))
+            self.dispatch(events.CallerLeft(ticket=ticket))
 
-    def _settle(
+    def _answer_call(
         self, ticket: ids.TicketId, answer: peer_messages.Answer
     ) -> None:
         waiting = self._calls.pop(ticket, None)
         if waiting is not None:
             waiting.callback(answer)
 
-    def _ask(
+    def _dispatch_result(
         self,
         kind: str,
         answer: defer.Deferred[typing.Any],
@@ -234,22 +236,22 @@
             duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
             self._metrics.record("exchange", kind, duration_ms)
             if isinstance(result, failure.Failure):
-                self._count_no_answer(kind, result)
-            self.feed(to_event(result))
+                self._record_no_answer(kind, result)
+            self.dispatch(to_event(result))
 
         answer.addBoth(finish)
 
-    def _count_no_answer(self, kind: str, reason: failure.Failure) -> None:
+    def _record_no_answer(self, kind: str, reason: failure.Failure) -> None:
         self._metrics.count(f"exchange_failed.{kind}")
         self._logger.debug(
             "no_answer", kind=kind, reason=reason.getErrorMessage()
         )
 
-    @_performs(effects.SendPeer)
+    @_executes(effects.SendPeer)
     def _send_peer(self, effect: effects.SendPeer) -> None:
         self._peers.send(effect.to, effect.message)
 
-    @_performs(effects.AppendLog)
+    @_executes(effects.AppendLog)
     def _append_log(self, effect: effects.AppendLog) -> None:
         answer = platform_api.append_log(
             self._http,
@@ -264,9 +266,9 @@
             offset = None if found is None else found.offset
             return events.LogAppended(call=effect.call, offset=offset)
 
-        self._ask("append_log", answer, to_event)
+        self._dispatch_result("append_log", answer, to_event)
 
-    @_performs(effects.ReadLog)
+    @_executes(effects.ReadLog)
     def _read_log(self, effect: effects.ReadLog) -> None:
         answer = platform_api.read_log(
             self._http,
@@ -276,7 +278,7 @@
             effect.limit,
             effect.timeout_ms,
         )
-        self._ask(
+        self._dispatch_result(
             "read_log",
             answer,
             lambda result: events.LogRead(
@@ -284,7 +286,7 @@
             ),
         )
 
-    @_performs(effects.ListPlatform)
+    @_executes(effects.ListPlatform)
     def _list_platform(self, effect: effects.ListPlatform) -> None:
         answer = platform_api.list_platform(
             self._http, self._addresses.vm_list, effect.timeout_ms
@@ -293,20 +295,20 @@
         def to_event(result: typing.Any) -> events.Event:
             view = _answer_or_none(result)
             if view is not None:
-                self._follow_peers(view)
+                self._update_peers(view)
             return events.PlatformListed(call=effect.call, view=view)
 
-        self._ask("list_platform", answer, to_event)
+        self._dispatch_result("list_platform", answer, to_event)
 
-    def _follow_peers(self, view: platform_messages.PlatformView) -> None:
+    def _update_peers(self, view: platform_messages.PlatformView) -> None:
         self._peers.set_peers({vm.vm: vm.peer_address for vm in view.vms})
 
-    @_performs(effects.CallWorker)
+    @_executes(effects.CallWorker)
     def _call_worker(self, effect: effects.CallWorker) -> None:
         answer = platform_api.call_worker(
             self._http, effect.address, effect.body, effect.timeout_ms
         )
-        self._ask(
+        self._dispatch_result(
             "call_worker",
             answer,
             lambda result: events.WorkerAnswered(
@@ -316,31 +318,31 @@
             ),
         )
 
-    @_performs(effects.CallRunner)
+    @_executes(effects.CallRunner)
     def _call_runner(self, effect: effects.CallRunner) -> None:
         answer = platform_api.call_runner(
             self._http, effect.address, effect.spec, effect.timeout_ms
         )
-        self._ask(
+        self._dispatch_result(
             "call_runner",
             answer,
             lambda result: events.RunnerAnswered(
                 call=effect.call,
                 runner=effect.runner,
                 answer=_answer_or_none(result),
-                sent=_may_be_sent(result),
+                sent=_may_have_been_sent(result),
             ),
         )
 
-    @_performs(effects.Reply)
+    @_executes(effects.Reply)
     def _reply(self, effect: effects.Reply) -> None:
-        self._settle(effect.ticket, effect.body)
+        self._answer_call(effect.ticket, effect.body)
 
-    @_performs(effects.Trace)
+    @_executes(effects.Trace)
     def _trace(self, effect: effects.Trace) -> None:
         self._on_trace(effect.event)
 
-    @_performs(effects.Exit)
+    @_executes(effects.Exit)
     def _exit(self, effect: effects.Exit) -> None:
         if not self.exited.called:
             self.exited.callback(None)
@@ -350,7 +352,7 @@
     return None if isinstance(result, failure.Failure) else result
 
 
-def _may_be_sent(result: typing.Any) -> bool:
+def _may_have_been_sent(result: typing.Any) -> bool:
     if isinstance(result, failure.Failure):
         error = result.value
         return not isinstance(error, http_client.NoAnswerError) or error.sent
--- a/citronmount/service/tests/fakes.py
+++ b/citronmount/service/tests/fakes.py
@@ -15,7 +15,7 @@
 Answers = Callable[[peer_messages.CallerCall], peer_messages.Answer | None]
 
 
-class FakeBrain:
+class FakeStateMachine:
     """Records events and answers calls from a script."""
 
     def __init__(self, answer: Answers = lambda body: None) -> None:
--- a/citronmount/service/tests/test_api.py
+++ b/citronmount/service/tests/test_api.py
@@ -16,7 +16,7 @@
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
 from citronmount.service import api as api_lib
-from citronmount.service import rate_limit
+from citronmount.service import rate_limiter
 from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
 from citronmount.telemetry import events as timeline_events
@@ -46,13 +46,13 @@
     """Every route, with a scripted state machine behind it."""
 
     def setUp(self) -> None:
-        self.brain = fakes.FakeBrain()
+        self.state_machine = fakes.FakeStateMachine()
         self.metrics = metrics_lib.Metrics()
         self.timeline = store.TimelineStore(max_events=2)
         self.now_ms = 0
         runtime = runtime_lib.Runtime(
             reactor=task.Clock(),
-            brain=self.brain,
+            state_machine=self.state_machine,
             peers=fakes.FakePeers(),
             http=fakes.FakeHttp(),
             addresses=runtime_lib.Addresses(log="", vm_list=""),
@@ -63,10 +63,10 @@
             vm=ids.VmId("v1"),
             failure_domain=ids.FailureDomainId("kr-a"),
             runtime=runtime,
-            brain=self.brain,
+            state_machine=self.state_machine,
             timeline=self.timeline,
             metrics=self.metrics,
-            limit=rate_limit.RateLimit(rate_per_s=1, burst=2),
+            limit=rate_limiter.RateLimiter(rate_per_s=1, burst=2),
             now_ms=lambda: self.now_ms,
             wall_ms=lambda: _WALL_MS,
             new_id=lambda: "made",
@@ -229,8 +229,8 @@
         found = msgspec.convert(
             body["content"], configuration_lib.Configuration
         )
-        self.assertEqual(self.brain.configuration, found)
-        self.brain.configuration = None
+        self.assertEqual(self.state_machine.configuration, found)
+        self.state_machine.configuration = None
         status, body = self._send("GET", "/v1/configuration")
         self.assertEqual((503, 3002), (status, body["code"]))
 
@@ -266,19 +266,21 @@
                 self.assertEqual((expected, 2002), (status, body["code"]))
 
     def test_readiness_tells_what_is_missing(self) -> None:
-        self.brain.ready = False
+        self.state_machine.ready = False
         self.assertEqual(3008, self._send("GET", "/v1/ready")[1]["code"])
-        self.brain.configuration = configuration_lib.Configuration()
+        self.state_machine.configuration = configuration_lib.Configuration()
         self.assertEqual(3002, self._send("GET", "/v1/ready")[1]["code"])
-        self.brain.configuration = None
+        self.state_machine.configuration = None
         self.assertEqual(3002, self._send("GET", "/v1/ready")[1]["code"])
-        self.brain.draining = True
+        self.state_machine.draining = True
         self.assertEqual(3003, self._send("GET", "/v1/ready")[1]["code"])
 
     def test_drain_turns_readiness_off(self) -> None:
         self.assertEqual(202, self._send("POST", "/v1/drain")[0])
-        self.assertEqual(1, len(self.brain.of_type(events.DrainRequested)))
-        self.brain.ready, self.brain.draining = False, True
+        self.assertEqual(
+            1, len(self.state_machine.of_type(events.DrainRequested))
+        )
+        self.state_machine.ready, self.state_machine.draining = False, True
         self.assertEqual(503, self._send("GET", "/v1/ready")[0])
 
     def test_caller_that_closes_its_connection_has_left(self) -> None:
@@ -289,18 +291,21 @@
         self.http.flush()
         answer.cancel()
         self.http.flush()
-        arrived = self.brain.of_type(events.CallArrived)
-        left = self.brain.of_type(events.CallerLeft)
+        arrived = self.state_machine.of_type(events.CallArrived)
+        left = self.state_machine.of_type(events.CallerLeft)
         self.assertEqual(
             [event.ticket for event in arrived],
             [event.ticket for event in left],
         )
 
     def _answer(self, body: peer_messages.Answer) -> None:
-        self.brain.answer = lambda call: body
+        self.state_machine.answer = lambda call: body
 
     def _calls(self) -> list[peer_messages.CallerCall]:
-        return [event.body for event in self.brain.of_type(events.CallArrived)]
+        return [
+            event.body
+            for event in self.state_machine.of_type(events.CallArrived)
+        ]
 
     def _publish(self, query: str, data: str = _SHEET) -> tuple[int, dict]:
         return self._send("PUT", f"/v1/configuration?{query}", data.encode())
--- a/citronmount/service/tests/test_api_inputs.py
+++ b/citronmount/service/tests/test_api_inputs.py
@@ -14,7 +14,7 @@
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
 from citronmount.service import api as api_lib
-from citronmount.service import rate_limit
+from citronmount.service import rate_limiter
 from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
 from citronmount.telemetry import metrics as metrics_lib
@@ -79,12 +79,12 @@
 
 
 def _client() -> testing.StubTreq:
-    brain = fakes.FakeBrain(_answer)
+    state_machine = fakes.FakeStateMachine(_answer)
     metrics = metrics_lib.Metrics()
     timeline = store.TimelineStore(max_events=1)
     runtime = runtime_lib.Runtime(
         reactor=task.Clock(),
-        brain=brain,
+        state_machine=state_machine,
         peers=fakes.FakePeers(),
         http=fakes.FakeHttp(),
         addresses=runtime_lib.Addresses(log="", vm_list=""),
@@ -95,10 +95,10 @@
         vm=ids.VmId("v1"),
         failure_domain=ids.FailureDomainId("kr-a"),
         runtime=runtime,
-        brain=brain,
+        state_machine=state_machine,
         timeline=timeline,
         metrics=metrics,
-        limit=rate_limit.RateLimit(rate_per_s=1, burst=1_000_000),
+        limit=rate_limiter.RateLimiter(rate_per_s=1, burst=1_000_000),
         now_ms=lambda: 0,
         wall_ms=lambda: 0,
     )
--- a/citronmount/service/tests/test_http_server.py
+++ b/citronmount/service/tests/test_http_server.py
@@ -107,5 +107,5 @@
         aborted = []
         transport.abortConnection = lambda: aborted.append(True)
         defer.ensureDeferred(self.factory.close_connections(clock))
-        clock.advance(http_server.FLUSH_LIMIT_S)
+        clock.advance(http_server.FLUSH_TIMEOUT_S)
         self.assertEqual([True], aborted)
--- a/citronmount/service/tests/test_runtime.py
+++ b/citronmount/service/tests/test_runtime.py
@@ -53,14 +53,14 @@
     def setUp(self) -> None:
         self.lines = self.enterContext(testing.capture_logs())
         self.clock = task.Clock()
-        self.brain = fakes.FakeBrain()
+        self.state_machine = fakes.FakeStateMachine()
         self.peers = fakes.FakePeers()
         self.http = fakes.FakeHttp()
         self.traced = []
         self.metrics = metrics_lib.Metrics()
         self.runtime = runtime_lib.Runtime(
             reactor=self.clock,
-            brain=self.brain,
+            state_machine=self.state_machine,
             peers=self.peers,
             http=self.http,
             addresses=runtime_lib.Addresses(log=_ADDRESS, vm_list=_ADDRESS),
@@ -73,17 +73,17 @@
         self.clock.pump([0.25] * 4)
         self.runtime.stop()
         self.clock.pump([0.25] * 4)
-        self.assertEqual(1, len(self.brain.of_type(events.Started)))
-        self.assertEqual(4, len(self.brain.of_type(events.Tick)))
+        self.assertEqual(1, len(self.state_machine.of_type(events.Started)))
+        self.assertEqual(4, len(self.state_machine.of_type(events.Tick)))
 
     def test_each_call_gets_exactly_one_event(self) -> None:
         for effect in _EFFECTS_WITH_CALLS:
             with self.subTest(type(effect).__name__):
-                self.brain.effects = {events.Started: [effect]}
-                self.brain.events.clear()
-                self.runtime.feed(events.Started())
+                self.state_machine.effects = {events.Started: [effect]}
+                self.state_machine.events.clear()
+                self.runtime.dispatch(events.Started())
                 self.http.open.pop().errback(_no_answer())
-                answers = self.brain.events[1:]
+                answers = self.state_machine.events[1:]
                 self.assertEqual([_CALL], [event.call for event in answers])
 
     def test_good_answers_are_passed_on(self) -> None:
@@ -94,13 +94,13 @@
                 ),
             )
         )
-        self.brain.effects = {
+        self.state_machine.effects = {
             events.Started: [
                 effects.ListPlatform(call=_CALL),
                 effects.AppendLog(call=_CALL, stream="s", records=()),
             ]
         }
-        self.runtime.feed(events.Started())
+        self.runtime.dispatch(events.Started())
         self.http.open[0].callback(view)
         self.http.open[1].callback(
             wire_format.AppendAnswer(offset=ids.Offset(9))
@@ -110,37 +110,37 @@
                 events.PlatformListed(call=_CALL, view=view),
                 events.LogAppended(call=_CALL, offset=9),
             ],
-            self.brain.events[1:],
+            self.state_machine.events[1:],
         )
         self.assertEqual({"v": _ADDRESS}, self.peers.peers)
 
     def test_runner_answer_tells_whether_it_was_sent(self) -> None:
         for sent in (True, False):
             with self.subTest(sent=sent):
-                self.brain.effects = {events.Started: [_RUN]}
-                self.runtime.feed(events.Started())
+                self.state_machine.effects = {events.Started: [_RUN]}
+                self.runtime.dispatch(events.Started())
                 self.http.open.pop().errback(_no_answer(sent))
-                self.assertIs(sent, self.brain.events[-1].sent)
+                self.assertIs(sent, self.state_machine.events[-1].sent)
 
     def test_event_that_arises_in_an_effect_waits_for_its_turn(self) -> None:
         order = []
 
         def send(to: str, message: peer_messages.PeerMessage) -> bool:
-            self.runtime.feed(events.Tick())
-            order.append((to, len(self.brain.events)))
+            self.runtime.dispatch(events.Tick())
+            order.append((to, len(self.state_machine.events)))
             return True
 
         self.peers.send = send
         message = peer_messages.Acknowledge(call=_CALL)
-        self.brain.effects = {
+        self.state_machine.effects = {
             events.Started: [
                 effects.SendPeer(to=ids.VmId(name), message=message)
                 for name in "ab"
             ]
         }
-        self.runtime.feed(events.Started())
+        self.runtime.dispatch(events.Started())
         self.assertEqual([("a", 1), ("b", 1)], order)
-        self.assertEqual(2, len(self.brain.of_type(events.Tick)))
+        self.assertEqual(2, len(self.state_machine.of_type(events.Tick)))
 
     def test_caller_that_leaves_is_told_once(self) -> None:
         body = peer_messages.GetJob(job=ids.JobId("kr-a/1"))
@@ -149,16 +149,16 @@
         answer.addErrback(left.append)
         answer.cancel()
         self.assertTrue(left[0].check(defer.CancelledError))
-        ticket = self.brain.of_type(events.CallerLeft)[0].ticket
+        ticket = self.state_machine.of_type(events.CallerLeft)[0].ticket
         late = effects.Reply(
             ticket=ticket, body=peer_messages.JobsAnswer(statuses=())
         )
-        self.brain.effects = {events.Tick: [late, late]}
-        self.runtime.feed(events.Tick())
+        self.state_machine.effects = {events.Tick: [late, late]}
+        self.runtime.dispatch(events.Tick())
         self.assertEqual(0, self.runtime.open_calls)
 
     def test_fault_of_the_state_machine_is_answered_and_counted(self) -> None:
-        self.brain.broken = True
+        self.state_machine.broken = True
         answer = self.runtime.call(peer_messages.GetJob(job="kr-a/1"))
         logged = [line["event"] for line in self.lines]
         self.assertEqual(["event_failed"], logged)
@@ -169,9 +169,11 @@
         self.assertEqual(1, counters["events_failed"])
 
     def test_exit_fires_once(self) -> None:
-        self.brain.effects = {events.Tick: [effects.Exit(), effects.Exit()]}
+        self.state_machine.effects = {
+            events.Tick: [effects.Exit(), effects.Exit()]
+        }
         exits = []
         self.runtime.exited.addCallback(exits.append)
-        self.runtime.feed(events.Tick())
-        self.runtime.feed(events.Tick())
+        self.runtime.dispatch(events.Tick())
+        self.runtime.dispatch(events.Tick())
         self.assertEqual([None], exits)
--- a/citronmount/service/brain.py
+++ b/citronmount/service/vm_state_machine.py
@@ -1,4 +1,4 @@
-"""What the shell needs of the state machine that it drives."""
+"""The interface of the state machine that the daemon drives."""
 
 import typing
 
@@ -7,50 +7,50 @@
 from citronmount.config import configuration as configuration_lib
 from citronmount.service import bodies
 
-__all__ = ["Brain"]
+__all__ = ["VmStateMachine"]
 
 
-class Brain(typing.Protocol):
-    """The state machine of one VM, without I/O or clock."""
+class VmStateMachine(typing.Protocol):
+    """The state machine of one VM; it does no I/O and reads no clock."""
 
     def handle(
         self, event: events.Event, now_ms: int, wall_ms: int
     ) -> list[effects.Effect]:
-        """Takes in one event.
+        """Handles one event.
 
         Args:
-            event: What happened.
+            event: The event.
             now_ms: Monotonic time.
-            wall_ms: Wall-clock time since the epoch.
+            wall_ms: Unix time.
 
         Returns:
-            What the shell has to do, in order.
+            The effects to execute, in order.
         """
 
     @property
     def configuration(self) -> configuration_lib.Configuration | None:
-        """The configuration in force, or None without a trustworthy one."""
+        """The configuration in force, or None if none can be trusted."""
 
     @property
     def ready(self) -> bool:
-        """Whether the VM takes new work."""
+        """Whether the VM accepts new work."""
 
     @property
     def draining(self) -> bool:
         """Whether the VM is stopping."""
 
     def members(self, now_ms: int) -> tuple[bodies.Member, ...]:
-        """Returns the VMs that this VM knows.
+        """Returns this VM and the peers that it knows.
 
         Args:
             now_ms: Monotonic time.
 
         Returns:
-            One entry for each VM, this one included.
+            One entry per VM.
         """
 
     def fragmentation(self) -> float:
         """Returns the share of free accelerators that queued work cannot use.
 
-        It is 0 at a VM that owns no failure domain.
+        The share is 0 on a VM that owns no failure domain.
         """
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -12,12 +12,12 @@
 from citronmount.core import ids
 from citronmount.peers import keys
 from citronmount.peers import transport
-from citronmount.service import agent_brain
+from citronmount.service import agent_state_machine
 from citronmount.service import api as api_lib
-from citronmount.service import brain as brain_lib
-from citronmount.service import rate_limit
+from citronmount.service import rate_limiter
 from citronmount.service import runtime as runtime_lib
 from citronmount.service import settings as settings_lib
+from citronmount.service import vm_state_machine
 from citronmount.telemetry import events
 from citronmount.telemetry import logs
 from citronmount.telemetry import metrics as metrics_lib
@@ -25,16 +25,16 @@
 from citronmount.telemetry import stages
 from citronmount.telemetry import store
 
-__all__ = ["Parts", "make_brain"]
+__all__ = ["Components", "make_state_machine"]
 
 _NS_PER_MS = 1_000_000
 
 
-class Parts:
+class Components:
     """The parts of one daemon, connected with each other but not started.
 
     Attributes:
-        brain: The state machine.
+        state_machine: The state machine.
         peers: The socket to other VMs.
         http: The connections to platform and targets.
         runtime: Drives the state machine.
@@ -47,16 +47,16 @@
         *,
         reactor: interfaces.IReactorTime,
         settings: settings_lib.Settings,
-        brain: brain_lib.Brain,
+        state_machine: vm_state_machine.VmStateMachine,
     ) -> None:
         """Initializes the parts.
 
         Args:
             reactor: The reactor of the process.
             settings: The checked settings.
-            brain: The state machine.
+            state_machine: The state machine.
         """
-        self.brain = brain
+        self.state_machine = state_machine
         self.metrics = metrics_lib.Metrics()
         self.http = http_client.HttpClient(reactor=reactor)
         self.peers = transport.Transport(
@@ -75,7 +75,7 @@
         )
         self.runtime = runtime_lib.Runtime(
             reactor=reactor,
-            brain=brain,
+            state_machine=state_machine,
             peers=self.peers,
             http=self.http,
             addresses=runtime_lib.Addresses(
@@ -89,7 +89,7 @@
             vm=settings.vm.vm_id,
             failure_domain=settings.vm.failure_domain_id,
             runtime=self.runtime,
-            brain=brain,
+            state_machine=state_machine,
             timeline=self._timeline,
             metrics=self.metrics,
             limit=_limit(settings.limits),
@@ -99,7 +99,7 @@
         self._register_gauges()
 
     def _peer_arrived(self, sender: ids.VmId, message: object) -> None:
-        self.runtime.peer_arrived(sender, message)
+        self.runtime.receive_peer_message(sender, message)
 
     def _traced(self, event: events.TimelineEvent) -> None:
         self._timeline.add(event)
@@ -107,7 +107,7 @@
         logs.log_event(self._logger, event)
 
     def _class_of(self, account: str) -> str:
-        content = self.brain.configuration
+        content = self.state_machine.configuration
         known = () if content is None else content.accounts
         return next(
             (a.account_class.value for a in known if a.name == account),
@@ -115,7 +115,7 @@
         )
 
     def _register_gauges(self) -> None:
-        self.metrics.gauge("fragmentation", self.brain.fragmentation)
+        self.metrics.gauge("fragmentation", self.state_machine.fragmentation)
         self.metrics.gauge("process.processor_s", process.processor_s)
         self.metrics.gauge("process.resident_bytes", process.resident_bytes)
         for name in transport.Counters.__struct_fields__:
@@ -131,7 +131,9 @@
         return lambda: getattr(self.peers.counters, name)
 
 
-def make_brain(settings: settings_lib.Settings) -> brain_lib.Brain:
+def make_state_machine(
+    settings: settings_lib.Settings,
+) -> vm_state_machine.VmStateMachine:
     """Returns the state machine of the VM that the settings describe.
 
     Args:
@@ -158,7 +160,7 @@
             claim_lifetime_ms=retention.key_lifetime_ms,
         )
     )
-    return agent_brain.AgentBrain(agent=agent)
+    return agent_state_machine.AgentStateMachine(agent=agent)
 
 
 def _peer_keys(settings: settings_lib.CurveSettings) -> keys.PeerKeys | None:
@@ -171,8 +173,8 @@
     )
 
 
-def _limit(settings: settings_lib.LimitSettings) -> rate_limit.RateLimit:
-    return rate_limit.RateLimit(
+def _limit(settings: settings_lib.LimitSettings) -> rate_limiter.RateLimiter:
+    return rate_limiter.RateLimiter(
         rate_per_s=settings.requests_per_second_per_account,
         burst=settings.burst_requests_per_account,
     )
