--- a/citronmount/fleet/commands.py
+++ b/citronmount/fleet/commands.py
@@ -25,7 +25,11 @@
 
 
 class EndKind(enum.Enum):
-    """How a worker reports that a run of a task ended."""
+    """How a run of a task ended, as reported by its worker.
+
+    MEMBER_LOST: another member of the gang failed. MEMBER_MISSING: the gang
+    was not running as a whole.
+    """
 
     DONE = "done"
     FAILED = "failed"
