--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from citronmount.agent import call_desk
+from citronmount.agent import call_router
 from citronmount.agent import claims as claims_lib
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
@@ -16,7 +16,7 @@
 from citronmount.agent import mover as mover_lib
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import ownership as ownership_lib
-from citronmount.agent import request_desk
+from citronmount.agent import request_handler
 from citronmount.agent import settings as settings_lib
 from citronmount.agent import stream_reader
 from citronmount.config import configuration
@@ -74,7 +74,7 @@
             outbox=self.outbox,
             reader=self.reader,
         )
-        self.configuration = configuration_lib.ConfigurationKeeper(
+        self.configuration = configuration_lib.ConfigurationManager(
             ctx=self._ctx,
             view=self.view,
             outbox=self.outbox,
@@ -93,23 +93,23 @@
         self._make_desks()
 
     def _make_desks(self) -> None:
-        self.keeping = keeping_lib.Keeping(
+        self.lease_renewer = keeping_lib.Keeping(
             ctx=self._ctx,
             view=self.view,
             on_report=self._worker_report,
             on_lost=self._worker_lost,
             on_token=self.ownership.learn_token,
         )
-        self.requests = request_desk.RequestDesk(
+        self.requests = request_handler.RequestHandler(
             ctx=self._ctx,
             view=self.view,
-            configuration_keeper=self.configuration,
+            configuration_manager=self.configuration,
             claims=self.claims,
         )
         rooms = domain_rooms.DomainRooms(
             ctx=self._ctx, view=self.view, ownership=self.ownership
         )
-        self.calls = call_desk.CallDesk(
+        self.calls = call_router.CallRouter(
             ctx=self._ctx,
             view=self.view,
             configuration=self.configuration,
@@ -141,7 +141,7 @@
             ownership=self.ownership,
             listen_ms=self.settings.heartbeat_ms * 2,
         )
-        self.heartbeats = heartbeats_lib.Heartbeats(
+        self.heartbeats = heartbeats_lib.HeartbeatSender(
             ctx=self._ctx,
             view=self.view,
             configuration=self.configuration,
@@ -175,10 +175,10 @@
         self._ctx.wall_ms = wall_ms
         self._notice_pause(now_ms)
         self._dispatch(event)
-        self.ownership.settle()
+        self.ownership.step_down_if_fenced()
         if self.ownership.domain is not None:
             self.ownership.domain.decide_if_due()
-        self.requests.pump()
+        self.requests.apply_decisions()
         out = self._ctx.effects
         self._ctx.effects = []
         return out
@@ -193,10 +193,10 @@
         if gap_ms <= self.settings.pause_limit_ms:
             return
         self._ctx.trace(timeline.EventKind.VM_RESUMED_LATE, count=gap_ms)
-        self.view.forget_silence(now_ms)
-        self.drain.resumed()
+        self.view.restart_suspicion_timers(now_ms)
+        self.drain.record_pause()
         self.ownership.step_down("paused")
-        self.ownership.not_before(now_ms + self.settings.suspicion_ms)
+        self.ownership.delay_take_over(now_ms + self.settings.suspicion_ms)
 
     def _dispatch(self, event: events.Event) -> None:
         match event:
@@ -231,7 +231,7 @@
 
     def _started(self) -> None:
         self._ctx.trace(timeline.EventKind.VM_STARTED)
-        self.ownership.not_before(
+        self.ownership.delay_take_over(
             self._ctx.now_ms + self.settings.heartbeat_ms * 2
         )
         self._tick()
@@ -267,7 +267,7 @@
         strangers = [
             listed.vm for listed in view.vms if listed.vm not in self.view.peers
         ]
-        self.view.listed(view)
+        self.view.update_listing(view)
         for vm in strangers:
             if vm in self.view.peers:
                 self.heartbeats.send_to(vm)
@@ -294,7 +294,7 @@
         if assigned == self._assigned:
             return
         self._assigned = assigned
-        self.keeping.assign(self._workers)
+        self.lease_renewer.assign(self._workers)
         members = sorted({*candidates, self.settings.vm})
         self.requests.router.set_share(
             members.index(self.settings.vm), len(members)
@@ -303,12 +303,12 @@
     def _tick_keeping(self) -> None:
         domain = self.ownership.domain
         if domain is not None:
-            self.keeping.owner_heard()
-            self.keeping.lapse = frozenset(domain.lapsing())
+            self.lease_renewer.owner_heard()
+            self.lease_renewer.lapse = frozenset(domain.lapsing())
         owner = self.view.owner(self.settings.failure_domain, self._ctx.now_ms)
         rebuilding = owner == self.settings.vm and domain is None
         reachable = None if rebuilding else owner
-        self.keeping.tick(self.ownership.token, reachable)
+        self.lease_renewer.tick(self.ownership.token, reachable)
 
     def _call_arrived(self, event: events.CallArrived) -> None:
         ticket = event.ticket
@@ -367,7 +367,7 @@
             case peer_messages.LapseAttempts(token=token, attempts=attempts):
                 self.ownership.learn_token(token)
                 if token == self.ownership.token:
-                    self.keeping.lapse = frozenset(attempts)
+                    self.lease_renewer.lapse = frozenset(attempts)
             case peer_messages.StateRequest():
                 self._ctx.send(sender, self._state_answer(message))
 
@@ -377,22 +377,22 @@
         self._ctx.clock.merge(heartbeat.physical_ms, heartbeat.logical)
         known = self.view.peers.get(sender)
         before = None if known is None else known.heartbeat
-        if not self.view.heard(sender, heartbeat, self._ctx.now_ms):
+        if not self.view.record_heartbeat(sender, heartbeat, self._ctx.now_ms):
             return
         if before is None or before.incarnation != heartbeat.incarnation:
             self.heartbeats.send_to(sender)
-        self.configuration.peer_is_ahead(sender, heartbeat)
+        self.configuration.catch_up_with(sender, heartbeat)
         if heartbeat.failure_domain != self.settings.failure_domain:
             return
         self.ownership.learn_token(heartbeat.token)
         self.requests.router.peer_free_slots(sender, heartbeat.free_slots)
         if heartbeat.domain is not None:
-            self.keeping.owner_heard()
+            self.lease_renewer.owner_heard()
 
     def _replicate(
         self, sender: ids.VmId, message: peer_messages.Replicate
     ) -> None:
-        self.outbox.hold(message.stream, message.records)
+        self.outbox.store_replicas(message.stream, message.records)
         own = records.job_stream(self.settings.failure_domain)
         if message.stream == own:
             for record in message.records:
@@ -433,12 +433,12 @@
         return peer_messages.StateAnswer(
             call=request.call,
             configuration=(
-                fold.snapshot(ids.RecordId(self._ctx.unique()))
+                fold.snapshot(ids.RecordId(self._ctx.unique_id()))
                 if fold.trusted
                 else None
             ),
             jobs=book.snapshot(
-                ids.RecordId(self._ctx.unique()), claims_since_ms=since_ms
+                ids.RecordId(self._ctx.unique_id()), claims_since_ms=since_ms
             ),
             unappended=self.outbox.unappended(request.stream),
             token=self.ownership.token,
--- a/citronmount/agent/call_answers.py
+++ b/citronmount/agent/call_answers.py
@@ -6,11 +6,11 @@
 from citronmount.peers import messages as peer_messages
 
 __all__ = [
+    "cannot_start_now",
     "failure",
-    "is_for_retry",
-    "is_not_startable",
-    "joined",
-    "may_be_accepted",
+    "is_not_owner",
+    "merge_job_lists",
+    "submission_outcome_unknown",
 ]
 
 RETRY_AFTER_MS = 2_000
@@ -33,7 +33,7 @@
     )
 
 
-def is_for_retry(answer: peer_messages.Answer) -> bool:
+def is_not_owner(answer: peer_messages.Answer) -> bool:
     """Returns whether the asked VM was not the owner after all.
 
     Args:
@@ -45,7 +45,7 @@
     )
 
 
-def is_not_startable(answer: peer_messages.Answer) -> bool:
+def cannot_start_now(answer: peer_messages.Answer) -> bool:
     """Returns whether an eager submission was refused for lack of room.
 
     Args:
@@ -61,7 +61,7 @@
     )
 
 
-def may_be_accepted(spec: jobs.JobSpec) -> peer_messages.Failure:
+def submission_outcome_unknown(spec: jobs.JobSpec) -> peer_messages.Failure:
     """Returns the answer to a submission whose fate is not known.
 
     Args:
@@ -71,7 +71,7 @@
     return failure(codes.ResultCode.TIMED_OUT, detail)
 
 
-def joined(
+def merge_job_lists(
     answers: dict[ids.FailureDomainId, peer_messages.Answer],
 ) -> peer_messages.Answer:
     """Returns one answer for the parts of a call to all failure domains.
--- a/citronmount/agent/call_desk.py
+++ b/citronmount/agent/call_router.py
@@ -12,14 +12,14 @@
 from citronmount.agent import domain_rooms
 from citronmount.agent import job_submission
 from citronmount.agent import ownership as ownership_lib
-from citronmount.agent import request_desk
+from citronmount.agent import request_handler
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 
-__all__ = ["CallDesk"]
+__all__ = ["CallRouter"]
 
 FORWARD_TIMEOUT_MS = 1_500
 WAIT_MARGIN_MS = 1_000
@@ -49,7 +49,7 @@
     uncertain: bool = False
 
 
-class CallDesk:
+class CallRouter:
     """Finds the owner for each call and answers the caller once.
 
     Calls are repeated until their time is up; all of them are idempotent,
@@ -61,10 +61,10 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        configuration: configuration_lib.ConfigurationKeeper,
+        configuration: configuration_lib.ConfigurationManager,
         ownership: ownership_lib.Ownership,
         rooms: domain_rooms.DomainRooms,
-        requests: request_desk.RequestDesk,
+        requests: request_handler.RequestHandler,
     ) -> None:
         """Initializes a desk without calls.
 
@@ -92,7 +92,7 @@
             route=self.route,
         )
 
-    def busy(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Returns whether a call is on its way."""
         return bool(self._routed)
 
@@ -166,7 +166,7 @@
         if body.spec.timeout_ms <= 0:
             respond(call_answers.failure(codes.ResultCode.DEADLINE_PASSED))
             return
-        self._requests.arrive(
+        self._requests.submit(
             body.spec,
             answered,
             claimed=body.claimed,
@@ -246,7 +246,7 @@
                 call.uncertain = True
                 call.body = _decisive(call.body)
                 return
-            if not call_answers.is_for_retry(message.body):
+            if not call_answers.is_not_owner(message.body):
                 self._routed.remove(call)
                 call.respond(_truthful(call, message.body))
 
@@ -263,7 +263,9 @@
             code = codes.ResultCode.HOME_UNREACHABLE
             call.respond(call_answers.failure(code))
         elif isinstance(call.body, peer_messages.SubmitJob):
-            call.respond(call_answers.may_be_accepted(call.body.spec))
+            call.respond(
+                call_answers.submission_outcome_unknown(call.body.spec)
+            )
         else:
             code = codes.ResultCode.TIMED_OUT
             call.respond(call_answers.failure(code))
@@ -325,7 +327,7 @@
         ) -> None:
             answers[name] = answer
             if len(answers) == len(names):
-                respond(call_answers.joined(answers))
+                respond(call_answers.merge_job_lists(answers))
 
         if not names:
             respond(peer_messages.JobsAnswer(statuses=()))
@@ -344,7 +346,7 @@
     submitted = isinstance(call.body, peer_messages.SubmitJob)
     refused = isinstance(answer, peer_messages.Failure)
     if call.uncertain and submitted and refused:
-        return call_answers.may_be_accepted(call.body.spec)
+        return call_answers.submission_outcome_unknown(call.body.spec)
     return answer
 
 
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -104,7 +104,7 @@
             on_outcome: Told once how the claim ended.
         """
         claim = records.KeyClaimed(
-            record=ids.RecordId(self._ctx.unique()),
+            record=ids.RecordId(self._ctx.unique_id()),
             key=key,
             body_digest=body_digest,
             vm=self._ctx.settings.vm,
@@ -167,7 +167,7 @@
             result=self._book.key_results.get(claim.key),
         )
 
-    def finish(
+    def record_result(
         self, claim: records.KeyClaimed, result: jobs.RequestResult
     ) -> None:
         """Records the final answer of claimed work.
@@ -177,7 +177,7 @@
             result: The answer; one that proves not run frees the key.
         """
         record = records.KeyResult(
-            record=ids.RecordId(self._ctx.unique()),
+            record=ids.RecordId(self._ctx.unique_id()),
             key=claim.key,
             claim=claim.record,
             result=result,
@@ -291,7 +291,7 @@
         not_run = jobs.RequestResult(
             request=ids.RequestId(""), code=codes.ResultCode.NOT_DURABLE
         )
-        self.finish(election.claim, not_run)
+        self.record_result(election.claim, not_run)
         election.on_outcome(
             ClaimOutcome(
                 granted=False,
--- a/citronmount/agent/configuration.py
+++ b/citronmount/agent/configuration.py
@@ -19,7 +19,7 @@
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
-__all__ = ["ConfigurationKeeper"]
+__all__ = ["ConfigurationManager"]
 
 SNAPSHOT_EVERY_RECORDS = 500
 SNAPSHOTS_PER_RETENTION = 4
@@ -39,7 +39,7 @@
     appended: bool = False
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """Folds the configuration stream and tells the agent of new versions.
 
     A VM that is cut off from the log takes the configuration over from a
@@ -100,7 +100,7 @@
         self._publications[change.record] = publication
         self._push(publication)
 
-    def peer_is_ahead(
+    def catch_up_with(
         self, peer: ids.VmId, heartbeat: peer_messages.Heartbeat
     ) -> None:
         """Catches up with a peer that has a newer configuration.
@@ -113,7 +113,7 @@
         if not behind and self.fold.trusted:
             return
         self._next_poll_ms = min(self._next_poll_ms, self._ctx.now_ms)
-        unreachable = not self._outbox.log_up or not self.fold.trusted
+        unreachable = not self._outbox.log_available or not self.fold.trusted
         if heartbeat.ready and unreachable and not self._relaying:
             self._ask_relay(peer)
 
@@ -147,7 +147,7 @@
 
     def _was_read(self, page: messages.LogPage | None) -> None:
         self._reading = False
-        self._outbox.log_up = page is not None
+        self._outbox.log_available = page is not None
         if page is None:
             return
         if self.fold.fold_page(page):
@@ -257,7 +257,7 @@
         def appended(offset: ids.Offset | None) -> None:
             self._snapshot_in_flight = False
 
-        snapshot = self.fold.snapshot(ids.RecordId(self._ctx.unique()))
+        snapshot = self.fold.snapshot(ids.RecordId(self._ctx.unique_id()))
         self._ctx.append_log(records.CONFIG_STREAM, (snapshot,), appended)
 
     def _snapshot_due(self) -> bool:
--- a/citronmount/agent/context.py
+++ b/citronmount/agent/context.py
@@ -47,7 +47,7 @@
         self._calls: dict[ids.CallId, Callable[[Any], None]] = {}
         self._peer_calls: dict[ids.CallId, _PeerCall] = {}
 
-    def unique(self) -> str:
+    def unique_id(self) -> str:
         """Returns a string that no other process or incarnation makes."""
         self._counter += 1
         incarnation = self.settings.incarnation
@@ -199,7 +199,7 @@
 
     def new_call(self) -> ids.CallId:
         """Returns a call id that was never used."""
-        return ids.CallId(self.unique())
+        return ids.CallId(self.unique_id())
 
     def resolve(self, call: ids.CallId, answer: Any) -> None:
         """Hands an answer of the shell to the handler of its call.
--- a/citronmount/agent/domain_rooms.py
+++ b/citronmount/agent/domain_rooms.py
@@ -45,7 +45,7 @@
         """
         self._sent.append((self._ctx.now_ms, home, accelerators))
 
-    def rooms(self) -> dict[ids.FailureDomainId, homes.DomainRoom]:
+    def rooms(self) -> dict[ids.FailureDomainId, homes.DomainCapacity]:
         """Returns the room in each failure domain that has an owner.
 
         What this VM has sent there since the last heartbeats is taken off.
@@ -57,7 +57,7 @@
         for _, home, accelerators in self._sent:
             sent[home] += accelerators
         return {
-            name: homes.DomainRoom(
+            name: homes.DomainCapacity(
                 accelerators=summary.free_accelerators
                 - summary.queued_accelerators
                 - sent[name],
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -1,11 +1,11 @@
 """Stops a VM without cutting a request or losing a record."""
 
-from citronmount.agent import call_desk
+from citronmount.agent import call_router
 from citronmount.agent import context
 from citronmount.agent import effects
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import ownership as ownership_lib
-from citronmount.agent import request_desk
+from citronmount.agent import request_handler
 from citronmount.core import ids
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
@@ -33,8 +33,8 @@
         view: view_lib.MembershipView,
         outbox: outbox_lib.Outbox,
         ownership: ownership_lib.Ownership,
-        calls: call_desk.CallDesk,
-        requests: request_desk.RequestDesk,
+        calls: call_router.CallRouter,
+        requests: request_handler.RequestHandler,
     ) -> None:
         """Initializes a VM that is not stopping.
 
@@ -70,7 +70,7 @@
         self._view.draining = True
         self._ctx.trace(timeline.EventKind.VM_DRAINING)
 
-    def resumed(self) -> None:
+    def record_pause(self) -> None:
         """Notes a pause, after which calls may still wait to be read."""
         self._resumed_ms = self._ctx.now_ms
 
@@ -84,7 +84,11 @@
             return
         if self._ownership.domain is not None:
             self._ownership.domain.table.answer_all()
-        open_work = open_tickets or self._calls.busy() or self._requests.busy()
+        open_work = (
+            open_tickets
+            or self._calls.has_open_calls()
+            or self._requests.has_open_requests()
+        )
         if open_work or self._just_resumed() or not self._released():
             return
         if self._outbox.streams():
--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -3,15 +3,15 @@
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
 from citronmount.agent import ownership as ownership_lib
-from citronmount.agent import request_desk
+from citronmount.agent import request_handler
 from citronmount.core import ids
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 
-__all__ = ["Heartbeats"]
+__all__ = ["HeartbeatSender"]
 
 
-class Heartbeats:
+class HeartbeatSender:
     """Tells peers that the VM lives, and what they need of it.
 
     VMs of the own failure domain hear it often, the others seldom, so that
@@ -23,9 +23,9 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        configuration: configuration_lib.ConfigurationKeeper,
+        configuration: configuration_lib.ConfigurationManager,
         ownership: ownership_lib.Ownership,
-        requests: request_desk.RequestDesk,
+        requests: request_handler.RequestHandler,
     ) -> None:
         """Initializes without having sent any.
 
@@ -77,7 +77,7 @@
     def _send(self, heartbeat: peer_messages.Heartbeat, *, local: bool) -> None:
         own = self._ctx.settings.failure_domain
         for vm, peer in self._view.peers.items():
-            known = peer.listed or self._view.alive(vm, self._ctx.now_ms)
+            known = peer.listed or self._view.is_alive(vm, self._ctx.now_ms)
             if known and (peer.failure_domain == own) is local:
                 self._ctx.send(vm, heartbeat)
         lapsing = self._lapsing()
--- a/citronmount/agent/homes.py
+++ b/citronmount/agent/homes.py
@@ -12,7 +12,7 @@
 from citronmount.membership import rendezvous
 
 __all__ = [
-    "DomainRoom",
+    "DomainCapacity",
     "home_of_key",
     "in_service",
     "keyed_job_id",
@@ -22,7 +22,7 @@
 KEY_DIGEST_BYTES = 12
 
 
-class DomainRoom(msgspec.Struct, frozen=True, kw_only=True):
+class DomainCapacity(msgspec.Struct, frozen=True, kw_only=True):
     """What is known of the room in a failure domain.
 
     Attributes:
@@ -96,7 +96,7 @@
 def rank_job_homes(
     current: configuration.Configuration,
     spec: jobs.JobSpec,
-    rooms: dict[ids.FailureDomainId, DomainRoom],
+    rooms: dict[ids.FailureDomainId, DomainCapacity],
     own: ids.FailureDomainId,
 ) -> list[ids.FailureDomainId]:
     """Returns the failure domains that could schedule a job, best first.
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -96,7 +96,7 @@
         entry.state = states.JobState.STOPPING
         entry.ending = True
         moved = records.JobMoved(
-            record=ids.RecordId(self._core.ctx.unique()),
+            record=ids.RecordId(self._core.ctx.unique_id()),
             job=job,
             number=self._core.book.next_move(job),
             to=to,
@@ -158,7 +158,7 @@
         """Records that another failure domain schedules a job now."""
         self._core.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._core.ctx.unique_id()),
                 job=job,
                 number=self._core.book.next_move(job) - 1,
                 to=to,
@@ -175,7 +175,7 @@
         """
         self._core.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._core.ctx.unique_id()),
                 job=job,
                 number=number,
                 to=self._core.failure_domain,
@@ -187,7 +187,7 @@
         """Records that this failure domain schedules a job again."""
         self._core.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._core.ctx.unique_id()),
                 job=job,
                 number=self._core.book.next_move(job),
                 to=self._core.failure_domain,
--- a/citronmount/agent/job_runs.py
+++ b/citronmount/agent/job_runs.py
@@ -193,7 +193,7 @@
         not_run = jobs.RequestResult(
             request=ids.RequestId(""), code=codes.ResultCode.TARGET_REFUSED
         )
-        self._core.claims.finish(claim, not_run)
+        self._core.claims.record_result(claim, not_run)
 
     def _write_intent(self, attempt: attempts_lib.Attempt) -> None:
         intent = records.AttemptIntended(
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -30,7 +30,7 @@
         self,
         *,
         ctx: context.Context,
-        configuration: configuration_lib.ConfigurationKeeper,
+        configuration: configuration_lib.ConfigurationManager,
         rooms: domain_rooms.DomainRooms,
         route: Route,
     ) -> None:
@@ -80,7 +80,7 @@
             respond(call_answers.failure(codes.ResultCode.HOME_UNREACHABLE))
             return
         home = own if own in allowed else allowed[0]
-        job = ids.job_id(home, self._ctx.unique())
+        job = ids.job_id(home, self._ctx.unique_id())
         self._submit_to(home, spec, job, respond)
 
     def _submit_keyed(self, spec: jobs.JobSpec, respond: Respond) -> None:
@@ -105,18 +105,18 @@
         If none can, the job is queued in the first.
         """
         if not homes_left:
-            job = ids.job_id(fallback, self._ctx.unique())
+            job = ids.job_id(fallback, self._ctx.unique_id())
             self._submit_to(fallback, spec, job, respond)
             return
         home, *others = homes_left
 
         def answered(answer: peer_messages.Answer) -> None:
-            if call_answers.is_not_startable(answer):
+            if call_answers.cannot_start_now(answer):
                 self._submit_eagerly(spec, others, fallback, respond)
             else:
                 respond(answer)
 
-        job = ids.job_id(home, self._ctx.unique())
+        job = ids.job_id(home, self._ctx.unique_id())
         self._submit_to(home, spec, job, answered, eager=True)
 
     def _submit_to(
--- a/citronmount/agent/joining.py
+++ b/citronmount/agent/joining.py
@@ -29,7 +29,7 @@
         ctx: context.Context,
         view: view_lib.MembershipView,
         reader: stream_reader.StreamReader,
-        configuration: configuration_lib.ConfigurationKeeper,
+        configuration: configuration_lib.ConfigurationManager,
         ownership: ownership_lib.Ownership,
         listen_ms: int,
     ) -> None:
--- a/citronmount/agent/keeping.py
+++ b/citronmount/agent/keeping.py
@@ -83,7 +83,7 @@
         mine = {
             ids.WorkerId(target.name): target
             for target in workers
-            if self._view.keeper(ids.WorkerId(target.name), candidates)
+            if self._view.lease_renewer(ids.WorkerId(target.name), candidates)
             == self._ctx.settings.vm
         }
         for worker in [name for name in self._kept if name not in mine]:
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from citronmount.agent import call_desk
+from citronmount.agent import call_router
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
 from citronmount.agent import domain_rooms
@@ -52,9 +52,9 @@
         ctx: context.Context,
         outbox: outbox_lib.Outbox,
         ownership: ownership_lib.Ownership,
-        calls: call_desk.CallDesk,
+        calls: call_router.CallRouter,
         rooms: domain_rooms.DomainRooms,
-        configuration: configuration_lib.ConfigurationKeeper,
+        configuration: configuration_lib.ConfigurationManager,
     ) -> None:
         """Initializes without moves.
 
@@ -93,7 +93,7 @@
         self._next_ms = self._ctx.now_ms + PERIOD_MS
         self._forget_ended(domain)
         self._resume()
-        if self._outbox.log_up:
+        if self._outbox.log_available:
             self._start()
         for move in list(self._moves.values()):
             self._send(move)
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -99,7 +99,7 @@
         self._in_flight: set[ids.StreamName] = set()
         self._retry_ms: dict[ids.StreamName, int] = {}
         self._held: dict[ids.StreamName, dict[ids.RecordId, _Held]] = {}
-        self.log_up = True
+        self.log_available = True
 
     def write(
         self,
@@ -128,10 +128,10 @@
         )
         writes[record.record] = write
         self._flush(stream)
-        if not self.log_up:
+        if not self.log_available:
             self._ask_peers(write)
 
-    def hold(
+    def store_replicas(
         self, stream: ids.StreamName, entries: tuple[records.Record, ...]
     ) -> None:
         """Keeps records for a peer, in memory, until the log has them.
@@ -203,7 +203,7 @@
         offset: ids.Offset | None,
     ) -> None:
         self._in_flight.discard(stream)
-        self.log_up = offset is not None
+        self.log_available = offset is not None
         if offset is None:
             self._retry_ms[stream] = self._ctx.now_ms + RETRY_MS
             return
@@ -217,7 +217,7 @@
     def _age(self, write: _Write) -> None:
         age_ms = self._ctx.now_ms - write.since_ms
         patience_ms = self._ctx.settings.log_patience_ms
-        impatient = not self.log_up or age_ms >= patience_ms
+        impatient = not self.log_available or age_ms >= patience_ms
         if impatient and not write.asked_peers:
             self._ask_peers(write)
         waited = write.limit_ms is not None and age_ms >= write.limit_ms
@@ -245,7 +245,7 @@
         return [
             peer
             for peer in self._view.live_peers(self._ctx.now_ms)
-            if self._view.answers(peer)
+            if self._view.is_responsive(peer)
         ]
 
     def _replicate(self, write: _Write, peer: ids.VmId, needed: int) -> None:
@@ -253,7 +253,7 @@
 
         def acknowledged(answer: peer_messages.Acknowledge | None) -> None:
             if answer is None:
-                self._view.note_silence(peer, self._ctx.now_ms)
+                self._view.record_unanswered_call(peer, self._ctx.now_ms)
                 write.asked_peers = False
                 return
             write.acks.add(peer)
@@ -273,7 +273,7 @@
 
     def _append_held(self) -> None:
         """Appends what is held for peers once the log answers again."""
-        if not self.log_up:
+        if not self.log_available:
             return
         limit_ms = self._ctx.now_ms - HELD_APPEND_MS
         for stream, held in self._held.items():
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -58,7 +58,7 @@
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
         claims: claims_lib.Claims,
-        configuration: configuration_lib.ConfigurationKeeper,
+        configuration: configuration_lib.ConfigurationManager,
         workers: Callable[[], tuple[messages.ListedTarget, ...]],
     ) -> None:
         """Initializes a follower.
@@ -108,7 +108,7 @@
         if self.phase is not OwnershipPhase.FOLLOWER:
             self._fenced_by = token
 
-    def not_before(self, due_ms: int) -> None:
+    def delay_take_over(self, due_ms: int) -> None:
         """Forbids taking over before a time, to listen to peers first.
 
         Args:
@@ -137,7 +137,7 @@
             detail=why,
         )
 
-    def settle(self) -> None:
+    def step_down_if_fenced(self) -> None:
         """Steps down if a worker or peer has shown a higher token."""
         if self._fenced_by is not None:
             self.step_down("fenced")
@@ -149,12 +149,12 @@
         if rested_ms > FENCED_REST_MS:
             self._backoff_ms = FENCED_BACKOFF_MS
         self._fenced_ms = self._ctx.now_ms
-        self.not_before(self._ctx.now_ms + self._backoff_ms)
+        self.delay_take_over(self._ctx.now_ms + self._backoff_ms)
         self._backoff_ms = min(2 * self._backoff_ms, FENCED_BACKOFF_MAX_MS)
 
     def tick(self) -> None:
         """Takes over, goes on with taking over, or steps down."""
-        self.settle()
+        self.step_down_if_fenced()
         owner = self._view.owner(
             self._ctx.settings.failure_domain, self._ctx.now_ms
         )
@@ -361,7 +361,7 @@
         self._snapshot_ms = self._ctx.now_ms + self._snapshot_period_ms()
         lifetime_ms = self._ctx.settings.claim_lifetime_ms
         snapshot = self._book.snapshot(
-            ids.RecordId(self._ctx.unique()),
+            ids.RecordId(self._ctx.unique_id()),
             claims_since_ms=self._ctx.wall_ms - lifetime_ms,
         )
         stream = records.job_stream(self._ctx.settings.failure_domain)
--- a/citronmount/agent/request_forwarding.py
+++ b/citronmount/agent/request_forwarding.py
@@ -12,7 +12,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 
-__all__ = ["RequestForwarding", "refuse", "unknown"]
+__all__ = ["RequestForwarding", "refusal", "outcome_unknown"]
 
 TRY_MS = 1_000
 RETRY_AFTER_MS = 1_000
@@ -71,8 +71,8 @@
             repeatable: Whether it may be sent on after silence.
         """
         now_ms = self._ctx.now_ms
-        silent = [vm for vm in vms if not self._view.answers(vm)]
-        answering = [vm for vm in vms if self._view.answers(vm)]
+        silent = [vm for vm in vms if not self._view.is_responsive(vm)]
+        answering = [vm for vm in vms if self._view.is_responsive(vm)]
         journey = _Journey(
             spec=body.spec,
             body=body,
@@ -102,7 +102,7 @@
 
         def answered(message: peer_messages.ForwardAnswer | None) -> None:
             if message is None:
-                self._view.note_silence(to, self._ctx.now_ms)
+                self._view.record_unanswered_call(to, self._ctx.now_ms)
             on_answer(None if message is None else _result(message, body))
 
         forward = peer_messages.Forward(
@@ -132,18 +132,18 @@
             if may_go_on and journey.repeatable:
                 self._next(journey)
             else:
-                journey.respond(unknown(journey.spec.request))
+                journey.respond(outcome_unknown(journey.spec.request))
             return
         info = codes.info(result.code)
         if info.proves_not_run and info.retry and may_go_on:
             self._next(journey)
         elif info.proves_not_run and journey.uncertain:
-            journey.respond(unknown(journey.spec.request))
+            journey.respond(outcome_unknown(journey.spec.request))
         else:
             journey.respond(result)
 
 
-def refuse(
+def refusal(
     request: ids.RequestId, code: codes.ResultCode
 ) -> jobs.RequestResult:
     """Returns a refusal.
@@ -163,7 +163,7 @@
     )
 
 
-def unknown(request: ids.RequestId) -> jobs.RequestResult:
+def outcome_unknown(request: ids.RequestId) -> jobs.RequestResult:
     """Returns the answer to a request of which nothing more is known.
 
     Args:
@@ -181,5 +181,5 @@
         case peer_messages.RequestAnswer(result=result):
             return result
         case peer_messages.Failure(result=failure):
-            return refuse(body.spec.request, failure.code)
+            return refusal(body.spec.request, failure.code)
     return None
--- a/citronmount/agent/request_desk.py
+++ b/citronmount/agent/request_handler.py
@@ -25,7 +25,7 @@
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
-__all__ = ["RequestDesk"]
+__all__ = ["RequestHandler"]
 
 ELSEWHERE_TRIES = 4
 
@@ -41,7 +41,7 @@
     claim: records.KeyClaimed | None = None
 
 
-class RequestDesk:
+class RequestHandler:
     """Takes short requests from callers and peers and answers each once.
 
     A request that is not idempotent and has a key is run only under a claim
@@ -54,7 +54,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        configuration_keeper: configuration_lib.ConfigurationKeeper,
+        configuration_manager: configuration_lib.ConfigurationManager,
         claims: claims_lib.Claims,
     ) -> None:
         """Initializes a desk without runners.
@@ -62,13 +62,13 @@
         Args:
             ctx: The shared context.
             view: Which peers live.
-            configuration_keeper: The configuration in force.
+            configuration_manager: The configuration in force.
             claims: Claims keys.
         """
         self.router = short_requests.RequestRouter(vm=ctx.settings.vm)
         self._ctx = ctx
         self._view = view
-        self._configuration = configuration_keeper
+        self._configuration = configuration_manager
         self._claims = claims
         self._runners: dict[ids.RunnerId, messages.ListedTarget] = {}
         self._open: dict[ids.RequestId, _Open] = {}
@@ -102,11 +102,11 @@
         for account in current.accounts:
             self.router.set_account_class(account.name, account.account_class)
 
-    def busy(self) -> bool:
+    def has_open_requests(self) -> bool:
         """Returns whether any caller still waits."""
         return bool(self._open or self._claiming)
 
-    def arrive(
+    def submit(
         self,
         spec: jobs.RequestSpec,
         respond: Respond,
@@ -124,7 +124,7 @@
         """
         refusal = self._refusal(spec)
         if refusal is not None:
-            respond(request_forwarding.refuse(spec.request, refusal))
+            respond(request_forwarding.refusal(spec.request, refusal))
             return
         keyed = not spec.idempotent and bool(spec.idempotency_key)
         if keyed and not claimed:
@@ -134,7 +134,7 @@
         else:
             self._run_elsewhere(spec, respond)
 
-    def pump(self) -> None:
+    def apply_decisions(self) -> None:
         """Carries out what the router decides now."""
         for decision in self.router.decide(self._ctx.now_ms):
             match decision:
@@ -175,7 +175,7 @@
         )
         if not vms:
             code = codes.ResultCode.HOME_UNREACHABLE
-            respond(request_forwarding.refuse(spec.request, code))
+            respond(request_forwarding.refusal(spec.request, code))
             return
         ranked = rendezvous.rank(spec.idempotency_key, vms)
         self._forwarding.send(
@@ -188,7 +188,7 @@
     def _claim(self, spec: jobs.RequestSpec, respond: Respond) -> None:
         if not self._view.ready:
             respond(
-                request_forwarding.refuse(
+                request_forwarding.refusal(
                     spec.request, codes.ResultCode.REBUILDING
                 )
             )
@@ -219,7 +219,7 @@
         first, _ = waiting[0]
         if _digest(first) != _digest(spec):
             code = codes.ResultCode.KEY_REUSED
-            respond(request_forwarding.refuse(spec.request, code))
+            respond(request_forwarding.refusal(spec.request, code))
             return
         waiting.append((spec, respond))
 
@@ -233,7 +233,7 @@
         opened = self._open[running]
         if _digest(opened.spec) != _digest(spec):
             code = codes.ResultCode.KEY_REUSED
-            respond(request_forwarding.refuse(spec.request, code))
+            respond(request_forwarding.refusal(spec.request, code))
             return
         opened.responders.append(_with_id(spec.request, respond))
 
@@ -283,12 +283,12 @@
         holder = outcome.holder
         if holder is not None and holder.body_digest != _digest(spec):
             code = codes.ResultCode.KEY_REUSED
-            respond(request_forwarding.refuse(spec.request, code))
+            respond(request_forwarding.refusal(spec.request, code))
         elif outcome.result is not None:
             respond(outcome.result.result)
         elif holder is None:
             code = codes.ResultCode.NOT_DURABLE
-            respond(request_forwarding.refuse(spec.request, code))
+            respond(request_forwarding.refusal(spec.request, code))
         elif self._may_know(holder.vm):
             self._forwarding.send(
                 peer_messages.RunRequest(spec=spec),
@@ -297,12 +297,12 @@
                 repeatable=False,
             )
         else:
-            respond(request_forwarding.unknown(spec.request))
+            respond(request_forwarding.outcome_unknown(spec.request))
 
     def _may_know(self, vm: ids.VmId) -> bool:
         """Returns whether another VM can tell what became of its claim."""
         own = vm == self._ctx.settings.vm
-        return not own and self._view.alive(vm, self._ctx.now_ms)
+        return not own and self._view.is_alive(vm, self._ctx.now_ms)
 
     def _run_elsewhere(self, spec: jobs.RequestSpec, respond: Respond) -> None:
         """Lets a VM of another failure domain in service run a request."""
@@ -316,7 +316,7 @@
         ]
         if not vms:
             code = codes.ResultCode.FAILURE_DOMAIN_OUT
-            respond(request_forwarding.refuse(spec.request, code))
+            respond(request_forwarding.refusal(spec.request, code))
             return
         ranked = rendezvous.rank(spec.request, vms)
         self._forwarding.send(
@@ -339,13 +339,13 @@
         refusal = self.router.submit(inner, self._ctx.now_ms, offered=offered)
         if refusal is not None:
             if claim is not None:
-                self._claims.finish(claim, refusal)
+                self._claims.record_result(claim, refusal)
             respond(_for_caller(refusal, spec.request))
             return
         self._enter(unique, spec, respond, claim)
 
     def _unique(self, spec: jobs.RequestSpec) -> ids.RequestId:
-        return ids.RequestId(f"{spec.request}~{self._ctx.unique()}")
+        return ids.RequestId(f"{spec.request}~{self._ctx.unique_id()}")
 
     def _enter(
         self,
@@ -445,7 +445,7 @@
             return
         if opened.claim is not None:
             self._by_key.pop(opened.claim.key, None)
-            self._claims.finish(
+            self._claims.record_result(
                 opened.claim, _for_caller(result, opened.caller_id)
             )
         self._ctx.trace(
--- a/citronmount/bench/faults/sabotage.py
+++ b/citronmount/bench/faults/sabotage.py
@@ -307,7 +307,7 @@
         self: Any, key: str, digest: str, on_outcome: Callable[..., None]
     ) -> None:
         claim = records.KeyClaimed(
-            record=self._ctx.unique(),
+            record=self._ctx.unique_id(),
             key=key,
             body_digest=digest,
             vm=self._ctx.settings.vm,
--- a/citronmount/bench/replay_routing.py
+++ b/citronmount/bench/replay_routing.py
@@ -100,9 +100,9 @@
             self._refused_at[key] = self._versions[name]
         return able
 
-    def _rooms(self) -> dict[ids.FailureDomainId, homes.DomainRoom]:
+    def _rooms(self) -> dict[ids.FailureDomainId, homes.DomainCapacity]:
         return {
-            name: homes.DomainRoom(
+            name: homes.DomainCapacity(
                 accelerators=self._room(name),
                 largest_gang=scheduler.largest_gang(),
             )
--- a/citronmount/membership/tests/test_view.py
+++ b/citronmount/membership/tests/test_view.py
@@ -46,33 +46,39 @@
 class MembershipViewTest(unittest.TestCase):
     def test_a_vm_is_alive_while_it_is_heard(self):
         view = make_view()
-        view.heard("a1", heartbeat(), 1_000)
-        view.heard("b0", heartbeat(THERE), 1_000)
+        view.record_heartbeat("a1", heartbeat(), 1_000)
+        view.record_heartbeat("b0", heartbeat(THERE), 1_000)
         self.assertEqual(view.live_peers(4_000), ["a1", "b0"])
         self.assertEqual(view.live_peers(4_001), ["b0"])
         self.assertEqual(view.live_peers(10_001), [])
 
     def test_late_and_doubled_heartbeats_are_no_news(self):
         view = make_view()
-        self.assertTrue(view.heard("a1", heartbeat(sequence=5), 0))
-        self.assertFalse(view.heard("a1", heartbeat(sequence=5), 100))
-        self.assertFalse(view.heard("a1", heartbeat(sequence=4), 100))
+        self.assertTrue(view.record_heartbeat("a1", heartbeat(sequence=5), 0))
+        self.assertFalse(
+            view.record_heartbeat("a1", heartbeat(sequence=5), 100)
+        )
+        self.assertFalse(
+            view.record_heartbeat("a1", heartbeat(sequence=4), 100)
+        )
         restarted = heartbeat(incarnation=2, sequence=1)
-        self.assertTrue(view.heard("a1", restarted, 100))
-        self.assertFalse(view.heard("a1", heartbeat(sequence=6), 200))
+        self.assertTrue(view.record_heartbeat("a1", restarted, 100))
+        self.assertFalse(
+            view.record_heartbeat("a1", heartbeat(sequence=6), 200)
+        )
 
     def test_candidates_are_ready_and_do_not_drain(self):
         view = make_view()
-        view.heard("a1", heartbeat(ready=False), 0)
-        view.heard("a2", heartbeat(draining=True), 0)
-        view.heard("a3", heartbeat(), 0)
+        view.record_heartbeat("a1", heartbeat(ready=False), 0)
+        view.record_heartbeat("a2", heartbeat(draining=True), 0)
+        view.record_heartbeat("a3", heartbeat(), 0)
         self.assertEqual(view.candidates(HERE, 0), ["a0", "a3"])
         view.draining = True
         self.assertEqual(view.candidates(HERE, 0), ["a3"])
 
     def test_all_views_agree_on_owner_and_keepers(self):
         first = make_view()
-        first.heard("a1", heartbeat(), 0)
+        first.record_heartbeat("a1", heartbeat(), 0)
         second = view_lib.MembershipView(
             vm=ids.VmId("a1"),
             failure_domain=HERE,
@@ -80,23 +86,23 @@
             remote_suspicion_ms=9_000,
         )
         second.ready = True
-        second.heard("a0", heartbeat(), 0)
+        second.record_heartbeat("a0", heartbeat(), 0)
         self.assertEqual(first.owner(HERE, 0), second.owner(HERE, 0))
 
     def test_voters_are_listed_vms_heard_or_not(self):
         view = make_view()
-        view.listed(listing("a0", "a1", "a2"))
-        view.heard("a3", heartbeat(), 0)
+        view.update_listing(listing("a0", "a1", "a2"))
+        view.record_heartbeat("a3", heartbeat(), 0)
         self.assertEqual(view.voters(), ["a0", "a1", "a2"])
-        view.listed(listing("a0", "a2"))
+        view.update_listing(listing("a0", "a2"))
         self.assertEqual(view.voters(), ["a0", "a2"])
 
     def test_silence_counts_anew_after_a_pause(self):
         view = make_view()
-        view.heard("a1", heartbeat(), 0)
-        self.assertFalse(view.alive("a1", 20_000))
-        view.forget_silence(20_000)
-        self.assertTrue(view.alive("a1", 20_000))
+        view.record_heartbeat("a1", heartbeat(), 0)
+        self.assertFalse(view.is_alive("a1", 20_000))
+        view.restart_suspicion_timers(20_000)
+        self.assertTrue(view.is_alive("a1", 20_000))
 
 
 if __name__ == "__main__":
--- a/citronmount/membership/view.py
+++ b/citronmount/membership/view.py
@@ -63,7 +63,7 @@
         self._suspicion_ms = suspicion_ms
         self._remote_suspicion_ms = remote_suspicion_ms
 
-    def listed(self, view: messages.PlatformView) -> None:
+    def update_listing(self, view: messages.PlatformView) -> None:
         """Takes over the platform's list.
 
         Args:
@@ -82,7 +82,7 @@
         for vm, peer in self.peers.items():
             peer.listed = vm in live
 
-    def heard(
+    def record_heartbeat(
         self,
         vm: ids.VmId,
         heartbeat: peer_messages.Heartbeat,
@@ -119,9 +119,9 @@
         if _order(heartbeat) > _order(peer.heartbeat):
             return True
         restarted = heartbeat.incarnation != peer.heartbeat.incarnation
-        return restarted and not self.alive(peer.vm, now_ms)
+        return restarted and not self.is_alive(peer.vm, now_ms)
 
-    def forget_silence(self, now_ms: int) -> None:
+    def restart_suspicion_timers(self, now_ms: int) -> None:
         """Restarts every silence timer, after the process itself was paused.
 
         Args:
@@ -131,7 +131,7 @@
             if peer.heard_ms is not None:
                 peer.heard_ms = now_ms
 
-    def alive(self, vm: ids.VmId, now_ms: int) -> bool:
+    def is_alive(self, vm: ids.VmId, now_ms: int) -> bool:
         """Returns whether a VM's heartbeats arrive.
 
         Args:
@@ -150,7 +150,7 @@
         limit = self._suspicion_ms if local else self._remote_suspicion_ms
         return now_ms - peer.heard_ms <= limit
 
-    def heard_ms(self, vm: ids.VmId) -> int:
+    def last_heartbeat_ms(self, vm: ids.VmId) -> int:
         """Returns when a VM was last heard, 0 if never.
 
         Args:
@@ -162,7 +162,7 @@
         peer = self.peers.get(vm)
         return 0 if peer is None else peer.heard_ms or 0
 
-    def note_silence(self, vm: ids.VmId, now_ms: int) -> None:
+    def record_unanswered_call(self, vm: ids.VmId, now_ms: int) -> None:
         """Notes that a VM has left a call unanswered.
 
         Args:
@@ -171,13 +171,13 @@
         """
         self._silent_ms[vm] = now_ms
 
-    def answers(self, vm: ids.VmId) -> bool:
+    def is_responsive(self, vm: ids.VmId) -> bool:
         """Returns whether a VM was heard since it last left a call unanswered.
 
         Args:
             vm: The VM.
         """
-        return self.heard_ms(vm) > self._silent_ms.get(vm, -1)
+        return self.last_heartbeat_ms(vm) > self._silent_ms.get(vm, -1)
 
     def candidates(
         self, failure_domain: ids.FailureDomainId, now_ms: int
@@ -198,7 +198,7 @@
             and peer.heartbeat is not None
             and peer.heartbeat.ready
             and not peer.heartbeat.draining
-            and self.alive(peer.vm, now_ms)
+            and self.is_alive(peer.vm, now_ms)
         ]
         own = failure_domain == self.failure_domain
         if own and self.ready and not self.draining:
@@ -222,7 +222,7 @@
         )
         return None if chosen is None else ids.VmId(chosen)
 
-    def keeper(
+    def lease_renewer(
         self, worker: ids.WorkerId, candidates: list[ids.VmId]
     ) -> ids.VmId | None:
         """Returns the VM that should renew a worker's leases.
@@ -265,7 +265,7 @@
             VMs of the own failure domain first, then by name.
         """
         return sorted(
-            (vm for vm in self.peers if self.alive(vm, now_ms)),
+            (vm for vm in self.peers if self.is_alive(vm, now_ms)),
             key=lambda vm: (
                 self.peers[vm].failure_domain != self.failure_domain,
                 vm,
--- a/citronmount/service/agent_brain.py
+++ b/citronmount/service/agent_brain.py
@@ -95,7 +95,7 @@
         vm=peer.vm,
         failure_domain=peer.failure_domain,
         listed=peer.listed,
-        alive=view.alive(peer.vm, now_ms),
+        alive=view.is_alive(peer.vm, now_ms),
         ready=last is not None and last.ready,
         draining=last is not None and last.draining,
         owner=view.owner(peer.failure_domain, now_ms) == peer.vm,
