--- a/citronmount/agent/call_router.py
+++ b/citronmount/agent/call_router.py
@@ -92,7 +92,7 @@
             route=self.route,
         )
 
-    def has_open_calls(self) -> bool:
+    def has_open_work(self) -> bool:
         """Returns whether a call is on its way."""
         return bool(self._routed)
 
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -86,8 +86,8 @@
             self._ownership.domain.table.answer_all()
         open_work = (
             open_tickets
-            or self._calls.has_open_calls()
-            or self._requests.has_open_requests()
+            or self._calls.has_open_work()
+            or self._requests.has_open_work()
         )
         if open_work or self._just_resumed() or not self._released():
             return
--- a/citronmount/agent/request_handler.py
+++ b/citronmount/agent/request_handler.py
@@ -102,7 +102,7 @@
         for account in current.accounts:
             self.router.set_account_class(account.name, account.account_class)
 
-    def has_open_requests(self) -> bool:
+    def has_open_work(self) -> bool:
         """Returns whether any caller still waits."""
         return bool(self._open or self._claiming)
 
