--- a/citronmount/agent/call_answers.py
+++ b/citronmount/agent/call_answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers' calls and what they prove."""
+"""Answers to callers' calls, and what an answer proves about a call."""
 
 from citronmount.core import codes
 from citronmount.core import ids
@@ -20,11 +20,11 @@
     """Returns the answer to a call that cannot be served.
 
     Args:
-        code: Why.
-        detail: More for a person.
+        code: Result code of the failure.
+        detail: Additional text for an operator.
 
     Returns:
-        The answer, with the time to come back if that may help.
+        The answer, with a retry delay if the code allows a retry.
     """
     retry = codes.info(code).retry
     return peer_messages.Failure(
@@ -34,10 +34,10 @@
 
 
 def is_not_owner(answer: peer_messages.Answer) -> bool:
-    """Returns whether the asked VM was not the owner after all.
+    """Returns whether an answer shows that its sender is not the owner.
 
     Args:
-        answer: Its answer.
+        answer: The answer of the VM that was taken for the owner.
     """
     return (
         isinstance(answer, peer_messages.Failure)
@@ -46,10 +46,14 @@
 
 
 def cannot_start_now(answer: peer_messages.Answer) -> bool:
-    """Returns whether an eager submission was refused for lack of room.
+    """Returns whether an eager submission cannot start where it was sent.
 
     Args:
-        answer: The owner's answer.
+        answer: The answer to the submission.
+
+    Returns:
+        Whether it was refused because it does not fit now, the queue is full
+        or no owner was reached.
     """
     return isinstance(answer, peer_messages.Failure) and (
         answer.result.code
@@ -62,10 +66,10 @@
 
 
 def submission_outcome_unknown(spec: jobs.JobSpec) -> peer_messages.Failure:
-    """Returns the answer to a submission whose fate is not known.
+    """Returns the answer to a submission whose outcome is unknown.
 
     Args:
-        spec: The job.
+        spec: The job, which the owner may have accepted.
     """
     detail = f"job {spec.job} may have been accepted"
     return failure(codes.ResultCode.TIMED_OUT, detail)
@@ -74,26 +78,28 @@
 def merge_job_lists(
     answers: dict[ids.FailureDomainId, peer_messages.Answer],
 ) -> peer_messages.Answer:
-    """Returns one answer for the parts of a call to all failure domains.
+    """Merges the answers to a call that was sent to several failure domains.
 
     Args:
         answers: The answer of each failure domain.
 
     Returns:
-        All jobs together, with the failure domains that gave none, or the
-        first failure if there is nothing else.
+        The jobs of all failure domains and the names of those that returned
+        no list, or the first failure if none returned a list.
     """
-    lists = {
+    job_lists = {
         name: answer
         for name, answer in answers.items()
         if isinstance(answer, peer_messages.JobsAnswer)
     }
-    if not lists:
+    if not job_lists:
         return next(iter(answers.values()))
     return peer_messages.JobsAnswer(
         statuses=tuple(
-            status for answer in lists.values() for status in answer.statuses
+            status
+            for answer in job_lists.values()
+            for status in answer.statuses
         ),
-        total=sum(answer.total for answer in lists.values()),
-        unanswered=tuple(name for name in answers if name not in lists),
+        total=sum(answer.total for answer in job_lists.values()),
+        unanswered=tuple(name for name in answers if name not in job_lists),
     )
--- a/citronmount/agent/effects.py
+++ b/citronmount/agent/effects.py
@@ -1,7 +1,7 @@
-"""Effects that the agent asks its shell to carry out.
+"""Effects returned by the agent, to be carried out by its shell.
 
-The shell answers each effect that names a call with exactly one event of the
-same call id: the answer, or the lack of one after `timeout_ms`.
+For every effect with a call id, the shell delivers exactly one event with the
+same id: the answer, or the absence of one after `timeout_ms`.
 """
 
 import msgspec
@@ -27,10 +27,10 @@
 
 
 class SendPeer(msgspec.Struct, frozen=True, kw_only=True):
-    """Sends a message to a VM; it may be lost, late or doubled.
+    """Sends a message to another VM; it may be lost, delayed or duplicated.
 
     Attributes:
-        to: The VM.
+        to: The receiver.
         message: The message.
     """
 
@@ -39,13 +39,13 @@
 
 
 class AppendLog(msgspec.Struct, frozen=True, kw_only=True):
-    """Appends records to a stream; answered by `LogAppended`.
+    """Appends records to a log stream; answered by `LogAppended`.
 
     Attributes:
-        call: The call.
-        stream: The stream.
+        call: Call id that the answer carries.
+        stream: The stream to append to.
         records: Pairs of record id and encoded record.
-        timeout_ms: When to give up.
+        timeout_ms: Time after which the call counts as unanswered.
     """
 
     call: ids.CallId
@@ -55,14 +55,15 @@
 
 
 class ReadLog(msgspec.Struct, frozen=True, kw_only=True):
-    """Reads a stream; answered by `LogRead`.
+    """Reads a page of a log stream; answered by `LogRead`.
 
     Attributes:
-        call: The call.
-        stream: The stream.
-        start: The first offset wanted; older ones may be gone.
-        limit: The most records to return.
-        timeout_ms: When to give up.
+        call: Call id that the answer carries.
+        stream: The stream to read.
+        start: The first offset to read. Records there may already have been
+            removed by retention.
+        limit: The maximum number of records to return.
+        timeout_ms: Time after which the call counts as unanswered.
     """
 
     call: ids.CallId
@@ -73,11 +74,13 @@
 
 
 class ListPlatform(msgspec.Struct, frozen=True, kw_only=True):
-    """Reads the platform's list; answered by `PlatformListed`.
+    """Reads the platform's list of VMs; answered by `PlatformListed`.
+
+    The list also contains the workers and the runners.
 
     Attributes:
-        call: The call.
-        timeout_ms: When to give up.
+        call: Call id that the answer carries.
+        timeout_ms: Time after which the call counts as unanswered.
     """
 
     call: ids.CallId
@@ -85,14 +88,14 @@
 
 
 class CallWorker(msgspec.Struct, frozen=True, kw_only=True):
-    """Sends acts to a worker; answered by `WorkerAnswered`.
+    """Sends commands to a worker; answered by `WorkerAnswered`.
 
     Attributes:
-        call: The call.
+        call: Call id that the answer carries.
         worker: The worker.
         address: ``ip:port`` of the worker.
-        body: The acts.
-        timeout_ms: When to give up.
+        body: The fencing token and the commands.
+        timeout_ms: Time after which the call counts as unanswered.
     """
 
     call: ids.CallId
@@ -106,11 +109,11 @@
     """Sends a short request to a runner; answered by `RunnerAnswered`.
 
     Attributes:
-        call: The call.
+        call: Call id that the answer carries.
         runner: The runner.
         address: ``ip:port`` of the runner.
         spec: The request.
-        timeout_ms: When to give up.
+        timeout_ms: Time after which the call counts as unanswered.
     """
 
     call: ids.CallId
@@ -124,7 +127,7 @@
     """Answers an open HTTP request.
 
     Attributes:
-        ticket: The HTTP request.
+        ticket: Id of the open HTTP request.
         body: The answer.
     """
 
@@ -133,17 +136,17 @@
 
 
 class Trace(msgspec.Struct, frozen=True, kw_only=True):
-    """Adds an event to the VM's time line and its log.
+    """Adds an event to the VM's timeline and to its log file.
 
     Attributes:
-        event: The event, already stamped.
+        event: The event, with its hybrid logical timestamp.
     """
 
     event: timeline_events.TimelineEvent
 
 
 class Exit(msgspec.Struct, frozen=True, kw_only=True):
-    """Ends the process with status 0; everything is handed over."""
+    """Exits the process with status 0 after a completed drain."""
 
 
 Effect = (
--- a/citronmount/agent/events.py
+++ b/citronmount/agent/events.py
@@ -1,7 +1,7 @@
-"""Events that drive the agent, the state machine of one VM.
+"""Input events of the agent, the state machine of one VM.
 
-Times are not part of events: the shell passes the monotonic time and the wall
-clock beside each event.
+Events carry no time: the shell passes the monotonic time and the wall-clock
+time along with each event.
 """
 
 import msgspec
@@ -31,14 +31,14 @@
 
 
 class Tick(msgspec.Struct, frozen=True, kw_only=True):
-    """A fixed period has passed."""
+    """The fixed timer period has elapsed."""
 
 
 class CallArrived(msgspec.Struct, frozen=True, kw_only=True):
     """A caller or operator sent a call over HTTP.
 
     Attributes:
-        ticket: Names the open HTTP request.
+        ticket: Id of the open HTTP request.
         body: The call.
     """
 
@@ -47,17 +47,17 @@
 
 
 class CallerLeft(msgspec.Struct, frozen=True, kw_only=True):
-    """The caller closed its connection before the answer.
+    """The caller closed its connection before it was answered.
 
     Attributes:
-        ticket: The HTTP request that is gone.
+        ticket: Id of the HTTP request that was closed.
     """
 
     ticket: ids.TicketId
 
 
 class PeerArrived(msgspec.Struct, frozen=True, kw_only=True):
-    """A peer's message came in.
+    """A message from another VM was received.
 
     Attributes:
         sender: The VM that sent it.
@@ -69,12 +69,12 @@
 
 
 class LogAppended(msgspec.Struct, frozen=True, kw_only=True):
-    """The log service answered an append, or did not.
+    """An append to the log was answered or timed out.
 
     Attributes:
-        call: The call that is answered.
-        offset: The offset of the first record; None if there was no answer,
-            in which case the records may or may not be in the log.
+        call: Call id of the `AppendLog` effect.
+        offset: The offset of the first record, or None without an answer, in
+            which case the records may or may not be in the log.
     """
 
     call: ids.CallId
@@ -82,11 +82,11 @@
 
 
 class LogRead(msgspec.Struct, frozen=True, kw_only=True):
-    """The log service answered a read, or did not.
+    """A read of the log was answered or timed out.
 
     Attributes:
-        call: The call that is answered.
-        page: The records; None if there was no answer.
+        call: Call id of the `ReadLog` effect.
+        page: The records, or None without an answer.
     """
 
     call: ids.CallId
@@ -94,11 +94,11 @@
 
 
 class PlatformListed(msgspec.Struct, frozen=True, kw_only=True):
-    """The platform answered with its list, or did not.
+    """A read of the platform's list was answered or timed out.
 
     Attributes:
-        call: The call that is answered.
-        view: The list; None if there was no answer.
+        call: Call id of the `ListPlatform` effect.
+        view: The list, or None without an answer.
     """
 
     call: ids.CallId
@@ -106,12 +106,12 @@
 
 
 class WorkerAnswered(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker answered a call, or did not.
+    """A call to a worker was answered or timed out.
 
     Attributes:
-        call: The call that is answered.
+        call: Call id of the `CallWorker` effect.
         worker: The worker.
-        answer: The answer; None if there was none, in which case the acts
+        answer: The answer, or None without one, in which case the commands
             may or may not have taken effect.
     """
 
@@ -121,12 +121,12 @@
 
 
 class RunnerAnswered(msgspec.Struct, frozen=True, kw_only=True):
-    """A runner answered a request, or did not.
+    """A request to a runner was answered or timed out.
 
     Attributes:
-        call: The call that is answered.
+        call: Call id of the `CallRunner` effect.
         runner: The runner.
-        answer: The answer; None if there was none, in which case the request
+        answer: The answer, or None without one, in which case the request
             may or may not have run.
         sent: Whether any byte of the request may have reached the runner.
     """
--- a/citronmount/agent/fencing.py
+++ b/citronmount/agent/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing tokens, which order the schedulers of a failure domain."""
+"""Fencing tokens, which order successive owners of a failure domain."""
 
 import hashlib
 
@@ -7,27 +7,27 @@
 
 __all__ = ["next_token"]
 
-HOLDER_BITS = 24
+PROCESS_BITS = 24
 
 
 def next_token(
     highest: ids.FenceToken, settings: settings_lib.AgentSettings
 ) -> ids.FenceToken:
-    """Returns a token above every known one that no other process makes.
+    """Returns a unique fencing token that is higher than all known ones.
 
-    Workers refuse only lower tokens, so two processes that take over at the
-    same moment must not make the same one: the low bits name the process.
+    Workers reject lower tokens only, so two processes that take over at the
+    same time must not create equal tokens: the low bits identify the process.
 
     Args:
-        highest: The highest token known.
-        settings: Names the process.
+        highest: The highest known token.
+        settings: Settings with the VM id and incarnation of the process.
 
     Returns:
-        The next take-over in the high bits, a digest of VM and incarnation in
-        the low ones.
+        A token with the number of take-overs in the high bits and a digest of
+        VM id and incarnation in the low 24 bits.
     """
-    holder = f"{settings.vm}\0{settings.incarnation}".encode()
-    digest = hashlib.blake2b(holder, digest_size=HOLDER_BITS // 8)
+    process = f"{settings.vm}\0{settings.incarnation}".encode()
+    digest = hashlib.blake2b(process, digest_size=PROCESS_BITS // 8)
     low_bits = int.from_bytes(digest.digest(), "big")
-    take_over = (highest >> HOLDER_BITS) + 1
-    return ids.FenceToken((take_over << HOLDER_BITS) | low_bits)
+    generation = (highest >> PROCESS_BITS) + 1
+    return ids.FenceToken((generation << PROCESS_BITS) | low_bits)
--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -12,10 +12,10 @@
 
 
 class HeartbeatSender:
-    """Tells peers that the VM lives, and what they need of it.
+    """Sends the VM's heartbeats and the state that they carry.
 
-    VMs of the own failure domain hear it often, the others seldom, so that
-    the traffic of many VMs stays small.
+    VMs of the same failure domain receive them more often than VMs of other
+    failure domains, which limits the traffic of large systems.
     """
 
     def __init__(
@@ -27,14 +27,14 @@
         ownership: ownership_lib.Ownership,
         requests: request_handler.RequestHandler,
     ) -> None:
-        """Initializes without having sent any.
+        """Initializes the sender; the first heartbeats are due at once.
 
         Args:
             ctx: The shared context.
-            view: Whom to tell.
-            configuration: The version to tell.
-            ownership: The failure domain's state to tell.
-            requests: The free slots to tell.
+            view: Determines the receivers.
+            configuration: Provides the version of the configuration in force.
+            ownership: Provides the token and the failure domain's summary.
+            requests: Provides the number of free slots at the runners.
         """
         self._ctx = ctx
         self._view = view
@@ -42,43 +42,45 @@
         self._ownership = ownership
         self._requests = requests
         self._sequence = 0
-        self._local_ms = 0
-        self._remote_ms = 0
+        self._next_local_ms = 0
+        self._next_remote_ms = 0
 
     def send_now(self) -> None:
-        """Sends one to everybody at once."""
-        self._local_ms = self._ctx.now_ms
-        self._remote_ms = self._ctx.now_ms
+        """Sends a heartbeat to all VMs before the period has elapsed."""
+        self._next_local_ms = self._ctx.now_ms
+        self._next_remote_ms = self._ctx.now_ms
         self.tick()
 
     def send_to(self, vm: ids.VmId) -> None:
-        """Sends one to a VM that has just started.
+        """Sends a heartbeat to a VM that has just started.
 
         Args:
-            vm: The VM, which has heard of nobody yet.
+            vm: The VM, which has not received any heartbeat yet.
         """
         self._ctx.send(vm, self._heartbeat())
 
     def tick(self) -> None:
-        """Sends what is due."""
-        local = self._ctx.now_ms >= self._local_ms
-        remote = self._ctx.now_ms >= self._remote_ms
+        """Sends the heartbeats that are due."""
+        local = self._ctx.now_ms >= self._next_local_ms
+        remote = self._ctx.now_ms >= self._next_remote_ms
         if not local and not remote:
             return
         heartbeat = self._heartbeat()
         settings = self._ctx.settings
         if local:
-            self._local_ms = self._ctx.now_ms + settings.heartbeat_ms
+            self._next_local_ms = self._ctx.now_ms + settings.heartbeat_ms
             self._send(heartbeat, local=True)
         if remote:
-            self._remote_ms = self._ctx.now_ms + settings.remote_heartbeat_ms
+            self._next_remote_ms = (
+                self._ctx.now_ms + settings.remote_heartbeat_ms
+            )
             self._send(heartbeat, local=False)
 
     def _send(self, heartbeat: peer_messages.Heartbeat, *, local: bool) -> None:
         own = self._ctx.settings.failure_domain
         for vm, peer in self._view.peers.items():
-            known = peer.listed or self._view.is_alive(vm, self._ctx.now_ms)
-            if known and (peer.failure_domain == own) is local:
+            exists = peer.listed or self._view.is_alive(vm, self._ctx.now_ms)
+            if exists and (peer.failure_domain == own) is local:
                 self._ctx.send(vm, heartbeat)
         lapsing = self._lapsing()
         if local and lapsing is not None:
--- a/citronmount/agent/homes.py
+++ b/citronmount/agent/homes.py
@@ -1,4 +1,4 @@
-"""Chooses the home failure domain of jobs and keys."""
+"""Selects the home failure domain of jobs and idempotency keys."""
 
 import hashlib
 
@@ -23,11 +23,12 @@
 
 
 class DomainCapacity(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of the room in a failure domain.
+    """Capacity of a failure domain as known to one VM.
 
     Attributes:
-        accelerators: Free ones less those that queued jobs ask for.
-        largest_gang: The largest gang that it could ever hold.
+        accelerators: Free accelerators minus those requested by queued jobs.
+        largest_gang: Accelerators of the largest gang that fits into the
+            failure domain when it is empty.
     """
 
     accelerators: int
@@ -45,7 +46,7 @@
         failure_domain: The failure domain.
 
     Returns:
-        Whether it is listed as in service.
+        Whether the configuration lists it as in service.
     """
     return any(
         domain.name == failure_domain
@@ -57,9 +58,10 @@
 def home_of_key(
     current: configuration.Configuration, account: ids.AccountId, key: str
 ) -> ids.FailureDomainId | None:
-    """Returns the failure domain that arbitrates an idempotency key.
+    """Returns the failure domain that grants claims of an idempotency key.
 
-    It stays the same while failure domains go out of service and come back.
+    The home does not change when a failure domain goes out of service or
+    returns.
 
     Args:
         current: The configuration in force.
@@ -67,7 +69,7 @@
         key: The key.
 
     Returns:
-        The home, or None if no failure domain is configured.
+        The home of the key, or None if no failure domain is configured.
     """
     names = [domain.name for domain in current.failure_domains]
     chosen = rendezvous.choose(f"{account}\0{key}", names)
@@ -77,7 +79,7 @@
 def keyed_job_id(
     home: ids.FailureDomainId, account: ids.AccountId, key: str
 ) -> ids.JobId:
-    """Returns the job id that every submission with a key gets.
+    """Returns the job id of submissions with an idempotency key.
 
     Args:
         home: The home of the key.
@@ -85,7 +87,8 @@
         key: The key.
 
     Returns:
-        The same id for the same arguments.
+        A job id derived from the arguments, so that every submission with the
+        key has the same one.
     """
     digest = hashlib.blake2b(
         f"{account}\0{key}".encode(), digest_size=KEY_DIGEST_BYTES
@@ -96,32 +99,33 @@
 def rank_job_homes(
     current: configuration.Configuration,
     spec: jobs.JobSpec,
-    rooms: dict[ids.FailureDomainId, DomainCapacity],
+    capacities: dict[ids.FailureDomainId, DomainCapacity],
     own: ids.FailureDomainId,
 ) -> list[ids.FailureDomainId]:
-    """Returns the failure domains that could schedule a job, best first.
+    """Ranks the failure domains that may schedule a job, preferred first.
 
-    Those whose part of the account's allowance is too small are left out,
-    unless that leaves none. Those that hold a guarantee of the account come
-    first, then those with the most room after their queues; the own one wins
-    ties.
+    Failure domains whose share of the account's allowance is too small are
+    excluded, unless no other remains. Those that could ever hold the gang come
+    first, among them those with a guarantee of the account, then those where
+    the job fits now, then those with the most free capacity after their
+    queues. The local failure domain wins ties.
 
     Args:
         current: The configuration in force.
         spec: The job.
-        rooms: The room in each failure domain that has an owner.
-        own: The failure domain of the asking VM.
+        capacities: The capacity of each failure domain that has an owner.
+        own: The failure domain of the local VM.
 
     Returns:
-        Failure domains in service.
+        Failure domains in service that have an owner.
     """
     allowed = shares.homes(current, spec) or tuple(
         domain.name
         for domain in current.failure_domains
         if domain.state is states.FailureDomainState.IN
     )
-    usable = [name for name in allowed if name in rooms]
-    holding = {
+    candidates = [name for name in allowed if name in capacities]
+    guaranteed_domains = {
         guarantee.failure_domain
         for guarantee in current.guarantees
         if guarantee.account == spec.account
@@ -130,10 +134,10 @@
     def preference(
         name: ids.FailureDomainId,
     ) -> tuple[bool, bool, bool, int, bool]:
-        room = rooms[name]
-        fits = room.largest_gang >= spec.accelerators
-        guaranteed = name in holding or None in holding
-        room_now = room.accelerators >= spec.accelerators
-        return fits, guaranteed, room_now, room.accelerators, name == own
+        capacity = capacities[name]
+        fits = capacity.largest_gang >= spec.accelerators
+        guaranteed = name in guaranteed_domains or None in guaranteed_domains
+        fits_now = capacity.accelerators >= spec.accelerators
+        return fits, guaranteed, fits_now, capacity.accelerators, name == own
 
-    return sorted(usable, key=preference, reverse=True)
+    return sorted(candidates, key=preference, reverse=True)
--- a/citronmount/agent/settings.py
+++ b/citronmount/agent/settings.py
@@ -1,4 +1,4 @@
-"""What the agent must know of itself and its timing."""
+"""Settings of the agent: its identity and its time limits."""
 
 import msgspec
 
@@ -8,31 +8,34 @@
 
 
 class AgentSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Identity and timing of one agent.
+    """Identity and time limits of one agent.
 
     Attributes:
-        vm: The VM's id.
-        failure_domain: Where the VM is.
-        incarnation: Wall-clock start time in ms, which tells restarts apart.
-        policy: The scheduling policy.
+        vm: Id of the VM.
+        failure_domain: The failure domain that the VM runs in.
+        incarnation: Wall-clock start time of the process in ms. It
+            distinguishes the process from earlier ones on the same VM.
+        policy: Name of the scheduling policy.
         heartbeat_ms: Period of heartbeats within the failure domain.
         remote_heartbeat_ms: Period of heartbeats to other failure domains.
-        suspicion_ms: Silence after which a local VM counts as dead.
-        remote_suspicion_ms: The same for other failure domains.
+        suspicion_ms: Time without a heartbeat after which a VM of the same
+            failure domain is considered dead.
+        remote_suspicion_ms: The same for VMs of other failure domains.
         pause_limit_ms: A longer gap between two events means that the process
             was paused.
-        lease_ttl_ms: Lifetime of running leases.
-        renew_period_ms: Period of renewals.
-        reservation_ttl_ms: Lifetime of reservations.
+        lease_ttl_ms: Lifetime of the lease of a running attempt.
+        renew_period_ms: Period of lease renewals.
+        reservation_ttl_ms: Lifetime of the leases of reserved tasks.
         config_poll_ms: Period of reads of the configuration stream.
         platform_poll_ms: Period of reads of the platform's list.
-        log_patience_ms: How long a write waits for the log before peers are
-            asked to keep it.
-        call_timeout_ms: How long a caller's call may take inside the system.
-        reclaim_grace_ms: Upper bound of the grace of an eviction.
-        drain_limit_ms: When a drain gives up waiting for a successor.
-        retention_ms: How long the log keeps records.
-        claim_lifetime_ms: How long idempotency keys are remembered.
+        log_patience_ms: Time that a write waits for the log before it is
+            replicated to peers.
+        call_timeout_ms: Time limit for a caller's call within the system.
+        reclaim_grace_ms: Upper bound of the grace period of an eviction.
+        drain_limit_ms: Time after which a drain no longer waits for another
+            VM to take over.
+        retention_ms: Retention time of the log.
+        claim_lifetime_ms: Retention time of claims of idempotency keys.
     """
 
     vm: ids.VmId
--- a/citronmount/membership/__init__.py
+++ b/citronmount/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs live and which of them does what."""
+"""Failure detection and deterministic assignment of roles to VMs."""
--- a/citronmount/membership/rendezvous.py
+++ b/citronmount/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who does what, without asking anyone."""
+"""Rendezvous hashing: assigns keys to candidates without coordination."""
 
 from collections.abc import Iterable
 import hashlib
@@ -15,15 +15,15 @@
 
 
 def rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Returns the candidates in the order in which they serve a key.
+    """Returns all candidates in order of preference for a key.
 
     Args:
-        key: What is to be served.
-        candidates: Who may serve it; their order does not matter.
+        key: The key to assign, such as the name of a worker or a stream.
+        candidates: Names that the key may be assigned to, in any order.
 
     Returns:
-        All candidates, first choice first. Removing one leaves the order of
-        the others.
+        The candidates, the preferred one first. Removing a candidate does
+        not change the order of the others.
 
     Example:
         >>> rank("kr-a", ["vm-1", "vm-2"]) == rank("kr-a", ["vm-2", "vm-1"])
@@ -41,14 +41,14 @@
 
 
 def choose(key: str, candidates: Iterable[str]) -> str | None:
-    """Returns the first choice for a key.
+    """Returns the candidate that a key is assigned to.
 
     Args:
-        key: What is to be served.
-        candidates: Who may serve it.
+        key: The key to assign.
+        candidates: Names that the key may be assigned to, in any order.
 
     Returns:
-        The first of `rank`, or None if there is no candidate.
+        The first element of `rank`, or None if there is no candidate.
 
     Example:
         >>> choose("kr-a", [])
--- a/citronmount/membership/tests/test_rendezvous.py
+++ b/citronmount/membership/tests/test_rendezvous.py
@@ -8,14 +8,14 @@
 
 
 class RendezvousTest(unittest.TestCase):
-    def test_the_choice_does_not_depend_on_the_order(self):
+    def test_choice_does_not_depend_on_candidate_order(self):
         for key in KEYS[:50]:
             self.assertEqual(
                 rendezvous.choose(key, VMS),
                 rendezvous.choose(key, reversed(VMS)),
             )
 
-    def test_only_the_keys_of_a_lost_vm_move(self):
+    def test_removing_a_vm_moves_only_its_keys(self):
         for key in KEYS:
             before = rendezvous.choose(key, VMS)
             after = rendezvous.choose(key, VMS[1:])
@@ -24,7 +24,7 @@
             else:
                 self.assertEqual(after, rendezvous.rank(key, VMS)[1])
 
-    def test_keys_are_spread_evenly(self):
+    def test_keys_are_distributed_evenly(self):
         counts = collections.Counter(
             rendezvous.choose(key, VMS) for key in KEYS
         )
--- a/citronmount/membership/tests/test_view.py
+++ b/citronmount/membership/tests/test_view.py
@@ -5,14 +5,14 @@
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 
-HERE = ids.FailureDomainId("fd-a")
-THERE = ids.FailureDomainId("fd-b")
+LOCAL_DOMAIN = ids.FailureDomainId("fd-a")
+REMOTE_DOMAIN = ids.FailureDomainId("fd-b")
 
 
 def make_view():
     view = view_lib.MembershipView(
         vm=ids.VmId("a0"),
-        failure_domain=HERE,
+        failure_domain=LOCAL_DOMAIN,
         suspicion_ms=3_000,
         remote_suspicion_ms=9_000,
     )
@@ -20,7 +20,7 @@
     return view
 
 
-def heartbeat(domain=HERE, *, incarnation=1, sequence=1, **fields):
+def make_heartbeat(domain=LOCAL_DOMAIN, *, incarnation=1, sequence=1, **fields):
     values = {"ready": True, "draining": False, **fields}
     return peer_messages.Heartbeat(
         failure_domain=domain,
@@ -32,11 +32,11 @@
     )
 
 
-def listing(*vms):
+def platform_listing(*vms):
     return messages.PlatformView(
         vms=tuple(
             messages.ListedVm(
-                vm=ids.VmId(vm), failure_domain=HERE, peer_address=""
+                vm=ids.VmId(vm), failure_domain=LOCAL_DOMAIN, peer_address=""
             )
             for vm in vms
         )
@@ -44,62 +44,66 @@
 
 
 class MembershipViewTest(unittest.TestCase):
-    def test_a_vm_is_alive_while_it_is_heard(self):
+    def test_vm_is_alive_until_suspicion_time_passes(self):
         view = make_view()
-        view.record_heartbeat("a1", heartbeat(), 1_000)
-        view.record_heartbeat("b0", heartbeat(THERE), 1_000)
+        view.record_heartbeat("a1", make_heartbeat(), 1_000)
+        view.record_heartbeat("b0", make_heartbeat(REMOTE_DOMAIN), 1_000)
         self.assertEqual(view.live_peers(4_000), ["a1", "b0"])
         self.assertEqual(view.live_peers(4_001), ["b0"])
         self.assertEqual(view.live_peers(10_001), [])
 
-    def test_late_and_doubled_heartbeats_are_no_news(self):
+    def test_late_and_duplicate_heartbeats_are_ignored(self):
         view = make_view()
-        self.assertTrue(view.record_heartbeat("a1", heartbeat(sequence=5), 0))
+        self.assertTrue(
+            view.record_heartbeat("a1", make_heartbeat(sequence=5), 0)
+        )
         self.assertFalse(
-            view.record_heartbeat("a1", heartbeat(sequence=5), 100)
+            view.record_heartbeat("a1", make_heartbeat(sequence=5), 100)
         )
         self.assertFalse(
-            view.record_heartbeat("a1", heartbeat(sequence=4), 100)
+            view.record_heartbeat("a1", make_heartbeat(sequence=4), 100)
         )
-        restarted = heartbeat(incarnation=2, sequence=1)
+        restarted = make_heartbeat(incarnation=2, sequence=1)
         self.assertTrue(view.record_heartbeat("a1", restarted, 100))
         self.assertFalse(
-            view.record_heartbeat("a1", heartbeat(sequence=6), 200)
+            view.record_heartbeat("a1", make_heartbeat(sequence=6), 200)
         )
 
-    def test_candidates_are_ready_and_do_not_drain(self):
+    def test_candidates_are_ready_and_not_draining(self):
         view = make_view()
-        view.record_heartbeat("a1", heartbeat(ready=False), 0)
-        view.record_heartbeat("a2", heartbeat(draining=True), 0)
-        view.record_heartbeat("a3", heartbeat(), 0)
-        self.assertEqual(view.candidates(HERE, 0), ["a0", "a3"])
+        view.record_heartbeat("a1", make_heartbeat(ready=False), 0)
+        view.record_heartbeat("a2", make_heartbeat(draining=True), 0)
+        view.record_heartbeat("a3", make_heartbeat(), 0)
+        self.assertEqual(view.candidates(LOCAL_DOMAIN, 0), ["a0", "a3"])
         view.draining = True
-        self.assertEqual(view.candidates(HERE, 0), ["a3"])
+        self.assertEqual(view.candidates(LOCAL_DOMAIN, 0), ["a3"])
 
-    def test_all_views_agree_on_owner_and_keepers(self):
+    def test_views_agree_on_owner(self):
         first = make_view()
-        first.record_heartbeat("a1", heartbeat(), 0)
+        first.record_heartbeat("a1", make_heartbeat(), 0)
         second = view_lib.MembershipView(
             vm=ids.VmId("a1"),
-            failure_domain=HERE,
+            failure_domain=LOCAL_DOMAIN,
             suspicion_ms=3_000,
             remote_suspicion_ms=9_000,
         )
         second.ready = True
-        second.record_heartbeat("a0", heartbeat(), 0)
-        self.assertEqual(first.owner(HERE, 0), second.owner(HERE, 0))
+        second.record_heartbeat("a0", make_heartbeat(), 0)
+        self.assertEqual(
+            first.owner(LOCAL_DOMAIN, 0), second.owner(LOCAL_DOMAIN, 0)
+        )
 
-    def test_voters_are_listed_vms_heard_or_not(self):
+    def test_voters_follow_the_platform_list_not_heartbeats(self):
         view = make_view()
-        view.update_listing(listing("a0", "a1", "a2"))
-        view.record_heartbeat("a3", heartbeat(), 0)
+        view.update_listing(platform_listing("a0", "a1", "a2"))
+        view.record_heartbeat("a3", make_heartbeat(), 0)
         self.assertEqual(view.voters(), ["a0", "a1", "a2"])
-        view.update_listing(listing("a0", "a2"))
+        view.update_listing(platform_listing("a0", "a2"))
         self.assertEqual(view.voters(), ["a0", "a2"])
 
-    def test_silence_counts_anew_after_a_pause(self):
+    def test_suspicion_timers_restart_after_a_pause(self):
         view = make_view()
-        view.record_heartbeat("a1", heartbeat(), 0)
+        view.record_heartbeat("a1", make_heartbeat(), 0)
         self.assertFalse(view.is_alive("a1", 20_000))
         view.restart_suspicion_timers(20_000)
         self.assertTrue(view.is_alive("a1", 20_000))
--- a/citronmount/membership/view.py
+++ b/citronmount/membership/view.py
@@ -1,4 +1,4 @@
-"""Which VMs live, from the platform's list joined with heartbeats."""
+"""Membership view of one VM, from heartbeats and the platform's list."""
 
 import msgspec
 
@@ -12,14 +12,15 @@
 
 
 class Peer(msgspec.Struct, kw_only=True):
-    """What is known of another VM.
+    """The state of another VM as known to this one.
 
     Attributes:
-        vm: The VM.
-        failure_domain: Where it is.
-        listed: Whether the platform's list has it as live.
-        heard_ms: Monotonic time of its last heartbeat, or None.
-        heartbeat: Its last heartbeat, or None.
+        vm: Id of the VM.
+        failure_domain: The failure domain that the VM runs in.
+        listed: Whether the platform lists the VM as live.
+        heard_ms: Monotonic time at which its last heartbeat was received,
+            or None if none was.
+        heartbeat: The last heartbeat, or None if none was received.
     """
 
     vm: ids.VmId
@@ -30,11 +31,12 @@
 
 
 class MembershipView:
-    """One VM's view of all VMs.
+    """Membership view of one VM: which other VMs are alive.
 
-    A VM is alive while its heartbeats arrive. The platform's list lags, so it
-    only tells whom to send heartbeats to and who may vote. The view serves
-    efficiency: nothing unsafe follows from a wrong one.
+    A VM is alive while its heartbeats arrive. The platform's list lags
+    behind, so it only determines which VMs receive heartbeats and which may
+    vote. Safety does not depend on the view: a wrong view costs efficiency
+    only.
     """
 
     def __init__(
@@ -45,33 +47,34 @@
         suspicion_ms: int,
         remote_suspicion_ms: int,
     ) -> None:
-        """Initializes a view that knows only the VM itself.
+        """Initializes a view that contains only the local VM.
 
         Args:
-            vm: The VM that holds the view.
-            failure_domain: Where it is.
-            suspicion_ms: Silence after which a VM of the same failure domain
-                counts as dead.
-            remote_suspicion_ms: The same for other failure domains.
+            vm: Id of the local VM.
+            failure_domain: The failure domain of the local VM.
+            suspicion_ms: Time without a heartbeat after which a VM of the
+                same failure domain is considered dead.
+            remote_suspicion_ms: The same for VMs of other failure domains.
         """
         self.vm = vm
         self.failure_domain = failure_domain
         self.ready = False
         self.draining = False
         self.peers: dict[ids.VmId, Peer] = {}
-        self._silent_ms: dict[ids.VmId, int] = {}
+        self._unanswered_call_ms: dict[ids.VmId, int] = {}
         self._suspicion_ms = suspicion_ms
         self._remote_suspicion_ms = remote_suspicion_ms
 
-    def update_listing(self, view: messages.PlatformView) -> None:
-        """Takes over the platform's list.
+    def update_listing(self, platform_view: messages.PlatformView) -> None:
+        """Updates which VMs the platform lists as live.
 
         Args:
-            view: The list; a VM that is absent or leaving gets no vote.
+            platform_view: The platform's list. VMs that are absent or leaving
+                lose their vote.
         """
         live = {
             listed.vm: listed
-            for listed in view.vms
+            for listed in platform_view.vms
             if listed.state is states.VmState.LIVE and listed.vm != self.vm
         }
         for vm, listed in live.items():
@@ -88,7 +91,7 @@
         heartbeat: peer_messages.Heartbeat,
         now_ms: int,
     ) -> bool:
-        """Takes over a heartbeat.
+        """Records a heartbeat unless it is late or a duplicate.
 
         Args:
             vm: The sender.
@@ -96,7 +99,7 @@
             now_ms: Monotonic time.
 
         Returns:
-            Whether it was news; late and doubled heartbeats are not.
+            Whether the heartbeat was recorded.
         """
         peer = self.peers.setdefault(
             vm, Peer(vm=vm, failure_domain=heartbeat.failure_domain)
@@ -111,18 +114,19 @@
     def _is_newer(
         self, peer: Peer, heartbeat: peer_messages.Heartbeat, now_ms: int
     ) -> bool:
-        """Returns whether a heartbeat follows the last one of its VM.
+        """Returns whether a heartbeat is newer than the last one of its VM.
 
-        A process that was restarted after its wall clock went back has a
-        lower incarnation; it counts once the former one is silent.
+        A process that restarts after its wall clock was set back has a lower
+        incarnation than before. Its heartbeats are accepted once the previous
+        incarnation is no longer alive.
         """
-        if _order(heartbeat) > _order(peer.heartbeat):
+        if _sequence_key(heartbeat) > _sequence_key(peer.heartbeat):
             return True
         restarted = heartbeat.incarnation != peer.heartbeat.incarnation
         return restarted and not self.is_alive(peer.vm, now_ms)
 
     def restart_suspicion_timers(self, now_ms: int) -> None:
-        """Restarts every silence timer, after the process itself was paused.
+        """Restarts all suspicion timers after a pause of the local process.
 
         Args:
             now_ms: Monotonic time.
@@ -132,14 +136,14 @@
                 peer.heard_ms = now_ms
 
     def is_alive(self, vm: ids.VmId, now_ms: int) -> bool:
-        """Returns whether a VM's heartbeats arrive.
+        """Returns whether a VM is alive; the local VM always is.
 
         Args:
-            vm: Any VM, the holder included.
+            vm: Id of any VM.
             now_ms: Monotonic time.
 
         Returns:
-            Whether it was heard within the suspicion time.
+            Whether a heartbeat arrived within the suspicion time.
         """
         if vm == self.vm:
             return True
@@ -147,49 +151,53 @@
         if peer is None or peer.heard_ms is None:
             return False
         local = peer.failure_domain == self.failure_domain
-        limit = self._suspicion_ms if local else self._remote_suspicion_ms
-        return now_ms - peer.heard_ms <= limit
+        limit_ms = self._suspicion_ms if local else self._remote_suspicion_ms
+        return now_ms - peer.heard_ms <= limit_ms
 
     def last_heartbeat_ms(self, vm: ids.VmId) -> int:
-        """Returns when a VM was last heard, 0 if never.
+        """Returns the time at which the last heartbeat of a VM arrived.
 
         Args:
-            vm: Another VM.
+            vm: Id of another VM.
 
         Returns:
-            Monotonic time.
+            Monotonic time, or 0 if no heartbeat ever arrived.
         """
         peer = self.peers.get(vm)
         return 0 if peer is None else peer.heard_ms or 0
 
     def record_unanswered_call(self, vm: ids.VmId, now_ms: int) -> None:
-        """Notes that a VM has left a call unanswered.
+        """Records that a call to a VM timed out.
 
         Args:
-            vm: The VM.
+            vm: The VM that did not answer.
             now_ms: Monotonic time.
         """
-        self._silent_ms[vm] = now_ms
+        self._unanswered_call_ms[vm] = now_ms
 
     def is_responsive(self, vm: ids.VmId) -> bool:
-        """Returns whether a VM was heard since it last left a call unanswered.
+        """Returns whether a heartbeat followed the last unanswered call.
 
         Args:
-            vm: The VM.
+            vm: Id of another VM.
+
+        Returns:
+            True also for a VM that never left a call unanswered.
         """
-        return self.last_heartbeat_ms(vm) > self._silent_ms.get(vm, -1)
+        return self.last_heartbeat_ms(vm) > self._unanswered_call_ms.get(vm, -1)
 
     def candidates(
         self, failure_domain: ids.FailureDomainId, now_ms: int
     ) -> list[ids.VmId]:
-        """Returns the VMs that may own or keep in a failure domain.
+        """Returns the VMs eligible as owner or lease renewer.
 
         Args:
             failure_domain: The failure domain.
             now_ms: Monotonic time.
 
         Returns:
-            Live, ready VMs of the failure domain that are not draining.
+            The sorted ids of all VMs of the failure domain that are alive,
+            ready and not draining.
         """
         found = [
             peer.vm
@@ -215,7 +223,8 @@
             now_ms: Monotonic time.
 
         Returns:
-            The first choice among the candidates, or None.
+            The candidate chosen by rendezvous hashing, or None if there is no
+            candidate.
         """
         chosen = rendezvous.choose(
             failure_domain, self.candidates(failure_domain, now_ms)
@@ -232,16 +241,18 @@
             candidates: The candidates of the worker's failure domain.
 
         Returns:
-            The first choice, or None if there is no candidate.
+            The candidate chosen by rendezvous hashing, or None if there is no
+            candidate.
         """
         chosen = rendezvous.choose(worker, candidates)
         return None if chosen is None else ids.VmId(chosen)
 
     def voters(self) -> list[ids.VmId]:
-        """Returns the VMs of the own failure domain that have a vote.
+        """Returns the VMs of the local failure domain that vote on claims.
 
         Returns:
-            The holder and every VM that the platform lists as live.
+            The sorted ids of the local VM and of every VM that the platform
+            lists as live, whether its heartbeats arrive or not.
         """
         return sorted(
             [
@@ -256,13 +267,14 @@
         )
 
     def live_peers(self, now_ms: int) -> list[ids.VmId]:
-        """Returns all other VMs whose heartbeats arrive, nearest first.
+        """Returns the other VMs that are alive.
 
         Args:
             now_ms: Monotonic time.
 
         Returns:
-            VMs of the own failure domain first, then by name.
+            Their ids: VMs of the local failure domain first, each group
+            sorted.
         """
         return sorted(
             (vm for vm in self.peers if self.is_alive(vm, now_ms)),
@@ -273,7 +285,7 @@
         )
 
     def local_peers(self, now_ms: int) -> list[ids.VmId]:
-        """Returns the other live VMs of the own failure domain.
+        """Returns the other VMs of the local failure domain that are alive.
 
         Args:
             now_ms: Monotonic time.
@@ -288,5 +300,5 @@
         ]
 
 
-def _order(heartbeat: peer_messages.Heartbeat) -> tuple[int, int]:
+def _sequence_key(heartbeat: peer_messages.Heartbeat) -> tuple[int, int]:
     return heartbeat.incarnation, heartbeat.sequence
