--- a/citronmount/agent/call_router.py
+++ b/citronmount/agent/call_router.py
@@ -1,4 +1,4 @@
-"""Serves callers' calls, here or through the VM that can."""
+"""Routes callers' calls to the VM that can serve them."""
 
 import collections
 from collections.abc import Callable
@@ -22,10 +22,10 @@
 __all__ = ["CallRouter"]
 
 FORWARD_TIMEOUT_MS = 1_500
-WAIT_MARGIN_MS = 1_000
+ANSWER_MARGIN_MS = 1_000
 MAX_WAIT_MS = 60_000
-REMEMBERED_CALLS = 50_000
-MAX_HOPS = 4
+MAX_SEEN_CALLS = 50_000
+MAX_MOVES_FOLLOWED = 4
 
 Respond = Callable[[peer_messages.Answer], None]
 DomainCall = (
@@ -37,8 +37,8 @@
 )
 
 
-class _Routed(msgspec.Struct, kw_only=True):
-    """A call on its way to the owner of a failure domain."""
+class _RoutedCall(msgspec.Struct, kw_only=True):
+    """A call that is to be served by the owner of a failure domain."""
 
     failure_domain: ids.FailureDomainId
     body: DomainCall
@@ -50,10 +50,10 @@
 
 
 class CallRouter:
-    """Finds the owner for each call and answers the caller once.
+    """Routes each call to the owner it concerns and answers it once.
 
-    Calls are repeated until their time is up; all of them are idempotent,
-    since a job's id is fixed before its first submission is sent on.
+    Calls are retried until their deadline. All of them are idempotent, since
+    the id of a job is fixed before its first submission is forwarded.
     """
 
     def __init__(
@@ -66,22 +66,22 @@
         rooms: domain_rooms.DomainRooms,
         requests: request_handler.RequestHandler,
     ) -> None:
-        """Initializes a desk without calls.
+        """Initializes a router without calls.
 
         Args:
             ctx: The shared context.
-            view: Which VMs own what.
-            configuration: The configuration in force.
-            ownership: The own failure domain, if this VM owns it.
-            rooms: The room in each failure domain.
-            requests: Serves short requests.
+            view: Determines the owner of each failure domain.
+            configuration: Provides the configuration in force.
+            ownership: Provides the local failure domain while this VM owns it.
+            rooms: The free capacity of each failure domain.
+            requests: Handles short requests.
         """
         self._ctx = ctx
         self._view = view
         self._configuration = configuration
         self._ownership = ownership
         self._requests = requests
-        self._routed: list[_Routed] = []
+        self._routed: list[_RoutedCall] = []
         self._seen: collections.OrderedDict[ids.CallId, None] = (
             collections.OrderedDict()
         )
@@ -93,19 +93,19 @@
         )
 
     def has_open_work(self) -> bool:
-        """Returns whether a call is on its way."""
+        """Returns whether any routed call has not been answered yet."""
         return bool(self._routed)
 
     def handle(self, body: peer_messages.CallerCall, respond: Respond) -> None:
-        """Serves a call of a caller that reached this VM.
+        """Serves a call that this VM received from a caller.
 
         Args:
             body: The call.
-            respond: Told the answer, once.
+            respond: Called once with the answer.
         """
         match body:
             case peer_messages.RunRequest():
-                self._run_request(body, respond)
+                self._submit_request(body, respond)
             case peer_messages.SubmitJob(spec=spec):
                 self._submission.submit(spec, respond)
             case (
@@ -122,16 +122,16 @@
     def handle_forwarded(
         self, sender: ids.VmId, message: peer_messages.Forward
     ) -> None:
-        """Serves a call that another VM has sent on.
+        """Serves a call that another VM forwarded.
 
         Args:
             sender: The other VM.
-            message: The call; a copy of one served before is dropped.
+            message: The call. Duplicates of recent calls are ignored.
         """
         if message.call in self._seen:
             return
         self._seen[message.call] = None
-        while len(self._seen) > REMEMBERED_CALLS:
+        while len(self._seen) > MAX_SEEN_CALLS:
             self._seen.popitem(last=False)
 
         def respond(answer: peer_messages.Answer) -> None:
@@ -140,14 +140,14 @@
 
         body = message.body
         if isinstance(body, peer_messages.RunRequest):
-            self._run_request(body, respond)
+            self._submit_request(body, respond)
         elif isinstance(body, DomainCall):
             self._serve(body, respond)
         else:
             respond(call_answers.failure(codes.ResultCode.INVALID_REQUEST))
 
     def tick(self) -> None:
-        """Sends on what waits and ends what has waited too long."""
+        """Retries unanswered calls and ends those past their deadline."""
         routed, self._routed = self._routed, []
         for call in routed:
             if not call.in_flight:
@@ -155,9 +155,9 @@
             elif self._ctx.now_ms < call.due_ms:
                 self._routed.append(call)
             else:
-                self._give_up(call)
+                self._answer_timeout(call)
 
-    def _run_request(
+    def _submit_request(
         self, body: peer_messages.RunRequest, respond: Respond
     ) -> None:
         def answered(result: jobs.RequestResult) -> None:
@@ -179,12 +179,12 @@
         body: DomainCall,
         respond: Respond,
     ) -> None:
-        """Takes a call to the owner of a failure domain.
+        """Routes a call to the owner of a failure domain.
 
         Args:
             failure_domain: The failure domain.
             body: The call.
-            respond: Told the answer, once.
+            respond: Called once with the answer.
         """
         if not self._is_configured(failure_domain):
             respond(
@@ -199,7 +199,7 @@
             body = msgspec.structs.replace(body, wait_ms=wait_ms)
             timeout_ms += wait_ms
         self._advance(
-            _Routed(
+            _RoutedCall(
                 failure_domain=failure_domain,
                 body=body,
                 respond=respond,
@@ -208,33 +208,36 @@
         )
 
     def _is_configured(self, failure_domain: ids.FailureDomainId) -> bool:
-        """Returns whether a failure domain exists, as far as is known."""
+        """Returns whether a failure domain may exist.
+
+        Every name is accepted while no configuration is known.
+        """
         names = {
             domain.name
             for domain in self._configuration.fold.current.failure_domains
         }
         return not names or failure_domain in names
 
-    def _advance(self, call: _Routed) -> None:
-        """Serves a call here, sends it on, or lets it wait."""
+    def _advance(self, call: _RoutedCall) -> None:
+        """Serves a call here, forwards it, or lets it wait for an owner."""
         own = call.failure_domain == self._ctx.settings.failure_domain
         if own and self._ownership.domain is not None:
             self._serve(call.body, call.respond)
             return
         if self._ctx.now_ms >= call.due_ms:
-            self._give_up(call)
+            self._answer_timeout(call)
             return
         self._routed.append(call)
         owner = self._view.owner(call.failure_domain, self._ctx.now_ms)
         if owner is not None and owner != self._ctx.settings.vm:
             self._forward(owner, call)
 
-    def _forward(self, owner: ids.VmId, call: _Routed) -> None:
+    def _forward(self, owner: ids.VmId, call: _RoutedCall) -> None:
         call.in_flight = True
         call.sent = True
         timeout_ms = FORWARD_TIMEOUT_MS
         if isinstance(call.body, peer_messages.GetJob):
-            timeout_ms = call.body.wait_ms + WAIT_MARGIN_MS
+            timeout_ms = call.body.wait_ms + ANSWER_MARGIN_MS
         timeout_ms = min(timeout_ms, max(call.due_ms - self._ctx.now_ms, 1))
         call_id = self._ctx.new_call()
 
@@ -244,11 +247,11 @@
                 return
             if message is None:
                 call.uncertain = True
-                call.body = _decisive(call.body)
+                call.body = _conclusive(call.body)
                 return
             if not call_answers.is_not_owner(message.body):
                 self._routed.remove(call)
-                call.respond(_truthful(call, message.body))
+                call.respond(_answer_to_report(call, message.body))
 
         forward = peer_messages.Forward(
             call=call_id, body=call.body, timeout_ms=timeout_ms
@@ -257,9 +260,9 @@
             owner, call_id, forward, answered, timeout_ms=timeout_ms
         )
 
-    def _give_up(self, call: _Routed) -> None:
-        in_doubt = call.uncertain or call.in_flight
-        if not in_doubt:
+    def _answer_timeout(self, call: _RoutedCall) -> None:
+        outcome_unknown = call.uncertain or call.in_flight
+        if not outcome_unknown:
             code = codes.ResultCode.HOME_UNREACHABLE
             call.respond(call_answers.failure(code))
         elif isinstance(call.body, peer_messages.SubmitJob):
@@ -279,7 +282,7 @@
         if isinstance(body, peer_messages.GetJob | peer_messages.CancelJob):
             moved_to = domain.moves.moved_to(body.job)
             if moved_to is not None:
-                self._follow(moved_to, body, respond)
+                self._follow_move(moved_to, body, respond)
                 return
         match body:
             case peer_messages.SubmitJob(spec=spec, eager=eager, move=move):
@@ -293,25 +296,25 @@
             case peer_messages.ListJobs(account=account, limit=limit):
                 respond(domain.intake.statuses(account, limit))
 
-    def _follow(
+    def _follow_move(
         self,
         moved_to: ids.FailureDomainId,
         body: peer_messages.GetJob | peer_messages.CancelJob,
         respond: Respond,
     ) -> None:
-        """Sends a call after a job that was moved."""
-        if body.hops >= MAX_HOPS:
+        """Routes a call to the failure domain that its job was moved to."""
+        if body.hops >= MAX_MOVES_FOLLOWED:
             respond(call_answers.failure(codes.ResultCode.HOME_UNREACHABLE))
             return
-        further = msgspec.structs.replace(body, hops=body.hops + 1)
-        self.route(moved_to, further, respond)
+        followed = msgspec.structs.replace(body, hops=body.hops + 1)
+        self.route(moved_to, followed, respond)
 
     def _fan_out(
         self,
         body: peer_messages.ListJobs | peer_messages.CancelJobs,
         respond: Respond,
     ) -> None:
-        """Sends a call to one or all failure domains and joins the answers."""
+        """Routes a call to one or all failure domains, merging the answers."""
         names = (
             [body.failure_domain]
             if body.failure_domain
@@ -332,16 +335,16 @@
         if not names:
             respond(peer_messages.JobsAnswer(statuses=()))
         for name in names:
-            part = msgspec.structs.replace(body, failure_domain=name)
-            self.route(name, part, functools.partial(answered, name))
+            domain_call = msgspec.structs.replace(body, failure_domain=name)
+            self.route(name, domain_call, functools.partial(answered, name))
 
 
-def _truthful(
-    call: _Routed, answer: peer_messages.Answer
+def _answer_to_report(
+    call: _RoutedCall, answer: peer_messages.Answer
 ) -> peer_messages.Answer:
-    """Takes back the proof of a refusal that follows a lost answer.
+    """Replaces a refusal that follows a lost answer by an unknown outcome.
 
-    An earlier owner may have accepted the job without its answer arriving.
+    An earlier owner may have accepted the job although its answer was lost.
     """
     submitted = isinstance(call.body, peer_messages.SubmitJob)
     refused = isinstance(answer, peer_messages.Failure)
@@ -350,8 +353,12 @@
     return answer
 
 
-def _decisive(body: DomainCall) -> DomainCall:
-    """Returns a call whose repetition settles whether the job is accepted."""
+def _conclusive(body: DomainCall) -> DomainCall:
+    """Returns the call to retry after a lost answer.
+
+    A submission is retried as one that may be queued, so that its answer
+    settles whether the job is accepted.
+    """
     if isinstance(body, peer_messages.SubmitJob):
         return msgspec.structs.replace(body, eager=False)
     return body
--- a/citronmount/agent/context.py
+++ b/citronmount/agent/context.py
@@ -1,4 +1,4 @@
-"""What the parts of an agent share: time, effects and open calls."""
+"""State shared by the parts of an agent: time, effects and open calls."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,8 +18,8 @@
 __all__ = ["Context"]
 
 
-class _PeerCall(msgspec.Struct, kw_only=True):
-    """A message to a peer that waits for its answer."""
+class _PendingPeerCall(msgspec.Struct, kw_only=True):
+    """A call to another VM that has not been answered yet."""
 
     due_ms: int
     on_answer: Callable[[Any], None]
@@ -28,15 +28,15 @@
 class Context:
     """Time, outgoing effects and the handlers of open calls.
 
-    Every call gets its handler invoked exactly once: with the answer, or with
-    None when there is none.
+    The handler of every call is invoked exactly once: with the answer, or
+    with None if the call timed out.
     """
 
     def __init__(self, *, settings: settings_lib.AgentSettings) -> None:
         """Initializes a context without open calls.
 
         Args:
-            settings: Identity and timing.
+            settings: Identity and time limits of the agent.
         """
         self.settings = settings
         self.now_ms = 0
@@ -44,17 +44,17 @@
         self.effects: list[effects.Effect] = []
         self.clock = hlc.HybridClock()
         self._counter = 0
-        self._calls: dict[ids.CallId, Callable[[Any], None]] = {}
-        self._peer_calls: dict[ids.CallId, _PeerCall] = {}
+        self._shell_handlers: dict[ids.CallId, Callable[[Any], None]] = {}
+        self._peer_calls: dict[ids.CallId, _PendingPeerCall] = {}
 
     def unique_id(self) -> str:
-        """Returns a string that no other process or incarnation makes."""
+        """Returns an id that is unique across VMs and incarnations."""
         self._counter += 1
         incarnation = self.settings.incarnation
         return f"{self.settings.vm}-{incarnation:x}-{self._counter:x}"
 
     def emit(self, effect: effects.Effect) -> None:
-        """Adds an effect for the shell.
+        """Adds an effect to those that the shell will carry out.
 
         Args:
             effect: The effect.
@@ -62,19 +62,19 @@
         self.effects.append(effect)
 
     def send(self, to: ids.VmId, message: peer_messages.PeerMessage) -> None:
-        """Sends a message to a peer.
+        """Sends a message to another VM.
 
         Args:
-            to: The peer.
+            to: The receiver.
             message: The message.
         """
         self.emit(effects.SendPeer(to=to, message=message))
 
     def trace(self, kind: timeline.EventKind, **fields: Any) -> None:
-        """Adds an event to the time line.
+        """Adds an event to the VM's timeline.
 
         Args:
-            kind: What happened.
+            kind: The kind of the event.
             **fields: Further fields of `TimelineEvent`.
         """
         physical_ms, logical = self.clock.tick(self.wall_ms)
@@ -93,14 +93,15 @@
         entries: tuple[records.Record, ...],
         on_answer: Callable[[ids.Offset | None], None],
     ) -> None:
-        """Appends records to the log.
+        """Appends records to a log stream.
 
         Args:
             stream: The stream.
             entries: The records.
-            on_answer: Gets the first offset, or None without an answer.
+            on_answer: Called with the offset of the first record, or with
+                None without an answer.
         """
-        call = self._register(on_answer)
+        call = self._register_handler(on_answer)
         encoded = tuple(
             (record.record, records.encode(record)) for record in entries
         )
@@ -112,14 +113,14 @@
         start: ids.Offset,
         on_answer: Callable[[messages.LogPage | None], None],
     ) -> None:
-        """Reads the log.
+        """Reads a page of a log stream.
 
         Args:
             stream: The stream.
-            start: The first offset wanted.
-            on_answer: Gets the page, or None without an answer.
+            start: The first offset to read.
+            on_answer: Called with the page, or with None without an answer.
         """
-        call = self._register(on_answer)
+        call = self._register_handler(on_answer)
         self.emit(effects.ReadLog(call=call, stream=stream, start=start))
 
     def list_platform(
@@ -128,9 +129,9 @@
         """Reads the platform's list.
 
         Args:
-            on_answer: Gets the list, or None without an answer.
+            on_answer: Called with the list, or with None without an answer.
         """
-        call = self._register(on_answer)
+        call = self._register_handler(on_answer)
         self.emit(effects.ListPlatform(call=call))
 
     def call_worker(
@@ -141,15 +142,15 @@
         *,
         timeout_ms: int = 1_000,
     ) -> None:
-        """Sends acts to a worker.
+        """Sends commands to a worker.
 
         Args:
             target: The worker.
-            body: The acts.
-            on_answer: Gets the answer, or None without one.
-            timeout_ms: When to give up.
+            body: The fencing token and the commands.
+            on_answer: Called with the answer, or with None without one.
+            timeout_ms: Time after which the call counts as unanswered.
         """
-        call = self._register(on_answer)
+        call = self._register_handler(on_answer)
         self.emit(
             effects.CallWorker(
                 call=call,
@@ -168,10 +169,11 @@
         """Sends a short request to a runner.
 
         Args:
-            effect: The call, with an id from `unique`.
-            on_answer: Gets the event with the answer or the lack of one.
+            effect: The call, with a call id from `new_call`.
+            on_answer: Called with the event that carries the answer, if there
+                is one.
         """
-        self._calls[effect.call] = on_answer
+        self._shell_handlers[effect.call] = on_answer
         self.emit(effect)
 
     def call_peer(
@@ -183,57 +185,58 @@
         *,
         timeout_ms: int,
     ) -> None:
-        """Sends a message to a peer and waits for its answer.
+        """Sends a message to another VM and expects an answer to it.
 
         Args:
-            to: The peer.
+            to: The receiver.
             call: The call id that the message carries.
             message: The message.
-            on_answer: Gets the answer message, or None without one.
-            timeout_ms: When to give up.
+            on_answer: Called with the answering message, or with None without
+                one.
+            timeout_ms: Time after which the call counts as unanswered.
         """
-        self._peer_calls[call] = _PeerCall(
+        self._peer_calls[call] = _PendingPeerCall(
             due_ms=self.now_ms + timeout_ms, on_answer=on_answer
         )
         self.send(to, message)
 
     def new_call(self) -> ids.CallId:
-        """Returns a call id that was never used."""
+        """Returns a call id that is unique across VMs and incarnations."""
         return ids.CallId(self.unique_id())
 
     def resolve(self, call: ids.CallId, answer: Any) -> None:
-        """Hands an answer of the shell to the handler of its call.
+        """Passes an answer from the shell to the handler of its call.
 
         Args:
-            call: The call.
-            answer: What the handler gets.
+            call: The call id.
+            answer: The argument for the handler.
         """
-        handler = self._calls.pop(call, None)
+        handler = self._shell_handlers.pop(call, None)
         if handler is not None:
             handler(answer)
 
     def resolve_peer(self, call: ids.CallId, answer: Any) -> None:
-        """Hands a peer's answer to the handler of its call.
+        """Passes the answer of another VM to the handler of its call.
 
         Args:
-            call: The call; late and doubled answers are dropped.
-            answer: What the handler gets.
+            call: The call id. Late and duplicate answers are ignored.
+            answer: The argument for the handler.
         """
         pending = self._peer_calls.pop(call, None)
         if pending is not None:
             pending.on_answer(answer)
 
     def expire_peer_calls(self) -> None:
-        """Answers every call to a peer whose time is up with None."""
-        due = [
+        """Calls the handlers of timed-out calls to other VMs with None."""
+        expired = [
             call
             for call, pending in self._peer_calls.items()
             if pending.due_ms <= self.now_ms
         ]
-        for call in due:
+        for call in expired:
             self.resolve_peer(call, None)
 
-    def _register(self, on_answer: Callable[[Any], None]) -> ids.CallId:
+    def _register_handler(self, on_answer: Callable[[Any], None]) -> ids.CallId:
         call = self.new_call()
-        self._calls[call] = on_answer
+        self._shell_handlers[call] = on_answer
         return call
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -1,4 +1,4 @@
-"""Durable writes: to the log, or to peers while the log is down."""
+"""Durable writes to the log, or to peers while the log is unavailable."""
 
 import collections
 from collections.abc import Callable
@@ -16,16 +16,16 @@
 
 __all__ = ["Outbox", "WriteOutcome"]
 
-BATCH_RECORDS = 200
-REPLICAS = 2
+MAX_BATCH_RECORDS = 200
+REPLICAS_PER_WRITE = 2
 RETRY_MS = 500
 REPLICATE_TIMEOUT_MS = 1_000
-WRITE_LIMIT_MS = 4_000
-HELD_APPEND_MS = 5_000
+WRITE_TIMEOUT_MS = 4_000
+REPLICA_APPEND_DELAY_MS = 5_000
 
 
 class WriteOutcome(enum.Enum):
-    """What is known of a write."""
+    """The outcome of a write as far as it is known."""
 
     IN_LOG = "in_log"
     AT_PEERS = "at_peers"
@@ -34,7 +34,7 @@
 
     @property
     def durability(self) -> states.Durability | None:
-        """The durability that callers are told, or None."""
+        """The durability reported to callers, or None if it is not known."""
         return _DURABILITY.get(self)
 
 
@@ -43,43 +43,44 @@
     WriteOutcome.AT_PEERS: states.Durability.PEERS,
 }
 
-Handler = Callable[[WriteOutcome], None]
+OutcomeHandler = Callable[[WriteOutcome], None]
 
 
 class _Write(msgspec.Struct, kw_only=True):
-    """One record on its way into the log."""
+    """A record whose append to the log is not confirmed yet."""
 
     stream: ids.StreamName
     record: records.Record
     since_ms: int
     limit_ms: int | None
-    on_outcome: Handler | None
+    on_outcome: OutcomeHandler | None
     sent: bool = False
     asked_peers: bool = False
     acks: set[ids.VmId] = msgspec.field(default_factory=set)
 
     def settle(self, outcome: WriteOutcome) -> None:
-        """Tells the writer the outcome, once."""
+        """Calls the outcome handler unless it has been called before."""
         handler = self.on_outcome
         self.on_outcome = None
         if handler is not None:
             handler(outcome)
 
 
-class _Held(msgspec.Struct, frozen=True, kw_only=True):
-    """A record that is kept for a peer."""
+class _Replica(msgspec.Struct, frozen=True, kw_only=True):
+    """A record kept in memory on behalf of another VM."""
 
     record: records.Record
     since_ms: int
 
 
 class Outbox:
-    """Writes records durably and in order of each stream.
+    """Writes records durably, in order within each stream.
 
-    A write that the log has not answered within the patience time is kept in
-    the memory of two peers, or of one where no more can be reached, and goes
-    into the log when it answers again. Appends are retried with the same
-    record ids, so a lost answer leads to a copy that the folds ignore.
+    A write that the log has not answered within `log_patience_ms` is
+    replicated to the memory of two peers, or of one if no more are reachable,
+    and is appended to the log when it answers again. Appends are retried with
+    the same record ids, so a lost answer leads to a duplicate that the folds
+    ignore.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
 
         Args:
             ctx: The shared context.
-            view: Who may keep replicas.
+            view: Determines the VMs that receive replicas.
         """
         self._ctx = ctx
         self._view = view
@@ -97,26 +98,27 @@
             ids.StreamName, collections.OrderedDict[ids.RecordId, _Write]
         ] = {}
         self._in_flight: set[ids.StreamName] = set()
-        self._retry_ms: dict[ids.StreamName, int] = {}
-        self._held: dict[ids.StreamName, dict[ids.RecordId, _Held]] = {}
+        self._next_append_ms: dict[ids.StreamName, int] = {}
+        self._replicas: dict[ids.StreamName, dict[ids.RecordId, _Replica]] = {}
         self.log_available = True
 
     def write(
         self,
         stream: ids.StreamName,
         record: records.Record,
-        on_outcome: Handler | None = None,
+        on_outcome: OutcomeHandler | None = None,
         *,
-        limit_ms: int | None = WRITE_LIMIT_MS,
+        limit_ms: int | None = WRITE_TIMEOUT_MS,
     ) -> None:
         """Writes a record.
 
         Args:
             stream: The stream.
             record: The record.
-            on_outcome: Told once how durable the record is.
-            limit_ms: When to tell that it is not known to be durable, or
-                None to tell only once it is.
+            on_outcome: Called once with the outcome.
+            limit_ms: Time after which an undecided write is reported as
+                unknown or never sent, or None to report it only once it is
+                durable.
         """
         writes = self._writes.setdefault(stream, collections.OrderedDict())
         write = _Write(
@@ -129,21 +131,21 @@
         writes[record.record] = write
         self._flush(stream)
         if not self.log_available:
-            self._ask_peers(write)
+            self._replicate_to_peers(write)
 
     def store_replicas(
         self, stream: ids.StreamName, entries: tuple[records.Record, ...]
     ) -> None:
-        """Keeps records for a peer, in memory, until the log has them.
+        """Keeps another VM's records in memory until the log has them.
 
         Args:
             stream: The stream.
             entries: The records.
         """
-        held = self._held.setdefault(stream, {})
+        replicas = self._replicas.setdefault(stream, {})
         for record in entries:
-            since = _Held(record=record, since_ms=self._ctx.now_ms)
-            held.setdefault(record.record, since)
+            replica = _Replica(record=record, since_ms=self._ctx.now_ms)
+            replicas.setdefault(record.record, replica)
 
     def unappended(self, stream: ids.StreamName) -> tuple[records.Record, ...]:
         """Returns the records that may not be in the log.
@@ -152,41 +154,45 @@
             stream: The stream.
 
         Returns:
-            Own writes without an answer and those held for peers.
+            The unconfirmed writes of this VM and the replicas kept for other
+            VMs.
         """
         own = (write.record for write in self._writes.get(stream, {}).values())
-        held = (kept.record for kept in self._held.get(stream, {}).values())
-        return tuple(itertools.chain(own, held))
+        replicas = (
+            replica.record
+            for replica in self._replicas.get(stream, {}).values()
+        )
+        return tuple(itertools.chain(own, replicas))
 
     def streams(self) -> list[ids.StreamName]:
         """Returns the streams with records that may not be in the log."""
         names = {
             name
             for name, entries in itertools.chain(
-                self._writes.items(), self._held.items()
+                self._writes.items(), self._replicas.items()
             )
             if entries
         }
         return sorted(names)
 
     def empty(self) -> bool:
-        """Returns whether every own write is in the log."""
+        """Returns whether no write of this VM waits for the log."""
         return not any(self._writes.values())
 
     def tick(self) -> None:
-        """Retries appends, asks peers and ends writes whose time is up."""
+        """Retries appends, replicates overdue writes and applies timeouts."""
         for stream in list(self._writes):
             self._flush(stream)
             for write in list(self._writes[stream].values()):
-                self._age(write)
-        self._append_held()
+                self._check_time_limits(write)
+        self._append_replicas()
 
     def _flush(self, stream: ids.StreamName) -> None:
         writes = self._writes[stream]
-        waiting = self._retry_ms.get(stream, 0) > self._ctx.now_ms
-        if not writes or stream in self._in_flight or waiting:
+        backing_off = self._next_append_ms.get(stream, 0) > self._ctx.now_ms
+        if not writes or stream in self._in_flight or backing_off:
             return
-        batch = tuple(itertools.islice(writes.values(), BATCH_RECORDS))
+        batch = tuple(itertools.islice(writes.values(), MAX_BATCH_RECORDS))
         for write in batch:
             write.sent = True
         self._in_flight.add(stream)
@@ -205,7 +211,7 @@
         self._in_flight.discard(stream)
         self.log_available = offset is not None
         if offset is None:
-            self._retry_ms[stream] = self._ctx.now_ms + RETRY_MS
+            self._next_append_ms[stream] = self._ctx.now_ms + RETRY_MS
             return
         writes = self._writes[stream]
         for write in batch:
@@ -214,34 +220,37 @@
             write.settle(WriteOutcome.IN_LOG)
         self._flush(stream)
 
-    def _age(self, write: _Write) -> None:
+    def _check_time_limits(self, write: _Write) -> None:
         age_ms = self._ctx.now_ms - write.since_ms
-        patience_ms = self._ctx.settings.log_patience_ms
-        impatient = not self.log_available or age_ms >= patience_ms
-        if impatient and not write.asked_peers:
-            self._ask_peers(write)
-        waited = write.limit_ms is not None and age_ms >= write.limit_ms
-        if waited and write.on_outcome is not None:
-            self._give_up(write)
-
-    def _give_up(self, write: _Write) -> None:
+        log_timeout_ms = self._ctx.settings.log_patience_ms
+        replication_due = not self.log_available or age_ms >= log_timeout_ms
+        if replication_due and not write.asked_peers:
+            self._replicate_to_peers(write)
+        timed_out = write.limit_ms is not None and age_ms >= write.limit_ms
+        if timed_out and write.on_outcome is not None:
+            self._end_unanswered(write)
+
+    def _end_unanswered(self, write: _Write) -> None:
         if write.sent or write.asked_peers:
             write.settle(WriteOutcome.UNKNOWN)
             return
         del self._writes[write.stream][write.record.record]
         write.settle(WriteOutcome.NEVER_SENT)
 
-    def _ask_peers(self, write: _Write) -> None:
-        peers = self._answering_peers()
+    def _replicate_to_peers(self, write: _Write) -> None:
+        peers = self._responsive_peers()
         if not peers:
             return
         write.asked_peers = True
-        needed = min(REPLICAS, len(peers))
-        for peer in peers[: REPLICAS + 1]:
+        needed = min(REPLICAS_PER_WRITE, len(peers))
+        for peer in peers[: REPLICAS_PER_WRITE + 1]:
             self._replicate(write, peer, needed)
 
-    def _answering_peers(self) -> list[ids.VmId]:
-        """Returns live peers, less those silent since an unanswered call."""
+    def _responsive_peers(self) -> list[ids.VmId]:
+        """Returns live peers except those that left the last call unanswered.
+
+        A peer is used again once a heartbeat of it arrives.
+        """
         return [
             peer
             for peer in self._view.live_peers(self._ctx.now_ms)
@@ -271,13 +280,17 @@
             timeout_ms=REPLICATE_TIMEOUT_MS,
         )
 
-    def _append_held(self) -> None:
-        """Appends what is held for peers once the log answers again."""
+    def _append_replicas(self) -> None:
+        """Appends older replicas of other VMs while the log is available."""
         if not self.log_available:
             return
-        limit_ms = self._ctx.now_ms - HELD_APPEND_MS
-        for stream, held in self._held.items():
-            due = [kept for kept in held.values() if kept.since_ms <= limit_ms]
-            for kept in due:
-                del held[kept.record.record]
-                self.write(stream, kept.record)
+        limit_ms = self._ctx.now_ms - REPLICA_APPEND_DELAY_MS
+        for stream, replicas in self._replicas.items():
+            due = [
+                replica
+                for replica in replicas.values()
+                if replica.since_ms <= limit_ms
+            ]
+            for replica in due:
+                del replicas[replica.record.record]
+                self.write(stream, replica.record)
--- a/citronmount/agent/request_forwarding.py
+++ b/citronmount/agent/request_forwarding.py
@@ -1,4 +1,4 @@
-"""Sends short requests on to other VMs, one after another."""
+"""Forwards short requests to other VMs, trying them one after another."""
 
 from collections.abc import Callable
 import math
@@ -14,14 +14,14 @@
 
 __all__ = ["RequestForwarding", "refusal", "outcome_unknown"]
 
-TRY_MS = 1_000
+ATTEMPT_TIMEOUT_MS = 1_000
 RETRY_AFTER_MS = 1_000
 
 Respond = Callable[[jobs.RequestResult], None]
 
 
-class _Journey(msgspec.Struct, kw_only=True):
-    """A request on its way through several VMs."""
+class _ForwardedRequest(msgspec.Struct, kw_only=True):
+    """A request being forwarded, with the VMs not tried yet."""
 
     spec: jobs.RequestSpec
     body: peer_messages.RunRequest
@@ -33,12 +33,13 @@
 
 
 class RequestForwarding:
-    """Sends a request to the first of some VMs that takes it.
+    """Forwards a request to the first of several VMs that accepts it.
 
-    A refusal that proves that the request was not run leads to the next VM.
-    So does silence, if the request may be sent twice: because it is
-    idempotent, or because its key is still to be claimed, which only one VM
-    can. After silence no later refusal proves anything any more.
+    The next VM is tried after a refusal that proves that the request was not
+    run. It is also tried after a timeout if the request may be sent twice,
+    either because it is idempotent or because its key is not claimed yet and
+    only one VM can claim it. After a timeout, a later refusal no longer proves
+    that the request was not run.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
 
         Args:
             ctx: The shared context.
-            view: Told of VMs that do not answer.
+            view: Records which VMs left a call unanswered.
         """
         self._ctx = ctx
         self._view = view
@@ -61,27 +62,27 @@
         *,
         repeatable: bool,
     ) -> None:
-        """Sends a request on.
+        """Forwards a request to one of several VMs.
 
         Args:
             body: The request.
-            vms: At least one VM; those that left a call unanswered and were
-                not heard since are tried last.
-            respond: Told the one final answer.
-            repeatable: Whether it may be sent on after silence.
+            vms: At least one VM, in order of preference. VMs that left a call
+                unanswered and sent no heartbeat since are tried last.
+            respond: Called once with the final answer.
+            repeatable: Whether the next VM may be tried after a timeout.
         """
         now_ms = self._ctx.now_ms
-        silent = [vm for vm in vms if not self._view.is_responsive(vm)]
-        answering = [vm for vm in vms if self._view.is_responsive(vm)]
-        journey = _Journey(
+        unresponsive = [vm for vm in vms if not self._view.is_responsive(vm)]
+        responsive = [vm for vm in vms if self._view.is_responsive(vm)]
+        forwarded = _ForwardedRequest(
             spec=body.spec,
             body=body,
-            vms=[*answering, *silent],
+            vms=[*responsive, *unresponsive],
             respond=respond,
             due_ms=now_ms + body.spec.timeout_ms,
             repeatable=repeatable,
         )
-        self._next(journey)
+        self._send_to_next_vm(forwarded)
 
     def call(
         self,
@@ -90,13 +91,13 @@
         timeout_ms: int,
         on_answer: Callable[[jobs.RequestResult | None], None],
     ) -> None:
-        """Sends a request to one VM.
+        """Forwards a request to one VM.
 
         Args:
             to: The VM.
             body: The request.
-            timeout_ms: When to give up.
-            on_answer: Told the answer, or None without one.
+            timeout_ms: Time after which the call counts as unanswered.
+            on_answer: Called with the answer, or with None without one.
         """
         call = self._ctx.new_call()
 
@@ -110,50 +111,52 @@
         )
         self._ctx.call_peer(to, call, forward, answered, timeout_ms=timeout_ms)
 
-    def _next(self, journey: _Journey) -> None:
-        to = journey.vms.pop(0)
-        left_ms = max(journey.due_ms - self._ctx.now_ms, 1)
-        may_go_on = journey.repeatable and journey.vms
-        timeout_ms = min(left_ms, TRY_MS if may_go_on else math.inf)
+    def _send_to_next_vm(self, forwarded: _ForwardedRequest) -> None:
+        to = forwarded.vms.pop(0)
+        remaining_ms = max(forwarded.due_ms - self._ctx.now_ms, 1)
+        can_try_next = forwarded.repeatable and forwarded.vms
+        timeout_ms = min(
+            remaining_ms, ATTEMPT_TIMEOUT_MS if can_try_next else math.inf
+        )
         self.call(
             to,
-            journey.body,
+            forwarded.body,
             int(timeout_ms),
-            lambda result: self._answered(journey, result),
+            lambda result: self._answered(forwarded, result),
         )
 
     def _answered(
-        self, journey: _Journey, result: jobs.RequestResult | None
+        self, forwarded: _ForwardedRequest, result: jobs.RequestResult | None
     ) -> None:
-        in_time = self._ctx.now_ms < journey.due_ms
-        may_go_on = bool(journey.vms) and in_time
+        in_time = self._ctx.now_ms < forwarded.due_ms
+        can_try_next = bool(forwarded.vms) and in_time
         if result is None:
-            journey.uncertain = True
-            if may_go_on and journey.repeatable:
-                self._next(journey)
+            forwarded.uncertain = True
+            if can_try_next and forwarded.repeatable:
+                self._send_to_next_vm(forwarded)
             else:
-                journey.respond(outcome_unknown(journey.spec.request))
+                forwarded.respond(outcome_unknown(forwarded.spec.request))
             return
         info = codes.info(result.code)
-        if info.proves_not_run and info.retry and may_go_on:
-            self._next(journey)
-        elif info.proves_not_run and journey.uncertain:
-            journey.respond(outcome_unknown(journey.spec.request))
+        if info.proves_not_run and info.retry and can_try_next:
+            self._send_to_next_vm(forwarded)
+        elif info.proves_not_run and forwarded.uncertain:
+            forwarded.respond(outcome_unknown(forwarded.spec.request))
         else:
-            journey.respond(result)
+            forwarded.respond(result)
 
 
 def refusal(
     request: ids.RequestId, code: codes.ResultCode
 ) -> jobs.RequestResult:
-    """Returns a refusal.
+    """Returns the refusal of a request.
 
     Args:
-        request: The request.
-        code: Why it is refused.
+        request: Id of the request.
+        code: Result code of the refusal.
 
     Returns:
-        The refusal, with the time to come back if that may help.
+        The refusal, with a retry delay if the code allows a retry.
     """
     retry = codes.info(code).retry
     return jobs.RequestResult(
@@ -164,10 +167,10 @@
 
 
 def outcome_unknown(request: ids.RequestId) -> jobs.RequestResult:
-    """Returns the answer to a request of which nothing more is known.
+    """Returns the answer to a request whose outcome is unknown.
 
     Args:
-        request: The request.
+        request: Id of the request.
     """
     return jobs.RequestResult(
         request=request, code=codes.ResultCode.OUTCOME_UNKNOWN
--- a/citronmount/agent/request_handler.py
+++ b/citronmount/agent/request_handler.py
@@ -1,4 +1,4 @@
-"""Serves short requests: claims, runners, peers and answers."""
+"""Handles short requests: claims keys, calls runners and answers callers."""
 
 from collections.abc import Callable
 import hashlib
@@ -27,13 +27,13 @@
 
 __all__ = ["RequestHandler"]
 
-ELSEWHERE_TRIES = 4
+MAX_REMOTE_VMS = 4
 
 Respond = Callable[[jobs.RequestResult], None]
 
 
-class _Open(msgspec.Struct, kw_only=True):
-    """A request at the router and whom to answer."""
+class _OpenRequest(msgspec.Struct, kw_only=True):
+    """A request that has not been answered yet."""
 
     caller_id: ids.RequestId
     spec: jobs.RequestSpec
@@ -42,11 +42,11 @@
 
 
 class RequestHandler:
-    """Takes short requests from callers and peers and answers each once.
+    """Accepts short requests from callers and peers and answers each once.
 
-    A request that is not idempotent and has a key is run only under a claim
-    of its home failure domain. One without a key is run by the VM that the
-    caller has reached and sent to one runner at most.
+    A request that is not idempotent and has a key is run only after its key
+    is claimed in its home failure domain. One without a key is run by the VM
+    that received it from the caller, and is sent to at most one runner.
     """
 
     def __init__(
@@ -57,13 +57,13 @@
         configuration_manager: configuration_lib.ConfigurationManager,
         claims: claims_lib.Claims,
     ) -> None:
-        """Initializes a desk without runners.
+        """Initializes a handler without runners.
 
         Args:
             ctx: The shared context.
-            view: Which peers live.
-            configuration_manager: The configuration in force.
-            claims: Claims keys.
+            view: Determines which VMs are alive.
+            configuration_manager: Provides the configuration in force.
+            claims: Claims idempotency keys.
         """
         self.router = short_requests.RequestRouter(vm=ctx.settings.vm)
         self._ctx = ctx
@@ -71,18 +71,19 @@
         self._configuration = configuration_manager
         self._claims = claims
         self._runners: dict[ids.RunnerId, messages.ListedTarget] = {}
-        self._open: dict[ids.RequestId, _Open] = {}
-        self._by_key: dict[str, ids.RequestId] = {}
+        self._open: dict[ids.RequestId, _OpenRequest] = {}
+        self._open_by_key: dict[str, ids.RequestId] = {}
         self._claiming: dict[str, list[tuple[jobs.RequestSpec, Respond]]] = {}
         self._forwarding = request_forwarding.RequestForwarding(
             ctx=ctx, view=view
         )
 
     def set_runners(self, runners: tuple[messages.ListedTarget, ...]) -> None:
-        """Takes over the platform's list of runners.
+        """Sets the runners that requests are sent to.
 
         Args:
-            runners: The runners of the own failure domain.
+            runners: The runners of the local failure domain, from the
+                platform's list.
         """
         self._runners = {
             ids.RunnerId(runner.name): runner for runner in runners
@@ -92,10 +93,10 @@
             self.router.set_runner_state(name, runner.state)
 
     def set_configuration(self, current: configuration.Configuration) -> None:
-        """Takes over a new version.
+        """Applies a new version of the configuration.
 
         Args:
-            current: The version in force.
+            current: The configuration in force.
         """
         own = self._ctx.settings.failure_domain
         self.router.set_in_service(homes.in_service(current, own))
@@ -103,7 +104,7 @@
             self.router.set_account_class(account.name, account.account_class)
 
     def has_open_work(self) -> bool:
-        """Returns whether any caller still waits."""
+        """Returns whether any request has not been answered yet."""
         return bool(self._open or self._claiming)
 
     def submit(
@@ -114,28 +115,30 @@
         claimed: bool = False,
         offered: bool = False,
     ) -> None:
-        """Takes a request.
+        """Submits a request.
 
         Args:
-            spec: The request, with the caller's id.
-            respond: Told the one final answer.
-            claimed: Whether a peer has claimed the key, if there is one.
-            offered: Whether a peer only offers it, to be run at once or not.
+            spec: The request, with the caller's request id.
+            respond: Called once with the final answer.
+            claimed: Whether the sending VM has already claimed the key, if
+                the request has one.
+            offered: Whether the request is an offer of another VM, which is
+                refused unless it can start at once.
         """
-        refusal = self._refusal(spec)
-        if refusal is not None:
-            respond(request_forwarding.refusal(spec.request, refusal))
+        refusal_code = self._refusal_code(spec)
+        if refusal_code is not None:
+            respond(request_forwarding.refusal(spec.request, refusal_code))
             return
         keyed = not spec.idempotent and bool(spec.idempotency_key)
         if keyed and not claimed:
-            self._arrive_keyed(spec, respond)
+            self._submit_keyed(spec, respond)
         elif self._can_run_here() or claimed:
             self._run(spec, respond, claim=None, offered=offered)
         else:
-            self._run_elsewhere(spec, respond)
+            self._run_remotely(spec, respond)
 
     def apply_decisions(self) -> None:
-        """Carries out what the router decides now."""
+        """Carries out the current decisions of the request router."""
         for decision in self.router.decide(self._ctx.now_ms):
             match decision:
                 case request_decisions.Send():
@@ -145,7 +148,7 @@
                 case request_decisions.Finish(result=result):
                     self._finish(result)
 
-    def _refusal(self, spec: jobs.RequestSpec) -> codes.ResultCode | None:
+    def _refusal_code(self, spec: jobs.RequestSpec) -> codes.ResultCode | None:
         if not self._configuration.usable:
             return codes.ResultCode.NO_CONFIGURATION
         current = self._configuration.fold.current
@@ -158,7 +161,7 @@
         own = self._ctx.settings.failure_domain
         return bool(self._runners) and homes.in_service(current, own)
 
-    def _arrive_keyed(self, spec: jobs.RequestSpec, respond: Respond) -> None:
+    def _submit_keyed(self, spec: jobs.RequestSpec, respond: Respond) -> None:
         home = homes.home_of_key(
             self._configuration.fold.current,
             spec.account,
@@ -166,7 +169,7 @@
         )
         own = self._ctx.settings.failure_domain
         if home == own and self._view.ready:
-            self._claim(spec, respond)
+            self._claim_key_and_run(spec, respond)
             return
         vms = (
             []
@@ -185,7 +188,9 @@
             repeatable=True,
         )
 
-    def _claim(self, spec: jobs.RequestSpec, respond: Respond) -> None:
+    def _claim_key_and_run(
+        self, spec: jobs.RequestSpec, respond: Respond
+    ) -> None:
         if not self._view.ready:
             respond(
                 request_forwarding.refusal(
@@ -193,56 +198,56 @@
                 )
             )
             return
-        key = _claim_key(spec)
-        running = self._by_key.get(key)
-        if running is not None:
-            self._join(running, spec, respond)
+        key = _key_of(spec)
+        open_id = self._open_by_key.get(key)
+        if open_id is not None:
+            self._join_open_request(open_id, spec, respond)
             return
-        waiting = self._claiming.get(key)
-        if waiting is not None:
-            self._wait(waiting, spec, respond)
+        pending = self._claiming.get(key)
+        if pending is not None:
+            self._join_pending_claim(pending, spec, respond)
             return
         self._claiming[key] = [(spec, respond)]
         self._claims.claim(
             key,
             _digest(spec),
-            lambda outcome: self._claimed(spec, outcome),
+            lambda outcome: self._on_claim_outcome(spec, outcome),
         )
 
-    def _wait(
+    def _join_pending_claim(
         self,
-        waiting: list[tuple[jobs.RequestSpec, Respond]],
+        pending: list[tuple[jobs.RequestSpec, Respond]],
         spec: jobs.RequestSpec,
         respond: Respond,
     ) -> None:
-        """Lets a second call of a key wait for the claim of the first."""
-        first, _ = waiting[0]
+        """Lets a repeated call wait for the pending claim of its key."""
+        first, _ = pending[0]
         if _digest(first) != _digest(spec):
             code = codes.ResultCode.KEY_REUSED
             respond(request_forwarding.refusal(spec.request, code))
             return
-        waiting.append((spec, respond))
+        pending.append((spec, respond))
 
-    def _join(
+    def _join_open_request(
         self,
-        running: ids.RequestId,
+        open_id: ids.RequestId,
         spec: jobs.RequestSpec,
         respond: Respond,
     ) -> None:
-        """Answers a second call of a key with the answer of the first."""
-        opened = self._open[running]
-        if _digest(opened.spec) != _digest(spec):
+        """Answers a repeated call with the result of the open request."""
+        open_request = self._open[open_id]
+        if _digest(open_request.spec) != _digest(spec):
             code = codes.ResultCode.KEY_REUSED
             respond(request_forwarding.refusal(spec.request, code))
             return
-        opened.responders.append(_with_id(spec.request, respond))
+        open_request.responders.append(_with_id(spec.request, respond))
 
-    def _claimed(
+    def _on_claim_outcome(
         self, spec: jobs.RequestSpec, outcome: claims_lib.ClaimOutcome
     ) -> None:
-        waiting = self._claiming.pop(_claim_key(spec))
+        pending = self._claiming.pop(_key_of(spec))
         responders = [
-            _with_id(each.request, respond) for each, respond in waiting
+            _with_id(each.request, respond) for each, respond in pending
         ]
 
         def respond_all(result: jobs.RequestResult) -> None:
@@ -258,7 +263,7 @@
             )
             self._run_claimed(spec, respond_all, outcome.claim)
         else:
-            self._answer_held(spec, respond_all, outcome)
+            self._answer_refused_claim(spec, respond_all, outcome)
 
     def _run_claimed(
         self,
@@ -269,17 +274,17 @@
         if self._can_run_here():
             self._run(spec, respond, claim=claim, offered=False)
             return
-        unique = self._unique(spec)
-        self._enter(unique, spec, respond, claim)
-        self._send_elsewhere(unique)
+        request_id = self._unique_request_id(spec)
+        self._add_open_request(request_id, spec, respond, claim)
+        self._finish_remotely(request_id)
 
-    def _answer_held(
+    def _answer_refused_claim(
         self,
         spec: jobs.RequestSpec,
         respond: Respond,
         outcome: claims_lib.ClaimOutcome,
     ) -> None:
-        """Answers a call whose key another call has claimed."""
+        """Answers a call whose claim was not granted."""
         holder = outcome.holder
         if holder is not None and holder.body_digest != _digest(spec):
             code = codes.ResultCode.KEY_REUSED
@@ -289,7 +294,7 @@
         elif holder is None:
             code = codes.ResultCode.NOT_DURABLE
             respond(request_forwarding.refusal(spec.request, code))
-        elif self._may_know(holder.vm):
+        elif self._can_ask_holder(holder.vm):
             self._forwarding.send(
                 peer_messages.RunRequest(spec=spec),
                 [holder.vm],
@@ -299,13 +304,16 @@
         else:
             respond(request_forwarding.outcome_unknown(spec.request))
 
-    def _may_know(self, vm: ids.VmId) -> bool:
-        """Returns whether another VM can tell what became of its claim."""
+    def _can_ask_holder(self, vm: ids.VmId) -> bool:
+        """Returns whether the holder of a claim can be asked for its outcome.
+
+        It can if it is another VM that is alive.
+        """
         own = vm == self._ctx.settings.vm
         return not own and self._view.is_alive(vm, self._ctx.now_ms)
 
-    def _run_elsewhere(self, spec: jobs.RequestSpec, respond: Respond) -> None:
-        """Lets a VM of another failure domain in service run a request."""
+    def _run_remotely(self, spec: jobs.RequestSpec, respond: Respond) -> None:
+        """Forwards a request to VMs of other failure domains in service."""
         current = self._configuration.fold.current
         vms = [
             vm
@@ -321,7 +329,7 @@
         ranked = rendezvous.rank(spec.request, vms)
         self._forwarding.send(
             peer_messages.RunRequest(spec=spec, claimed=True),
-            [ids.VmId(vm) for vm in ranked[:ELSEWHERE_TRIES]],
+            [ids.VmId(vm) for vm in ranked[:MAX_REMOTE_VMS]],
             _with_id(spec.request, respond),
             repeatable=spec.idempotent,
         )
@@ -334,48 +342,50 @@
         claim: records.KeyClaimed | None,
         offered: bool,
     ) -> None:
-        unique = self._unique(spec)
-        inner = msgspec.structs.replace(spec, request=unique)
-        refusal = self.router.submit(inner, self._ctx.now_ms, offered=offered)
+        request_id = self._unique_request_id(spec)
+        routed_spec = msgspec.structs.replace(spec, request=request_id)
+        refusal = self.router.submit(
+            routed_spec, self._ctx.now_ms, offered=offered
+        )
         if refusal is not None:
             if claim is not None:
                 self._claims.record_result(claim, refusal)
             respond(_for_caller(refusal, spec.request))
             return
-        self._enter(unique, spec, respond, claim)
+        self._add_open_request(request_id, spec, respond, claim)
 
-    def _unique(self, spec: jobs.RequestSpec) -> ids.RequestId:
+    def _unique_request_id(self, spec: jobs.RequestSpec) -> ids.RequestId:
         return ids.RequestId(f"{spec.request}~{self._ctx.unique_id()}")
 
-    def _enter(
+    def _add_open_request(
         self,
-        unique: ids.RequestId,
+        request_id: ids.RequestId,
         spec: jobs.RequestSpec,
         respond: Respond,
         claim: records.KeyClaimed | None,
     ) -> None:
-        self._open[unique] = _Open(
+        self._open[request_id] = _OpenRequest(
             caller_id=spec.request,
             spec=spec,
             responders=[respond],
             claim=claim,
         )
         if claim is not None:
-            self._by_key[claim.key] = unique
+            self._open_by_key[claim.key] = request_id
 
-    def _send_elsewhere(self, unique: ids.RequestId) -> None:
-        """Lets another failure domain run a request that is entered here."""
-        spec = self._open[unique].spec
+    def _finish_remotely(self, request_id: ids.RequestId) -> None:
+        """Forwards an open request and answers it with the result."""
+        spec = self._open[request_id].spec
 
         def answered(result: jobs.RequestResult) -> None:
-            self._answer(_for_caller(result, unique))
+            self._answer(_for_caller(result, request_id))
 
-        self._run_elsewhere(spec, answered)
+        self._run_remotely(spec, answered)
 
     def _send(self, decision: request_decisions.Send) -> None:
-        opened = self._open.get(decision.request)
+        open_request = self._open.get(decision.request)
         runner = self._runners.get(decision.runner)
-        if opened is None or runner is None:
+        if open_request is None or runner is None:
             self.router.answered(
                 decision.request,
                 decision.runner,
@@ -388,7 +398,7 @@
         self._ctx.trace(
             timeline.EventKind.REQUEST_SENT,
             request=decision.request,
-            account=opened.spec.account,
+            account=open_request.spec.account,
             target=decision.runner,
             count=decision.attempt,
         )
@@ -396,7 +406,9 @@
             call=self._ctx.new_call(),
             runner=decision.runner,
             address=runner.address,
-            spec=msgspec.structs.replace(opened.spec, request=decision.request),
+            spec=msgspec.structs.replace(
+                open_request.spec, request=decision.request
+            ),
             timeout_ms=decision.timeout_ms,
         )
 
@@ -413,11 +425,11 @@
         self._ctx.call_runner(call, answered)
 
     def _offer(self, decision: request_decisions.Offer) -> None:
-        opened = self._open[decision.request]
+        open_request = self._open[decision.request]
 
         body = peer_messages.RunRequest(
             spec=msgspec.structs.replace(
-                opened.spec,
+                open_request.spec,
                 request=decision.request,
                 timeout_ms=decision.timeout_ms,
             ),
@@ -433,32 +445,32 @@
         self._forwarding.call(decision.vm, body, decision.timeout_ms, answered)
 
     def _finish(self, result: jobs.RequestResult) -> None:
-        out = result.code is codes.ResultCode.FAILURE_DOMAIN_OUT
-        if out and result.request in self._open:
-            self._send_elsewhere(result.request)
+        out_of_service = result.code is codes.ResultCode.FAILURE_DOMAIN_OUT
+        if out_of_service and result.request in self._open:
+            self._finish_remotely(result.request)
         else:
             self._answer(result)
 
     def _answer(self, result: jobs.RequestResult) -> None:
-        opened = self._open.pop(result.request, None)
-        if opened is None:
+        open_request = self._open.pop(result.request, None)
+        if open_request is None:
             return
-        if opened.claim is not None:
-            self._by_key.pop(opened.claim.key, None)
+        if open_request.claim is not None:
+            self._open_by_key.pop(open_request.claim.key, None)
             self._claims.record_result(
-                opened.claim, _for_caller(result, opened.caller_id)
+                open_request.claim, _for_caller(result, open_request.caller_id)
             )
         self._ctx.trace(
             timeline.EventKind.REQUEST_ANSWERED,
             request=result.request,
-            account=opened.spec.account,
+            account=open_request.spec.account,
             code=int(result.code),
         )
-        for respond in opened.responders:
-            respond(_for_caller(result, opened.caller_id))
+        for respond in open_request.responders:
+            respond(_for_caller(result, open_request.caller_id))
 
 
-def _claim_key(spec: jobs.RequestSpec) -> str:
+def _key_of(spec: jobs.RequestSpec) -> str:
     return f"request/{spec.account}/{spec.idempotency_key}"
 
 
--- a/citronmount/agent/token_check.py
+++ b/citronmount/agent/token_check.py
@@ -1,4 +1,4 @@
-"""Confirms with workers that no other scheduler has taken over."""
+"""Confirms with workers that no other VM has taken over as owner."""
 
 from collections.abc import Callable
 import itertools
@@ -14,11 +14,11 @@
 
 
 class TokenCheck:
-    """Asks a few workers whether the own fencing token is still the highest.
+    """Probes a few workers for a fencing token higher than the owner's.
 
-    A scheduler that takes over fences its workers before it reads the job
-    stream. So when a worker still has the own token after a record has become
-    durable, any later scheduler will read that record.
+    A VM that takes over fences the workers before it reads the job stream. If
+    a worker still has this owner's token after a record became durable, every
+    later owner will therefore read that record.
     """
 
     def __init__(
@@ -32,22 +32,22 @@
 
         Args:
             ctx: The shared context.
-            token: The own fencing token.
-            on_fenced: Told when a worker has seen a higher one.
+            token: The fencing token of this owner.
+            on_fenced: Called with the higher token if a worker reports one.
         """
         self._ctx = ctx
         self._token = token
         self._on_fenced = on_fenced
         self._workers: tuple[messages.ListedTarget, ...] = ()
         self._next_worker = 0
-        self._waiting: list[Callable[[], None]] = []
-        self._covered: list[Callable[[], None]] = []
+        self._awaiting_probe: list[Callable[[], None]] = []
+        self._awaiting_answer: list[Callable[[], None]] = []
         self._open_probes = 0
-        self._retry_ms = 0
+        self._next_probe_ms = 0
         self._fenced = False
 
     def set_workers(self, workers: tuple[messages.ListedTarget, ...]) -> None:
-        """Takes over the workers that may be asked.
+        """Sets the workers that may be probed.
 
         Args:
             workers: The workers of the failure domain.
@@ -55,29 +55,30 @@
         self._workers = workers
 
     def confirm(self, on_confirmed: Callable[[], None]) -> None:
-        """Calls back once the token is confirmed; never, if it is not.
+        """Calls back once the token is confirmed.
 
         Args:
-            on_confirmed: What to do then.
+            on_confirmed: Called when a probe sent from now on confirms the
+                token; never called if a worker reports a higher one.
         """
-        self._waiting.append(on_confirmed)
+        self._awaiting_probe.append(on_confirmed)
         self._probe()
 
     def tick(self) -> None:
-        """Asks again if no worker has answered."""
-        if self._ctx.now_ms >= self._retry_ms:
+        """Sends new probes if none of the last ones was answered."""
+        if self._ctx.now_ms >= self._next_probe_ms:
             self._probe()
 
     def _probe(self) -> None:
-        waits = bool(self._waiting or self._covered)
-        if self._open_probes or not waits or self._fenced:
+        has_callbacks = bool(self._awaiting_probe or self._awaiting_answer)
+        if self._open_probes or not has_callbacks or self._fenced:
             return
-        self._covered.extend(self._waiting)
-        self._waiting.clear()
-        self._retry_ms = self._ctx.now_ms + RETRY_MS
+        self._awaiting_answer.extend(self._awaiting_probe)
+        self._awaiting_probe.clear()
+        self._next_probe_ms = self._ctx.now_ms + RETRY_MS
         targets = self._next_targets()
         if not targets:
-            self._confirmed()
+            self._report_confirmed()
             return
         self._open_probes = len(targets)
         call = messages.WorkerCall(token=self._token, known_sequence=1 << 60)
@@ -85,12 +86,12 @@
             self._ctx.call_worker(target, call, self._answered)
 
     def _next_targets(self) -> list[messages.ListedTarget]:
-        start = self._next_worker
+        offset = self._next_worker
         self._next_worker += PROBED_WORKERS
         count = min(PROBED_WORKERS, len(self._workers))
-        ring = itertools.cycle(self._workers)
-        begin = start % len(self._workers) if self._workers else 0
-        return list(itertools.islice(ring, begin, begin + count))
+        cycle = itertools.cycle(self._workers)
+        first = offset % len(self._workers) if self._workers else 0
+        return list(itertools.islice(cycle, first, first + count))
 
     def _answered(self, answer: messages.WorkerAnswer | None) -> None:
         self._open_probes -= 1
@@ -98,12 +99,12 @@
             self._fenced = True
             self._on_fenced(answer.token)
         elif answer is not None and not self._fenced:
-            self._confirmed()
-        if not self._open_probes and self._waiting:
+            self._report_confirmed()
+        if not self._open_probes and self._awaiting_probe:
             self._probe()
 
-    def _confirmed(self) -> None:
-        covered = self._covered
-        self._covered = []
-        for on_confirmed in covered:
+    def _report_confirmed(self) -> None:
+        confirmed = self._awaiting_answer
+        self._awaiting_answer = []
+        for on_confirmed in confirmed:
             on_confirmed()
