--- a/citronmount/agent/configuration.py
+++ b/citronmount/agent/configuration.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration of one VM in force: polls, publishes, relays."""
+"""Configuration of one VM: polls the log, publishes changes, asks peers."""
 
 from collections.abc import Callable
 
@@ -21,15 +21,15 @@
 
 __all__ = ["ConfigurationManager"]
 
-SNAPSHOT_EVERY_RECORDS = 500
+MAX_RECORDS_SINCE_SNAPSHOT = 500
 SNAPSHOTS_PER_RETENTION = 4
-PUBLISH_LIMIT_MS = 8_000
+PUBLISH_TIMEOUT_MS = 8_000
 PUBLISH_RETRY_MS = 500
-RELAY_TIMEOUT_MS = 1_000
+PEER_SNAPSHOT_TIMEOUT_MS = 1_000
 
 
 class _Publication(msgspec.Struct, kw_only=True):
-    """A change whose outcome an operator waits for."""
+    """A published change whose outcome has not been reported yet."""
 
     change: records.ConfigurationChange
     on_answer: Callable[[peer_messages.PublishAnswer], None]
@@ -40,10 +40,10 @@
 
 
 class ConfigurationManager:
-    """Folds the configuration stream and tells the agent of new versions.
+    """Folds the configuration stream and reports new versions to the agent.
 
-    A VM that is cut off from the log takes the configuration over from a
-    peer that is ahead, as its heartbeats tell.
+    A VM that cannot reach the log adopts the configuration of a peer whose
+    heartbeats announce a newer version.
     """
 
     def __init__(
@@ -58,9 +58,9 @@
 
         Args:
             ctx: The shared context.
-            view: Which peers are ahead.
-            outbox: Told whether the log answers.
-            on_change: Told of every new version in force.
+            view: Determines which VM appends snapshots.
+            outbox: Receives whether the log answers.
+            on_change: Called with every new version in force.
         """
         self.fold = fold_lib.ConfigurationFold()
         self._ctx = ctx
@@ -69,15 +69,15 @@
         self._on_change = on_change
         self._next_poll_ms = 0
         self._reading = False
-        self._relaying = False
+        self._requesting_snapshot = False
         self._snapshot_in_flight = False
         self._snapshot_due_ms: int | None = None
-        self._seen_snapshot = self.fold.last_snapshot
+        self._last_snapshot_offset = self.fold.last_snapshot
         self._publications: dict[ids.RecordId, _Publication] = {}
 
     @property
     def usable(self) -> bool:
-        """Whether there is a trustworthy configuration to serve by."""
+        """Whether a trusted configuration is in force."""
         return self.fold.trusted and self.fold.current.version > 0
 
     def publish(
@@ -88,52 +88,54 @@
         """Publishes a change and answers once its outcome is known.
 
         Args:
-            change: The change; sending one with the same record id again is
-                safe.
-            on_answer: Told once.
+            change: The change. Publishing one with the same record id again
+                is safe.
+            on_answer: Called once with the answer.
         """
         publication = _Publication(
             change=change,
             on_answer=on_answer,
-            due_ms=self._ctx.now_ms + PUBLISH_LIMIT_MS,
+            due_ms=self._ctx.now_ms + PUBLISH_TIMEOUT_MS,
         )
         self._publications[change.record] = publication
-        self._push(publication)
+        self._append_publication(publication)
 
     def catch_up_with(
         self, peer: ids.VmId, heartbeat: peer_messages.Heartbeat
     ) -> None:
-        """Catches up with a peer that has a newer configuration.
+        """Reads the log, or asks a peer, if the peer's version is newer.
+
+        A VM without a trusted configuration does so on every heartbeat.
 
         Args:
-            peer: The peer.
-            heartbeat: Its heartbeat.
+            peer: The sender of the heartbeat.
+            heartbeat: The heartbeat.
         """
-        behind = heartbeat.config_version > self.fold.current.version
-        if not behind and self.fold.trusted:
+        peer_is_newer = heartbeat.config_version > self.fold.current.version
+        if not peer_is_newer and self.fold.trusted:
             return
         self._next_poll_ms = min(self._next_poll_ms, self._ctx.now_ms)
-        unreachable = not self._outbox.log_available or not self.fold.trusted
-        if heartbeat.ready and unreachable and not self._relaying:
-            self._ask_relay(peer)
+        needs_peer = not self._outbox.log_available or not self.fold.trusted
+        if heartbeat.ready and needs_peer and not self._requesting_snapshot:
+            self._request_snapshot(peer)
 
     def adopt(self, snapshot: records.ConfigurationSnapshot) -> None:
-        """Takes over a peer's configuration.
+        """Adopts the configuration of a peer if it is newer.
 
         Args:
-            snapshot: What the peer has folded.
+            snapshot: Snapshot of the peer's fold.
         """
         if snapshot.content.version <= 0:
             return
         if self.fold.adopt(snapshot):
-            self._in_force()
+            self._notify_change()
 
     def tick(self) -> None:
-        """Polls the log and pushes open publications."""
+        """Polls the log and retries open publications."""
         if self._ctx.now_ms >= self._next_poll_ms:
             self._poll()
         for publication in list(self._publications.values()):
-            self._push(publication)
+            self._append_publication(publication)
 
     def _poll(self) -> None:
         if self._reading:
@@ -142,26 +144,26 @@
         period_ms = self._ctx.settings.config_poll_ms
         self._next_poll_ms = self._ctx.now_ms + period_ms
         self._ctx.read_log(
-            records.CONFIG_STREAM, self.fold.next_offset, self._was_read
+            records.CONFIG_STREAM, self.fold.next_offset, self._on_page_read
         )
 
-    def _was_read(self, page: messages.LogPage | None) -> None:
+    def _on_page_read(self, page: messages.LogPage | None) -> None:
         self._reading = False
         self._outbox.log_available = page is not None
         if page is None:
             return
         if self.fold.fold_page(page):
-            self._in_force()
-        self._settle_publications()
+            self._notify_change()
+        self._answer_decided_publications()
         if self.fold.next_offset < page.end and page.records:
             self._next_poll_ms = self._ctx.now_ms
             self._poll()
         else:
-            self._maybe_snapshot()
+            self._append_snapshot_if_due()
 
-    def _in_force(self) -> None:
+    def _notify_change(self) -> None:
         current = self.fold.current
-        out = ",".join(
+        out_of_service = ",".join(
             domain.name
             for domain in current.failure_domains
             if domain.state is states.FailureDomainState.OUT
@@ -169,13 +171,13 @@
         self._ctx.trace(
             timeline.EventKind.CONFIGURATION_IN_FORCE,
             version=current.version,
-            detail=out,
+            detail=out_of_service,
         )
         self._on_change(current)
 
-    def _push(self, publication: _Publication) -> None:
-        """Appends an open publication again until its fate is known."""
-        if self._settle(publication):
+    def _append_publication(self, publication: _Publication) -> None:
+        """Appends an open publication until its outcome is known."""
+        if self._answer_if_decided(publication):
             return
         if self._ctx.now_ms >= publication.due_ms:
             outcome = codes.ResultCode.CONFIGURATION_OUTCOME_UNKNOWN
@@ -196,11 +198,11 @@
             records.CONFIG_STREAM, (publication.change,), appended
         )
 
-    def _settle_publications(self) -> None:
+    def _answer_decided_publications(self) -> None:
         for publication in list(self._publications.values()):
-            self._settle(publication)
+            self._answer_if_decided(publication)
 
-    def _settle(self, publication: _Publication) -> bool:
+    def _answer_if_decided(self, publication: _Publication) -> bool:
         outcome = self.fold.outcome(publication.change.record)
         if outcome is None:
             return False
@@ -230,12 +232,12 @@
             )
         )
 
-    def _ask_relay(self, peer: ids.VmId) -> None:
-        self._relaying = True
+    def _request_snapshot(self, peer: ids.VmId) -> None:
+        self._requesting_snapshot = True
         call = self._ctx.new_call()
 
         def answered(answer: peer_messages.StateAnswer | None) -> None:
-            self._relaying = False
+            self._requesting_snapshot = False
             if answer is not None and answer.configuration is not None:
                 self.adopt(answer.configuration)
 
@@ -244,13 +246,17 @@
             call,
             peer_messages.StateRequest(call=call, stream=records.CONFIG_STREAM),
             answered,
-            timeout_ms=RELAY_TIMEOUT_MS,
+            timeout_ms=PEER_SNAPSHOT_TIMEOUT_MS,
         )
 
-    def _maybe_snapshot(self) -> None:
-        """Appends a snapshot before retention drops what it stands for."""
-        due = self._snapshot_due()
-        if not due or self._snapshot_in_flight or not self._first_choice():
+    def _append_snapshot_if_due(self) -> None:
+        """Appends a snapshot before retention removes the folded records."""
+        due = self._is_snapshot_due()
+        if (
+            not due
+            or self._snapshot_in_flight
+            or not self._is_snapshot_writer()
+        ):
             return
         self._snapshot_in_flight = True
 
@@ -260,23 +266,27 @@
         snapshot = self.fold.snapshot(ids.RecordId(self._ctx.unique_id()))
         self._ctx.append_log(records.CONFIG_STREAM, (snapshot,), appended)
 
-    def _snapshot_due(self) -> bool:
-        """Returns whether the last snapshot is many records or hours old."""
+    def _is_snapshot_due(self) -> bool:
+        """Returns whether the last snapshot is too old.
+
+        It is too old after `MAX_RECORDS_SINCE_SNAPSHOT` records, or after a
+        quarter of the retention time.
+        """
         if not self.usable:
             return False
         period_ms = self._ctx.settings.retention_ms // SNAPSHOTS_PER_RETENTION
-        if self._seen_snapshot != self.fold.last_snapshot:
-            self._seen_snapshot = self.fold.last_snapshot
+        if self._last_snapshot_offset != self.fold.last_snapshot:
+            self._last_snapshot_offset = self.fold.last_snapshot
             self._snapshot_due_ms = None
         if self._snapshot_due_ms is None:
             self._snapshot_due_ms = self._ctx.now_ms + period_ms
         records_since = self.fold.next_offset - self.fold.last_snapshot
         return (
-            records_since > SNAPSHOT_EVERY_RECORDS
+            records_since > MAX_RECORDS_SINCE_SNAPSHOT
             or self._ctx.now_ms >= self._snapshot_due_ms
         )
 
-    def _first_choice(self) -> bool:
+    def _is_snapshot_writer(self) -> bool:
         vms = [self._ctx.settings.vm, *self._view.live_peers(self._ctx.now_ms)]
         chosen = rendezvous.choose(records.CONFIG_STREAM, vms)
         return chosen == self._ctx.settings.vm
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -1,4 +1,4 @@
-"""Stops a VM without cutting a request or losing a record."""
+"""Graceful shutdown of a VM: finishes open calls and keeps all records."""
 
 from citronmount.agent import call_router
 from citronmount.agent import context
@@ -14,16 +14,17 @@
 __all__ = ["Drain"]
 
 LAME_DUCK_MS = 2_000
-RESUME_REST_MS = 1_000
+RESUME_GRACE_MS = 1_000
 HANDOVER_TIMEOUT_MS = 1_000
 
 
 class Drain:
-    """Goes from the request to stop to the exit.
+    """Drains the VM and exits the process.
 
-    Readiness goes off first, while calls are still served, so that the
-    balancer can turn away. Then new calls are refused, what is open is
-    finished, and what the log does not have yet is passed to peers.
+    The VM first stops reporting readiness but still serves calls, so that the
+    load balancer can redirect traffic. After that it refuses new calls,
+    finishes open ones, and replicates records that are not in the log yet to
+    a peer.
     """
 
     def __init__(
@@ -36,15 +37,15 @@
         calls: call_router.CallRouter,
         requests: request_handler.RequestHandler,
     ) -> None:
-        """Initializes a VM that is not stopping.
+        """Initializes a VM that is not draining.
 
         Args:
             ctx: The shared context.
-            view: Tells peers that the VM drains.
-            outbox: What the log does not have yet.
-            ownership: The owned failure domain.
-            calls: Open calls of callers.
-            requests: Open short requests.
+            view: Holds the draining flag that heartbeats announce.
+            outbox: Holds the records that may not be in the log.
+            ownership: Provides the owned failure domain.
+            calls: Holds the open calls of callers.
+            requests: Holds the open short requests.
         """
         self._ctx = ctx
         self._view = view
@@ -52,8 +53,8 @@
         self._ownership = ownership
         self._calls = calls
         self._requests = requests
-        self._since_ms: int | None = None
-        self._handing_over = False
+        self._started_ms: int | None = None
+        self._replicating = False
         self._exited = False
         self._resumed_ms: int | None = None
 
@@ -63,22 +64,26 @@
         return self._elapsed_ms() >= LAME_DUCK_MS
 
     def begin(self) -> None:
-        """Starts to stop; a second request has no effect."""
-        if self._since_ms is not None:
+        """Starts the drain; repeated requests have no effect."""
+        if self._started_ms is not None:
             return
-        self._since_ms = self._ctx.now_ms
+        self._started_ms = self._ctx.now_ms
         self._view.draining = True
         self._ctx.trace(timeline.EventKind.VM_DRAINING)
 
     def record_pause(self) -> None:
-        """Notes a pause, after which calls may still wait to be read."""
+        """Records a pause of the process.
+
+        Calls that arrived during the pause may not have been read yet, so
+        the VM does not exit within `RESUME_GRACE_MS`.
+        """
         self._resumed_ms = self._ctx.now_ms
 
     def tick(self, open_tickets: int) -> None:
-        """Exits once nothing is open any more.
+        """Exits once no call is open and no record would be lost.
 
         Args:
-            open_tickets: HTTP requests without an answer.
+            open_tickets: Number of HTTP requests without an answer.
         """
         if not self.refusing or self._exited:
             return
@@ -89,54 +94,62 @@
             or self._calls.has_open_work()
             or self._requests.has_open_work()
         )
-        if open_work or self._just_resumed() or not self._released():
+        if open_work or self._just_resumed() or not self._may_release_domain():
             return
         if self._outbox.streams():
-            self._hand_over()
+            self._replicate_unappended()
         else:
             self._exit()
 
     def _elapsed_ms(self) -> int:
-        if self._since_ms is None:
+        if self._started_ms is None:
             return -1
-        return self._ctx.now_ms - self._since_ms
+        return self._ctx.now_ms - self._started_ms
 
     def _just_resumed(self) -> bool:
         return (
             self._resumed_ms is not None
-            and self._ctx.now_ms - self._resumed_ms < RESUME_REST_MS
+            and self._ctx.now_ms - self._resumed_ms < RESUME_GRACE_MS
         )
 
-    def _released(self) -> bool:
-        """Returns whether another VM may schedule the failure domain."""
+    def _may_release_domain(self) -> bool:
+        """Returns whether the VM may stop scheduling its failure domain.
+
+        If there is another candidate, the VM waits until that one has taken
+        over; otherwise until all attempts are running. Either wait ends at
+        the drain limit.
+        """
         if self._ownership.domain is None:
             return True
         failure_domain = self._ctx.settings.failure_domain
         if self._view.candidates(failure_domain, self._ctx.now_ms):
-            return self._late()
-        return self._ownership.domain.idle() or self._late()
+            return self._limit_reached()
+        return self._ownership.domain.idle() or self._limit_reached()
 
-    def _late(self) -> bool:
+    def _limit_reached(self) -> bool:
         return self._elapsed_ms() >= self._ctx.settings.drain_limit_ms
 
-    def _hand_over(self) -> None:
-        """Passes records to a peer, or waits for the log without one."""
+    def _replicate_unappended(self) -> None:
+        """Replicates unappended records to a peer.
+
+        Without a live peer, the VM waits for the log.
+        """
         peers = self._view.live_peers(self._ctx.now_ms)
-        if not peers or self._handing_over:
+        if not peers or self._replicating:
             return
-        self._handing_over = True
+        self._replicating = True
         streams = self._outbox.streams()
-        waiting = set(streams)
+        unacknowledged = set(streams)
 
         def acknowledged(
             stream: ids.StreamName,
             answer: peer_messages.Acknowledge | None,
         ) -> None:
             if answer is None:
-                self._handing_over = False
+                self._replicating = False
                 return
-            waiting.discard(stream)
-            if not waiting:
+            unacknowledged.discard(stream)
+            if not unacknowledged:
                 self._exit()
 
         for stream in streams:
--- a/citronmount/agent/joining.py
+++ b/citronmount/agent/joining.py
@@ -1,4 +1,4 @@
-"""Brings a started VM up to date before it owns, keeps or votes."""
+"""Synchronizes a started VM before it owns, renews leases or votes."""
 
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
@@ -16,11 +16,12 @@
 
 
 class Joining:
-    """Reads the job stream and the peers once after the start.
+    """Reads the job stream and the state of the peers once after the start.
 
-    A VM is ready when it has a trustworthy configuration and knows every
-    claim that may have been granted: from the log and every live peer of its
-    failure domain, or from a ready peer alone while the log is down.
+    A VM is ready when it has a trusted configuration and knows every claim
+    that may have been granted. It learns these claims from the log and every
+    live peer of its failure domain, or, while the log is unavailable, from
+    every live peer if one of them is ready.
     """
 
     def __init__(
@@ -37,72 +38,73 @@
 
         Args:
             ctx: The shared context.
-            view: Which peers live.
-            reader: Brings the job book up to date.
-            configuration: The configuration in force.
-            ownership: Merges the answers of peers.
-            listen_ms: How long to wait for heartbeats of peers first.
+            view: Determines which peers are alive.
+            reader: Reads the job stream into the job view.
+            configuration: Provides and adopts the configuration.
+            ownership: Merges the state received from peers.
+            listen_ms: Time to wait for heartbeats of peers before the VM may
+                become ready.
         """
         self._ctx = ctx
         self._view = view
         self._reader = reader
         self._configuration = configuration
         self._ownership = ownership
-        self._listen_until_ms: int | None = None
+        self._listening_until_ms: int | None = None
         self._listen_ms = listen_ms
-        self._retry_ms = 0
+        self._next_read_ms = 0
         self._log_read = False
         self._log_failed = False
         self._reading = False
-        self._asked: set[ids.VmId] = set()
-        self._answered: set[ids.VmId] = set()
-        self._ready_answers = 0
+        self._requested_peers: set[ids.VmId] = set()
+        self._answered_peers: set[ids.VmId] = set()
+        self._ready_peer_count = 0
 
     def tick(self) -> None:
-        """Goes on until the VM is ready."""
+        """Continues the synchronization until the VM is ready."""
         if self._view.ready:
             return
-        if self._listen_until_ms is None:
-            self._listen_until_ms = self._ctx.now_ms + self._listen_ms
-        if self._ctx.now_ms >= self._retry_ms and not self._log_read:
-            self._read()
+        if self._listening_until_ms is None:
+            self._listening_until_ms = self._ctx.now_ms + self._listen_ms
+        if self._ctx.now_ms >= self._next_read_ms and not self._log_read:
+            self._read_log()
         if self._log_read or self._log_failed:
-            self._ask_peers()
-        self._check()
+            self._request_states()
+        self._set_ready_if_complete()
 
-    def _ask_peers(self) -> None:
+    def _request_states(self) -> None:
         for peer in self._view.local_peers(self._ctx.now_ms):
-            if peer not in self._asked:
-                self._ask(peer)
+            if peer not in self._requested_peers:
+                self._request_state(peer)
 
-    def _read(self) -> None:
+    def _read_log(self) -> None:
         if self._reading:
             return
         self._reading = True
-        self._retry_ms = self._ctx.now_ms + RETRY_MS
-        self._reader.read_to_end(self._was_read)
+        self._next_read_ms = self._ctx.now_ms + RETRY_MS
+        self._reader.read_to_end(self._on_log_read)
 
-    def _was_read(self, complete: bool) -> None:
+    def _on_log_read(self, complete: bool) -> None:
         self._reading = False
         self._log_failed = not complete
         self._log_read = complete
-        self._ask_peers()
-        self._check()
+        self._request_states()
+        self._set_ready_if_complete()
 
-    def _ask(self, peer: ids.VmId) -> None:
-        self._asked.add(peer)
+    def _request_state(self, peer: ids.VmId) -> None:
+        self._requested_peers.add(peer)
         call = self._ctx.new_call()
 
         def answered(answer: peer_messages.StateAnswer | None) -> None:
             if answer is None:
-                self._asked.discard(peer)
+                self._requested_peers.discard(peer)
                 return
-            self._answered.add(peer)
-            self._ready_answers += answer.ready
+            self._answered_peers.add(peer)
+            self._ready_peer_count += answer.ready
             self._ownership.merge(answer)
             if answer.configuration is not None:
                 self._configuration.adopt(answer.configuration)
-            self._check()
+            self._set_ready_if_complete()
 
         self._ctx.call_peer(
             peer,
@@ -116,16 +118,18 @@
             timeout_ms=STATE_TIMEOUT_MS,
         )
 
-    def _check(self) -> None:
+    def _set_ready_if_complete(self) -> None:
         if self._view.ready or not self._configuration.fold.trusted:
             return
         listening = (
-            self._listen_until_ms is None
-            or self._ctx.now_ms < self._listen_until_ms
+            self._listening_until_ms is None
+            or self._ctx.now_ms < self._listening_until_ms
         )
         live = set(self._view.local_peers(self._ctx.now_ms))
-        all_peers = live <= self._answered
-        by_log = self._log_read and all_peers
-        by_peers = self._log_failed and all_peers and self._ready_answers > 0
-        if not listening and (by_log or by_peers):
+        all_answered = live <= self._answered_peers
+        complete_from_log = self._log_read and all_answered
+        complete_from_peers = (
+            self._log_failed and all_answered and self._ready_peer_count > 0
+        )
+        if not listening and (complete_from_log or complete_from_peers):
             self._view.ready = True
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -1,4 +1,4 @@
-"""Moves queued jobs to failure domains that can start them sooner."""
+"""Moves queued jobs to failure domains that may start them sooner."""
 
 import msgspec
 
@@ -20,14 +20,14 @@
 __all__ = ["Mover"]
 
 PERIOD_MS = 1_000
-MOVES_PER_PERIOD = 50
-PATIENCE_MS = 1_000
-RETRY_MOVE_MS = 10_000
-RESEND_MS = 2_000
+MAX_MOVES_PER_PERIOD = 50
+MIN_WAIT_MS = 1_000
+RETRY_DELAY_MS = 10_000
+RESEND_DELAY_MS = 2_000
 
 
 class _Move(msgspec.Struct, kw_only=True):
-    """A job on its way to another failure domain."""
+    """A recorded move that the receiving owner has not confirmed yet."""
 
     spec: jobs.JobSpec
     to: ids.FailureDomainId
@@ -38,12 +38,13 @@
 
 
 class Mover:
-    """Hands queued jobs of the owned failure domain to others with room.
+    """Moves queued jobs of the owned failure domain to other ones.
 
-    All jobs leave while the failure domain is out of service; in service only
-    those do that have waited and find no room here. The job's home keeps a
-    pointer, so its id stays valid. A move is durable, and the own token
-    confirmed, before the other scheduler hears of the job.
+    All queued jobs are moved while the failure domain is out of service. In
+    service, only jobs are moved that have waited for `MIN_WAIT_MS` and do not
+    fit here. The home of a job keeps a pointer to its new failure domain, so
+    the job's id stays valid. A move is durable, and the owner's fencing token
+    confirmed, before the job is submitted to the other owner.
     """
 
     def __init__(
@@ -60,11 +61,11 @@
 
         Args:
             ctx: The shared context.
-            outbox: Whether the log answers.
-            ownership: The owned failure domain.
-            calls: Reaches other owners.
-            rooms: The room in each failure domain.
-            configuration: Which failure domains are in service.
+            outbox: Provides whether the log answers.
+            ownership: Provides the owned failure domain.
+            calls: Routes submissions to other owners.
+            rooms: Provides the free capacity of each failure domain.
+            configuration: Provides which failure domains are in service.
         """
         self._ctx = ctx
         self._outbox = outbox
@@ -72,40 +73,40 @@
         self._calls = calls
         self._rooms = rooms
         self._configuration = configuration
-        self._next_ms = 0
+        self._next_period_ms = 0
         self._token = ids.FenceToken(0)
         self._moves: dict[ids.JobId, _Move] = {}
-        self._tried_ms: dict[ids.JobId, int] = {}
-        self._tried_at: dict[ids.JobId, set[ids.FailureDomainId]] = {}
+        self._all_tried_ms: dict[ids.JobId, int] = {}
+        self._tried_domains: dict[ids.JobId, set[ids.FailureDomainId]] = {}
 
     def tick(self) -> None:
-        """Starts moves that are worth it and goes on with open ones."""
+        """Starts new moves and retries unconfirmed ones."""
         domain = self._ownership.domain
         if domain is None or not domain.placing:
             return
         if domain.token != self._token:
             self._token = domain.token
             self._moves = {}
-            self._tried_ms = {}
-            self._tried_at = {}
-        if self._ctx.now_ms < self._next_ms:
+            self._all_tried_ms = {}
+            self._tried_domains = {}
+        if self._ctx.now_ms < self._next_period_ms:
             return
-        self._next_ms = self._ctx.now_ms + PERIOD_MS
-        self._forget_ended(domain)
-        self._resume()
+        self._next_period_ms = self._ctx.now_ms + PERIOD_MS
+        self._discard_ended_jobs(domain)
+        self._resume_recorded_moves()
         if self._outbox.log_available:
-            self._start()
+            self._start_moves()
         for move in list(self._moves.values()):
             self._send(move)
 
-    def _forget_ended(self, domain: owned_domain.OwnedDomain) -> None:
+    def _discard_ended_jobs(self, domain: owned_domain.OwnedDomain) -> None:
         entries = domain.table.entries
-        for memory in (self._tried_ms, self._tried_at):
-            for job in [job for job in memory if job not in entries]:
-                del memory[job]
+        for per_job in (self._all_tried_ms, self._tried_domains):
+            for job in [job for job in per_job if job not in entries]:
+                del per_job[job]
 
-    def _resume(self) -> None:
-        """Takes up moves that an earlier owner has recorded."""
+    def _resume_recorded_moves(self) -> None:
+        """Resumes the moves that an earlier owner has recorded."""
         domain = self._ownership.domain
         for spec, moved in domain.moves.unconfirmed_moves():
             if spec.job not in self._moves:
@@ -113,65 +114,78 @@
                     spec=spec, to=moved.to, number=moved.number
                 )
 
-    def _start(self) -> None:
-        rooms = self._room()
-        if not rooms:
+    def _start_moves(self) -> None:
+        free_by_domain = self._free_accelerators()
+        if not free_by_domain:
             return
-        leaving = not self._ownership.domain.in_service()
+        out_of_service = not self._ownership.domain.in_service()
         due = [
             spec
             for spec in self._ownership.domain.moves.queued_specs()
-            if self._is_due(spec, leaving=leaving)
+            if self._is_due(spec, out_of_service=out_of_service)
         ]
-        for spec in due[:MOVES_PER_PERIOD]:
-            self._choose(spec, rooms, leaving=leaving)
+        for spec in due[:MAX_MOVES_PER_PERIOD]:
+            self._start_move(
+                spec, free_by_domain, out_of_service=out_of_service
+            )
 
-    def _is_due(self, spec: jobs.JobSpec, *, leaving: bool) -> bool:
-        tried_ms = self._tried_ms.get(spec.job, -RETRY_MOVE_MS)
-        rested = self._ctx.now_ms - tried_ms >= RETRY_MOVE_MS
+    def _is_due(self, spec: jobs.JobSpec, *, out_of_service: bool) -> bool:
+        all_tried_ms = self._all_tried_ms.get(spec.job, -RETRY_DELAY_MS)
+        retry_due = self._ctx.now_ms - all_tried_ms >= RETRY_DELAY_MS
         waited_ms = self._ctx.wall_ms - spec.submitted_ms
-        return rested and (leaving or waited_ms >= PATIENCE_MS)
+        return retry_due and (out_of_service or waited_ms >= MIN_WAIT_MS)
 
-    def _choose(
+    def _start_move(
         self,
         spec: jobs.JobSpec,
-        rooms: dict[ids.FailureDomainId, int],
+        free_by_domain: dict[ids.FailureDomainId, int],
         *,
-        leaving: bool,
+        out_of_service: bool,
     ) -> None:
-        """Moves a job to where its guarantee or free room may start it."""
+        """Moves a job to an untried failure domain that may start it.
+
+        A failure domain may start the job if it has a guarantee of the account
+        or enough free capacity. If the local one is out of service, any that
+        the allowance permits is acceptable. The one with the most free
+        capacity is chosen.
+        """
         guaranteed = {
             guarantee.failure_domain
             for guarantee in self._configuration.fold.current.guarantees
             if guarantee.account == spec.account
         }
         allowed = shares.homes(self._configuration.fold.current, spec)
-        hopeful = [
+        possible_domains = [
             name
-            for name, room in rooms.items()
+            for name, free_accelerators in free_by_domain.items()
             if name in allowed
             and (
-                leaving
-                or room >= spec.accelerators
+                out_of_service
+                or free_accelerators >= spec.accelerators
                 or not guaranteed.isdisjoint({name, None})
             )
         ]
-        tried = self._tried_at.setdefault(spec.job, set())
-        fresh = [name for name in hopeful if name not in tried]
-        if not fresh:
+        tried = self._tried_domains.setdefault(spec.job, set())
+        untried = [name for name in possible_domains if name not in tried]
+        if not untried:
             tried.clear()
-            self._tried_ms[spec.job] = self._ctx.now_ms
+            self._all_tried_ms[spec.job] = self._ctx.now_ms
             return
-        to = max(fresh, key=lambda name: (rooms[name], name))
-        tried.add(to)
-        rooms[to] -= spec.accelerators
-        self._release(spec, to, eager=not leaving)
+        destination = max(
+            untried, key=lambda name: (free_by_domain[name], name)
+        )
+        tried.add(destination)
+        free_by_domain[destination] -= spec.accelerators
+        self._record_move(spec, destination, eager=not out_of_service)
+
+    def _free_accelerators(self) -> dict[ids.FailureDomainId, int]:
+        """Returns the free accelerators of other failure domains in service.
 
-    def _room(self) -> dict[ids.FailureDomainId, int]:
-        """Returns the room after the queue in other failure domains."""
+        The accelerators that queued jobs request are subtracted.
+        """
         current = self._configuration.fold.current
         own = self._ctx.settings.failure_domain
-        usable = {
+        in_service = {
             domain.name
             for domain in current.failure_domains
             if domain.state is states.FailureDomainState.IN
@@ -179,32 +193,32 @@
         return {
             name: room.accelerators
             for name, room in self._rooms.rooms().items()
-            if name != own and name in usable
+            if name != own and name in in_service
         }
 
-    def _release(
+    def _record_move(
         self,
         spec: jobs.JobSpec,
-        to: ids.FailureDomainId,
+        destination: ids.FailureDomainId,
         *,
         eager: bool,
     ) -> None:
         token = self._token
 
-        def released(
-            released_spec: jobs.JobSpec, moved: records.JobMoved
+        def recorded(
+            recorded_spec: jobs.JobSpec, moved: records.JobMoved
         ) -> None:
             if token == self._token and self._ownership.domain is not None:
                 move = _Move(
-                    spec=released_spec,
-                    to=to,
+                    spec=recorded_spec,
+                    to=destination,
                     number=moved.number,
                     eager=eager,
                 )
                 self._moves[spec.job] = move
                 self._send(move)
 
-        self._ownership.domain.moves.move_out(spec.job, to, released)
+        self._ownership.domain.moves.move_out(spec.job, destination, recorded)
 
     def _send(self, move: _Move) -> None:
         if move.in_flight or move.retry_ms > self._ctx.now_ms:
@@ -214,7 +228,7 @@
 
         def answered(answer: peer_messages.Answer) -> None:
             move.in_flight = False
-            move.retry_ms = self._ctx.now_ms + RESEND_MS
+            move.retry_ms = self._ctx.now_ms + RESEND_DELAY_MS
             domain = self._ownership.domain
             if domain is None or domain.token != token:
                 return
