--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -36,41 +36,43 @@
 
 
 class Agent:
-    """All decisions of one VM, without input, output or clock.
+    """Makes all decisions of one VM, without I/O and without a clock.
 
     The shell calls `handle` with each event and carries out the effects that
-    it returns. Every effect with a call id must be answered by exactly one
-    event of that id.
+    it returns. It must answer every effect with a call id by exactly one
+    event with the same id.
     """
 
     def __init__(self, *, settings: settings_lib.AgentSettings) -> None:
-        """Initializes an agent that knows nothing but itself.
+        """Initializes an agent that knows no other VM.
 
         Args:
-            settings: Identity and timing.
+            settings: Identity and time limits of the agent.
         """
         self.settings = settings
         self._ctx = context.Context(settings=settings)
-        self._last_ms: int | None = None
+        self._last_event_ms: int | None = None
         self._platform = messages.PlatformView()
         self._workers: tuple[messages.ListedTarget, ...] = ()
         self._next_list_ms = 0
         self._listing = False
-        self._assigned: tuple[object, ...] = ()
-        self._tickets: set[ids.TicketId] = set()
+        self._last_assignment: tuple[object, ...] = ()
+        self._open_tickets: set[ids.TicketId] = set()
         self.view = view_lib.MembershipView(
             vm=settings.vm,
             failure_domain=settings.failure_domain,
             suspicion_ms=settings.suspicion_ms,
             remote_suspicion_ms=settings.remote_suspicion_ms,
         )
-        self.book = job_book.JobBook(failure_domain=settings.failure_domain)
+        self.job_view = job_book.JobBook(failure_domain=settings.failure_domain)
         self.outbox = outbox_lib.Outbox(ctx=self._ctx, view=self.view)
-        self.reader = stream_reader.StreamReader(ctx=self._ctx, book=self.book)
+        self.reader = stream_reader.StreamReader(
+            ctx=self._ctx, job_view=self.job_view
+        )
         self.claims = claims_lib.Claims(
             ctx=self._ctx,
             view=self.view,
-            book=self.book,
+            job_view=self.job_view,
             outbox=self.outbox,
             reader=self.reader,
         )
@@ -78,26 +80,26 @@
             ctx=self._ctx,
             view=self.view,
             outbox=self.outbox,
-            on_change=self._configuration_changed,
+            on_change=self._on_configuration_change,
         )
         self.ownership = ownership_lib.Ownership(
             ctx=self._ctx,
             view=self.view,
-            book=self.book,
+            job_view=self.job_view,
             outbox=self.outbox,
             reader=self.reader,
             claims=self.claims,
             configuration=self.configuration,
             workers=lambda: self._workers,
         )
-        self._make_desks()
+        self._make_call_handlers()
 
-    def _make_desks(self) -> None:
+    def _make_call_handlers(self) -> None:
         self.lease_renewer = keeping_lib.Keeping(
             ctx=self._ctx,
             view=self.view,
-            on_report=self._worker_report,
-            on_lost=self._worker_lost,
+            on_report=self._on_worker_report,
+            on_lost=self._on_worker_lost,
             on_token=self.ownership.learn_token,
         )
         self.requests = request_handler.RequestHandler(
@@ -106,7 +108,7 @@
             configuration_manager=self.configuration,
             claims=self.claims,
         )
-        rooms = domain_rooms.DomainRooms(
+        capacity = domain_rooms.DomainRooms(
             ctx=self._ctx, view=self.view, ownership=self.ownership
         )
         self.calls = call_router.CallRouter(
@@ -114,7 +116,7 @@
             view=self.view,
             configuration=self.configuration,
             ownership=self.ownership,
-            rooms=rooms,
+            capacity=capacity,
             requests=self.requests,
         )
         self.mover = mover_lib.Mover(
@@ -122,7 +124,7 @@
             outbox=self.outbox,
             ownership=self.ownership,
             calls=self.calls,
-            rooms=rooms,
+            capacity=capacity,
             configuration=self.configuration,
         )
         self.drain = drain_lib.Drain(
@@ -151,7 +153,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer may send new calls to this VM."""
+        """Whether the load balancer may send new calls to this VM."""
         return (
             self.view.ready
             and self.configuration.usable
@@ -164,32 +166,32 @@
         """Handles one event.
 
         Args:
-            event: What happened.
+            event: The event.
             now_ms: Monotonic time.
             wall_ms: Wall-clock time in ms since the epoch.
 
         Returns:
-            What to do, in order.
+            The effects to carry out, in order.
         """
         self._ctx.now_ms = now_ms
         self._ctx.wall_ms = wall_ms
-        self._notice_pause(now_ms)
+        self._detect_pause(now_ms)
         self._dispatch(event)
         self.ownership.step_down_if_fenced()
         if self.ownership.domain is not None:
             self.ownership.domain.decide_if_due()
         self.requests.apply_decisions()
-        out = self._ctx.effects
+        emitted = self._ctx.effects
         self._ctx.effects = []
-        return out
+        return emitted
 
-    def _notice_pause(self, now_ms: int) -> None:
-        """Gives up ownership if the process did not run for a while."""
-        last_ms = self._last_ms
-        self._last_ms = now_ms
-        if last_ms is None:
+    def _detect_pause(self, now_ms: int) -> None:
+        """Steps down as owner if the process was paused."""
+        last_event_ms = self._last_event_ms
+        self._last_event_ms = now_ms
+        if last_event_ms is None:
             return
-        gap_ms = now_ms - last_ms
+        gap_ms = now_ms - last_event_ms
         if gap_ms <= self.settings.pause_limit_ms:
             return
         self._ctx.trace(timeline.EventKind.VM_RESUMED_LATE, count=gap_ms)
@@ -203,22 +205,22 @@
             case events.Tick():
                 self._tick()
             case events.PeerArrived(sender=sender, message=message):
-                self._peer_message(sender, message)
+                self._handle_peer_message(sender, message)
             case events.CallArrived():
-                self._call_arrived(event)
+                self._handle_call(event)
             case events.CallerLeft(ticket=ticket):
-                self._tickets.discard(ticket)
+                self._open_tickets.discard(ticket)
             case events.DrainRequested():
                 self.drain.begin()
                 self.heartbeats.send_now()
             case events.Started():
-                self._started()
+                self._on_started()
             case events.RunnerAnswered(call=call):
                 self._ctx.resolve(call, event)
             case _:
-                self._answer_arrived(event)
+                self._resolve_answer(event)
 
-    def _answer_arrived(self, event: events.Event) -> None:
+    def _resolve_answer(self, event: events.Event) -> None:
         match event:
             case events.LogAppended(call=call, offset=offset):
                 self._ctx.resolve(call, offset)
@@ -229,7 +231,7 @@
             case events.WorkerAnswered(call=call, answer=answer):
                 self._ctx.resolve(call, answer)
 
-    def _started(self) -> None:
+    def _on_started(self) -> None:
         self._ctx.trace(timeline.EventKind.VM_STARTED)
         self.ownership.delay_take_over(
             self._ctx.now_ms + self.settings.heartbeat_ms * 2
@@ -243,12 +245,12 @@
         self.joining.tick()
         self.outbox.tick()
         self.claims.tick()
-        self._reassign()
+        self._assign_work()
         self.ownership.tick()
-        self._tick_keeping()
+        self._tick_lease_renewal()
         self.mover.tick()
         self.calls.tick()
-        self.drain.tick(len(self._tickets))
+        self.drain.tick(len(self._open_tickets))
         self.heartbeats.tick()
 
     def _list_platform(self) -> None:
@@ -257,50 +259,56 @@
         self._listing = True
         period_ms = self.settings.platform_poll_ms
         self._next_list_ms = self._ctx.now_ms + period_ms
-        self._ctx.list_platform(self._was_listed)
+        self._ctx.list_platform(self._on_platform_listed)
 
-    def _was_listed(self, view: messages.PlatformView | None) -> None:
+    def _on_platform_listed(
+        self, platform_view: messages.PlatformView | None
+    ) -> None:
         self._listing = False
-        if view is None or view == self._platform:
+        if platform_view is None or platform_view == self._platform:
             return
-        self._platform = view
-        strangers = [
-            listed.vm for listed in view.vms if listed.vm not in self.view.peers
+        self._platform = platform_view
+        new_vms = [
+            listed.vm
+            for listed in platform_view.vms
+            if listed.vm not in self.view.peers
         ]
-        self.view.update_listing(view)
-        for vm in strangers:
+        self.view.update_listing(platform_view)
+        for vm in new_vms:
             if vm in self.view.peers:
                 self.heartbeats.send_to(vm)
         own = self.settings.failure_domain
         self._workers = tuple(
-            target for target in view.workers if target.failure_domain == own
+            target
+            for target in platform_view.workers
+            if target.failure_domain == own
         )
         self.requests.set_runners(
             tuple(
                 target
-                for target in view.runners
+                for target in platform_view.runners
                 if target.failure_domain == own
             )
         )
         if self.ownership.domain is not None:
             self.ownership.domain.set_workers(self._workers)
 
-    def _reassign(self) -> None:
-        """Divides workers and slots anew after a change among the VMs."""
+    def _assign_work(self) -> None:
+        """Reassigns workers and slots after candidates or workers changed."""
         candidates = self.view.candidates(
             self.settings.failure_domain, self._ctx.now_ms
         )
-        assigned = (tuple(candidates), self._workers)
-        if assigned == self._assigned:
+        assignment = (tuple(candidates), self._workers)
+        if assignment == self._last_assignment:
             return
-        self._assigned = assigned
+        self._last_assignment = assignment
         self.lease_renewer.assign(self._workers)
         members = sorted({*candidates, self.settings.vm})
         self.requests.router.set_share(
             members.index(self.settings.vm), len(members)
         )
 
-    def _tick_keeping(self) -> None:
+    def _tick_lease_renewal(self) -> None:
         domain = self.ownership.domain
         if domain is not None:
             self.lease_renewer.owner_heard()
@@ -310,20 +318,20 @@
         reachable = None if rebuilding else owner
         self.lease_renewer.tick(self.ownership.token, reachable)
 
-    def _call_arrived(self, event: events.CallArrived) -> None:
+    def _handle_call(self, event: events.CallArrived) -> None:
         ticket = event.ticket
         if self.drain.refusing:
-            self._reply(ticket, _draining())
+            self._reply(ticket, _draining_failure())
             return
-        self._tickets.add(ticket)
-        self.calls.handle(event.body, self._replier(ticket))
+        self._open_tickets.add(ticket)
+        self.calls.handle(event.body, self._reply_once(ticket))
 
-    def _replier(
+    def _reply_once(
         self, ticket: ids.TicketId
     ) -> Callable[[peer_messages.Answer], None]:
         def reply(answer: peer_messages.Answer) -> None:
-            if ticket in self._tickets:
-                self._tickets.discard(ticket)
+            if ticket in self._open_tickets:
+                self._open_tickets.discard(ticket)
                 self._reply(ticket, answer)
 
         return reply
@@ -333,12 +341,12 @@
     ) -> None:
         self._ctx.emit(effects.Reply(ticket=ticket, body=answer))
 
-    def _peer_message(
+    def _handle_peer_message(
         self, sender: ids.VmId, message: peer_messages.PeerMessage
     ) -> None:
         match message:
             case peer_messages.Heartbeat():
-                self._heartbeat(sender, message)
+                self._handle_heartbeat(sender, message)
             case peer_messages.Forward():
                 self.calls.handle_forwarded(sender, message)
             case (
@@ -349,21 +357,21 @@
             ):
                 self._ctx.resolve_peer(call, message)
             case peer_messages.Replicate():
-                self._replicate(sender, message)
+                self._handle_replicate(sender, message)
             case peer_messages.ClaimKey(call=call, claim=claim):
                 vote = self.claims.vote(claim)
                 self._ctx.send(sender, _with_call(vote, call))
             case peer_messages.ReleaseKey(key=key, record=record):
-                self.book.free(key, record)
+                self.job_view.free(key, record)
             case _:
-                self._state_message(sender, message)
+                self._handle_state_message(sender, message)
 
-    def _state_message(
+    def _handle_state_message(
         self, sender: ids.VmId, message: peer_messages.PeerMessage
     ) -> None:
         match message:
             case peer_messages.KeeperReport():
-                self._keeper_report(sender, message)
+                self._handle_lease_report(sender, message)
             case peer_messages.LapseAttempts(token=token, attempts=attempts):
                 self.ownership.learn_token(token)
                 if token == self.ownership.token:
@@ -371,15 +379,18 @@
             case peer_messages.StateRequest():
                 self._ctx.send(sender, self._state_answer(message))
 
-    def _heartbeat(
+    def _handle_heartbeat(
         self, sender: ids.VmId, heartbeat: peer_messages.Heartbeat
     ) -> None:
         self._ctx.clock.merge(heartbeat.physical_ms, heartbeat.logical)
-        known = self.view.peers.get(sender)
-        before = None if known is None else known.heartbeat
+        peer = self.view.peers.get(sender)
+        last_heartbeat = None if peer is None else peer.heartbeat
         if not self.view.record_heartbeat(sender, heartbeat, self._ctx.now_ms):
             return
-        if before is None or before.incarnation != heartbeat.incarnation:
+        if (
+            last_heartbeat is None
+            or last_heartbeat.incarnation != heartbeat.incarnation
+        ):
             self.heartbeats.send_to(sender)
         self.configuration.catch_up_with(sender, heartbeat)
         if heartbeat.failure_domain != self.settings.failure_domain:
@@ -389,19 +400,19 @@
         if heartbeat.domain is not None:
             self.lease_renewer.owner_heard()
 
-    def _replicate(
+    def _handle_replicate(
         self, sender: ids.VmId, message: peer_messages.Replicate
     ) -> None:
         self.outbox.store_replicas(message.stream, message.records)
         own = records.job_stream(self.settings.failure_domain)
         if message.stream == own:
             for record in message.records:
-                self.book.fold(record)
+                self.job_view.fold(record)
             if self.ownership.domain is not None:
                 self.ownership.domain.rebuilding.restore_missing()
         self._ctx.send(sender, peer_messages.Acknowledge(call=message.call))
 
-    def _keeper_report(
+    def _handle_lease_report(
         self, sender: ids.VmId, message: peer_messages.KeeperReport
     ) -> None:
         domain = self.ownership.domain
@@ -413,11 +424,11 @@
         for worker in message.lost:
             domain.reports.worker_lost(worker)
 
-    def _worker_report(self, report: messages.Report) -> None:
+    def _on_worker_report(self, report: messages.Report) -> None:
         if self.ownership.domain is not None:
             self.ownership.domain.reports.worker_report(report)
 
-    def _worker_lost(self, worker: ids.WorkerId) -> None:
+    def _on_worker_lost(self, worker: ids.WorkerId) -> None:
         if self.ownership.domain is not None:
             self.ownership.domain.reports.worker_lost(worker)
 
@@ -426,7 +437,7 @@
     ) -> peer_messages.StateAnswer:
         fold = self.configuration.fold
         jobs_wanted = request.stream != records.CONFIG_STREAM
-        book = self.book if jobs_wanted else self._empty_book()
+        job_view = self.job_view if jobs_wanted else self._empty_job_view()
         since_ms = 0
         if request.recent_claims:
             since_ms = self._ctx.wall_ms - RECENT_CLAIMS_MS
@@ -437,7 +448,7 @@
                 if fold.trusted
                 else None
             ),
-            jobs=book.snapshot(
+            jobs=job_view.snapshot(
                 ids.RecordId(self._ctx.unique_id()), claims_since_ms=since_ms
             ),
             unappended=self.outbox.unappended(request.stream),
@@ -445,10 +456,10 @@
             ready=self.view.ready,
         )
 
-    def _empty_book(self) -> job_book.JobBook:
+    def _empty_job_view(self) -> job_book.JobBook:
         return job_book.JobBook(failure_domain=self.settings.failure_domain)
 
-    def _configuration_changed(
+    def _on_configuration_change(
         self, current: configuration.Configuration
     ) -> None:
         self.requests.set_configuration(current)
@@ -456,7 +467,7 @@
             self.ownership.domain.set_configuration(current)
 
 
-def _draining() -> peer_messages.Failure:
+def _draining_failure() -> peer_messages.Failure:
     return peer_messages.Failure(
         result=jobs.JobResult(code=codes.ResultCode.DRAINING),
         retry_after_ms=0,
--- a/citronmount/agent/call_router.py
+++ b/citronmount/agent/call_router.py
@@ -63,7 +63,7 @@
         view: view_lib.MembershipView,
         configuration: configuration_lib.ConfigurationManager,
         ownership: ownership_lib.Ownership,
-        rooms: domain_rooms.DomainRooms,
+        capacity: domain_rooms.DomainRooms,
         requests: request_handler.RequestHandler,
     ) -> None:
         """Initializes a router without calls.
@@ -73,7 +73,7 @@
             view: Determines the owner of each failure domain.
             configuration: Provides the configuration in force.
             ownership: Provides the local failure domain while this VM owns it.
-            rooms: The free capacity of each failure domain.
+            capacity: The free capacity of each failure domain.
             requests: Handles short requests.
         """
         self._ctx = ctx
@@ -88,7 +88,7 @@
         self._submission = job_submission.JobSubmission(
             ctx=ctx,
             configuration=configuration,
-            rooms=rooms,
+            rooms=capacity,
             route=self.route,
         )
 
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys, so that work marked so runs at most once."""
+"""Claims of idempotency keys, so that work with a key runs at most once."""
 
 from collections.abc import Callable
 
@@ -18,18 +18,18 @@
 __all__ = ["ClaimOutcome", "Claims"]
 
 VOTE_TIMEOUT_MS = 1_000
-CLAIM_LIMIT_MS = 3_000
+CLAIM_TIMEOUT_MS = 3_000
 _LOG_VOTER = "log"
 
 
 class ClaimOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """How a claim ended.
+    """The outcome of a claim.
 
     Attributes:
         granted: Whether the work may now be sent to a target.
         claim: The claim.
-        holder: The other claim that stood in the way, if known.
-        result: The final answer of the holder's work, if known.
+        holder: The conflicting claim, if known.
+        result: The final answer of the conflicting claim's work, if known.
     """
 
     granted: bool
@@ -38,8 +38,8 @@
     result: records.KeyResult | None = None
 
 
-class _Election(msgspec.Struct, kw_only=True):
-    """One claim on its way."""
+class _PendingClaim(msgspec.Struct, kw_only=True):
+    """A claim that is neither granted nor rejected yet."""
 
     claim: records.KeyClaimed
     on_outcome: Callable[[ClaimOutcome], None]
@@ -55,12 +55,12 @@
 
 
 class Claims:
-    """Claims keys of the own failure domain by majority.
+    """Claims keys of the local failure domain by majority vote.
 
-    The voters are the VMs of the home failure domain and the log, whose vote
-    goes to the first claim by offset. Any two majorities share a voter, also
-    across a change of one VM, so at most one claim of a key is granted. A
-    granted claim is durable before the work is sent.
+    The voters are the VMs of the key's home failure domain and the log, which
+    votes for the first claim by offset. Any two majorities share a voter, also
+    if the set of VMs differs by one, so at most one claim of a key is granted.
+    A granted claim is durable before the work is sent.
     """
 
     def __init__(
@@ -68,27 +68,27 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        book: job_book.JobBook,
+        job_view: job_book.JobBook,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
     ) -> None:
-        """Initializes without open claims.
+        """Initializes without pending claims.
 
         Args:
             ctx: The shared context.
-            view: Who votes.
-            book: The claims that the own vote went to.
+            view: Determines the voters.
+            job_view: Holds the claims that this VM has voted for.
             outbox: Writes claims durably.
-            reader: Shows the order of claims in the log.
+            reader: Reads the claims in the order of the log.
         """
         self._ctx = ctx
         self._view = view
-        self._book = book
+        self._job_view = job_view
         self._outbox = outbox
         self._reader = reader
-        reader.listeners.append(self._note_logged)
+        reader.listeners.append(self._on_record_read)
         self._stream = records.job_stream(ctx.settings.failure_domain)
-        self._open: dict[ids.RecordId, _Election] = {}
+        self._pending_claims: dict[ids.RecordId, _PendingClaim] = {}
 
     def claim(
         self,
@@ -99,9 +99,9 @@
         """Claims a key.
 
         Args:
-            key: The key with its account.
-            body_digest: Digest of the work's body.
-            on_outcome: Told once how the claim ended.
+            key: The key, qualified by its account or job.
+            body_digest: Digest of the body of the work.
+            on_outcome: Called once with the outcome.
         """
         claim = records.KeyClaimed(
             record=ids.RecordId(self._ctx.unique_id()),
@@ -110,39 +110,39 @@
             vm=self._ctx.settings.vm,
             claimed_ms=self._ctx.wall_ms,
         )
-        own = self.vote(claim)
-        if not own.granted:
+        own_vote = self.vote(claim)
+        if not own_vote.granted:
             on_outcome(
                 ClaimOutcome(
                     granted=False,
                     claim=claim,
-                    holder=own.holder,
-                    result=own.result,
+                    holder=own_vote.holder,
+                    result=own_vote.result,
                 )
             )
             return
         voters = self._view.voters()
-        election = _Election(
+        pending = _PendingClaim(
             claim=claim,
             on_outcome=on_outcome,
-            due_ms=self._ctx.now_ms + CLAIM_LIMIT_MS,
+            due_ms=self._ctx.now_ms + CLAIM_TIMEOUT_MS,
             quorum=(len(voters) + 1) // 2 + 1,
             undecided={*voters, _LOG_VOTER} - {self._ctx.settings.vm},
             grants={self._ctx.settings.vm},
         )
-        self._open[claim.record] = election
+        self._pending_claims[claim.record] = pending
         self._outbox.write(
             self._stream,
             claim,
-            lambda outcome: self._written(election, outcome),
+            lambda outcome: self._on_written(pending, outcome),
         )
         for voter in voters:
             if voter != self._ctx.settings.vm:
-                self._ask(election, voter)
-        self._check(election)
+                self._request_vote(pending, voter)
+        self._decide(pending)
 
     def vote(self, claim: records.KeyClaimed) -> peer_messages.ClaimAnswer:
-        """Votes on a claim and remembers a grant.
+        """Votes on a claim and records a granted vote.
 
         Args:
             claim: The claim.
@@ -150,21 +150,21 @@
         Returns:
             The vote, with an empty call id.
         """
-        others = (
-            held
-            for held in self._book.claims_of(claim.key)
-            if held.record != claim.record
+        conflicting = (
+            other
+            for other in self._job_view.claims_of(claim.key)
+            if other.record != claim.record
         )
-        holder = next(others, None)
-        freed = self._book.is_freed(claim.record)
+        holder = next(conflicting, None)
+        freed = self._job_view.is_freed(claim.record)
         if holder is None and self._view.ready and not freed:
-            self._book.fold(claim)
+            self._job_view.fold(claim)
         granted = holder is None and self._view.ready and not freed
         return peer_messages.ClaimAnswer(
             call=ids.CallId(""),
             granted=granted,
             holder=None if granted else holder,
-            result=self._book.key_results.get(claim.key),
+            result=self._job_view.key_results.get(claim.key),
         )
 
     def record_result(
@@ -174,7 +174,8 @@
 
         Args:
             claim: The claim.
-            result: The answer; one that proves not run frees the key.
+            result: The answer. One that proves that the work was not run
+                frees the key.
         """
         record = records.KeyResult(
             record=ids.RecordId(self._ctx.unique_id()),
@@ -182,130 +183,133 @@
             claim=claim.record,
             result=result,
         )
-        self._book.fold(record)
+        self._job_view.fold(record)
         self._outbox.write(self._stream, record)
         if codes.info(result.code).proves_not_run:
-            self._tell_release(claim)
+            self._send_release(claim)
 
     def tick(self) -> None:
-        """Ends claims whose time is up."""
-        due = [
-            election
-            for election in self._open.values()
-            if election.due_ms <= self._ctx.now_ms
+        """Rejects claims that were not granted within the time limit."""
+        expired = [
+            pending
+            for pending in self._pending_claims.values()
+            if pending.due_ms <= self._ctx.now_ms
         ]
-        for election in due:
-            self._lose(election)
+        for pending in expired:
+            self._reject(pending)
 
-    def _ask(self, election: _Election, voter: ids.VmId) -> None:
+    def _request_vote(self, pending: _PendingClaim, voter: ids.VmId) -> None:
         call = self._ctx.new_call()
 
         def answered(answer: peer_messages.ClaimAnswer | None) -> None:
             if answer is None:
                 return
-            election.undecided.discard(voter)
+            pending.undecided.discard(voter)
             if answer.granted:
-                election.grants.add(voter)
+                pending.grants.add(voter)
             else:
-                election.holder = answer.holder or election.holder
-                election.result = answer.result or election.result
-            self._check(election)
+                pending.holder = answer.holder or pending.holder
+                pending.result = answer.result or pending.result
+            self._decide(pending)
 
         self._ctx.call_peer(
             voter,
             call,
-            peer_messages.ClaimKey(call=call, claim=election.claim),
+            peer_messages.ClaimKey(call=call, claim=pending.claim),
             answered,
             timeout_ms=VOTE_TIMEOUT_MS,
         )
 
-    def _written(
-        self, election: _Election, outcome: outbox_lib.WriteOutcome
+    def _on_written(
+        self, pending: _PendingClaim, outcome: outbox_lib.WriteOutcome
     ) -> None:
-        election.durable = outcome.durability is not None
-        self._check(election)
+        pending.durable = outcome.durability is not None
+        self._decide(pending)
         in_log = outcome is outbox_lib.WriteOutcome.IN_LOG
-        if in_log and not election.closed:
-            self._read_log_vote(election)
+        if in_log and not pending.closed:
+            self._count_log_vote(pending)
 
-    def _read_log_vote(self, election: _Election) -> None:
-        """Counts the log's vote if the claim is the key's first."""
+    def _count_log_vote(self, pending: _PendingClaim) -> None:
+        """Reads the log and counts its vote.
 
-        def was_read(complete: bool) -> None:
-            own = election.claim.record
-            logged = [claim.record for claim in election.in_log]
-            if election.closed or not complete or own not in logged:
+        The log grants a claim that is the first of its key.
+        """
+
+        def on_log_read(complete: bool) -> None:
+            own_record = pending.claim.record
+            logged = [claim.record for claim in pending.in_log]
+            if pending.closed or not complete or own_record not in logged:
                 return
-            election.undecided.discard(_LOG_VOTER)
-            first = election.in_log[0]
-            if first.record == own:
-                election.grants.add(_LOG_VOTER)
+            pending.undecided.discard(_LOG_VOTER)
+            first = pending.in_log[0]
+            if first.record == own_record:
+                pending.grants.add(_LOG_VOTER)
             else:
-                election.holder = first
-            self._check(election)
+                pending.holder = first
+            self._decide(pending)
 
-        self._reader.read_to_end(was_read)
+        self._reader.read_to_end(on_log_read)
 
-    def _note_logged(self, record: records.Record) -> None:
-        """Follows the standing claims of open keys in the order of the log."""
+    def _on_record_read(self, record: records.Record) -> None:
+        """Updates the logged claims of keys with a pending claim."""
         match record:
             case records.KeyClaimed():
-                if self._book.is_freed(record.record):
+                if self._job_view.is_freed(record.record):
                     return
-                for election in self._of_key(record.key):
-                    election.in_log.append(record)
+                for pending in self._pending_claims_of(record.key):
+                    pending.in_log.append(record)
             case records.KeyResult():
                 if codes.info(record.result.code).proves_not_run:
-                    self._note_freed(record.key, record.claim)
+                    self._remove_logged_claim(record.key, record.claim)
 
-    def _note_freed(self, key: str, claim: ids.RecordId) -> None:
-        for election in self._of_key(key):
-            election.in_log = [
-                held for held in election.in_log if held.record != claim
+    def _remove_logged_claim(self, key: str, claim: ids.RecordId) -> None:
+        for pending in self._pending_claims_of(key):
+            pending.in_log = [
+                other for other in pending.in_log if other.record != claim
             ]
 
-    def _of_key(self, key: str) -> list[_Election]:
+    def _pending_claims_of(self, key: str) -> list[_PendingClaim]:
         return [
-            election
-            for election in self._open.values()
-            if election.claim.key == key
+            pending
+            for pending in self._pending_claims.values()
+            if pending.claim.key == key
         ]
 
-    def _check(self, election: _Election) -> None:
-        if election.closed:
+    def _decide(self, pending: _PendingClaim) -> None:
+        if pending.closed:
             return
-        granted = len(election.grants)
-        if granted + len(election.undecided) < election.quorum:
-            self._lose(election)
+        granted = len(pending.grants)
+        if granted + len(pending.undecided) < pending.quorum:
+            self._reject(pending)
             return
-        if granted < election.quorum or not election.durable:
+        if granted < pending.quorum or not pending.durable:
             return
-        self._close(election)
-        election.on_outcome(ClaimOutcome(granted=True, claim=election.claim))
+        self._close(pending)
+        pending.on_outcome(ClaimOutcome(granted=True, claim=pending.claim))
 
-    def _lose(self, election: _Election) -> None:
-        """Gives a claim up; it was never used, so the key is free again."""
-        if election.closed:
+    def _reject(self, pending: _PendingClaim) -> None:
+        """Rejects a claim and frees its key, since no work was sent."""
+        if pending.closed:
             return
-        self._close(election)
+        self._close(pending)
         not_run = jobs.RequestResult(
             request=ids.RequestId(""), code=codes.ResultCode.NOT_DURABLE
         )
-        self.record_result(election.claim, not_run)
-        election.on_outcome(
+        self.record_result(pending.claim, not_run)
+        pending.on_outcome(
             ClaimOutcome(
                 granted=False,
-                claim=election.claim,
-                holder=election.holder,
-                result=election.result,
+                claim=pending.claim,
+                holder=pending.holder,
+                result=pending.result,
             )
         )
 
-    def _close(self, election: _Election) -> None:
-        election.closed = True
-        self._open.pop(election.claim.record, None)
+    def _close(self, pending: _PendingClaim) -> None:
+        pending.closed = True
+        self._pending_claims.pop(pending.claim.record, None)
 
-    def _tell_release(self, claim: records.KeyClaimed) -> None:
+    def _send_release(self, claim: records.KeyClaimed) -> None:
         message = peer_messages.ReleaseKey(
             key=claim.key, vm=claim.vm, record=claim.record
         )
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -54,7 +54,7 @@
         outbox: outbox_lib.Outbox,
         ownership: ownership_lib.Ownership,
         calls: call_router.CallRouter,
-        rooms: domain_rooms.DomainRooms,
+        capacity: domain_rooms.DomainRooms,
         configuration: configuration_lib.ConfigurationManager,
     ) -> None:
         """Initializes without moves.
@@ -64,14 +64,14 @@
             outbox: Provides whether the log answers.
             ownership: Provides the owned failure domain.
             calls: Routes submissions to other owners.
-            rooms: Provides the free capacity of each failure domain.
+            capacity: Provides the free capacity of each failure domain.
             configuration: Provides which failure domains are in service.
         """
         self._ctx = ctx
         self._outbox = outbox
         self._ownership = ownership
         self._calls = calls
-        self._rooms = rooms
+        self._capacity = capacity
         self._configuration = configuration
         self._next_period_ms = 0
         self._token = ids.FenceToken(0)
@@ -191,8 +191,8 @@
             if domain.state is states.FailureDomainState.IN
         }
         return {
-            name: room.accelerators
-            for name, room in self._rooms.rooms().items()
+            name: capacity.accelerators
+            for name, capacity in self._capacity.rooms().items()
             if name != own and name in in_service
         }
 
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of the VM's failure domain: taking over and stepping down."""
+"""Ownership of the local failure domain: taking over and stepping down."""
 
 from collections.abc import Callable
 import enum
@@ -23,17 +23,17 @@
 
 STATE_TIMEOUT_MS = 1_000
 FENCE_TIMEOUT_MS = 1_000
-LOG_READ_TRIES = 3
-FENCED_BACKOFF_MS = 1_000
-FENCED_BACKOFF_MAX_MS = 8_000
-FENCED_REST_MS = 30_000
-FOLLOW_PERIOD_MS = 5_000
+MAX_LOG_READ_ATTEMPTS = 3
+INITIAL_BACKOFF_MS = 1_000
+MAX_BACKOFF_MS = 8_000
+BACKOFF_RESET_MS = 30_000
+LOG_POLL_PERIOD_MS = 5_000
 SNAPSHOTS_PER_RETENTION = 4
-SNAPSHOT_EVERY_RECORDS = 20_000
+MAX_RECORDS_SINCE_SNAPSHOT = 20_000
 
 
 class OwnershipPhase(enum.Enum):
-    """Whether the VM schedules its failure domain."""
+    """Phase of the VM's ownership of its failure domain."""
 
     FOLLOWER = "follower"
     FENCING = "fencing"
@@ -42,11 +42,11 @@
 
 
 class Ownership:
-    """Takes over the own failure domain and steps down again.
+    """Takes over the local failure domain and steps down again.
 
-    Taking over fences every worker first and reads the log and the peers
-    afterwards, so whatever an earlier owner made durable before it was fenced
-    is seen. Placing begins only then.
+    A VM that takes over first fences all workers and then reads the log and
+    the state of its peers. It thus sees everything that an earlier owner made
+    durable before it was fenced. Only then does it start to place jobs.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        book: job_book.JobBook,
+        job_view: job_book.JobBook,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
         claims: claims_lib.Claims,
@@ -65,12 +65,12 @@
 
         Args:
             ctx: The shared context.
-            view: Who should own the failure domain.
-            book: What must not be lost.
-            outbox: Writes durably.
+            view: Determines which VM should own the failure domain.
+            job_view: The folded state of the job stream.
+            outbox: Writes records durably.
             reader: Reads the job stream.
-            claims: Claims keys.
-            configuration: The configuration in force.
+            claims: Claims idempotency keys.
+            configuration: Provides the configuration in force.
             workers: Returns the workers of the failure domain.
         """
         self.phase = OwnershipPhase.FOLLOWER
@@ -78,117 +78,121 @@
         self.domain: owned_domain.OwnedDomain | None = None
         self._ctx = ctx
         self._view = view
-        self._book = book
+        self._job_view = job_view
         self._outbox = outbox
         self._reader = reader
         self._claims = claims
         self._configuration = configuration
         self._workers = workers
-        self._not_before_ms = 0
-        self._round = 0
+        self._earliest_take_over_ms = 0
+        self._take_over_number = 0
         self._due_ms = 0
-        self._awaited: set[str] = set()
+        self._awaited_answers: set[str] = set()
         self._reports: dict[ids.WorkerId, messages.Report] = {}
-        self._log_tries = 0
-        self._follow_ms = 0
-        self._snapshot_ms = 0
-        self._fenced_ms = 0
-        self._backoff_ms = FENCED_BACKOFF_MS
-        self._fenced_by: ids.FenceToken | None = None
+        self._log_read_attempts = 0
+        self._next_log_poll_ms = 0
+        self._next_snapshot_ms = 0
+        self._last_fenced_ms = 0
+        self._backoff_ms = INITIAL_BACKOFF_MS
+        self._higher_token: ids.FenceToken | None = None
 
     def learn_token(self, token: ids.FenceToken) -> None:
-        """Notes a fencing token seen anywhere in the failure domain.
+        """Records a fencing token observed in the failure domain.
 
         Args:
-            token: The token; a higher one than the own ends ownership.
+            token: The token. If it is higher than the highest known one, this
+                VM stops owning or taking over.
         """
         if token <= self.token:
             return
         self.token = token
         if self.phase is not OwnershipPhase.FOLLOWER:
-            self._fenced_by = token
+            self._higher_token = token
 
     def delay_take_over(self, due_ms: int) -> None:
-        """Forbids taking over before a time, to listen to peers first.
+        """Delays taking over, so that heartbeats of peers can arrive first.
 
         Args:
-            due_ms: Monotonic time.
+            due_ms: Earliest monotonic time of a take-over.
         """
-        self._not_before_ms = max(self._not_before_ms, due_ms)
+        self._earliest_take_over_ms = max(self._earliest_take_over_ms, due_ms)
 
-    def step_down(self, why: str) -> None:
-        """Forgets the failure domain; workers keep what runs.
+    def step_down(self, reason: str) -> None:
+        """Gives up the ownership; running attempts continue at the workers.
 
         Args:
-            why: The reason, for the time line.
+            reason: The reason, for the timeline.
         """
         if self.phase is OwnershipPhase.FOLLOWER:
             return
         self.phase = OwnershipPhase.FOLLOWER
-        self._round += 1
+        self._take_over_number += 1
         if self.domain is not None:
             self.domain.table.answer_all()
         self.domain = None
-        self._fenced_by = None
+        self._higher_token = None
         self._ctx.trace(
             timeline.EventKind.OWNERSHIP_LEFT,
             failure_domain=self._ctx.settings.failure_domain,
             count=self.token,
-            detail=why,
+            detail=reason,
         )
 
     def step_down_if_fenced(self) -> None:
-        """Steps down if a worker or peer has shown a higher token."""
-        if self._fenced_by is not None:
+        """Steps down if a worker or peer has reported a higher token."""
+        if self._higher_token is not None:
             self.step_down("fenced")
             self._back_off()
 
     def _back_off(self) -> None:
-        """Waits longer each time that two owners keep fencing each other."""
-        rested_ms = self._ctx.now_ms - self._fenced_ms
-        if rested_ms > FENCED_REST_MS:
-            self._backoff_ms = FENCED_BACKOFF_MS
-        self._fenced_ms = self._ctx.now_ms
+        """Doubles the take-over delay while two VMs keep fencing each other."""
+        since_fenced_ms = self._ctx.now_ms - self._last_fenced_ms
+        if since_fenced_ms > BACKOFF_RESET_MS:
+            self._backoff_ms = INITIAL_BACKOFF_MS
+        self._last_fenced_ms = self._ctx.now_ms
         self.delay_take_over(self._ctx.now_ms + self._backoff_ms)
-        self._backoff_ms = min(2 * self._backoff_ms, FENCED_BACKOFF_MAX_MS)
+        self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_MS)
 
     def tick(self) -> None:
-        """Takes over, goes on with taking over, or steps down."""
+        """Starts or continues a take-over, steps down, or acts as owner."""
         self.step_down_if_fenced()
         owner = self._view.owner(
             self._ctx.settings.failure_domain, self._ctx.now_ms
         )
-        mine = owner == self._ctx.settings.vm
+        should_own = owner == self._ctx.settings.vm
         match self.phase:
             case OwnershipPhase.FOLLOWER:
-                if mine and self._ctx.now_ms >= self._not_before_ms:
-                    self._fence()
+                if (
+                    should_own
+                    and self._ctx.now_ms >= self._earliest_take_over_ms
+                ):
+                    self._fence_workers()
             case OwnershipPhase.FENCING | OwnershipPhase.READING:
-                self._tick_taking_over(mine)
+                self._tick_taking_over(should_own)
             case OwnershipPhase.OWNER:
-                self._tick_owner(mine)
+                self._tick_owner(should_own)
 
-    def _tick_taking_over(self, mine: bool) -> None:
-        if not mine:
+    def _tick_taking_over(self, should_own: bool) -> None:
+        if not should_own:
             self.step_down("another owner")
         elif self._ctx.now_ms >= self._due_ms:
             if self.phase is OwnershipPhase.FENCING:
-                self._read()
+                self._read_state()
             else:
-                self._retry_reading()
+                self._stop_awaiting_peers()
 
-    def _tick_owner(self, mine: bool) -> None:
+    def _tick_owner(self, should_own: bool) -> None:
         domain = self.domain
         if domain is None:
             return
-        domain.placing = mine or not self._view.draining
+        domain.placing = should_own or not self._view.draining
         domain.tick()
-        if self._ctx.now_ms >= self._follow_ms:
-            self._follow()
+        if self._ctx.now_ms >= self._next_log_poll_ms:
+            self._poll_log()
 
-    def _fence(self) -> None:
-        """Raises the token at every worker and takes its report."""
-        self._round += 1
+    def _fence_workers(self) -> None:
+        """Raises the fencing token at all workers and collects reports."""
+        self._take_over_number += 1
         self.phase = OwnershipPhase.FENCING
         self.token = fencing.next_token(self.token, self._ctx.settings)
         self._reports = {}
@@ -199,56 +203,60 @@
             count=self.token,
         )
         targets = self._workers()
-        self._awaited = {target.name for target in targets}
+        self._awaited_answers = {target.name for target in targets}
         call = messages.WorkerCall(token=self.token)
         for target in targets:
             self._ctx.call_worker(
                 target,
                 call,
-                self._fence_handler(target.name, self._round),
+                self._fence_handler(target.name, self._take_over_number),
                 timeout_ms=FENCE_TIMEOUT_MS,
             )
         if not targets:
-            self._read()
+            self._read_state()
 
     def _fence_handler(
-        self, worker: str, round_number: int
+        self, worker: str, take_over_number: int
     ) -> Callable[[messages.WorkerAnswer | None], None]:
         def answered(answer: messages.WorkerAnswer | None) -> None:
-            if round_number != self._round:
+            if take_over_number != self._take_over_number:
                 return
             if answer is not None:
                 self.learn_token(answer.token)
                 if answer.report is not None:
                     self._reports[ids.WorkerId(worker)] = answer.report
-            self._awaited.discard(worker)
-            fencing = self.phase is OwnershipPhase.FENCING
-            if fencing and not self._awaited and self._fenced_by is None:
-                self._read()
+            self._awaited_answers.discard(worker)
+            in_fencing = self.phase is OwnershipPhase.FENCING
+            if (
+                in_fencing
+                and not self._awaited_answers
+                and self._higher_token is None
+            ):
+                self._read_state()
 
         return answered
 
-    def _read(self) -> None:
-        """Reads the job stream and asks the peers, after fencing."""
+    def _read_state(self) -> None:
+        """Reads the job stream and requests the state of peers."""
         self.phase = OwnershipPhase.READING
-        self._log_tries = 0
+        self._log_read_attempts = 0
         self._due_ms = self._ctx.now_ms + STATE_TIMEOUT_MS
         peers = self._view.local_peers(self._ctx.now_ms)
-        self._awaited = {"log", *peers}
+        self._awaited_answers = {"log", *peers}
         for peer in peers:
-            self._ask(peer, self._round)
-        self._read_log(self._round)
+            self._request_state(peer, self._take_over_number)
+        self._read_log(self._take_over_number)
 
-    def _ask(self, peer: ids.VmId, round_number: int) -> None:
+    def _request_state(self, peer: ids.VmId, take_over_number: int) -> None:
         call = self._ctx.new_call()
 
         def answered(answer: peer_messages.StateAnswer | None) -> None:
-            if round_number != self._round:
+            if take_over_number != self._take_over_number:
                 return
             if answer is not None:
                 self.merge(answer)
-            self._awaited.discard(peer)
-            self._check_read()
+            self._awaited_answers.discard(peer)
+            self._start_owning_if_complete()
 
         self._ctx.call_peer(
             peer,
@@ -263,52 +271,56 @@
         )
 
     def merge(self, answer: peer_messages.StateAnswer) -> None:
-        """Folds what a peer knows.
+        """Folds the state of a peer into the job view.
 
         Args:
-            answer: The peer's answer.
+            answer: The peer's answer to a state request.
         """
-        self._book.merge(answer.jobs)
+        self._job_view.merge(answer.jobs)
         for record in answer.unappended:
-            self._book.fold(record)
+            self._job_view.fold(record)
         self.learn_token(answer.token)
 
-    def _read_log(self, round_number: int) -> None:
-        def was_read(complete: bool) -> None:
-            if round_number != self._round:
+    def _read_log(self, take_over_number: int) -> None:
+        def on_log_read(complete: bool) -> None:
+            if take_over_number != self._take_over_number:
                 return
             if not complete:
-                self._log_failed(round_number)
+                self._on_log_read_failed(take_over_number)
                 return
-            self._awaited.discard("log")
-            self._check_read()
+            self._awaited_answers.discard("log")
+            self._start_owning_if_complete()
 
-        self._reader.read_to_end(was_read)
+        self._reader.read_to_end(on_log_read)
 
-    def _log_failed(self, round_number: int) -> None:
-        """Goes on without the log once peers must have what it lacks."""
-        self._log_tries += 1
-        if self._log_tries < LOG_READ_TRIES:
-            self._read_log(round_number)
+    def _on_log_read_failed(self, take_over_number: int) -> None:
+        """Retries reading the log and finally continues without it.
+
+        After `MAX_LOG_READ_ATTEMPTS` attempts, peers must hold the durable
+        records that the log lacks.
+        """
+        self._log_read_attempts += 1
+        if self._log_read_attempts < MAX_LOG_READ_ATTEMPTS:
+            self._read_log(take_over_number)
             return
-        self._awaited.discard("log")
-        self._check_read()
+        self._awaited_answers.discard("log")
+        self._start_owning_if_complete()
 
-    def _retry_reading(self) -> None:
-        """Waits for the log only; silent peers are passed over."""
-        self._awaited &= {"log"}
-        self._check_read()
+    def _stop_awaiting_peers(self) -> None:
+        """Continues without the peers that have not answered in time."""
+        self._awaited_answers &= {"log"}
+        self._start_owning_if_complete()
 
-    def _check_read(self) -> None:
+    def _start_owning_if_complete(self) -> None:
         reading = self.phase is OwnershipPhase.READING
-        if reading and not self._awaited and self._fenced_by is None:
-            self._own()
+        if reading and not self._awaited_answers and self._higher_token is None:
+            self._start_owning()
 
-    def _own(self) -> None:
+    def _start_owning(self) -> None:
         core = domain_core.DomainCore(
             ctx=self._ctx,
             token=self.token,
-            book=self._book,
+            book=self._job_view,
             outbox=self._outbox,
             claims=self._claims,
             policy=self._ctx.settings.policy,
@@ -317,8 +329,8 @@
         domain = owned_domain.OwnedDomain(core=core)
         self.phase = OwnershipPhase.OWNER
         self.domain = domain
-        self._follow_ms = self._ctx.now_ms + FOLLOW_PERIOD_MS
-        self._snapshot_ms = self._ctx.now_ms + self._snapshot_period_ms()
+        self._next_log_poll_ms = self._ctx.now_ms + LOG_POLL_PERIOD_MS
+        self._next_snapshot_ms = self._ctx.now_ms + self._snapshot_period_ms()
         targets = self._workers()
         domain.set_configuration(self._configuration.fold.current)
         domain.set_workers(targets)
@@ -337,30 +349,34 @@
         )
         domain.tick()
 
-    def _follow(self) -> None:
-        """Reads what an earlier owner may still have appended."""
-        self._follow_ms = self._ctx.now_ms + FOLLOW_PERIOD_MS
+    def _poll_log(self) -> None:
+        """Reads records that an earlier owner may still have appended."""
+        self._next_log_poll_ms = self._ctx.now_ms + LOG_POLL_PERIOD_MS
 
-        def was_read(complete: bool) -> None:
+        def on_log_read(complete: bool) -> None:
             if complete and self.domain is not None:
                 self.domain.rebuilding.restore_missing()
-                self._maybe_snapshot()
+                self._append_snapshot_if_due()
 
-        self._reader.read_to_end(was_read)
+        self._reader.read_to_end(on_log_read)
 
     def _snapshot_period_ms(self) -> int:
         return self._ctx.settings.retention_ms // SNAPSHOTS_PER_RETENTION
 
-    def _maybe_snapshot(self) -> None:
-        """Appends what must last again before retention drops it."""
-        records_since = self._book.next_offset - self._book.last_snapshot
-        due = self._ctx.now_ms >= self._snapshot_ms
-        owner = self.phase is OwnershipPhase.OWNER
-        if not owner or not (due or records_since > SNAPSHOT_EVERY_RECORDS):
+    def _append_snapshot_if_due(self) -> None:
+        """Appends a snapshot before retention removes records still needed."""
+        records_since = (
+            self._job_view.next_offset - self._job_view.last_snapshot
+        )
+        due = self._ctx.now_ms >= self._next_snapshot_ms
+        is_owner = self.phase is OwnershipPhase.OWNER
+        if not is_owner or not (
+            due or records_since > MAX_RECORDS_SINCE_SNAPSHOT
+        ):
             return
-        self._snapshot_ms = self._ctx.now_ms + self._snapshot_period_ms()
+        self._next_snapshot_ms = self._ctx.now_ms + self._snapshot_period_ms()
         lifetime_ms = self._ctx.settings.claim_lifetime_ms
-        snapshot = self._book.snapshot(
+        snapshot = self._job_view.snapshot(
             ids.RecordId(self._ctx.unique_id()),
             claims_since_ms=self._ctx.wall_ms - lifetime_ms,
         )
--- a/citronmount/agent/stream_reader.py
+++ b/citronmount/agent/stream_reader.py
@@ -1,4 +1,4 @@
-"""Reads the job stream of the own failure domain into the job book."""
+"""Reads the job stream of the local failure domain into the job view."""
 
 from collections.abc import Callable
 
@@ -9,60 +9,64 @@
 
 __all__ = ["StreamReader"]
 
-OnRead = Callable[[bool], None]
+ReadCallback = Callable[[bool], None]
 
 
 class StreamReader:
-    """Folds the job stream into the book, each record once and in order.
+    """Folds the job stream into the job view, each record once and in order.
 
-    Reads that are asked for while one is under way share the next one.
+    Requests that arrive during a read share the following read.
     """
 
-    def __init__(self, *, ctx: context.Context, book: job_book.JobBook) -> None:
-        """Initializes a reader at the book's offset.
+    def __init__(
+        self, *, ctx: context.Context, job_view: job_book.JobBook
+    ) -> None:
+        """Initializes a reader at the offset of the job view.
 
         Args:
             ctx: The shared context.
-            book: Takes the records.
+            job_view: The view that the records are folded into.
         """
         self.listeners: list[Callable[[records.Record], None]] = []
         self._ctx = ctx
-        self._book = book
+        self._job_view = job_view
         self._stream = records.job_stream(ctx.settings.failure_domain)
-        self._reading: list[OnRead] = []
-        self._waiting: list[OnRead] = []
+        self._current_callbacks: list[ReadCallback] = []
+        self._next_callbacks: list[ReadCallback] = []
 
-    def read_to_end(self, on_read: OnRead) -> None:
-        """Reads all that the stream holds from now on.
+    def read_to_end(self, on_read: ReadCallback) -> None:
+        """Reads the job stream to its end.
 
         Args:
-            on_read: Told whether the end was reached; False if the log did
-                not answer.
+            on_read: Called with True once the end was reached, or with False
+                if the log did not answer.
         """
-        self._waiting.append(on_read)
-        if not self._reading:
-            self._begin()
+        self._next_callbacks.append(on_read)
+        if not self._current_callbacks:
+            self._start_next_read()
 
-    def _begin(self) -> None:
-        self._reading = self._waiting
-        self._waiting = []
-        if self._reading:
-            self._read()
+    def _start_next_read(self) -> None:
+        self._current_callbacks = self._next_callbacks
+        self._next_callbacks = []
+        if self._current_callbacks:
+            self._read_page()
 
-    def _read(self) -> None:
-        self._ctx.read_log(self._stream, self._book.next_offset, self._was_read)
+    def _read_page(self) -> None:
+        self._ctx.read_log(
+            self._stream, self._job_view.next_offset, self._on_page_read
+        )
 
-    def _was_read(self, page: messages.LogPage | None) -> None:
+    def _on_page_read(self, page: messages.LogPage | None) -> None:
         if page is not None:
-            for record in self._book.fold_page(page):
+            for record in self._job_view.fold_page(page):
                 for listener in self.listeners:
                     listener(record)
-            if self._book.next_offset < page.end and page.records:
-                self._read()
+            if self._job_view.next_offset < page.end and page.records:
+                self._read_page()
                 return
-        done = self._reading
-        self._reading = []
-        for on_read in done:
+        callbacks = self._current_callbacks
+        self._current_callbacks = []
+        for on_read in callbacks:
             on_read(page is not None)
-        if not self._reading:
-            self._begin()
+        if not self._current_callbacks:
+            self._start_next_read()
