--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -3,19 +3,19 @@
 from collections.abc import Callable
 
 from citronmount.agent import call_router
-from citronmount.agent import claims as claims_lib
+from citronmount.agent import claims
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
 from citronmount.agent import domain_rooms
-from citronmount.agent import drain as drain_lib
+from citronmount.agent import drain
 from citronmount.agent import effects
 from citronmount.agent import events
-from citronmount.agent import heartbeats as heartbeats_lib
-from citronmount.agent import joining as joining_lib
+from citronmount.agent import heartbeats
+from citronmount.agent import joining
 from citronmount.agent import keeping as keeping_lib
-from citronmount.agent import mover as mover_lib
-from citronmount.agent import outbox as outbox_lib
-from citronmount.agent import ownership as ownership_lib
+from citronmount.agent import mover
+from citronmount.agent import outbox
+from citronmount.agent import ownership
 from citronmount.agent import request_handler
 from citronmount.agent import settings as settings_lib
 from citronmount.agent import stream_reader
@@ -65,11 +65,11 @@
             remote_suspicion_ms=settings.remote_suspicion_ms,
         )
         self.job_view = job_book.JobBook(failure_domain=settings.failure_domain)
-        self.outbox = outbox_lib.Outbox(ctx=self._ctx, view=self.view)
+        self.outbox = outbox.Outbox(ctx=self._ctx, view=self.view)
         self.reader = stream_reader.StreamReader(
             ctx=self._ctx, job_view=self.job_view
         )
-        self.claims = claims_lib.Claims(
+        self.claims = claims.Claims(
             ctx=self._ctx,
             view=self.view,
             job_view=self.job_view,
@@ -82,7 +82,7 @@
             outbox=self.outbox,
             on_change=self._on_configuration_change,
         )
-        self.ownership = ownership_lib.Ownership(
+        self.ownership = ownership.Ownership(
             ctx=self._ctx,
             view=self.view,
             job_view=self.job_view,
@@ -119,7 +119,7 @@
             capacity=capacity,
             requests=self.requests,
         )
-        self.mover = mover_lib.Mover(
+        self.mover = mover.Mover(
             ctx=self._ctx,
             outbox=self.outbox,
             ownership=self.ownership,
@@ -127,7 +127,7 @@
             capacity=capacity,
             configuration=self.configuration,
         )
-        self.drain = drain_lib.Drain(
+        self.drain = drain.Drain(
             ctx=self._ctx,
             view=self.view,
             outbox=self.outbox,
@@ -135,7 +135,7 @@
             calls=self.calls,
             requests=self.requests,
         )
-        self.joining = joining_lib.Joining(
+        self.joining = joining.Joining(
             ctx=self._ctx,
             view=self.view,
             reader=self.reader,
@@ -143,7 +143,7 @@
             ownership=self.ownership,
             listen_ms=self.settings.heartbeat_ms * 2,
         )
-        self.heartbeats = heartbeats_lib.HeartbeatSender(
+        self.heartbeats = heartbeats.HeartbeatSender(
             ctx=self._ctx,
             view=self.view,
             configuration=self.configuration,
--- a/citronmount/agent/configuration.py
+++ b/citronmount/agent/configuration.py
@@ -6,8 +6,8 @@
 
 from citronmount.agent import context
 from citronmount.agent import outbox as outbox_lib
-from citronmount.config import configuration as configuration_lib
-from citronmount.config import fold as fold_lib
+from citronmount.config import configuration
+from citronmount.config import fold
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -52,7 +52,7 @@
         ctx: context.Context,
         view: view_lib.MembershipView,
         outbox: outbox_lib.Outbox,
-        on_change: Callable[[configuration_lib.Configuration], None],
+        on_change: Callable[[configuration.Configuration], None],
     ) -> None:
         """Initializes with an untrusted, empty fold.
 
@@ -62,7 +62,7 @@
             outbox: Receives whether the log answers.
             on_change: Called with every new version in force.
         """
-        self.fold = fold_lib.ConfigurationFold()
+        self.fold = fold.ConfigurationFold()
         self._ctx = ctx
         self._view = view
         self._outbox = outbox
@@ -206,7 +206,7 @@
         outcome = self.fold.outcome(publication.change.record)
         if outcome is None:
             return False
-        accepted = outcome is fold_lib.ChangeOutcome.ACCEPTED
+        accepted = outcome is fold.ChangeOutcome.ACCEPTED
         self._answer(
             publication,
             codes.ResultCode.CONFIGURATION_ACCEPTED
