--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -26,7 +26,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -64,7 +64,7 @@
             suspicion_ms=settings.suspicion_ms,
             remote_suspicion_ms=settings.remote_suspicion_ms,
         )
-        self.job_view = job_book.JobBook(failure_domain=settings.failure_domain)
+        self.job_view = job_view.JobView(failure_domain=settings.failure_domain)
         self.outbox = outbox.Outbox(ctx=self._ctx, view=self.view)
         self.reader = stream_reader.StreamReader(
             ctx=self._ctx, job_view=self.job_view
@@ -362,7 +362,7 @@
                 vote = self.claims.vote(claim)
                 self._ctx.send(sender, _with_call(vote, call))
             case peer_messages.ReleaseKey(key=key, record=record):
-                self.job_view.free(key, record)
+                self.job_view.free_claim(key, record)
             case _:
                 self._handle_state_message(sender, message)
 
@@ -437,7 +437,7 @@
     ) -> peer_messages.StateAnswer:
         fold = self.configuration.fold
         jobs_wanted = request.stream != records.CONFIG_STREAM
-        job_view = self.job_view if jobs_wanted else self._empty_job_view()
+        answered_view = self.job_view if jobs_wanted else self._empty_job_view()
         since_ms = 0
         if request.recent_claims:
             since_ms = self._ctx.wall_ms - RECENT_CLAIMS_MS
@@ -448,7 +448,7 @@
                 if fold.trusted
                 else None
             ),
-            jobs=job_view.snapshot(
+            jobs=answered_view.snapshot(
                 ids.RecordId(self._ctx.unique_id()), claims_since_ms=since_ms
             ),
             unappended=self.outbox.unappended(request.stream),
@@ -456,8 +456,8 @@
             ready=self.view.ready,
         )
 
-    def _empty_job_view(self) -> job_book.JobBook:
-        return job_book.JobBook(failure_domain=self.settings.failure_domain)
+    def _empty_job_view(self) -> job_view.JobView:
+        return job_view.JobView(failure_domain=self.settings.failure_domain)
 
     def _on_configuration_change(
         self, current: configuration.Configuration
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -12,7 +12,7 @@
 from citronmount.core import jobs
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 
 __all__ = ["ClaimOutcome", "Claims"]
@@ -68,7 +68,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        job_view: job_book.JobBook,
+        job_view: job_view.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
     ) -> None:
@@ -156,7 +156,7 @@
             if other.record != claim.record
         )
         holder = next(conflicting, None)
-        freed = self._job_view.is_freed(claim.record)
+        freed = self._job_view.is_claim_freed(claim.record)
         if holder is None and self._view.ready and not freed:
             self._job_view.fold(claim)
         granted = holder is None and self._view.ready and not freed
@@ -254,7 +254,7 @@
         """Updates the logged claims of keys with a pending claim."""
         match record:
             case records.KeyClaimed():
-                if self._job_view.is_freed(record.record):
+                if self._job_view.is_claim_freed(record.record):
                     return
                 for pending in self._pending_claims_of(record.key):
                     pending.in_log.append(record)
--- a/citronmount/agent/job_runs.py
+++ b/citronmount/agent/job_runs.py
@@ -212,7 +212,7 @@
             if outcome.durability is None:
                 attempt.stop(decisions.AttemptEnd.REFUSED)
                 return
-            self._core.book.fold(intent)
+            self._core.job_view.fold(intent)
             attempt.permit()
 
         self._core.outbox.write(self._core.stream, intent, written)
@@ -222,7 +222,9 @@
         entry.state = states.JobState.RUNNING
         entry.ever_ran = True
         entry.refusals = 0
-        self._core.scheduler.started(attempt.spec.job, self._core.ctx.now_ms)
+        self._core.scheduler.attempt_started(
+            attempt.spec.job, self._core.ctx.now_ms
+        )
         self._core.ctx.trace(
             timeline.EventKind.JOB_STARTED,
             job=attempt.spec.job,
@@ -247,7 +249,7 @@
             self._core.forget.setdefault(worker, set()).add(attempt.attempt)
         final = _final_result(entry, result)
         refused = result.how is decisions.AttemptEnd.REFUSED
-        verdict = self._core.scheduler.ended(
+        verdict = self._core.scheduler.attempt_ended(
             job,
             result.how,
             self._core.ctx.now_ms,
@@ -263,7 +265,7 @@
         entry.state = states.JobState.QUEUED
         if refused:
             self._back_off(entry)
-        for claim in self._core.book.claims_of(f"job/{job}"):
+        for claim in self._core.job_view.claims_of(f"job/{job}"):
             self._free_claim(claim)
 
     def _back_off(self, entry: job_table.JobEntry) -> None:
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -15,7 +15,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -54,7 +54,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        job_view: job_book.JobBook,
+        job_view: job_view.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
         claims: claims_lib.Claims,
@@ -276,7 +276,7 @@
         Args:
             answer: The peer's answer to a state request.
         """
-        self._job_view.merge(answer.jobs)
+        self._job_view.merge_snapshot(answer.jobs)
         for record in answer.unappended:
             self._job_view.fold(record)
         self.learn_token(answer.token)
@@ -320,7 +320,7 @@
         core = domain_core.DomainCore(
             ctx=self._ctx,
             token=self.token,
-            book=self._job_view,
+            job_view=self._job_view,
             outbox=self._outbox,
             claims=self._claims,
             policy=self._ctx.settings.policy,
--- a/citronmount/agent/stream_reader.py
+++ b/citronmount/agent/stream_reader.py
@@ -4,7 +4,7 @@
 
 from citronmount.agent import context
 from citronmount.services import messages
-from citronmount.state import job_book
+from citronmount.state import job_view
 from citronmount.state import records
 
 __all__ = ["StreamReader"]
@@ -19,7 +19,7 @@
     """
 
     def __init__(
-        self, *, ctx: context.Context, job_view: job_book.JobBook
+        self, *, ctx: context.Context, job_view: job_view.JobView
     ) -> None:
         """Initializes a reader at the offset of the job view.
 
