--- a/citronmount/workflow/book.py
+++ b/citronmount/workflow/job_views.py
@@ -10,7 +10,7 @@
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
-__all__ = ["Book", "JobEntry"]
+__all__ = ["JobEntry", "JobView"]
 
 _FINAL_STATES = {
     records.FinalState.COMPLETE: states.JobState.DONE,
@@ -55,7 +55,7 @@
         return states.JobState.QUEUED
 
 
-class Book:
+class JobView:
     """Folds records by offset; folding one twice changes nothing.
 
     Records may come from the tail of the topic, from the newest record of
@@ -73,7 +73,7 @@
         """Initializes an empty book."""
         self.jobs: dict[ids.JobId, JobEntry] = {}
         self.finished: dict[ids.JobId, records.Finished] = {}
-        self.owned: records.Owned | None = None
+        self.ownership: records.OwnershipTaken | None = None
         self.speeds: dict[str, float] = {}
         self._offsets: dict[str, int] = {}
         self._early: dict[ids.JobId, list[tuple[int, records.Record]]] = {}
@@ -97,8 +97,8 @@
                 return self._submit(offset, record.submission)
             case records.Finished():
                 return self._finish(record)
-            case records.Owned():
-                self.owned = record
+            case records.OwnershipTaken():
+                self.ownership = record
                 return True
             case records.SpeedsLearned():
                 self.speeds = record.logs
@@ -108,7 +108,7 @@
             case records.UnitChanged():
                 return self._change_unit(offset, record)
 
-    def drop(self, offset: int, key: str) -> None:
+    def apply_removal(self, offset: int, key: str) -> None:
         """Folds a record that removes a key.
 
         Args:
@@ -120,7 +120,7 @@
         self._offsets.pop(key, None)
         self.finished.pop(records.job_of_final_key(key), None)
 
-    def state(self, job: ids.JobId) -> states.JobState | None:
+    def state_of(self, job: ids.JobId) -> states.JobState | None:
         """Returns the state of a job, or None if it is not known."""
         final = self.finished.get(job)
         if final is not None:
@@ -136,7 +136,7 @@
         entry = self.jobs.get(job)
         return entry.submission.terms.queue if entry else None
 
-    def pending(self, queue: spec.QueueName) -> int:
+    def count_queued(self, queue: spec.QueueName) -> int:
         """Returns how many jobs of a queue have not begun."""
         return sum(
             entry.submission.terms.queue == queue
@@ -153,7 +153,7 @@
         changed = map(records.unit_key, entry.progress.changed)
         return list(itertools.chain([records.job_key(job)], cancel, changed))
 
-    def expired(self, before_ms: int) -> list[ids.JobId]:
+    def expired_jobs(self, before_ms: int) -> list[ids.JobId]:
         """Returns the jobs whose final state is older than a Unix time."""
         return [
             job
