--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -6,13 +6,13 @@
 from citronmount.agent import claims as claims_lib
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_rooms
+from citronmount.agent import domain_capacity
 from citronmount.agent import drain as drain_lib
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.agent import heartbeats as heartbeats_lib
 from citronmount.agent import joining as joining_lib
-from citronmount.agent import keeping as keeping_lib
+from citronmount.agent import lease_renewer
 from citronmount.agent import mover as mover_lib
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import ownership as ownership_lib
@@ -93,11 +93,11 @@
         self._make_desks()
 
     def _make_desks(self) -> None:
-        self.keeping = keeping_lib.Keeping(
+        self.lease_renewer = lease_renewer.LeaseRenewer(
             ctx=self._ctx,
             view=self.view,
             on_report=self._worker_report,
-            on_lost=self._worker_lost,
+            on_worker_lost=self._worker_lost,
             on_token=self.ownership.learn_token,
         )
         self.requests = request_desk.RequestDesk(
@@ -106,7 +106,7 @@
             configuration_keeper=self.configuration,
             claims=self.claims,
         )
-        rooms = domain_rooms.DomainRooms(
+        rooms = domain_capacity.DomainCapacityTracker(
             ctx=self._ctx, view=self.view, ownership=self.ownership
         )
         self.calls = call_desk.CallDesk(
@@ -245,7 +245,7 @@
         self.claims.tick()
         self._reassign()
         self.ownership.tick()
-        self._tick_keeping()
+        self._tick_lease_renewer()
         self.mover.tick()
         self.calls.tick()
         self.drain.tick(len(self._tickets))
@@ -294,21 +294,23 @@
         if assigned == self._assigned:
             return
         self._assigned = assigned
-        self.keeping.assign(self._workers)
+        self.lease_renewer.assign_workers(self._workers)
         members = sorted({*candidates, self.settings.vm})
         self.requests.router.set_share(
             members.index(self.settings.vm), len(members)
         )
 
-    def _tick_keeping(self) -> None:
+    def _tick_lease_renewer(self) -> None:
         domain = self.ownership.domain
         if domain is not None:
-            self.keeping.owner_heard()
-            self.keeping.lapse = frozenset(domain.lapsing())
+            self.lease_renewer.note_owner_alive()
+            self.lease_renewer.lapsing_attempts = frozenset(
+                domain.lapsing_attempts()
+            )
         owner = self.view.owner(self.settings.failure_domain, self._ctx.now_ms)
         rebuilding = owner == self.settings.vm and domain is None
         reachable = None if rebuilding else owner
-        self.keeping.tick(self.ownership.token, reachable)
+        self.lease_renewer.tick(self.ownership.token, reachable)
 
     def _call_arrived(self, event: events.CallArrived) -> None:
         ticket = event.ticket
@@ -367,7 +369,7 @@
             case peer_messages.LapseAttempts(token=token, attempts=attempts):
                 self.ownership.learn_token(token)
                 if token == self.ownership.token:
-                    self.keeping.lapse = frozenset(attempts)
+                    self.lease_renewer.lapsing_attempts = frozenset(attempts)
             case peer_messages.StateRequest():
                 self._ctx.send(sender, self._state_answer(message))
 
@@ -387,7 +389,7 @@
         self.ownership.learn_token(heartbeat.token)
         self.requests.router.peer_free_slots(sender, heartbeat.free_slots)
         if heartbeat.domain is not None:
-            self.keeping.owner_heard()
+            self.lease_renewer.note_owner_alive()
 
     def _replicate(
         self, sender: ids.VmId, message: peer_messages.Replicate
@@ -398,7 +400,7 @@
             for record in message.records:
                 self.book.fold(record)
             if self.ownership.domain is not None:
-                self.ownership.domain.rebuilding.restore_missing()
+                self.ownership.domain.rebuilder.restore_missing_jobs()
         self._ctx.send(sender, peer_messages.Acknowledge(call=message.call))
 
     def _keeper_report(
@@ -409,17 +411,17 @@
             return
         self._ctx.send(sender, peer_messages.Acknowledge(call=message.call))
         for report in message.reports:
-            domain.reports.worker_report(report)
+            domain.reports.handle_report(report)
         for worker in message.lost:
-            domain.reports.worker_lost(worker)
+            domain.reports.handle_worker_lost(worker)
 
     def _worker_report(self, report: messages.Report) -> None:
         if self.ownership.domain is not None:
-            self.ownership.domain.reports.worker_report(report)
+            self.ownership.domain.reports.handle_report(report)
 
     def _worker_lost(self, worker: ids.WorkerId) -> None:
         if self.ownership.domain is not None:
-            self.ownership.domain.reports.worker_lost(worker)
+            self.ownership.domain.reports.handle_worker_lost(worker)
 
     def _state_answer(
         self, request: peer_messages.StateRequest
--- a/citronmount/agent/job_runs.py
+++ b/citronmount/agent/attempt_manager.py
@@ -2,8 +2,8 @@
 
 from citronmount.agent import attempts as attempts_lib
 from citronmount.agent import claims as claims_lib
-from citronmount.agent import domain_core
-from citronmount.agent import job_ends
+from citronmount.agent import domain_context
+from citronmount.agent import job_completion
 from citronmount.agent import job_table
 from citronmount.agent import outbox as outbox_lib
 from citronmount.core import codes
@@ -16,28 +16,28 @@
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
-__all__ = ["JobRuns"]
+__all__ = ["AttemptManager"]
 
 BACKOFF_MS = 250
 BACKOFF_MAX_MS = 8_000
 
 
-class JobRuns:
+class AttemptManager:
     """Places, evicts and follows attempts, and queues jobs again."""
 
     def __init__(
         self,
         *,
-        core: domain_core.DomainCore,
-        ends: job_ends.JobEnds,
+        domain: domain_context.DomainContext,
+        ends: job_completion.JobCompletion,
     ) -> None:
         """Initializes the part.
 
         Args:
-            core: What the parts of the failure domain share.
+            domain: What the parts of the failure domain share.
             ends: Ends jobs.
         """
-        self._core = core
+        self._domain = domain
         self._ends = ends
 
     def carry_out(self, decision: decisions.Decision) -> None:
@@ -55,18 +55,18 @@
                 self._ends.finish_queued(decision.job, decision.result)
 
     def _place(self, decision: decisions.PlaceJob) -> None:
-        entry = self._core.table.entries[decision.job]
+        entry = self._domain.table.entries[decision.job]
         entry.attempts += 1
         number = entry.attempts
         attempt = self.new_attempt(
             entry,
-            ids.attempt_id(decision.job, number, self._core.token),
+            ids.attempt_id(decision.job, number, self._domain.token),
             number,
             decision.placement,
         )
         entry.state = states.JobState.STARTING
         entry.workers = attempt.workers
-        self._core.ctx.trace(
+        self._domain.ctx.trace(
             timeline.EventKind.JOB_PLACED,
             job=decision.job,
             attempt=attempt.attempt,
@@ -81,20 +81,22 @@
             self._claim_attempt(entry, attempt)
 
     def _evict(self, decision: decisions.EvictJob) -> None:
-        attempt = self._core.attempt_of(decision.job)
+        attempt = self._domain.attempt_of(decision.job)
         if attempt is None:
             return
         if attempt.phase is gang_lib.GangPhase.STOPPING:
             return
-        limit_ms = self._core.ctx.settings.reclaim_grace_ms
+        limit_ms = self._domain.ctx.settings.reclaim_grace_ms
         grace_ms = min(decision.grace_ms, limit_ms)
-        self._core.ctx.trace(
+        self._domain.ctx.trace(
             timeline.EventKind.JOB_EVICTING,
             job=decision.job,
             attempt=attempt.attempt,
             detail=decision.beneficiary,
         )
-        self._core.table.entries[decision.job].state = states.JobState.STOPPING
+        self._domain.table.entries[
+            decision.job
+        ].state = states.JobState.STOPPING
         attempt.stop(decisions.AttemptEnd.EVICTED, grace_ms=grace_ms)
 
     def conclude(
@@ -109,8 +111,8 @@
         attempt = self.new_attempt(
             entry, intent.attempt, intent.number, intent.placement
         )
-        self._core.scheduler.adopt(
-            entry.spec, intent.placement, self._core.ctx.now_ms
+        self._domain.scheduler.adopt(
+            entry.spec, intent.placement, self._domain.ctx.now_ms
         )
         entry.state = states.JobState.STOPPING
         attempt.conclude()
@@ -134,21 +136,21 @@
             The attempt.
         """
         attempt = attempts_lib.Attempt(
-            ctx=self._core.ctx,
+            ctx=self._domain.ctx,
             attempt=attempt_id,
             number=number,
-            token=self._core.token,
+            token=self._domain.token,
             spec=entry.spec,
             placement=placement,
             targets=self._targets_of(placement),
             handlers=attempts_lib.AttemptHandlers(
                 on_started=self._attempt_started,
                 on_ended=self._attempt_ended,
-                on_answer=self._core.on_worker_answer,
+                on_answer=self._domain.on_worker_answer,
             ),
         )
-        self._core.attempts[attempt_id] = attempt
-        self._core.by_job[entry.spec.job] = attempt_id
+        self._domain.attempts[attempt_id] = attempt
+        self._domain.attempt_by_job[entry.spec.job] = attempt_id
         return attempt
 
     def _targets_of(
@@ -156,11 +158,11 @@
     ) -> dict[ids.WorkerId, messages.ListedTarget]:
         """Returns the placement's targets; unlisted ones never answer."""
         return {
-            group.worker: self._core.targets.get(group.worker)
+            group.worker: self._domain.targets.get(group.worker)
             or messages.ListedTarget(
                 name=group.worker,
                 address="",
-                failure_domain=self._core.failure_domain,
+                failure_domain=self._domain.failure_domain,
             )
             for group in placement.groups
         }
@@ -172,7 +174,7 @@
         job = entry.spec.job
 
         def claimed(outcome: claims_lib.ClaimOutcome) -> None:
-            if attempt.attempt not in self._core.attempts:
+            if attempt.attempt not in self._domain.attempts:
                 return
             if outcome.granted:
                 attempt.begin()
@@ -182,25 +184,28 @@
                 self._free_claim(outcome.holder)
             attempt.stop(decisions.AttemptEnd.REFUSED)
 
-        self._core.claims.claim(f"job/{job}", "", claimed)
+        self._domain.claims.claim(f"job/{job}", "", claimed)
 
     def _all_fenced(self) -> bool:
         """Returns whether no worker takes calls of an earlier owner."""
-        return all(worker in self._core.fenced for worker in self._core.targets)
+        return all(
+            worker in self._domain.fenced_workers
+            for worker in self._domain.targets
+        )
 
     def _free_claim(self, claim: records.KeyClaimed) -> None:
         """Frees the claim of an attempt that never ran and never will."""
         not_run = jobs.RequestResult(
             request=ids.RequestId(""), code=codes.ResultCode.TARGET_REFUSED
         )
-        self._core.claims.finish(claim, not_run)
+        self._domain.claims.finish(claim, not_run)
 
     def _write_intent(self, attempt: attempts_lib.Attempt) -> None:
         intent = records.AttemptIntended(
             record=ids.RecordId(f"intent:{attempt.attempt}"),
             job=attempt.spec.job,
             spec=attempt.spec,
-            token=self._core.token,
+            token=self._domain.token,
             attempt=attempt.attempt,
             number=attempt.number,
             placement=attempt.placement,
@@ -212,18 +217,20 @@
             if outcome.durability is None:
                 attempt.stop(decisions.AttemptEnd.REFUSED)
                 return
-            self._core.job_view.fold(intent)
+            self._domain.job_view.fold(intent)
             attempt.permit()
 
-        self._core.outbox.write(self._core.stream, intent, written)
+        self._domain.outbox.write(self._domain.stream, intent, written)
 
     def _attempt_started(self, attempt: attempts_lib.Attempt) -> None:
-        entry = self._core.table.entries[attempt.spec.job]
+        entry = self._domain.table.entries[attempt.spec.job]
         entry.state = states.JobState.RUNNING
         entry.ever_ran = True
         entry.refusals = 0
-        self._core.scheduler.started(attempt.spec.job, self._core.ctx.now_ms)
-        self._core.ctx.trace(
+        self._domain.scheduler.started(
+            attempt.spec.job, self._domain.ctx.now_ms
+        )
+        self._domain.ctx.trace(
             timeline.EventKind.JOB_STARTED,
             job=attempt.spec.job,
             attempt=attempt.attempt,
@@ -237,55 +244,57 @@
         result: attempts_lib.AttemptResult,
     ) -> None:
         job = attempt.spec.job
-        entry = self._core.table.entries[job]
-        del self._core.attempts[attempt.attempt]
-        del self._core.by_job[job]
+        entry = self._domain.table.entries[job]
+        del self._domain.attempts[attempt.attempt]
+        del self._domain.attempt_by_job[job]
         entry.workers = ()
         entry.ever_ran = entry.ever_ran or result.ran is not False
         entry.progress = max(entry.progress, result.progress)
         for worker in attempt.workers:
-            self._core.forget.setdefault(worker, set()).add(attempt.attempt)
+            self._domain.forgettable_attempts.setdefault(worker, set()).add(
+                attempt.attempt
+            )
         final = _final_result(entry, result)
         refused = result.how is decisions.AttemptEnd.REFUSED
-        verdict = self._core.scheduler.ended(
+        verdict = self._domain.scheduler.ended(
             job,
             result.how,
-            self._core.ctx.now_ms,
+            self._domain.ctx.now_ms,
             culprits=result.culprits,
             requeue=final is None and not refused,
             progress=entry.progress,
         )
         final = final or _truthful_verdict(entry, verdict)
-        self._core.decision_due = True
+        self._domain.decision_due = True
         if final is not None:
             self._ends.finish(job, final)
             return
         entry.state = states.JobState.QUEUED
         if refused:
             self._back_off(entry)
-        for claim in self._core.job_view.claims_of(f"job/{job}"):
+        for claim in self._domain.job_view.claims_of(f"job/{job}"):
             self._free_claim(claim)
 
     def _back_off(self, entry: job_table.JobEntry) -> None:
         """Keeps a job that was refused out of the queue for a while."""
         hold_ms = min(BACKOFF_MS << entry.refusals, BACKOFF_MAX_MS)
         entry.refusals += 1
-        self._core.held_until_ms[entry.spec.job] = (
-            self._core.ctx.now_ms + hold_ms
+        self._domain.hold_until_ms[entry.spec.job] = (
+            self._domain.ctx.now_ms + hold_ms
         )
 
     def release_held(self) -> None:
         """Queues held jobs once no silent worker can run them any more."""
         due = [
             job
-            for job, until_ms in self._core.held_until_ms.items()
-            if until_ms <= self._core.ctx.now_ms
+            for job, until_ms in self._domain.hold_until_ms.items()
+            if until_ms <= self._domain.ctx.now_ms
         ]
         for job in due:
-            del self._core.held_until_ms[job]
-            entry = self._core.table.entries[job]
-            self._core.scheduler.restore(
-                entry.spec, self._core.ctx.now_ms, progress=entry.progress
+            del self._domain.hold_until_ms[job]
+            entry = self._domain.table.entries[job]
+            self._domain.scheduler.restore(
+                entry.spec, self._domain.ctx.now_ms, progress=entry.progress
             )
 
 
@@ -304,7 +313,7 @@
                 exit_code=result.exit_code,
             )
     if entry.cancelled:
-        return job_ends.cancel_result(entry)
+        return job_completion.cancel_result(entry)
     if entry.spec.idempotent or result.ran is False:
         return None
     if result.ran is None:
--- a/citronmount/agent/call_desk.py
+++ b/citronmount/agent/call_desk.py
@@ -9,7 +9,7 @@
 from citronmount.agent import call_answers
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_rooms
+from citronmount.agent import domain_capacity
 from citronmount.agent import job_submission
 from citronmount.agent import ownership as ownership_lib
 from citronmount.agent import request_desk
@@ -63,7 +63,7 @@
         view: view_lib.MembershipView,
         configuration: configuration_lib.ConfigurationKeeper,
         ownership: ownership_lib.Ownership,
-        rooms: domain_rooms.DomainRooms,
+        rooms: domain_capacity.DomainCapacityTracker,
         requests: request_desk.RequestDesk,
     ) -> None:
         """Initializes a desk without calls.
@@ -88,7 +88,7 @@
         self._submission = job_submission.JobSubmission(
             ctx=ctx,
             configuration=configuration,
-            rooms=rooms,
+            capacity=rooms,
             route=self.route,
         )
 
@@ -281,15 +281,15 @@
                 return
         match body:
             case peer_messages.SubmitJob(spec=spec, eager=eager, move=move):
-                domain.intake.submit(spec, respond, eager=eager, move=move)
+                domain.job_calls.submit(spec, respond, eager=eager, move=move)
             case peer_messages.GetJob(job=job, wait_ms=wait_ms):
-                domain.intake.status(job, wait_ms, respond)
+                domain.job_calls.status(job, wait_ms, respond)
             case peer_messages.CancelJob(job=job):
-                domain.intake.cancel(job, respond)
+                domain.job_calls.cancel(job, respond)
             case peer_messages.CancelJobs(account=account):
-                respond(domain.intake.cancel_account(account))
+                respond(domain.job_calls.cancel_account(account))
             case peer_messages.ListJobs(account=account, limit=limit):
-                respond(domain.intake.statuses(account, limit))
+                respond(domain.job_calls.statuses(account, limit))
 
     def _follow(
         self,
--- a/citronmount/agent/domain_rooms.py
+++ b/citronmount/agent/domain_capacity.py
@@ -9,10 +9,10 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 
-__all__ = ["DomainRooms"]
+__all__ = ["DomainCapacityTracker"]
 
 
-class DomainRooms:
+class DomainCapacityTracker:
     """The room that owners tell of, less what was sent there since."""
 
     def __init__(
@@ -36,7 +36,9 @@
             collections.deque()
         )
 
-    def note_sent(self, home: ids.FailureDomainId, accelerators: int) -> None:
+    def record_submission(
+        self, home: ids.FailureDomainId, accelerators: int
+    ) -> None:
         """Notes that a job was sent to a failure domain.
 
         Args:
@@ -45,7 +47,7 @@
         """
         self._sent.append((self._ctx.now_ms, home, accelerators))
 
-    def rooms(self) -> dict[ids.FailureDomainId, homes.DomainRoom]:
+    def free_capacity(self) -> dict[ids.FailureDomainId, homes.DomainRoom]:
         """Returns the room in each failure domain that has an owner.
 
         What this VM has sent there since the last heartbeats is taken off.
--- a/citronmount/agent/domain_core.py
+++ b/citronmount/agent/domain_context.py
@@ -17,10 +17,10 @@
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
-__all__ = ["DomainCore"]
+__all__ = ["DomainContext"]
 
 
-class DomainCore:
+class DomainContext:
     """State and services of an owned failure domain.
 
     Attributes:
@@ -38,12 +38,13 @@
         table: Open jobs.
         targets: The workers.
         attempts: Attempts that have not ended.
-        by_job: The attempt of each job that has one.
-        held_until_ms: Jobs kept out of the queue until a monotonic time.
-        fenced: Workers that have seen the token.
-        forget: Ended attempts that workers may drop from their reports.
+        attempt_by_job: The attempt of each job that has one.
+        hold_until_ms: Jobs kept out of the queue until a monotonic time.
+        fenced_workers: Workers that have seen the token.
+        forgettable_attempts: Ended attempts that workers may drop from their
+            reports.
         token_check: Confirms the token with workers.
-        placing: Whether new attempts may begin.
+        placement_enabled: Whether new attempts may begin.
         decision_due: Whether something has happened that may make room.
     """
 
@@ -87,14 +88,14 @@
         self.table = job_table.JobTable()
         self.targets: dict[ids.WorkerId, messages.ListedTarget] = {}
         self.attempts: dict[ids.AttemptId, attempts_lib.Attempt] = {}
-        self.by_job: dict[ids.JobId, ids.AttemptId] = {}
-        self.held_until_ms: dict[ids.JobId, int] = {}
-        self.fenced: set[ids.WorkerId] = set()
-        self.forget: dict[ids.WorkerId, set[ids.AttemptId]] = {}
+        self.attempt_by_job: dict[ids.JobId, ids.AttemptId] = {}
+        self.hold_until_ms: dict[ids.JobId, int] = {}
+        self.fenced_workers: set[ids.WorkerId] = set()
+        self.forgettable_attempts: dict[ids.WorkerId, set[ids.AttemptId]] = {}
         self.token_check = token_check.TokenCheck(
             ctx=ctx, token=token, on_fenced=on_fenced
         )
-        self.placing = True
+        self.placement_enabled = True
         self.decision_due = True
 
     def in_service(self) -> bool:
@@ -111,7 +112,7 @@
         Args:
             job: The job.
         """
-        attempt = self.by_job.get(job)
+        attempt = self.attempt_by_job.get(job)
         return None if attempt is None else self.attempts.get(attempt)
 
     def record(self, record: records.Record) -> None:
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -110,7 +110,7 @@
         failure_domain = self._ctx.settings.failure_domain
         if self._view.candidates(failure_domain, self._ctx.now_ms):
             return self._late()
-        return self._ownership.domain.idle() or self._late()
+        return self._ownership.domain.all_attempts_running() or self._late()
 
     def _late(self) -> bool:
         return self._elapsed_ms() >= self._ctx.settings.drain_limit_ms
--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -90,7 +90,7 @@
         if domain is None:
             return None
         return peer_messages.LapseAttempts(
-            token=domain.token, attempts=domain.lapsing()
+            token=domain.token, attempts=domain.lapsing_attempts()
         )
 
     def _heartbeat(self) -> peer_messages.Heartbeat:
--- a/citronmount/agent/job_intake.py
+++ b/citronmount/agent/job_call_handler.py
@@ -2,8 +2,8 @@
 
 import itertools
 
-from citronmount.agent import domain_core
-from citronmount.agent import job_ends
+from citronmount.agent import domain_context
+from citronmount.agent import job_completion
 from citronmount.agent import job_moves
 from citronmount.agent import job_table
 from citronmount.agent import outbox as outbox_lib
@@ -15,29 +15,29 @@
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
-__all__ = ["JobIntake"]
+__all__ = ["JobCallHandler"]
 
 RETRY_AFTER_MS = 2_000
 
 
-class JobIntake:
+class JobCallHandler:
     """Accepts, refuses, shows and cancels jobs."""
 
     def __init__(
         self,
         *,
-        core: domain_core.DomainCore,
-        ends: job_ends.JobEnds,
+        domain: domain_context.DomainContext,
+        ends: job_completion.JobCompletion,
         moves: job_moves.JobMoves,
     ) -> None:
         """Initializes the part.
 
         Args:
-            core: What the parts of the failure domain share.
+            domain: What the parts of the failure domain share.
             ends: Ends jobs.
             moves: Moves jobs to other failure domains.
         """
-        self._core = core
+        self._domain = domain
         self._ends = ends
         self._moves = moves
 
@@ -60,11 +60,11 @@
                 caller's submission.
         """
         digest = job_table.body_digest(spec)
-        ended = self._core.job_view.ended.get(spec.job)
+        ended = self._domain.job_view.ended.get(spec.job)
         if ended is not None:
             self._answer_again(spec, digest, ended.body_digest, respond)
             return
-        entry = self._core.table.entries.get(spec.job)
+        entry = self._domain.table.entries.get(spec.job)
         if entry is not None:
             known = job_table.body_digest(entry.spec)
             if known == digest and entry.durability is None:
@@ -93,9 +93,11 @@
             wait_ms: How long to wait for a final result.
             respond: Told the status.
         """
-        entry = self._core.table.entries.get(job)
+        entry = self._domain.table.entries.get(job)
         if entry is not None and wait_ms > 0:
-            self._core.table.wait(job, respond, self._core.ctx.now_ms + wait_ms)
+            self._domain.table.wait(
+                job, respond, self._domain.ctx.now_ms + wait_ms
+            )
         else:
             respond(self._status_answer(job))
 
@@ -111,8 +113,12 @@
         Returns:
             The newest ones, oldest first.
         """
-        ended = map(job_table.ended_status, self._core.job_view.ended.values())
-        opened = (entry.status() for entry in self._core.table.entries.values())
+        ended = map(
+            job_table.ended_status, self._domain.job_view.ended.values()
+        )
+        opened = (
+            entry.status() for entry in self._domain.table.entries.values()
+        )
         matching = [
             status
             for status in itertools.chain(ended, opened)
@@ -130,12 +136,14 @@
             respond: Told the final status, or the present one if tasks still
                 have to stop.
         """
-        entry = self._core.table.entries.get(job)
+        entry = self._domain.table.entries.get(job)
         if entry is None:
             respond(self._status_answer(job))
             return
-        limit_ms = self._core.ctx.settings.call_timeout_ms
-        self._core.table.wait(job, respond, self._core.ctx.now_ms + limit_ms)
+        limit_ms = self._domain.ctx.settings.call_timeout_ms
+        self._domain.table.wait(
+            job, respond, self._domain.ctx.now_ms + limit_ms
+        )
         self._ends.cancel(entry)
 
     def cancel_account(
@@ -151,7 +159,7 @@
         """
         entries = [
             entry
-            for entry in self._core.table.entries.values()
+            for entry in self._domain.table.entries.values()
             if entry.spec.account == account
         ]
         for entry in entries:
@@ -173,24 +181,24 @@
 
     def _moved_on(self, job: ids.JobId, move: int) -> bool:
         """Returns whether a submission is a late copy of one moved on."""
-        away = self._core.job_view.outgoing_move(job)
+        away = self._domain.job_view.outgoing_move(job)
         return away is not None and move <= away.number
 
     def _would_start(self, spec: jobs.JobSpec) -> bool:
         """Returns whether a job could start now, after those being accepted."""
         pending = any(
             entry.durability is None and entry.spec.account == spec.account
-            for entry in self._core.table.entries.values()
+            for entry in self._domain.table.entries.values()
         )
-        return not pending and self._core.scheduler.would_start(
-            spec, self._core.ctx.now_ms
+        return not pending and self._domain.scheduler.would_start(
+            spec, self._domain.ctx.now_ms
         )
 
     def _check(self, spec: jobs.JobSpec) -> jobs.JobResult | None:
         """Returns why a job is refused, without keeping it queued."""
-        refusal = self._core.scheduler.submit(spec, self._core.ctx.now_ms)
+        refusal = self._domain.scheduler.submit(spec, self._domain.ctx.now_ms)
         if refusal is None:
-            self._core.scheduler.cancel(spec.job)
+            self._domain.scheduler.cancel(spec.job)
         return refusal
 
     def _refuse(
@@ -199,7 +207,7 @@
         result: jobs.JobResult,
         respond: job_table.Responder,
     ) -> None:
-        self._core.ctx.trace(
+        self._domain.ctx.trace(
             timeline.EventKind.JOB_REFUSED,
             job=spec.job,
             account=spec.account,
@@ -219,12 +227,12 @@
         if move:
             self._moves.move_here(spec.job, move)
         entry = job_table.JobEntry(spec=spec, accept_responders=[respond])
-        self._core.table.entries[spec.job] = entry
+        self._domain.table.entries[spec.job] = entry
         record = records.JobAccepted(
             record=ids.RecordId(f"accept:{spec.job}"), spec=spec
         )
-        self._core.outbox.write(
-            self._core.stream,
+        self._domain.outbox.write(
+            self._domain.stream,
             record,
             lambda outcome: self._accept_written(entry, record, outcome),
         )
@@ -239,9 +247,9 @@
         if outcome is outbox_lib.WriteOutcome.NEVER_SENT:
             self._not_accepted(entry, codes.ResultCode.NOT_DURABLE)
             return
-        self._core.job_view.fold(record)
+        self._domain.job_view.fold(record)
         entry.durability = outcome.durability or states.Durability.PEERS
-        self._core.trace_accepted(entry)
+        self._domain.trace_accepted(entry)
         if outcome is outbox_lib.WriteOutcome.UNKNOWN:
             answer: peer_messages.Answer = peer_messages.Failure(
                 result=jobs.JobResult(
@@ -251,27 +259,27 @@
             )
         else:
             answer = peer_messages.JobAnswer(status=entry.status())
-        self._core.scheduler.restore(spec, self._core.ctx.now_ms)
+        self._domain.scheduler.restore(spec, self._domain.ctx.now_ms)
         for respond in entry.accept_responders:
             respond(answer)
         entry.accept_responders.clear()
         if entry.cancelled:
             self._ends.carry_out_cancel(entry)
-        self._core.decision_due = True
+        self._domain.decision_due = True
 
     def _not_accepted(
         self, entry: job_table.JobEntry, code: codes.ResultCode
     ) -> None:
-        self._core.table.entries.pop(entry.spec.job, None)
+        self._domain.table.entries.pop(entry.spec.job, None)
         for respond in entry.accept_responders:
             self._refuse(entry.spec, jobs.JobResult(code=code), respond)
         entry.accept_responders.clear()
 
     def _status_answer(self, job: ids.JobId) -> peer_messages.Answer:
-        entry = self._core.table.entries.get(job)
+        entry = self._domain.table.entries.get(job)
         if entry is not None:
             return peer_messages.JobAnswer(status=entry.status())
-        ended = self._core.job_view.ended.get(job)
+        ended = self._domain.job_view.ended.get(job)
         if ended is not None:
             status = job_table.ended_status(ended)
             return peer_messages.JobAnswer(status=status)
--- a/citronmount/agent/job_ends.py
+++ b/citronmount/agent/job_completion.py
@@ -1,6 +1,6 @@
 """Ends the jobs of an owned failure domain, truthfully."""
 
-from citronmount.agent import domain_core
+from citronmount.agent import domain_context
 from citronmount.agent import job_table
 from citronmount.core import codes
 from citronmount.core import decisions
@@ -10,23 +10,23 @@
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
-__all__ = ["JobEnds", "cancel_result"]
+__all__ = ["JobCompletion", "cancel_result"]
 
 
-class JobEnds:
+class JobCompletion:
     """Records final results and tells them once that is safe."""
 
     def __init__(
         self,
         *,
-        core: domain_core.DomainCore,
+        domain: domain_context.DomainContext,
     ) -> None:
         """Initializes the part.
 
         Args:
-            core: What the parts of the failure domain share.
+            domain: What the parts of the failure domain share.
         """
-        self._core = core
+        self._domain = domain
 
     def finish(self, job: ids.JobId, result: jobs.JobResult) -> None:
         """Records a final result and tells it once it is safe to do so.
@@ -35,7 +35,7 @@
             job: An open job without an attempt.
             result: Its final result.
         """
-        entry = self._core.table.entries[job]
+        entry = self._domain.table.entries[job]
         if entry.ending:
             return
         entry.ending = True
@@ -44,14 +44,14 @@
             record=ids.RecordId(f"end:{job}"),
             job=job,
             account=entry.spec.account,
-            token=self._core.token,
+            token=self._domain.token,
             result=result,
             attempts=entry.attempts,
             body_digest=job_table.body_digest(entry.spec),
             durability=entry.durability or states.Durability.LOG,
         )
-        self._core.outbox.write(
-            self._core.stream,
+        self._domain.outbox.write(
+            self._domain.stream,
             ended,
             lambda outcome: self._end_written(ended),
             limit_ms=None,
@@ -64,7 +64,7 @@
             job: The job.
             result: Its final result, if no attempt ever ran.
         """
-        entry = self._core.table.entries[job]
+        entry = self._domain.table.entries[job]
         if entry.ever_ran and codes.info(result.code).proves_not_run:
             result = jobs.JobResult(
                 code=codes.ResultCode.INTERRUPTED, detail=result.detail
@@ -75,38 +75,38 @@
         if ended.result.code is codes.ResultCode.DONE:
             self._tell_end(ended)
         else:
-            self._core.token_check.confirm(lambda: self._tell_end(ended))
+            self._domain.token_check.confirm(lambda: self._tell_end(ended))
 
     def _tell_end(self, ended: records.JobEnded) -> None:
-        if ended.job not in self._core.table.entries:
+        if ended.job not in self._domain.table.entries:
             return
-        self._core.job_view.fold(ended)
-        ended = self._core.job_view.ended[ended.job]
-        self._core.ctx.trace(
+        self._domain.job_view.fold(ended)
+        ended = self._domain.job_view.ended[ended.job]
+        self._domain.ctx.trace(
             timeline.EventKind.JOB_ENDED,
             job=ended.job,
             account=ended.account,
             code=int(ended.result.code),
         )
-        self._core.table.end(ended)
+        self._domain.table.end(ended)
 
     def drop_ended(self) -> None:
         """Gives up open jobs whose final result the book already has."""
         over = [
             job
-            for job, entry in self._core.table.entries.items()
-            if job in self._core.job_view.ended and not entry.ending
+            for job, entry in self._domain.table.entries.items()
+            if job in self._domain.job_view.ended and not entry.ending
         ]
         for job in over:
-            entry = self._core.table.entries[job]
+            entry = self._domain.table.entries[job]
             entry.cancelled = True
-            attempt = self._core.attempt_of(job)
+            attempt = self._domain.attempt_of(job)
             if attempt is not None:
                 attempt.stop(decisions.AttemptEnd.CANCELLED)
                 continue
-            self._core.scheduler.cancel(job)
-            self._core.held_until_ms.pop(job, None)
-            self._core.table.end(self._core.job_view.ended[job])
+            self._domain.scheduler.cancel(job)
+            self._domain.hold_until_ms.pop(job, None)
+            self._domain.table.end(self._domain.job_view.ended[job])
 
     def cancel(self, entry: job_table.JobEntry) -> None:
         """Cancels a job, at once or as soon as it is accepted.
@@ -127,17 +127,17 @@
             entry: A job whose acceptance is recorded.
         """
         job = entry.spec.job
-        attempt = self._core.attempt_of(job)
+        attempt = self._domain.attempt_of(job)
         if attempt is None:
-            self._core.scheduler.cancel(job)
-            self._core.held_until_ms.pop(job, None)
+            self._domain.scheduler.cancel(job)
+            self._domain.hold_until_ms.pop(job, None)
             self.finish(job, cancel_result(entry))
             return
         record = records.JobCancelled(
             record=ids.RecordId(f"cancel:{job}"), job=job
         )
-        self._core.job_view.fold(record)
-        self._core.outbox.write(self._core.stream, record)
+        self._domain.job_view.fold(record)
+        self._domain.outbox.write(self._domain.stream, record)
         entry.state = states.JobState.STOPPING
         attempt.stop(decisions.AttemptEnd.CANCELLED)
 
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from citronmount.agent import domain_core
-from citronmount.agent import job_ends
+from citronmount.agent import domain_context
+from citronmount.agent import job_completion
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
@@ -18,16 +18,16 @@
     def __init__(
         self,
         *,
-        core: domain_core.DomainCore,
-        ends: job_ends.JobEnds,
+        domain: domain_context.DomainContext,
+        ends: job_completion.JobCompletion,
     ) -> None:
         """Initializes the part.
 
         Args:
-            core: What the parts of the failure domain share.
+            domain: What the parts of the failure domain share.
             ends: Ends jobs.
         """
-        self._core = core
+        self._domain = domain
         self._ends = ends
 
     def moved_to(self, job: ids.JobId) -> ids.FailureDomainId | None:
@@ -39,19 +39,19 @@
         Returns:
             The failure domain, or None if the job was not moved.
         """
-        moved = self._core.job_view.outgoing_move(job)
-        if moved is None or job in self._core.table.entries:
+        moved = self._domain.job_view.outgoing_move(job)
+        if moved is None or job in self._domain.table.entries:
             return None
         return moved.to
 
-    def queued_specs(self) -> list[jobs.JobSpec]:
+    def movable_jobs(self) -> list[jobs.JobSpec]:
         """Returns queued jobs that may go elsewhere, first in line first.
 
         Jobs that ran before, or for which room is being cleared, stay.
         """
         entries = (
-            self._core.table.entries.get(job)
-            for job in self._core.scheduler.unclaimed()
+            self._domain.table.entries.get(job)
+            for job in self._domain.scheduler.unclaimed()
         )
         return [
             entry.spec
@@ -68,12 +68,12 @@
     ) -> list[tuple[jobs.JobSpec, records.JobMoved]]:
         """Returns the moves whose receiver has not answered yet."""
         return [
-            (self._core.table.entries[job].spec, moved)
-            for job, moved in self._core.job_view.moved.items()
+            (self._domain.table.entries[job].spec, moved)
+            for job, moved in self._domain.job_view.moved.items()
             if not moved.confirmed
-            and moved.to != self._core.failure_domain
-            and job in self._core.table.entries
-            and self._core.table.entries[job].ending
+            and moved.to != self._domain.failure_domain
+            and job in self._domain.table.entries
+            and self._domain.table.entries[job].ending
         ]
 
     def move_out(
@@ -90,30 +90,30 @@
             on_released: Told once the move is durable and no later owner of
                 this failure domain can start the job.
         """
-        entry = self._core.table.entries[job]
-        if not self._core.scheduler.cancel(job):
+        entry = self._domain.table.entries[job]
+        if not self._domain.scheduler.cancel(job):
             return
         entry.state = states.JobState.STOPPING
         entry.ending = True
         moved = records.JobMoved(
-            record=ids.RecordId(self._core.ctx.unique()),
+            record=ids.RecordId(self._domain.ctx.unique()),
             job=job,
-            number=self._core.job_view.next_move_number(job),
+            number=self._domain.job_view.next_move_number(job),
             to=to,
         )
 
         def released() -> None:
-            self._core.job_view.fold(moved)
+            self._domain.job_view.fold(moved)
             on_released(entry.spec, moved)
 
-        self._core.outbox.write(
-            self._core.stream,
+        self._domain.outbox.write(
+            self._domain.stream,
             moved,
-            lambda outcome: self._core.token_check.confirm(released),
+            lambda outcome: self._domain.token_check.confirm(released),
             limit_ms=None,
         )
 
-    def moved(
+    def settle_move(
         self, job: ids.JobId, to: ids.FailureDomainId, *, accepted: bool
     ) -> None:
         """Notes what became of a job that was to be moved.
@@ -124,7 +124,7 @@
             accepted: Whether it schedules the job now; if not, it is proved
                 that it never will, and the job is queued here again.
         """
-        entry = self._core.table.entries.get(job)
+        entry = self._domain.table.entries.get(job)
         if entry is None:
             return
         if accepted:
@@ -132,12 +132,12 @@
         else:
             self.move_home(job)
         if accepted:
-            self._core.table.forward(job)
+            self._domain.table.forward(job)
             return
         entry.ending = False
         entry.state = states.JobState.QUEUED
-        self._core.scheduler.restore(
-            entry.spec, self._core.ctx.now_ms, progress=entry.progress
+        self._domain.scheduler.restore(
+            entry.spec, self._domain.ctx.now_ms, progress=entry.progress
         )
         if entry.cancelled:
             self._ends.carry_out_cancel(entry)
@@ -146,21 +146,21 @@
         """Voids moves that a fenced owner has recorded but not made."""
         void = [
             moved.job
-            for moved in self._core.job_view.moved.values()
-            if moved.to != self._core.failure_domain
-            and moved.job in self._core.table.entries
-            and not self._core.table.entries[moved.job].ending
+            for moved in self._domain.job_view.moved.values()
+            if moved.to != self._domain.failure_domain
+            and moved.job in self._domain.table.entries
+            and not self._domain.table.entries[moved.job].ending
         ]
         for job in void:
             self.move_home(job)
 
     def _confirm_move(self, job: ids.JobId, to: ids.FailureDomainId) -> None:
         """Records that another failure domain schedules a job now."""
-        self._core.record(
+        self._domain.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._domain.ctx.unique()),
                 job=job,
-                number=self._core.job_view.next_move_number(job) - 1,
+                number=self._domain.job_view.next_move_number(job) - 1,
                 to=to,
                 confirmed=True,
             )
@@ -173,23 +173,23 @@
             job: The job.
             number: The number of the move.
         """
-        self._core.record(
+        self._domain.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._domain.ctx.unique()),
                 job=job,
                 number=number,
-                to=self._core.failure_domain,
+                to=self._domain.failure_domain,
                 confirmed=True,
             )
         )
 
     def move_home(self, job: ids.JobId) -> None:
         """Records that this failure domain schedules a job again."""
-        self._core.record(
+        self._domain.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._domain.ctx.unique()),
                 job=job,
-                number=self._core.job_view.next_move_number(job),
-                to=self._core.failure_domain,
+                number=self._domain.job_view.next_move_number(job),
+                to=self._domain.failure_domain,
             )
         )
--- a/citronmount/agent/job_rebuilding.py
+++ b/citronmount/agent/job_rebuilder.py
@@ -1,9 +1,9 @@
 """Rebuilds the jobs of a failure domain that was taken over."""
 
-from citronmount.agent import domain_core
-from citronmount.agent import job_ends
+from citronmount.agent import attempt_manager
+from citronmount.agent import domain_context
+from citronmount.agent import job_completion
 from citronmount.agent import job_moves
-from citronmount.agent import job_runs
 from citronmount.agent import job_table
 from citronmount.agent import worker_reports
 from citronmount.core import ids
@@ -11,31 +11,31 @@
 from citronmount.core import states
 from citronmount.services import messages
 
-__all__ = ["JobRebuilding"]
+__all__ = ["JobRebuilder"]
 
 
-class JobRebuilding:
+class JobRebuilder:
     """Takes over jobs from the book and attempts from workers."""
 
     def __init__(
         self,
         *,
-        core: domain_core.DomainCore,
-        ends: job_ends.JobEnds,
+        domain: domain_context.DomainContext,
+        ends: job_completion.JobCompletion,
         moves: job_moves.JobMoves,
-        runs: job_runs.JobRuns,
+        runs: attempt_manager.AttemptManager,
         reports: worker_reports.WorkerReports,
     ) -> None:
         """Initializes the part.
 
         Args:
-            core: What the parts of the failure domain share.
+            domain: What the parts of the failure domain share.
             ends: Ends jobs.
             moves: Moves jobs to other failure domains.
             runs: Runs attempts.
             reports: Takes reports of workers.
         """
-        self._core = core
+        self._domain = domain
         self._ends = ends
         self._moves = moves
         self._runs = runs
@@ -59,15 +59,15 @@
             if known is None or known.number < lease.number:
                 newest[lease.spec.job] = lease
         current = {lease.attempt for lease in newest.values()}
-        self._reports.obsolete = frozenset(
+        self._reports.obsolete_attempts = frozenset(
             lease.attempt for lease in leases if lease.attempt not in current
         )
         for report in reports:
-            self._reports.worker_report(report)
-        hold_ms = self._core.ctx.settings.lease_ttl_ms if silent else 0
-        self.restore_missing(hold_ms=hold_ms)
+            self._reports.handle_report(report)
+        hold_ms = self._domain.ctx.settings.lease_ttl_ms if silent else 0
+        self.restore_missing_jobs(hold_ms=hold_ms)
 
-    def restore_missing(self, *, hold_ms: int = 0) -> None:
+    def restore_missing_jobs(self, *, hold_ms: int = 0) -> None:
         """Takes over accepted jobs that the table does not have.
 
         Jobs that an earlier owner has ended leave the table.
@@ -78,8 +78,8 @@
         self._ends.drop_ended()
         missing = [
             spec
-            for job, spec in self._core.job_view.accepted.items()
-            if job not in self._core.table.entries
+            for job, spec in self._domain.job_view.accepted.items()
+            if job not in self._domain.table.entries
         ]
         self._moves.take_back()
         for spec in missing:
@@ -94,22 +94,24 @@
                 answer may still run it.
         """
         entry = job_table.JobEntry(spec=spec, durability=states.Durability.LOG)
-        self._core.table.entries[spec.job] = entry
-        self._core.trace_accepted(entry)
-        entry.cancelled = spec.job in self._core.job_view.cancelled
-        if self._core.job_view.outgoing_move(spec.job) is not None:
+        self._domain.table.entries[spec.job] = entry
+        self._domain.trace_accepted(entry)
+        entry.cancelled = spec.job in self._domain.job_view.cancelled
+        if self._domain.job_view.outgoing_move(spec.job) is not None:
             entry.state = states.JobState.STOPPING
             entry.ending = True
             return
-        intent = self._core.job_view.intents.get(spec.job)
+        intent = self._domain.job_view.intents.get(spec.job)
         if intent is not None:
             entry.ever_ran = True
             entry.attempts = intent.number
         if intent is not None and not spec.idempotent:
             self._runs.conclude(entry, intent)
         elif entry.cancelled:
-            self._ends.finish(spec.job, job_ends.cancel_result(entry))
+            self._ends.finish(spec.job, job_completion.cancel_result(entry))
         elif hold_ms > 0:
-            self._core.held_until_ms[spec.job] = self._core.ctx.now_ms + hold_ms
+            self._domain.hold_until_ms[spec.job] = (
+                self._domain.ctx.now_ms + hold_ms
+            )
         else:
-            self._core.scheduler.restore(spec, self._core.ctx.now_ms)
+            self._domain.scheduler.restore(spec, self._domain.ctx.now_ms)
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -7,7 +7,7 @@
 from citronmount.agent import call_answers
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_rooms
+from citronmount.agent import domain_capacity
 from citronmount.agent import homes
 from citronmount.core import codes
 from citronmount.core import ids
@@ -31,7 +31,7 @@
         *,
         ctx: context.Context,
         configuration: configuration_lib.ConfigurationKeeper,
-        rooms: domain_rooms.DomainRooms,
+        capacity: domain_capacity.DomainCapacityTracker,
         route: Route,
     ) -> None:
         """Initializes the part.
@@ -39,12 +39,12 @@
         Args:
             ctx: The shared context.
             configuration: The configuration in force.
-            rooms: The room in each failure domain.
+            capacity: The room in each failure domain.
             route: Takes a call to the owner of a failure domain.
         """
         self._ctx = ctx
         self._configuration = configuration
-        self._rooms = rooms
+        self._capacity = capacity
         self._route = route
 
     def submit(self, spec: jobs.JobSpec, respond: Respond) -> None:
@@ -64,7 +64,7 @@
         homes_left = homes.rank_job_homes(
             self._configuration.fold.current,
             spec,
-            self._rooms.rooms(),
+            self._capacity.free_capacity(),
             self._ctx.settings.failure_domain,
         )
         if homes_left:
@@ -131,7 +131,7 @@
         filled = msgspec.structs.replace(
             spec, job=job, submitted_ms=self._ctx.wall_ms
         )
-        self._rooms.note_sent(home, spec.accelerators)
+        self._capacity.record_submission(home, spec.accelerators)
         body = peer_messages.SubmitJob(spec=filled, eager=eager)
         self._route(home, body, respond)
 
--- a/citronmount/agent/keeping.py
+++ b/citronmount/agent/lease_renewer.py
@@ -11,7 +11,7 @@
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 
-__all__ = ["Keeping"]
+__all__ = ["LeaseRenewer"]
 
 ACK_TIMEOUT_MS = 1_000
 AUTHORITY_MS = 20_000
@@ -30,7 +30,7 @@
     report: messages.Report | None = None
 
 
-class Keeping:
+class LeaseRenewer:
     """Sends one renewal a worker and period, and passes on what changed.
 
     Workers are divided among the VMs of the failure domain, so that no VM
@@ -44,7 +44,7 @@
         ctx: context.Context,
         view: view_lib.MembershipView,
         on_report: Callable[[messages.Report], None],
-        on_lost: Callable[[ids.WorkerId], None],
+        on_worker_lost: Callable[[ids.WorkerId], None],
         on_token: Callable[[ids.FenceToken], None],
     ) -> None:
         """Initializes a keeper of no workers.
@@ -53,25 +53,27 @@
             ctx: The shared context.
             view: Who keeps which worker.
             on_report: Takes changed reports if this VM is the owner.
-            on_lost: Takes silent workers if this VM is the owner.
+            on_worker_lost: Takes silent workers if this VM is the owner.
             on_token: Takes every token that a worker has seen.
         """
-        self.lapse: frozenset[ids.AttemptId] = frozenset()
+        self.lapsing_attempts: frozenset[ids.AttemptId] = frozenset()
         self._ctx = ctx
         self._view = view
         self._on_report = on_report
-        self._on_lost = on_lost
+        self._on_worker_lost = on_worker_lost
         self._on_token = on_token
         self._kept: dict[ids.WorkerId, _Kept] = {}
         self._owner_heard_ms = 0
         self._unacknowledged: dict[ids.WorkerId, messages.Report | None] = {}
         self._passing = False
 
-    def owner_heard(self) -> None:
+    def note_owner_alive(self) -> None:
         """Notes that an owner, or this VM as owner, is at work."""
         self._owner_heard_ms = self._ctx.now_ms
 
-    def assign(self, workers: tuple[messages.ListedTarget, ...]) -> None:
+    def assign_workers(
+        self, workers: tuple[messages.ListedTarget, ...]
+    ) -> None:
         """Recomputes which workers this VM keeps.
 
         Args:
@@ -128,7 +130,7 @@
         kept.due_ms = self._ctx.now_ms + self._ctx.settings.renew_period_ms
         act = messages.Renew(
             ttl_ms=self._ctx.settings.lease_ttl_ms,
-            lapse=tuple(sorted(self.lapse)),
+            lapse=tuple(sorted(self.lapsing_attempts)),
         )
         call = messages.WorkerCall(
             token=token, acts=(act,), known_sequence=kept.sequence
@@ -172,7 +174,7 @@
         self, worker: ids.WorkerId, report: messages.Report | None
     ) -> None:
         if report is None:
-            self._on_lost(worker)
+            self._on_worker_lost(worker)
         else:
             self._on_report(report)
 
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -5,7 +5,7 @@
 from citronmount.agent import call_desk
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_rooms
+from citronmount.agent import domain_capacity
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import owned_domain
 from citronmount.agent import ownership as ownership_lib
@@ -53,7 +53,7 @@
         outbox: outbox_lib.Outbox,
         ownership: ownership_lib.Ownership,
         calls: call_desk.CallDesk,
-        rooms: domain_rooms.DomainRooms,
+        rooms: domain_capacity.DomainCapacityTracker,
         configuration: configuration_lib.ConfigurationKeeper,
     ) -> None:
         """Initializes without moves.
@@ -81,7 +81,7 @@
     def tick(self) -> None:
         """Starts moves that are worth it and goes on with open ones."""
         domain = self._ownership.domain
-        if domain is None or not domain.placing:
+        if domain is None or not domain.placement_enabled:
             return
         if domain.token != self._token:
             self._token = domain.token
@@ -120,7 +120,7 @@
         leaving = not self._ownership.domain.in_service()
         due = [
             spec
-            for spec in self._ownership.domain.moves.queued_specs()
+            for spec in self._ownership.domain.moves.movable_jobs()
             if self._is_due(spec, leaving=leaving)
         ]
         for spec in due[:MOVES_PER_PERIOD]:
@@ -178,7 +178,7 @@
         }
         return {
             name: room.accelerators
-            for name, room in self._rooms.rooms().items()
+            for name, room in self._rooms.free_capacity().items()
             if name != own and name in usable
         }
 
@@ -220,10 +220,10 @@
                 return
             if isinstance(answer, peer_messages.JobAnswer):
                 self._moves.pop(move.spec.job, None)
-                domain.moves.moved(move.spec.job, move.to, accepted=True)
+                domain.moves.settle_move(move.spec.job, move.to, accepted=True)
             elif _never_accepted(answer):
                 self._moves.pop(move.spec.job, None)
-                domain.moves.moved(move.spec.job, move.to, accepted=False)
+                domain.moves.settle_move(move.spec.job, move.to, accepted=False)
 
         body = peer_messages.SubmitJob(
             spec=move.spec, eager=move.eager, move=move.number
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -6,7 +6,7 @@
 from citronmount.agent import claims as claims_lib
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_core
+from citronmount.agent import domain_context
 from citronmount.agent import fencing
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import owned_domain
@@ -181,7 +181,7 @@
         domain = self.domain
         if domain is None:
             return
-        domain.placing = mine or not self._view.draining
+        domain.placement_enabled = mine or not self._view.draining
         domain.tick()
         if self._ctx.now_ms >= self._follow_ms:
             self._follow()
@@ -305,7 +305,7 @@
             self._own()
 
     def _own(self) -> None:
-        core = domain_core.DomainCore(
+        shared = domain_context.DomainContext(
             ctx=self._ctx,
             token=self.token,
             job_view=self._book,
@@ -314,7 +314,7 @@
             policy=self._ctx.settings.policy,
             on_fenced=self.learn_token,
         )
-        domain = owned_domain.OwnedDomain(core=core)
+        domain = owned_domain.OwnedDomain(context=shared)
         self.phase = OwnershipPhase.OWNER
         self.domain = domain
         self._follow_ms = self._ctx.now_ms + FOLLOW_PERIOD_MS
@@ -327,7 +327,7 @@
             for target in targets
             if target.name not in self._reports
         )
-        domain.rebuilding.rebuild(tuple(self._reports.values()), silent)
+        domain.rebuilder.rebuild(tuple(self._reports.values()), silent)
         self._reports = {}
         self._ctx.trace(
             timeline.EventKind.REBUILD_DONE,
@@ -343,7 +343,7 @@
 
         def was_read(complete: bool) -> None:
             if complete and self.domain is not None:
-                self.domain.rebuilding.restore_missing()
+                self.domain.rebuilder.restore_missing_jobs()
                 self._maybe_snapshot()
 
         self._reader.read_to_end(was_read)
