--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -1,24 +1,24 @@
 """Runs the attempts that the scheduler of a failure domain decides."""
 
-from citronmount.agent import attempts as attempts_lib
-from citronmount.agent import claims as claims_lib
+from citronmount.agent import attempts
+from citronmount.agent import claims
 from citronmount.agent import domain_context
 from citronmount.agent import job_completion
 from citronmount.agent import job_table
-from citronmount.agent import outbox as outbox_lib
+from citronmount.agent import outbox
 from citronmount.core import codes
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.leases import gang as gang_lib
+from citronmount.leases import gang
 from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
 __all__ = ["AttemptManager"]
 
-BACKOFF_MS = 250
+BACKOFF_START_MS = 250
 BACKOFF_MAX_MS = 8_000
 
 
@@ -29,18 +29,18 @@
         self,
         *,
         domain: domain_context.DomainContext,
-        ends: job_completion.JobCompletion,
+        completion: job_completion.JobCompletion,
     ) -> None:
         """Initializes the part.
 
         Args:
             domain: What the parts of the failure domain share.
-            ends: Ends jobs.
+            completion: Ends jobs.
         """
         self._domain = domain
-        self._ends = ends
+        self._completion = completion
 
-    def carry_out(self, decision: decisions.Decision) -> None:
+    def execute(self, decision: decisions.Decision) -> None:
         """Carries out one decision.
 
         Args:
@@ -52,13 +52,13 @@
             case decisions.EvictJob():
                 self._evict(decision)
             case decisions.EndJob():
-                self._ends.finish_queued(decision.job, decision.result)
+                self._completion.finish_queued(decision.job, decision.result)
 
     def _place(self, decision: decisions.PlaceJob) -> None:
         entry = self._domain.table.entries[decision.job]
         entry.attempts += 1
         number = entry.attempts
-        attempt = self.new_attempt(
+        attempt = self.create_attempt(
             entry,
             ids.attempt_id(decision.job, number, self._domain.token),
             number,
@@ -84,7 +84,7 @@
         attempt = self._domain.attempt_of(decision.job)
         if attempt is None:
             return
-        if attempt.phase is gang_lib.GangPhase.STOPPING:
+        if attempt.phase is gang.GangPhase.STOPPING:
             return
         limit_ms = self._domain.ctx.settings.reclaim_grace_ms
         grace_ms = min(decision.grace_ms, limit_ms)
@@ -99,7 +99,7 @@
         ].state = states.JobState.STOPPING
         attempt.stop(decisions.AttemptEnd.EVICTED, grace_ms=grace_ms)
 
-    def conclude(
+    def stop_earlier_attempt(
         self, entry: job_table.JobEntry, intent: records.AttemptIntended
     ) -> None:
         """Finds out whether an attempt of an earlier owner ever ran.
@@ -108,22 +108,22 @@
             entry: The job, which is not idempotent.
             intent: What the earlier owner recorded.
         """
-        attempt = self.new_attempt(
+        attempt = self.create_attempt(
             entry, intent.attempt, intent.number, intent.placement
         )
         self._domain.scheduler.adopt(
             entry.spec, intent.placement, self._domain.ctx.now_ms
         )
         entry.state = states.JobState.STOPPING
-        attempt.conclude()
+        attempt.adopt_and_stop()
 
-    def new_attempt(
+    def create_attempt(
         self,
         entry: job_table.JobEntry,
         attempt_id: ids.AttemptId,
         number: int,
         placement: jobs.Placement,
-    ) -> attempts_lib.Attempt:
+    ) -> attempts.Attempt:
         """Makes an attempt that has not begun and enters it.
 
         Args:
@@ -135,15 +135,15 @@
         Returns:
             The attempt.
         """
-        attempt = attempts_lib.Attempt(
+        attempt = attempts.Attempt(
             ctx=self._domain.ctx,
             attempt=attempt_id,
             number=number,
             token=self._domain.token,
             spec=entry.spec,
             placement=placement,
-            targets=self._targets_of(placement),
-            handlers=attempts_lib.AttemptHandlers(
+            targets=self._targets_for(placement),
+            handlers=attempts.AttemptHandlers(
                 on_started=self._attempt_started,
                 on_ended=self._attempt_ended,
                 on_answer=self._domain.on_worker_answer,
@@ -153,7 +153,7 @@
         self._domain.attempt_by_job[entry.spec.job] = attempt_id
         return attempt
 
-    def _targets_of(
+    def _targets_for(
         self, placement: jobs.Placement
     ) -> dict[ids.WorkerId, messages.ListedTarget]:
         """Returns the placement's targets; unlisted ones never answer."""
@@ -168,25 +168,25 @@
         }
 
     def _claim_attempt(
-        self, entry: job_table.JobEntry, attempt: attempts_lib.Attempt
+        self, entry: job_table.JobEntry, attempt: attempts.Attempt
     ) -> None:
         """Starts a job that is not idempotent only under a durable claim."""
         job = entry.spec.job
 
-        def claimed(outcome: claims_lib.ClaimOutcome) -> None:
+        def claimed(outcome: claims.ClaimOutcome) -> None:
             if attempt.attempt not in self._domain.attempts:
                 return
             if outcome.granted:
                 attempt.begin()
                 self._write_intent(attempt)
                 return
-            if outcome.holder is not None and self._all_fenced():
+            if outcome.holder is not None and self._all_workers_fenced():
                 self._free_claim(outcome.holder)
             attempt.stop(decisions.AttemptEnd.REFUSED)
 
         self._domain.claims.claim(f"job/{job}", "", claimed)
 
-    def _all_fenced(self) -> bool:
+    def _all_workers_fenced(self) -> bool:
         """Returns whether no worker takes calls of an earlier owner."""
         return all(
             worker in self._domain.fenced_workers
@@ -200,7 +200,7 @@
         )
         self._domain.claims.finish(claim, not_run)
 
-    def _write_intent(self, attempt: attempts_lib.Attempt) -> None:
+    def _write_intent(self, attempt: attempts.Attempt) -> None:
         intent = records.AttemptIntended(
             record=ids.RecordId(f"intent:{attempt.attempt}"),
             job=attempt.spec.job,
@@ -211,18 +211,18 @@
             placement=attempt.placement,
         )
 
-        def written(outcome: outbox_lib.WriteOutcome) -> None:
-            if attempt.phase is not gang_lib.GangPhase.RESERVING:
+        def written(outcome: outbox.WriteOutcome) -> None:
+            if attempt.phase is not gang.GangPhase.RESERVING:
                 return
             if outcome.durability is None:
                 attempt.stop(decisions.AttemptEnd.REFUSED)
                 return
             self._domain.job_view.fold(intent)
-            attempt.permit()
+            attempt.allow_start()
 
         self._domain.outbox.write(self._domain.stream, intent, written)
 
-    def _attempt_started(self, attempt: attempts_lib.Attempt) -> None:
+    def _attempt_started(self, attempt: attempts.Attempt) -> None:
         entry = self._domain.table.entries[attempt.spec.job]
         entry.state = states.JobState.RUNNING
         entry.ever_ran = True
@@ -240,8 +240,8 @@
 
     def _attempt_ended(
         self,
-        attempt: attempts_lib.Attempt,
-        result: attempts_lib.AttemptResult,
+        attempt: attempts.Attempt,
+        result: attempts.AttemptResult,
     ) -> None:
         job = attempt.spec.job
         entry = self._domain.table.entries[job]
@@ -264,34 +264,34 @@
             requeue=final is None and not refused,
             progress=entry.progress,
         )
-        final = final or _truthful_verdict(entry, verdict)
+        final = final or _corrected_verdict(entry, verdict)
         self._domain.decision_due = True
         if final is not None:
-            self._ends.finish(job, final)
+            self._completion.finish(job, final)
             return
         entry.state = states.JobState.QUEUED
         if refused:
-            self._back_off(entry)
+            self._delay_requeue(entry)
         for claim in self._domain.job_view.claims_of(f"job/{job}"):
             self._free_claim(claim)
 
-    def _back_off(self, entry: job_table.JobEntry) -> None:
+    def _delay_requeue(self, entry: job_table.JobEntry) -> None:
         """Keeps a job that was refused out of the queue for a while."""
-        hold_ms = min(BACKOFF_MS << entry.refusals, BACKOFF_MAX_MS)
+        delay_ms = min(BACKOFF_START_MS << entry.refusals, BACKOFF_MAX_MS)
         entry.refusals += 1
-        self._domain.hold_until_ms[entry.spec.job] = (
-            self._domain.ctx.now_ms + hold_ms
+        self._domain.requeue_at_ms[entry.spec.job] = (
+            self._domain.ctx.now_ms + delay_ms
         )
 
-    def release_held(self) -> None:
+    def requeue_held_jobs(self) -> None:
         """Queues held jobs once no silent worker can run them any more."""
         due = [
             job
-            for job, until_ms in self._domain.hold_until_ms.items()
+            for job, until_ms in self._domain.requeue_at_ms.items()
             if until_ms <= self._domain.ctx.now_ms
         ]
         for job in due:
-            del self._domain.hold_until_ms[job]
+            del self._domain.requeue_at_ms[job]
             entry = self._domain.table.entries[job]
             self._domain.scheduler.restore(
                 entry.spec, self._domain.ctx.now_ms, progress=entry.progress
@@ -299,7 +299,7 @@
 
 
 def _final_result(
-    entry: job_table.JobEntry, result: attempts_lib.AttemptResult
+    entry: job_table.JobEntry, result: attempts.AttemptResult
 ) -> jobs.JobResult | None:
     """Returns the job's final result, or None if it may run again."""
     match result.how:
@@ -321,7 +321,7 @@
     return jobs.JobResult(code=codes.ResultCode.INTERRUPTED)
 
 
-def _truthful_verdict(
+def _corrected_verdict(
     entry: job_table.JobEntry, verdict: jobs.JobResult | None
 ) -> jobs.JobResult | None:
     """Returns the scheduler's verdict, or that no worker would start it."""
--- a/citronmount/agent/attempts.py
+++ b/citronmount/agent/attempts.py
@@ -1,4 +1,4 @@
-"""Carries one attempt of a gang through reserve, start, run and stop."""
+"""Drives one attempt to run a gang through reserve, start, run and stop."""
 
 from collections.abc import Callable
 import enum
@@ -10,26 +10,26 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.leases import gang as gang_lib
+from citronmount.leases import gang
 from citronmount.services import messages
 
 __all__ = ["Attempt", "AttemptHandlers", "AttemptResult"]
 
 START_MARGIN_MS = 500
-RETRY_MS = 300
+CALL_RETRY_MS = 300
 STOP_RETRY_MS = 1_000
 ADOPTION_MARGIN_MS = 1_000
 
 
 class AttemptResult(msgspec.Struct, frozen=True, kw_only=True):
-    """How an attempt ended.
+    """The outcome of an attempt.
 
     Attributes:
-        how: The end as scheduling sees it.
-        ran: Whether any task ran; None if that cannot be told.
-        exit_code: The tasks' own exit code, if known.
-        culprits: Workers at which it failed.
-        progress: Saved share of the work between 0 and 1.
+        how: Why the attempt ended.
+        ran: Whether any task ran; None if unknown.
+        exit_code: The exit code of the tasks, if known.
+        culprits: Workers that caused the attempt to fail.
+        progress: Checkpointed share of the work, between 0 and 1.
     """
 
     how: decisions.AttemptEnd
@@ -40,12 +40,12 @@
 
 
 class AttemptHandlers(msgspec.Struct, frozen=True, kw_only=True):
-    """Whom an attempt tells.
+    """Callbacks of an attempt.
 
     Attributes:
-        on_started: Every member runs.
-        on_ended: No member can run any more.
-        on_answer: A worker has answered a call of the attempt.
+        on_started: Called once every member runs.
+        on_ended: Called once no member can run any more.
+        on_answer: Called with every answer of a worker to the attempt.
     """
 
     on_started: Callable[["Attempt"], None]
@@ -54,7 +54,10 @@
 
 
 class _Proof(enum.Enum):
-    """What is known of a member that cannot run any more."""
+    """Whether a member that can't run any more ever ran.
+
+    `LOST` means unknown: the start was sent, but the worker fell silent.
+    """
 
     NEVER_RAN = "never_ran"
     RAN = "ran"
@@ -62,7 +65,7 @@
 
 
 class _Member(msgspec.Struct, kw_only=True):
-    """The tasks of the attempt at one worker."""
+    """State of the attempt's tasks at one worker."""
 
     target: messages.ListedTarget
     tasks: int
@@ -78,12 +81,12 @@
 
 
 class Attempt:
-    """One attempt to run a gang, from placement to its end.
+    """One attempt to run a gang, from its placement to its end.
 
-    Starts are sent only after every member has reserved, and only while all
-    reservations still hold. Once stopping, the attempt ends when each worker
-    has confirmed that it cannot run any more, or has been silent for so long
-    that its leases have lapsed.
+    Start calls are sent only after every member has reserved, and only while
+    all reservations are valid. A stopping attempt ends when every worker has
+    either confirmed that its tasks can't run any more or been silent for so
+    long that its leases have lapsed.
     """
 
     def __init__(
@@ -98,17 +101,17 @@
         targets: dict[ids.WorkerId, messages.ListedTarget],
         handlers: AttemptHandlers,
     ) -> None:
-        """Initializes an attempt that has not yet begun.
+        """Initializes an attempt without sending any call.
 
         Args:
-            ctx: The shared context.
+            ctx: Clock, settings and calls shared by the parts of the agent.
             attempt: The id of the attempt.
-            number: Counts the attempts of the job.
+            number: The number of the attempt within the job, from 1.
             token: The scheduler's fencing token.
             spec: The job.
-            placement: Where it runs.
-            targets: The workers of the placement.
-            handlers: Whom to tell.
+            placement: The workers and the number of tasks at each.
+            targets: The addresses of the workers in the placement.
+            handlers: The callbacks.
         """
         self.attempt = attempt
         self.number = number
@@ -117,50 +120,50 @@
         self._ctx = ctx
         self._token = token
         self._handlers = handlers
-        self._gang, self._core = gang_lib.new_gang()
+        self._gang, self._core = gang.new_gang()
         self._members = {
             group.worker: _Member(
                 target=targets[group.worker], tasks=group.tasks
             )
             for group in placement.groups
         }
-        self._permitted = False
+        self._start_allowed = False
         self._reserved_ms: int | None = None
         self._adopt_due_ms: int | None = None
-        self._end = decisions.AttemptEnd.DONE
+        self._end_reason = decisions.AttemptEnd.DONE
         self._culprits: tuple[ids.WorkerId, ...] = ()
         self._exit_code: int | None = None
         self._grace_ms = 0
         self._progress = 0.0
 
     @property
-    def phase(self) -> gang_lib.GangPhase:
-        """Where the attempt is."""
+    def phase(self) -> gang.GangPhase:
+        """The phase of the gang's state machine."""
         return self._core.phase
 
     @property
     def workers(self) -> tuple[ids.WorkerId, ...]:
-        """The workers of the attempt."""
+        """The workers in the placement."""
         return tuple(self._members)
 
     @property
     def must_lapse(self) -> bool:
-        """Whether keepers must not renew the attempt."""
-        return self.phase is gang_lib.GangPhase.STOPPING
+        """Whether lease renewers must let the attempt's leases lapse."""
+        return self.phase is gang.GangPhase.STOPPING
 
     def begin(self) -> None:
-        """Asks every worker for its reservation."""
+        """Requests a reservation from every worker."""
         self._reserved_ms = self._ctx.now_ms
         for worker in self._members:
             self._reserve(worker)
 
-    def permit(self) -> None:
-        """Lets starts go out: the intent of the attempt is durable."""
-        self._permitted = True
+    def allow_start(self) -> None:
+        """Allows start calls, once the intent of the attempt is durable."""
+        self._start_allowed = True
         self._check_reserved()
 
     def adopt(self) -> None:
-        """Takes over an attempt that another scheduler has started."""
+        """Takes over an attempt that an earlier owner has started."""
         self._gang.all_reserved()
         for member in self._members.values():
             member.reserved = True
@@ -171,28 +174,31 @@
             + ADOPTION_MARGIN_MS
         )
 
-    def conclude(self) -> None:
-        """Ends an attempt that another scheduler may have started."""
+    def adopt_and_stop(self) -> None:
+        """Stops an attempt that an earlier owner may have started."""
         self.adopt()
         self.stop(decisions.AttemptEnd.UNKNOWN)
 
     def stop(
         self,
-        why: decisions.AttemptEnd,
+        reason: decisions.AttemptEnd,
         *,
         culprits: tuple[ids.WorkerId, ...] = (),
         grace_ms: int = 0,
     ) -> None:
-        """Ends the attempt before its tasks have finished.
+        """Stops the attempt before its tasks have finished.
+
+        Only the first call has an effect.
 
         Args:
-            why: The end to report; the first reason counts.
-            culprits: Workers at which it failed.
-            grace_ms: How long tasks may take to save their work.
+            reason: Why the attempt ends.
+            culprits: Workers that caused the attempt to fail.
+            grace_ms: Time that running tasks get to write a checkpoint; 0
+                stops them without one.
         """
         if not self._gang.abort():
             return
-        self._end = why
+        self._end_reason = reason
         self._culprits = culprits
         self._grace_ms = grace_ms
         for worker in self._members:
@@ -200,10 +206,10 @@
         self._check_stopped()
 
     def worker_lost(self, worker: ids.WorkerId) -> None:
-        """Notes that a worker's leases must have lapsed.
+        """Handles a worker whose leases must have lapsed.
 
         Args:
-            worker: The worker, silent for more than a lease time.
+            worker: The worker, silent for longer than the lease TTL.
         """
         member = self._members.get(worker)
         if member is None or member.exit_code == 0:
@@ -215,11 +221,11 @@
         self._check_stopped()
 
     def report(self, worker: ids.WorkerId, lease: messages.LeaseReport) -> None:
-        """Takes over what a worker reports of the attempt.
+        """Updates the attempt from a worker's lease report.
 
         Args:
             worker: The worker.
-            lease: Its report.
+            lease: The worker's report on its lease of the attempt.
         """
         member = self._members.get(worker)
         if member is None:
@@ -242,44 +248,48 @@
                     self.stop(decisions.AttemptEnd.WORKER_LOST)
 
     def absent(self, worker: ids.WorkerId, sequence: int) -> None:
-        """Notes that a worker's report does not name the attempt.
+        """Handles a worker's report that doesn't list the attempt.
+
+        The attempt stops if the worker should have a lease of it: because the
+        attempt is being adopted, or because the worker has started it and the
+        report is newer than the last answer to a call.
 
         Args:
             worker: The worker.
-            sequence: The report's sequence.
+            sequence: The sequence number of the report.
         """
         member = self._members.get(worker)
         if member is None or member.exit_code == 0:
             return
         adopting = self._adopt_due_ms is not None and not member.started
-        forgotten = member.started and sequence > member.confirmed_sequence
-        if adopting or forgotten:
+        dropped = member.started and sequence > member.confirmed_sequence
+        if adopting or dropped:
             self.stop(decisions.AttemptEnd.WORKER_LOST, culprits=(worker,))
 
     def tick(self) -> None:
-        """Retries what was not answered and ends what takes too long."""
+        """Retries unanswered calls and stops an attempt past its deadline."""
         match self.phase:
-            case gang_lib.GangPhase.RESERVING:
+            case gang.GangPhase.RESERVING:
                 self._tick_reserving()
-            case gang_lib.GangPhase.STARTING:
+            case gang.GangPhase.STARTING:
                 self._tick_starting()
-            case gang_lib.GangPhase.STOPPING:
+            case gang.GangPhase.STOPPING:
                 self._tick_stopping()
 
-    def _window_end_ms(self) -> int:
+    def _reservations_end_ms(self) -> int:
         ttl_ms = self._ctx.settings.reservation_ttl_ms
         return (self._reserved_ms or 0) + ttl_ms
 
     def _tick_reserving(self) -> None:
         if self._reserved_ms is None:
             return
-        if self._ctx.now_ms >= self._window_end_ms() - START_MARGIN_MS:
-            silent = tuple(
+        if self._ctx.now_ms >= self._reservations_end_ms() - START_MARGIN_MS:
+            pending = tuple(
                 worker
                 for worker, member in self._members.items()
                 if not member.reserved
             )
-            self.stop(decisions.AttemptEnd.REFUSED, culprits=silent)
+            self.stop(decisions.AttemptEnd.REFUSED, culprits=pending)
             return
         for worker, member in self._due_members():
             if not member.reserved:
@@ -288,14 +298,14 @@
     def _tick_starting(self) -> None:
         limit_ms = self._adopt_due_ms
         if limit_ms is None:
-            limit_ms = self._window_end_ms() + START_MARGIN_MS
+            limit_ms = self._reservations_end_ms() + START_MARGIN_MS
         if self._ctx.now_ms >= limit_ms:
-            silent = tuple(
+            pending = tuple(
                 worker
                 for worker, member in self._members.items()
                 if not member.started
             )
-            self.stop(decisions.AttemptEnd.WORKER_LOST, culprits=silent)
+            self.stop(decisions.AttemptEnd.WORKER_LOST, culprits=pending)
             return
         if self._adopt_due_ms is not None:
             return
@@ -328,7 +338,7 @@
         member.in_flight = True
         token = self._token
 
-        def answered(answer: messages.WorkerAnswer | None) -> None:
+        def handle_answer(answer: messages.WorkerAnswer | None) -> None:
             member.in_flight = False
             member.retry_ms = self._ctx.now_ms + retry_ms
             if answer is None:
@@ -342,7 +352,7 @@
         self._ctx.call_worker(
             member.target,
             messages.WorkerCall(token=token, acts=acts),
-            answered,
+            handle_answer,
             timeout_ms=timeout_ms,
         )
 
@@ -358,7 +368,7 @@
         )
 
         def reserved(results: tuple[messages.ActResult, ...]) -> None:
-            if self.phase is not gang_lib.GangPhase.RESERVING:
+            if self.phase is not gang.GangPhase.RESERVING:
                 return
             if results[0].outcome is not messages.ActOutcome.DONE:
                 self.stop(decisions.AttemptEnd.REFUSED, culprits=(worker,))
@@ -366,14 +376,16 @@
             member.reserved = True
             self._check_reserved()
 
-        self._call(worker, (act,), reserved, retry_ms=RETRY_MS)
+        self._call(worker, (act,), reserved, retry_ms=CALL_RETRY_MS)
 
     def _check_reserved(self) -> None:
-        in_time = self._ctx.now_ms < self._window_end_ms() - START_MARGIN_MS
-        whole = self._permitted and all(
+        in_time = (
+            self._ctx.now_ms < self._reservations_end_ms() - START_MARGIN_MS
+        )
+        ready = self._start_allowed and all(
             member.reserved for member in self._members.values()
         )
-        if whole and in_time and self._gang.all_reserved():
+        if ready and in_time and self._gang.all_reserved():
             for worker in self._members:
                 self._start(worker)
 
@@ -391,22 +403,24 @@
                 self._check_started()
                 return
             if outcome is messages.ActOutcome.FAILED_TO_START:
-                why = decisions.AttemptEnd.FAILED_TO_START
+                reason = decisions.AttemptEnd.FAILED_TO_START
             else:
-                why = decisions.AttemptEnd.REFUSED
-            self.stop(why, culprits=(worker,))
+                reason = decisions.AttemptEnd.REFUSED
+            self.stop(reason, culprits=(worker,))
 
-        self._call(worker, (act,), started, retry_ms=RETRY_MS)
+        self._call(worker, (act,), started, retry_ms=CALL_RETRY_MS)
 
     def _check_started(self) -> None:
-        whole = all(member.started for member in self._members.values())
-        if whole and self._gang.all_started():
+        complete = all(member.started for member in self._members.values())
+        if complete and self._gang.all_started():
             self._handlers.on_started(self)
 
     def _check_finished(self) -> None:
         self._check_started()
-        whole = all(member.exit_code == 0 for member in self._members.values())
-        if whole and self._gang.all_finished():
+        complete = all(
+            member.exit_code == 0 for member in self._members.values()
+        )
+        if complete and self._gang.all_finished():
             self._exit_code = 0
             self._finish(ran=True)
 
@@ -419,12 +433,12 @@
         member.proof = _Proof.RAN if lease.ran else _Proof.NEVER_RAN
         if self._exit_code is None:
             self._exit_code = lease.exit_code
-        why = (
+        reason = (
             decisions.AttemptEnd.FAILED_BY_JOB
             if lease.ran
             else decisions.AttemptEnd.FAILED_TO_START
         )
-        self.stop(why, culprits=(worker,))
+        self.stop(reason, culprits=(worker,))
         self._check_stopped()
 
     def _member_gone(
@@ -484,7 +498,7 @@
         self._handlers.on_ended(
             self,
             AttemptResult(
-                how=self._end,
+                how=self._end_reason,
                 ran=ran,
                 exit_code=self._exit_code,
                 culprits=self._culprits,
--- a/citronmount/agent/domain_context.py
+++ b/citronmount/agent/domain_context.py
@@ -13,7 +13,7 @@
 from citronmount.core import scheduler as scheduler_lib
 from citronmount.core import states
 from citronmount.services import messages
-from citronmount.state import job_view
+from citronmount.state import job_view as job_view_lib
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -39,7 +39,7 @@
         targets: The workers.
         attempts: Attempts that have not ended.
         attempt_by_job: The attempt of each job that has one.
-        hold_until_ms: Jobs kept out of the queue until a monotonic time.
+        requeue_at_ms: Jobs kept out of the queue until a monotonic time.
         fenced_workers: Workers that have seen the token.
         forgettable_attempts: Ended attempts that workers may drop from their
             reports.
@@ -53,7 +53,7 @@
         *,
         ctx: context.Context,
         token: ids.FenceToken,
-        job_view: job_view.JobView,
+        job_view: job_view_lib.JobView,
         outbox: outbox_lib.Outbox,
         claims: claims_lib.Claims,
         policy: str,
@@ -89,7 +89,7 @@
         self.targets: dict[ids.WorkerId, messages.ListedTarget] = {}
         self.attempts: dict[ids.AttemptId, attempts_lib.Attempt] = {}
         self.attempt_by_job: dict[ids.JobId, ids.AttemptId] = {}
-        self.hold_until_ms: dict[ids.JobId, int] = {}
+        self.requeue_at_ms: dict[ids.JobId, int] = {}
         self.fenced_workers: set[ids.WorkerId] = set()
         self.forgettable_attempts: dict[ids.WorkerId, set[ids.AttemptId]] = {}
         self.token_check = token_check.TokenCheck(
--- a/citronmount/agent/job_call_handler.py
+++ b/citronmount/agent/job_call_handler.py
@@ -6,7 +6,7 @@
 from citronmount.agent import job_completion
 from citronmount.agent import job_moves
 from citronmount.agent import job_table
-from citronmount.agent import outbox as outbox_lib
+from citronmount.agent import outbox
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -27,18 +27,18 @@
         self,
         *,
         domain: domain_context.DomainContext,
-        ends: job_completion.JobCompletion,
+        completion: job_completion.JobCompletion,
         moves: job_moves.JobMoves,
     ) -> None:
         """Initializes the part.
 
         Args:
             domain: What the parts of the failure domain share.
-            ends: Ends jobs.
+            completion: Ends jobs.
             moves: Moves jobs to other failure domains.
         """
         self._domain = domain
-        self._ends = ends
+        self._completion = completion
         self._moves = moves
 
     def submit(
@@ -144,7 +144,7 @@
         self._domain.table.wait(
             job, respond, self._domain.ctx.now_ms + limit_ms
         )
-        self._ends.cancel(entry)
+        self._completion.cancel(entry)
 
     def cancel_account(
         self, account: ids.AccountId
@@ -163,7 +163,7 @@
             if entry.spec.account == account
         ]
         for entry in entries:
-            self._ends.cancel(entry)
+            self._completion.cancel(entry)
         return peer_messages.JobsAnswer(statuses=(), total=len(entries))
 
     def _answer_again(
@@ -225,7 +225,7 @@
         self, spec: jobs.JobSpec, respond: job_table.Responder, move: int
     ) -> None:
         if move:
-            self._moves.move_here(spec.job, move)
+            self._moves.record_move_here(spec.job, move)
         entry = job_table.JobEntry(spec=spec, accept_responders=[respond])
         self._domain.table.entries[spec.job] = entry
         record = records.JobAccepted(
@@ -241,16 +241,16 @@
         self,
         entry: job_table.JobEntry,
         record: records.JobAccepted,
-        outcome: outbox_lib.WriteOutcome,
+        outcome: outbox.WriteOutcome,
     ) -> None:
         spec = entry.spec
-        if outcome is outbox_lib.WriteOutcome.NEVER_SENT:
+        if outcome is outbox.WriteOutcome.NEVER_SENT:
             self._not_accepted(entry, codes.ResultCode.NOT_DURABLE)
             return
         self._domain.job_view.fold(record)
         entry.durability = outcome.durability or states.Durability.PEERS
         self._domain.trace_accepted(entry)
-        if outcome is outbox_lib.WriteOutcome.UNKNOWN:
+        if outcome is outbox.WriteOutcome.UNKNOWN:
             answer: peer_messages.Answer = peer_messages.Failure(
                 result=jobs.JobResult(
                     code=codes.ResultCode.TIMED_OUT,
@@ -264,7 +264,7 @@
             respond(answer)
         entry.accept_responders.clear()
         if entry.cancelled:
-            self._ends.carry_out_cancel(entry)
+            self._completion.execute_cancel(entry)
         self._domain.decision_due = True
 
     def _not_accepted(
--- a/citronmount/agent/job_completion.py
+++ b/citronmount/agent/job_completion.py
@@ -73,11 +73,11 @@
 
     def _end_written(self, ended: records.JobEnded) -> None:
         if ended.result.code is codes.ResultCode.DONE:
-            self._tell_end(ended)
+            self._report_end(ended)
         else:
-            self._domain.token_check.confirm(lambda: self._tell_end(ended))
+            self._domain.token_check.confirm(lambda: self._report_end(ended))
 
-    def _tell_end(self, ended: records.JobEnded) -> None:
+    def _report_end(self, ended: records.JobEnded) -> None:
         if ended.job not in self._domain.table.entries:
             return
         self._domain.job_view.fold(ended)
@@ -90,14 +90,14 @@
         )
         self._domain.table.end(ended)
 
-    def drop_ended(self) -> None:
+    def end_finished_jobs(self) -> None:
         """Gives up open jobs whose final result the book already has."""
-        over = [
+        finished = [
             job
             for job, entry in self._domain.table.entries.items()
             if job in self._domain.job_view.ended and not entry.ending
         ]
-        for job in over:
+        for job in finished:
             entry = self._domain.table.entries[job]
             entry.cancelled = True
             attempt = self._domain.attempt_of(job)
@@ -105,7 +105,7 @@
                 attempt.stop(decisions.AttemptEnd.CANCELLED)
                 continue
             self._domain.scheduler.cancel(job)
-            self._domain.hold_until_ms.pop(job, None)
+            self._domain.requeue_at_ms.pop(job, None)
             self._domain.table.end(self._domain.job_view.ended[job])
 
     def cancel(self, entry: job_table.JobEntry) -> None:
@@ -118,9 +118,9 @@
             return
         entry.cancelled = True
         if entry.durability is not None:
-            self.carry_out_cancel(entry)
+            self.execute_cancel(entry)
 
-    def carry_out_cancel(self, entry: job_table.JobEntry) -> None:
+    def execute_cancel(self, entry: job_table.JobEntry) -> None:
         """Ends a cancelled job or stops its attempt.
 
         Args:
@@ -130,7 +130,7 @@
         attempt = self._domain.attempt_of(job)
         if attempt is None:
             self._domain.scheduler.cancel(job)
-            self._domain.hold_until_ms.pop(job, None)
+            self._domain.requeue_at_ms.pop(job, None)
             self.finish(job, cancel_result(entry))
             return
         record = records.JobCancelled(
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -19,16 +19,16 @@
         self,
         *,
         domain: domain_context.DomainContext,
-        ends: job_completion.JobCompletion,
+        completion: job_completion.JobCompletion,
     ) -> None:
         """Initializes the part.
 
         Args:
             domain: What the parts of the failure domain share.
-            ends: Ends jobs.
+            completion: Ends jobs.
         """
         self._domain = domain
-        self._ends = ends
+        self._completion = completion
 
     def moved_to(self, job: ids.JobId) -> ids.FailureDomainId | None:
         """Returns which failure domain schedules a job that was moved.
@@ -130,7 +130,7 @@
         if accepted:
             self._confirm_move(job, to)
         else:
-            self.move_home(job)
+            self.record_move_home(job)
         if accepted:
             self._domain.table.forward(job)
             return
@@ -140,9 +140,9 @@
             entry.spec, self._domain.ctx.now_ms, progress=entry.progress
         )
         if entry.cancelled:
-            self._ends.carry_out_cancel(entry)
+            self._completion.execute_cancel(entry)
 
-    def take_back(self) -> None:
+    def void_unsent_moves(self) -> None:
         """Voids moves that a fenced owner has recorded but not made."""
         void = [
             moved.job
@@ -152,7 +152,7 @@
             and not self._domain.table.entries[moved.job].ending
         ]
         for job in void:
-            self.move_home(job)
+            self.record_move_home(job)
 
     def _confirm_move(self, job: ids.JobId, to: ids.FailureDomainId) -> None:
         """Records that another failure domain schedules a job now."""
@@ -166,7 +166,7 @@
             )
         )
 
-    def move_here(self, job: ids.JobId, number: int) -> None:
+    def record_move_here(self, job: ids.JobId, number: int) -> None:
         """Records that a move has brought a job here.
 
         Args:
@@ -183,7 +183,7 @@
             )
         )
 
-    def move_home(self, job: ids.JobId) -> None:
+    def record_move_home(self, job: ids.JobId) -> None:
         """Records that this failure domain schedules a job again."""
         self._domain.record(
             records.JobMoved(
--- a/citronmount/agent/job_rebuilder.py
+++ b/citronmount/agent/job_rebuilder.py
@@ -21,24 +21,24 @@
         self,
         *,
         domain: domain_context.DomainContext,
-        ends: job_completion.JobCompletion,
+        completion: job_completion.JobCompletion,
         moves: job_moves.JobMoves,
-        runs: attempt_manager.AttemptManager,
+        manager: attempt_manager.AttemptManager,
         reports: worker_reports.WorkerReports,
     ) -> None:
         """Initializes the part.
 
         Args:
             domain: What the parts of the failure domain share.
-            ends: Ends jobs.
+            completion: Ends jobs.
             moves: Moves jobs to other failure domains.
-            runs: Runs attempts.
+            manager: Runs attempts.
             reports: Takes reports of workers.
         """
         self._domain = domain
-        self._ends = ends
+        self._completion = completion
         self._moves = moves
-        self._runs = runs
+        self._manager = manager
         self._reports = reports
 
     def rebuild(
@@ -64,33 +64,33 @@
         )
         for report in reports:
             self._reports.handle_report(report)
-        hold_ms = self._domain.ctx.settings.lease_ttl_ms if silent else 0
-        self.restore_missing_jobs(hold_ms=hold_ms)
+        delay_ms = self._domain.ctx.settings.lease_ttl_ms if silent else 0
+        self.restore_missing_jobs(delay_ms=delay_ms)
 
-    def restore_missing_jobs(self, *, hold_ms: int = 0) -> None:
+    def restore_missing_jobs(self, *, delay_ms: int = 0) -> None:
         """Takes over accepted jobs that the table does not have.
 
         Jobs that an earlier owner has ended leave the table.
 
         Args:
-            hold_ms: How long they must wait before they may be placed.
+            delay_ms: How long they must wait before they may be placed.
         """
-        self._ends.drop_ended()
+        self._completion.end_finished_jobs()
         missing = [
             spec
             for job, spec in self._domain.job_view.accepted.items()
             if job not in self._domain.table.entries
         ]
-        self._moves.take_back()
+        self._moves.void_unsent_moves()
         for spec in missing:
-            self.restore(spec, hold_ms=hold_ms)
+            self.restore_job(spec, delay_ms=delay_ms)
 
-    def restore(self, spec: jobs.JobSpec, *, hold_ms: int) -> None:
+    def restore_job(self, spec: jobs.JobSpec, *, delay_ms: int) -> None:
         """Takes over an accepted job of which no attempt was found.
 
         Args:
             spec: The job.
-            hold_ms: How long it must wait because a worker that did not
+            delay_ms: How long it must wait because a worker that did not
                 answer may still run it.
         """
         entry = job_table.JobEntry(spec=spec, durability=states.Durability.LOG)
@@ -106,12 +106,14 @@
             entry.ever_ran = True
             entry.attempts = intent.number
         if intent is not None and not spec.idempotent:
-            self._runs.conclude(entry, intent)
+            self._manager.stop_earlier_attempt(entry, intent)
         elif entry.cancelled:
-            self._ends.finish(spec.job, job_completion.cancel_result(entry))
-        elif hold_ms > 0:
-            self._domain.hold_until_ms[spec.job] = (
-                self._domain.ctx.now_ms + hold_ms
+            self._completion.finish(
+                spec.job, job_completion.cancel_result(entry)
+            )
+        elif delay_ms > 0:
+            self._domain.requeue_at_ms[spec.job] = (
+                self._domain.ctx.now_ms + delay_ms
             )
         else:
             self._domain.scheduler.restore(spec, self._domain.ctx.now_ms)
--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -12,7 +12,7 @@
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.leases import gang as gang_lib
+from citronmount.leases import gang
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 
@@ -42,21 +42,23 @@
         Args:
             context: What its parts share.
         """
-        ends = job_completion.JobCompletion(domain=context)
+        completion = job_completion.JobCompletion(domain=context)
         self._context = context
-        self._runs = attempt_manager.AttemptManager(domain=context, ends=ends)
-        self.moves = job_moves.JobMoves(domain=context, ends=ends)
+        self._attempt_manager = attempt_manager.AttemptManager(
+            domain=context, completion=completion
+        )
+        self.moves = job_moves.JobMoves(domain=context, completion=completion)
         self.job_calls = job_call_handler.JobCallHandler(
-            domain=context, ends=ends, moves=self.moves
+            domain=context, completion=completion, moves=self.moves
         )
         self.reports = worker_reports.WorkerReports(
-            domain=context, runs=self._runs
+            domain=context, manager=self._attempt_manager
         )
         self.rebuilder = job_rebuilder.JobRebuilder(
             domain=context,
-            ends=ends,
+            completion=completion,
             moves=self.moves,
-            runs=self._runs,
+            manager=self._attempt_manager,
             reports=self.reports,
         )
         context.on_worker_answer = self.reports.handle_answer
@@ -77,8 +79,8 @@
         return self._context.placement_enabled
 
     @placement_enabled.setter
-    def placement_enabled(self, enabled: bool) -> None:
-        self._context.placement_enabled = enabled
+    def placement_enabled(self, placement_enabled: bool) -> None:
+        self._context.placement_enabled = placement_enabled
 
     def summary(self) -> peer_messages.DomainSummary:
         """Returns what other VMs are told of the failure domain."""
@@ -112,7 +114,7 @@
         if self._context.in_service():
             return
         for attempt in list(self._context.attempts.values()):
-            if attempt.phase is gang_lib.GangPhase.RESERVING:
+            if attempt.phase is gang.GangPhase.RESERVING:
                 attempt.stop(decisions.AttemptEnd.REFUSED)
 
     def set_workers(self, workers: tuple[messages.ListedTarget, ...]) -> None:
@@ -135,7 +137,7 @@
     def all_attempts_running(self) -> bool:
         """Returns whether no attempt is between two phases."""
         return all(
-            attempt.phase is gang_lib.GangPhase.RUNNING
+            attempt.phase is gang.GangPhase.RUNNING
             for attempt in self._context.attempts.values()
         )
 
@@ -155,12 +157,12 @@
         )
         for attempt in list(context.attempts.values()):
             attempt.tick()
-        self._runs.release_held()
+        self._attempt_manager.requeue_held_jobs()
         if context.placement_enabled:
             self.decide()
         context.table.answer_due(context.ctx.now_ms)
-        self.reports.send_forget()
-        self.reports.note_quarantine()
+        self.reports.send_forget_calls()
+        self.reports.trace_quarantine()
         context.token_check.tick()
 
     def decide_if_due(self) -> None:
@@ -174,4 +176,4 @@
         for decision in self._context.scheduler.decide(
             self._context.ctx.now_ms
         ):
-            self._runs.carry_out(decision)
+            self._attempt_manager.execute(decision)
--- a/citronmount/agent/worker_reports.py
+++ b/citronmount/agent/worker_reports.py
@@ -19,21 +19,21 @@
         self,
         *,
         domain: domain_context.DomainContext,
-        runs: attempt_manager.AttemptManager,
+        manager: attempt_manager.AttemptManager,
     ) -> None:
         """Initializes the part.
 
         Args:
             domain: What the parts of the failure domain share.
-            runs: Runs attempts.
+            manager: Runs attempts.
         """
         self._domain = domain
-        self._runs = runs
+        self._manager = manager
         self.obsolete_attempts: frozenset[ids.AttemptId] = frozenset()
         self.lost_workers: set[ids.WorkerId] = set()
         self._sequences: dict[ids.WorkerId, int] = {}
-        self._quarantined: frozenset[ids.WorkerId] = frozenset()
-        self._states: dict[ids.WorkerId, states.TargetState] = {}
+        self._traced_quarantined: frozenset[ids.WorkerId] = frozenset()
+        self._worker_states: dict[ids.WorkerId, states.TargetState] = {}
 
     def handle_report(self, report: messages.Report) -> None:
         """Takes over a worker's report.
@@ -50,13 +50,13 @@
         self._sequences[worker] = report.sequence
         if report.token == self._domain.token:
             self._domain.fenced_workers.add(worker)
-        self._worker_answers(worker, report.state)
-        named = set()
+        self._note_worker_alive(worker, report.state)
+        listed = set()
         for lease in report.leases:
-            named.add(lease.attempt)
-            self._lease_report(worker, lease)
+            listed.add(lease.attempt)
+            self._handle_lease(worker, lease)
         for attempt in list(self._domain.attempts.values()):
-            if worker in attempt.workers and attempt.attempt not in named:
+            if worker in attempt.workers and attempt.attempt not in listed:
                 attempt.absent(worker, report.sequence)
 
     def handle_worker_lost(self, worker: ids.WorkerId) -> None:
@@ -67,7 +67,7 @@
         """
         if worker not in self.lost_workers:
             self.lost_workers.add(worker)
-            self.set_state(worker, states.TargetState.LOST)
+            self.set_worker_state(worker, states.TargetState.LOST)
         for attempt in list(self._domain.attempts.values()):
             attempt.worker_lost(worker)
 
@@ -85,13 +85,13 @@
         elif answer.report is not None:
             self.handle_report(answer.report)
 
-    def _worker_answers(
+    def _note_worker_alive(
         self, worker: ids.WorkerId, state: states.TargetState
     ) -> None:
         self.lost_workers.discard(worker)
-        self.set_state(worker, state)
+        self.set_worker_state(worker, state)
 
-    def set_state(
+    def set_worker_state(
         self, worker: ids.WorkerId, state: states.TargetState
     ) -> None:
         """Notes whether a worker may get new tasks.
@@ -101,12 +101,12 @@
             state: Its state.
         """
         domain = self._domain
-        if self._states.get(worker, states.TargetState.UP) is not state:
+        if self._worker_states.get(worker, states.TargetState.UP) is not state:
             self._trace_state(worker, state)
-        self._states[worker] = state
+        self._worker_states[worker] = state
         domain.scheduler.set_worker_state(worker, state, domain.ctx.now_ms)
 
-    def _lease_report(
+    def _handle_lease(
         self, worker: ids.WorkerId, lease: messages.LeaseReport
     ) -> None:
         attempt = self._domain.attempts.get(lease.attempt)
@@ -123,7 +123,7 @@
         if wanted and unplaced and self._adoptable(lease):
             self._adopt(worker, lease)
         elif holds:
-            self._stop_orphan(worker, lease)
+            self._stop_unknown_attempt(worker, lease)
         else:
             self._domain.forgettable_attempts.setdefault(worker, set()).add(
                 lease.attempt
@@ -135,13 +135,13 @@
             return False
         job = lease.spec.job
         if job in self._domain.table.entries:
-            return job in self._domain.hold_until_ms
+            return job in self._domain.requeue_at_ms
         return True
 
     def _adopt(self, worker: ids.WorkerId, lease: messages.LeaseReport) -> None:
         """Takes over an attempt that an earlier owner has started."""
         spec = lease.spec
-        self._domain.hold_until_ms.pop(spec.job, None)
+        self._domain.requeue_at_ms.pop(spec.job, None)
         entry = self._domain.table.entries.get(spec.job)
         if entry is None:
             entry = job_table.JobEntry(
@@ -151,7 +151,7 @@
             self._domain.trace_accepted(entry)
         entry.attempts = lease.number
         entry.ever_ran = entry.ever_ran or lease.ran
-        attempt = self._runs.new_attempt(
+        attempt = self._manager.create_attempt(
             entry, lease.attempt, lease.number, lease.placement
         )
         entry.state = states.JobState.STARTING
@@ -168,7 +168,7 @@
             entry.cancelled = True
             attempt.stop(decisions.AttemptEnd.CANCELLED)
 
-    def _stop_orphan(
+    def _stop_unknown_attempt(
         self, worker: ids.WorkerId, lease: messages.LeaseReport
     ) -> None:
         """Stops an attempt that no job wants any more."""
@@ -187,14 +187,14 @@
             ),
         )
 
-    def note_quarantine(self) -> None:
+    def trace_quarantine(self) -> None:
         """Notes in the time line which workers fail what is placed there."""
         quarantined = frozenset(self._domain.scheduler.quarantined())
-        for worker in sorted(quarantined - self._quarantined):
+        for worker in sorted(quarantined - self._traced_quarantined):
             self._trace_state(worker, states.TargetState.QUARANTINED)
-        for worker in sorted(self._quarantined - quarantined):
+        for worker in sorted(self._traced_quarantined - quarantined):
             self._trace_state(worker, states.TargetState.UP)
-        self._quarantined = quarantined
+        self._traced_quarantined = quarantined
 
     def _trace_state(
         self, worker: ids.WorkerId, state: states.TargetState
@@ -206,7 +206,7 @@
             detail=state.value,
         )
 
-    def send_forget(self) -> None:
+    def send_forget_calls(self) -> None:
         """Lets workers drop ended attempts whose results are in the log."""
         if (
             not self._domain.forgettable_attempts
