--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -1,4 +1,4 @@
-"""Runs the attempts that the scheduler of a failure domain decides."""
+"""Carries out the scheduler's decisions by starting and stopping attempts."""
 
 from citronmount.agent import attempts
 from citronmount.agent import claims
@@ -23,7 +23,7 @@
 
 
 class AttemptManager:
-    """Places, evicts and follows attempts, and queues jobs again."""
+    """Starts, stops and tracks attempts, and requeues or ends their jobs."""
 
     def __init__(
         self,
@@ -31,20 +31,20 @@
         domain: domain_context.DomainContext,
         completion: job_completion.JobCompletion,
     ) -> None:
-        """Initializes the part.
+        """Initializes the manager.
 
         Args:
-            domain: What the parts of the failure domain share.
-            completion: Ends jobs.
+            domain: Shared state of the owned failure domain.
+            completion: Records the final results of jobs.
         """
         self._domain = domain
         self._completion = completion
 
     def execute(self, decision: decisions.Decision) -> None:
-        """Carries out one decision.
+        """Executes one decision of the scheduler.
 
         Args:
-            decision: What the scheduler has decided.
+            decision: The decision.
         """
         match decision:
             case decisions.PlaceJob():
@@ -102,11 +102,11 @@
     def stop_earlier_attempt(
         self, entry: job_table.JobEntry, intent: records.AttemptIntended
     ) -> None:
-        """Finds out whether an attempt of an earlier owner ever ran.
+        """Stops an attempt of an earlier owner to learn whether it ran.
 
         Args:
             entry: The job, which is not idempotent.
-            intent: What the earlier owner recorded.
+            intent: The earlier owner's record of the attempt.
         """
         attempt = self.create_attempt(
             entry, intent.attempt, intent.number, intent.placement
@@ -124,13 +124,13 @@
         number: int,
         placement: jobs.Placement,
     ) -> attempts.Attempt:
-        """Makes an attempt that has not begun and enters it.
+        """Creates and registers an attempt without sending any call.
 
         Args:
             entry: The job.
             attempt_id: The id of the attempt.
-            number: Counts the attempts of the job.
-            placement: Where it runs.
+            number: The number of the attempt within the job, from 1.
+            placement: The workers and the number of tasks at each.
 
         Returns:
             The attempt.
@@ -156,7 +156,11 @@
     def _targets_for(
         self, placement: jobs.Placement
     ) -> dict[ids.WorkerId, messages.ListedTarget]:
-        """Returns the placement's targets; unlisted ones never answer."""
+        """Returns the targets of a placement.
+
+        A worker that the platform does not list gets an empty address, at
+        which no call is ever answered.
+        """
         return {
             group.worker: self._domain.targets.get(group.worker)
             or messages.ListedTarget(
@@ -170,10 +174,10 @@
     def _claim_attempt(
         self, entry: job_table.JobEntry, attempt: attempts.Attempt
     ) -> None:
-        """Starts a job that is not idempotent only under a durable claim."""
+        """Begins an attempt of a non-idempotent job under a durable claim."""
         job = entry.spec.job
 
-        def claimed(outcome: claims.ClaimOutcome) -> None:
+        def handle_claim_outcome(outcome: claims.ClaimOutcome) -> None:
             if attempt.attempt not in self._domain.attempts:
                 return
             if outcome.granted:
@@ -184,17 +188,17 @@
                 self._free_claim(outcome.holder)
             attempt.stop(decisions.AttemptEnd.REFUSED)
 
-        self._domain.claims.claim(f"job/{job}", "", claimed)
+        self._domain.claims.claim(f"job/{job}", "", handle_claim_outcome)
 
     def _all_workers_fenced(self) -> bool:
-        """Returns whether no worker takes calls of an earlier owner."""
+        """Returns whether every worker refuses calls of earlier owners."""
         return all(
             worker in self._domain.fenced_workers
             for worker in self._domain.targets
         )
 
     def _free_claim(self, claim: records.KeyClaimed) -> None:
-        """Frees the claim of an attempt that never ran and never will."""
+        """Releases the claim of an attempt that never ran and never will."""
         not_run = jobs.RequestResult(
             request=ids.RequestId(""), code=codes.ResultCode.TARGET_REFUSED
         )
@@ -211,7 +215,7 @@
             placement=attempt.placement,
         )
 
-        def written(outcome: outbox.WriteOutcome) -> None:
+        def handle_intent_written(outcome: outbox.WriteOutcome) -> None:
             if attempt.phase is not gang.GangPhase.RESERVING:
                 return
             if outcome.durability is None:
@@ -220,7 +224,9 @@
             self._domain.job_view.fold(intent)
             attempt.allow_start()
 
-        self._domain.outbox.write(self._domain.stream, intent, written)
+        self._domain.outbox.write(
+            self._domain.stream, intent, handle_intent_written
+        )
 
     def _attempt_started(self, attempt: attempts.Attempt) -> None:
         entry = self._domain.table.entries[attempt.spec.job]
@@ -264,7 +270,7 @@
             requeue=final is None and not refused,
             progress=entry.progress,
         )
-        final = final or _corrected_verdict(entry, verdict)
+        final = final or _verdict_or_refusal(entry, verdict)
         self._domain.decision_due = True
         if final is not None:
             self._completion.finish(job, final)
@@ -276,7 +282,7 @@
             self._free_claim(claim)
 
     def _delay_requeue(self, entry: job_table.JobEntry) -> None:
-        """Keeps a job that was refused out of the queue for a while."""
+        """Delays requeueing a refused job, with exponential backoff."""
         delay_ms = min(BACKOFF_START_MS << entry.refusals, BACKOFF_MAX_MS)
         entry.refusals += 1
         self._domain.requeue_at_ms[entry.spec.job] = (
@@ -284,11 +290,15 @@
         )
 
     def requeue_held_jobs(self) -> None:
-        """Queues held jobs once no silent worker can run them any more."""
+        """Requeues jobs whose delay is over.
+
+        The delay is the backoff after a refusal, or, after a rebuild, the
+        time until no silent worker can still run the job.
+        """
         due = [
             job
-            for job, until_ms in self._domain.requeue_at_ms.items()
-            if until_ms <= self._domain.ctx.now_ms
+            for job, due_ms in self._domain.requeue_at_ms.items()
+            if due_ms <= self._domain.ctx.now_ms
         ]
         for job in due:
             del self._domain.requeue_at_ms[job]
@@ -301,7 +311,7 @@
 def _final_result(
     entry: job_table.JobEntry, result: attempts.AttemptResult
 ) -> jobs.JobResult | None:
-    """Returns the job's final result, or None if it may run again."""
+    """Returns the final result of a job, or None if it may run again."""
     match result.how:
         case decisions.AttemptEnd.DONE:
             return jobs.JobResult(
@@ -321,10 +331,14 @@
     return jobs.JobResult(code=codes.ResultCode.INTERRUPTED)
 
 
-def _corrected_verdict(
+def _verdict_or_refusal(
     entry: job_table.JobEntry, verdict: jobs.JobResult | None
 ) -> jobs.JobResult | None:
-    """Returns the scheduler's verdict, or that no worker would start it."""
+    """Returns the scheduler's verdict on a job after a failed attempt.
+
+    If no task of the job ever ran, the result is `TARGET_REFUSED` instead,
+    because the workers only refused or failed to start it.
+    """
     if verdict is None or entry.ever_ran:
         return verdict
     return jobs.JobResult(
--- a/citronmount/agent/domain_capacity.py
+++ b/citronmount/agent/domain_capacity.py
@@ -1,4 +1,4 @@
-"""What a VM knows of the room in each failure domain."""
+"""Free capacity of each failure domain, as far as a VM knows it."""
 
 import collections
 
@@ -13,7 +13,11 @@
 
 
 class DomainCapacityTracker:
-    """The room that owners tell of, less what was sent there since."""
+    """Tracks the free capacity of every failure domain.
+
+    Owners report it in their heartbeats. Jobs that this VM has submitted since
+    then are subtracted, so that it does not fill the same capacity twice.
+    """
 
     def __init__(
         self,
@@ -22,47 +26,52 @@
         view: view_lib.MembershipView,
         ownership: ownership_lib.Ownership,
     ) -> None:
-        """Initializes with nothing sent.
+        """Initializes a tracker without recent submissions.
 
         Args:
-            ctx: The shared context.
-            view: Holds the heartbeats of owners.
-            ownership: The own failure domain, if this VM owns it.
+            ctx: Clock, settings and calls shared by the parts of the agent.
+            view: The membership view, with the heartbeats of owners.
+            ownership: This VM's failure domain, if it owns it.
         """
         self._ctx = ctx
         self._view = view
         self._ownership = ownership
-        self._sent: collections.deque[tuple[int, ids.FailureDomainId, int]] = (
-            collections.deque()
-        )
+        self._recent_submissions: collections.deque[
+            tuple[int, ids.FailureDomainId, int]
+        ] = collections.deque()
 
     def record_submission(
         self, home: ids.FailureDomainId, accelerators: int
     ) -> None:
-        """Notes that a job was sent to a failure domain.
+        """Records that this VM has submitted a job to a failure domain.
 
         Args:
             home: The failure domain.
-            accelerators: What the job asks for.
+            accelerators: The number of accelerators that the job requests.
         """
-        self._sent.append((self._ctx.now_ms, home, accelerators))
+        self._recent_submissions.append((self._ctx.now_ms, home, accelerators))
 
     def free_capacity(self) -> dict[ids.FailureDomainId, homes.DomainRoom]:
-        """Returns the room in each failure domain that has an owner.
+        """Returns the free capacity of each failure domain with an owner.
 
-        What this VM has sent there since the last heartbeats is taken off.
+        Accelerators of queued jobs and of jobs that this VM has submitted
+        within the last heartbeat period are subtracted, so the number can be
+        negative.
         """
-        limit_ms = self._ctx.now_ms - self._ctx.settings.remote_heartbeat_ms
-        while self._sent and self._sent[0][0] < limit_ms:
-            self._sent.popleft()
-        sent = collections.Counter()
-        for _, home, accelerators in self._sent:
-            sent[home] += accelerators
+        since_ms = self._ctx.now_ms - self._ctx.settings.remote_heartbeat_ms
+        while (
+            self._recent_submissions
+            and self._recent_submissions[0][0] < since_ms
+        ):
+            self._recent_submissions.popleft()
+        submitted = collections.Counter()
+        for _, home, accelerators in self._recent_submissions:
+            submitted[home] += accelerators
         return {
             name: homes.DomainRoom(
                 accelerators=summary.free_accelerators
                 - summary.queued_accelerators
-                - sent[name],
+                - submitted[name],
                 largest_gang=summary.largest_gang,
             )
             for name, summary in self.summaries().items()
@@ -71,17 +80,20 @@
     def summaries(
         self,
     ) -> dict[ids.FailureDomainId, peer_messages.DomainSummary]:
-        """Returns what the owners of live failure domains tell."""
-        found: dict[ids.FailureDomainId, peer_messages.DomainSummary] = {}
+        """Returns the last summary of each failure domain with a live owner.
+
+        If two VMs claim a failure domain, the higher fencing token counts.
+        """
+        newest: dict[ids.FailureDomainId, peer_messages.DomainSummary] = {}
         for vm in self._view.live_peers(self._ctx.now_ms):
             heartbeat = self._view.peers[vm].heartbeat
             summary = None if heartbeat is None else heartbeat.domain
             if summary is None:
                 continue
-            known = found.get(summary.failure_domain)
+            known = newest.get(summary.failure_domain)
             if known is None or known.token < summary.token:
-                found[summary.failure_domain] = summary
+                newest[summary.failure_domain] = summary
         if self._ownership.domain is not None:
             own = self._ownership.domain.summary()
-            found[own.failure_domain] = own
-        return found
+            newest[own.failure_domain] = own
+        return newest
--- a/citronmount/agent/domain_context.py
+++ b/citronmount/agent/domain_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an owned failure domain share."""
+"""State and services shared by the parts of an owned failure domain."""
 
 from collections.abc import Callable
 
@@ -24,28 +24,30 @@
     """State and services of an owned failure domain.
 
     Attributes:
-        ctx: The shared context.
-        token: The fencing token that the workers have seen.
-        job_view: What must not be lost.
-        outbox: Writes durably.
-        claims: Claims the attempts of jobs that are not idempotent.
-        on_fenced: Told when a worker has seen a higher token.
-        on_worker_answer: Told of every answer of a worker.
+        ctx: Clock, settings and calls shared by the parts of the agent.
+        token: The owner's fencing token, which the workers have seen.
+        job_view: Jobs, intents, results and claims folded from the log.
+        outbox: Writes records durably.
+        claims: Claims attempts of jobs that are not idempotent.
+        on_fenced: Called when a worker has seen a higher token.
+        on_worker_answer: Called with every answer of a worker.
         failure_domain: The failure domain.
-        stream: Its stream in the log.
-        scheduler: Decides.
-        configuration: The version in force.
-        table: Open jobs.
-        targets: The workers.
+        stream: The log stream of the failure domain's jobs.
+        scheduler: Decides which jobs to place, evict and end.
+        configuration: The configuration in force.
+        table: Jobs without a final result.
+        targets: The workers of the failure domain.
         attempts: Attempts that have not ended.
-        attempt_by_job: The attempt of each job that has one.
-        requeue_at_ms: Jobs kept out of the queue until a monotonic time.
+        attempt_by_job: The attempt that has not ended, by job.
+        requeue_at_ms: Monotonic time at which a job held back from the queue
+            enters it again, by job.
         fenced_workers: Workers that have seen the token.
-        forgettable_attempts: Ended attempts that workers may drop from their
-            reports.
-        token_check: Confirms the token with workers.
+        forgettable_attempts: Ended attempts that a worker may drop from its
+            reports, by worker.
+        token_check: Confirms with the workers that the token is the highest.
         placement_enabled: Whether new attempts may begin.
-        decision_due: Whether something has happened that may make room.
+        decision_due: Whether a job was accepted or an attempt has ended since
+            the last decision.
     """
 
     def __init__(
@@ -62,13 +64,13 @@
         """Initializes a failure domain without workers and jobs.
 
         Args:
-            ctx: The shared context.
-            token: The fencing token.
-            job_view: What must not be lost.
-            outbox: Writes durably.
-            claims: Claims keys.
-            policy: The scheduling policy.
-            on_fenced: Told when a worker has seen a higher token.
+            ctx: Clock, settings and calls shared by the parts of the agent.
+            token: The owner's fencing token.
+            job_view: Jobs, intents, results and claims folded from the log.
+            outbox: Writes records durably.
+            claims: Claims attempts of jobs that are not idempotent.
+            policy: The name of the scheduling policy.
+            on_fenced: Called when a worker has seen a higher token.
         """
         self.ctx = ctx
         self.token = token
@@ -107,7 +109,7 @@
         )
 
     def attempt_of(self, job: ids.JobId) -> attempts_lib.Attempt | None:
-        """Returns the attempt of a job that has not ended.
+        """Returns the attempt of a job that has not ended, if there is one.
 
         Args:
             job: The job.
@@ -116,7 +118,7 @@
         return None if attempt is None else self.attempts.get(attempt)
 
     def record(self, record: records.Record) -> None:
-        """Folds a record into the book and writes it.
+        """Folds a record into the job view and writes it to the stream.
 
         Args:
             record: A record of the failure domain's stream.
@@ -125,7 +127,7 @@
         self.outbox.write(self.stream, record)
 
     def trace_accepted(self, entry: job_table.JobEntry) -> None:
-        """Notes in the time line that a job is in the table.
+        """Adds a job's acceptance to the timeline.
 
         Args:
             entry: The job.
--- a/citronmount/agent/job_call_handler.py
+++ b/citronmount/agent/job_call_handler.py
@@ -1,4 +1,4 @@
-"""Takes callers' calls for the jobs of an owned failure domain."""
+"""Handles callers' calls for the jobs of an owned failure domain."""
 
 import itertools
 
@@ -17,11 +17,11 @@
 
 __all__ = ["JobCallHandler"]
 
-RETRY_AFTER_MS = 2_000
+REFUSAL_RETRY_AFTER_MS = 2_000
 
 
 class JobCallHandler:
-    """Accepts, refuses, shows and cancels jobs."""
+    """Submits, lists and cancels jobs on behalf of callers."""
 
     def __init__(
         self,
@@ -30,12 +30,12 @@
         completion: job_completion.JobCompletion,
         moves: job_moves.JobMoves,
     ) -> None:
-        """Initializes the part.
+        """Initializes the handler.
 
         Args:
-            domain: What the parts of the failure domain share.
-            completion: Ends jobs.
-            moves: Moves jobs to other failure domains.
+            domain: Shared state of the owned failure domain.
+            completion: Ends and cancels jobs.
+            moves: Records moves of jobs between failure domains.
         """
         self._domain = domain
         self._completion = completion
@@ -52,9 +52,9 @@
         """Accepts a job durably or refuses it.
 
         Args:
-            spec: The job; submitting the same id again answers with the
-                status of the first.
-            respond: Told the status or the refusal.
+            spec: The job. Submission is idempotent: a job with a known id and
+                the same body is answered with its status.
+            respond: Called with the status or the refusal.
             eager: Whether to refuse a job that could not start at once.
             move: The number of the move that brings the job here, 0 for a
                 caller's submission.
@@ -62,20 +62,20 @@
         digest = job_table.body_digest(spec)
         ended = self._domain.job_view.ended.get(spec.job)
         if ended is not None:
-            self._answer_again(spec, digest, ended.body_digest, respond)
+            self._answer_resubmission(spec, digest, ended.body_digest, respond)
             return
         entry = self._domain.table.entries.get(spec.job)
         if entry is not None:
-            known = job_table.body_digest(entry.spec)
-            if known == digest and entry.durability is None:
+            recorded_digest = job_table.body_digest(entry.spec)
+            if recorded_digest == digest and entry.durability is None:
                 entry.accept_responders.append(respond)
                 return
-            self._answer_again(spec, digest, known, respond)
+            self._answer_resubmission(spec, digest, recorded_digest, respond)
             return
-        if self._moved_on(spec.job, move):
-            respond(peer_messages.JobAnswer(status=_status_elsewhere(spec)))
+        if self._moved_away(spec.job, move):
+            respond(peer_messages.JobAnswer(status=_status_after_move(spec)))
             return
-        refusal = self._check(spec)
+        refusal = self._admission_refusal(spec)
         if refusal is None and eager and not self._would_start(spec):
             refusal = jobs.JobResult(code=codes.ResultCode.TARGET_REFUSED)
         if refusal is not None:
@@ -86,16 +86,16 @@
     def status(
         self, job: ids.JobId, wait_ms: int, respond: job_table.Responder
     ) -> None:
-        """Answers with a job's status, after its end or the wait.
+        """Answers with a job's status, on its final result or a time-out.
 
         Args:
             job: The job.
-            wait_ms: How long to wait for a final result.
-            respond: Told the status.
+            wait_ms: The longest wait for a final result; 0 answers at once.
+            respond: Called with the status.
         """
         entry = self._domain.table.entries.get(job)
         if entry is not None and wait_ms > 0:
-            self._domain.table.wait(
+            self._domain.table.add_waiter(
                 job, respond, self._domain.ctx.now_ms + wait_ms
             )
         else:
@@ -104,24 +104,25 @@
     def statuses(
         self, account: ids.AccountId, limit: int
     ) -> peer_messages.JobsAnswer:
-        """Returns the open and recent jobs.
+        """Returns the statuses of open and recently ended jobs.
 
         Args:
-            account: Only this account's, unless empty.
-            limit: The most to return.
+            account: The account whose jobs to list, or empty for all.
+            limit: The largest number of statuses to return.
 
         Returns:
-            The newest ones, oldest first.
+            The newest statuses, oldest first, and the number of all matching
+            jobs.
         """
         ended = map(
             job_table.ended_status, self._domain.job_view.ended.values()
         )
-        opened = (
+        open_jobs = (
             entry.status() for entry in self._domain.table.entries.values()
         )
         matching = [
             status
-            for status in itertools.chain(ended, opened)
+            for status in itertools.chain(ended, open_jobs)
             if not account or status.account == account
         ]
         return peer_messages.JobsAnswer(
@@ -133,16 +134,16 @@
 
         Args:
             job: The job.
-            respond: Told the final status, or the present one if tasks still
-                have to stop.
+            respond: Called with the final status, or with the current one if
+                the tasks have not stopped within the call time-out.
         """
         entry = self._domain.table.entries.get(job)
         if entry is None:
             respond(self._status_answer(job))
             return
-        limit_ms = self._domain.ctx.settings.call_timeout_ms
-        self._domain.table.wait(
-            job, respond, self._domain.ctx.now_ms + limit_ms
+        timeout_ms = self._domain.ctx.settings.call_timeout_ms
+        self._domain.table.add_waiter(
+            job, respond, self._domain.ctx.now_ms + timeout_ms
         )
         self._completion.cancel(entry)
 
@@ -155,7 +156,7 @@
             account: The account.
 
         Returns:
-            How many jobs were open, without their statuses.
+            The number of open jobs found, without their statuses.
         """
         entries = [
             entry
@@ -166,26 +167,30 @@
             self._completion.cancel(entry)
         return peer_messages.JobsAnswer(statuses=(), total=len(entries))
 
-    def _answer_again(
+    def _answer_resubmission(
         self,
         spec: jobs.JobSpec,
         digest: str,
-        known: str,
+        recorded_digest: str,
         respond: job_table.Responder,
     ) -> None:
-        if digest == known:
+        if digest == recorded_digest:
             respond(self._status_answer(spec.job))
             return
         result = jobs.JobResult(code=codes.ResultCode.KEY_REUSED)
         respond(peer_messages.Failure(result=result))
 
-    def _moved_on(self, job: ids.JobId, move: int) -> bool:
-        """Returns whether a submission is a late copy of one moved on."""
-        away = self._domain.job_view.outgoing_move(job)
-        return away is not None and move <= away.number
+    def _moved_away(self, job: ids.JobId, move: int) -> bool:
+        """Returns whether a submission is a late copy of a job moved away."""
+        outgoing = self._domain.job_view.outgoing_move(job)
+        return outgoing is not None and move <= outgoing.number
 
     def _would_start(self, spec: jobs.JobSpec) -> bool:
-        """Returns whether a job could start now, after those being accepted."""
+        """Returns whether a job could start now.
+
+        It could not if another job of its account is still being accepted:
+        that one is queued first.
+        """
         pending = any(
             entry.durability is None and entry.spec.account == spec.account
             for entry in self._domain.table.entries.values()
@@ -194,8 +199,12 @@
             spec, self._domain.ctx.now_ms
         )
 
-    def _check(self, spec: jobs.JobSpec) -> jobs.JobResult | None:
-        """Returns why a job is refused, without keeping it queued."""
+    def _admission_refusal(self, spec: jobs.JobSpec) -> jobs.JobResult | None:
+        """Returns why the scheduler refuses a job, or None.
+
+        The job is removed from the queue again: it enters it for good once
+        its acceptance is durable.
+        """
         refusal = self._domain.scheduler.submit(spec, self._domain.ctx.now_ms)
         if refusal is None:
             self._domain.scheduler.cancel(spec.job)
@@ -217,7 +226,7 @@
         respond(
             peer_messages.Failure(
                 result=result,
-                retry_after_ms=RETRY_AFTER_MS if retry else None,
+                retry_after_ms=REFUSAL_RETRY_AFTER_MS if retry else None,
             )
         )
 
@@ -225,7 +234,7 @@
         self, spec: jobs.JobSpec, respond: job_table.Responder, move: int
     ) -> None:
         if move:
-            self._moves.record_move_here(spec.job, move)
+            self._moves.record_arrival(spec.job, move)
         entry = job_table.JobEntry(spec=spec, accept_responders=[respond])
         self._domain.table.entries[spec.job] = entry
         record = records.JobAccepted(
@@ -234,10 +243,10 @@
         self._domain.outbox.write(
             self._domain.stream,
             record,
-            lambda outcome: self._accept_written(entry, record, outcome),
+            lambda outcome: self._handle_accept_written(entry, record, outcome),
         )
 
-    def _accept_written(
+    def _handle_accept_written(
         self,
         entry: job_table.JobEntry,
         record: records.JobAccepted,
@@ -245,7 +254,7 @@
     ) -> None:
         spec = entry.spec
         if outcome is outbox.WriteOutcome.NEVER_SENT:
-            self._not_accepted(entry, codes.ResultCode.NOT_DURABLE)
+            self._reject_unwritten(entry, codes.ResultCode.NOT_DURABLE)
             return
         self._domain.job_view.fold(record)
         entry.durability = outcome.durability or states.Durability.PEERS
@@ -267,7 +276,7 @@
             self._completion.execute_cancel(entry)
         self._domain.decision_due = True
 
-    def _not_accepted(
+    def _reject_unwritten(
         self, entry: job_table.JobEntry, code: codes.ResultCode
     ) -> None:
         self._domain.table.entries.pop(entry.spec.job, None)
@@ -288,8 +297,8 @@
         )
 
 
-def _status_elsewhere(spec: jobs.JobSpec) -> jobs.JobStatus:
-    """Returns what is known of a job that another failure domain has."""
+def _status_after_move(spec: jobs.JobSpec) -> jobs.JobStatus:
+    """Returns the status of a job that another failure domain schedules."""
     return jobs.JobStatus(
         job=spec.job, account=spec.account, state=states.JobState.QUEUED
     )
--- a/citronmount/agent/job_completion.py
+++ b/citronmount/agent/job_completion.py
@@ -1,4 +1,4 @@
-"""Ends the jobs of an owned failure domain, truthfully."""
+"""Records the final results of the jobs of an owned failure domain."""
 
 from citronmount.agent import domain_context
 from citronmount.agent import job_table
@@ -14,26 +14,32 @@
 
 
 class JobCompletion:
-    """Records final results and tells them once that is safe."""
+    """Ends and cancels jobs.
+
+    A final result is reported to callers only after its record is durable. A
+    result other than `DONE` also waits until workers confirm that the owner's
+    fencing token is still the highest: any later owner then reads the record
+    and does not run the job again.
+    """
 
     def __init__(
         self,
         *,
         domain: domain_context.DomainContext,
     ) -> None:
-        """Initializes the part.
+        """Initializes the part for a failure domain.
 
         Args:
-            domain: What the parts of the failure domain share.
+            domain: Shared state of the owned failure domain.
         """
         self._domain = domain
 
     def finish(self, job: ids.JobId, result: jobs.JobResult) -> None:
-        """Records a final result and tells it once it is safe to do so.
+        """Records a job's final result and then reports it to callers.
 
         Args:
-            job: An open job without an attempt.
-            result: Its final result.
+            job: A job without a final result and without an attempt.
+            result: The final result.
         """
         entry = self._domain.table.entries[job]
         if entry.ending:
@@ -53,16 +59,17 @@
         self._domain.outbox.write(
             self._domain.stream,
             ended,
-            lambda outcome: self._end_written(ended),
+            lambda outcome: self._handle_end_written(ended),
             limit_ms=None,
         )
 
     def finish_queued(self, job: ids.JobId, result: jobs.JobResult) -> None:
-        """Ends a queued job that the scheduler gives up.
+        """Ends a queued job on the scheduler's decision.
 
         Args:
             job: The job.
-            result: Its final result, if no attempt ever ran.
+            result: The final result. If it says that the job was not run but
+                an attempt may have run, it becomes `INTERRUPTED`.
         """
         entry = self._domain.table.entries[job]
         if entry.ever_ran and codes.info(result.code).proves_not_run:
@@ -71,7 +78,7 @@
             )
         self.finish(job, result)
 
-    def _end_written(self, ended: records.JobEnded) -> None:
+    def _handle_end_written(self, ended: records.JobEnded) -> None:
         if ended.result.code is codes.ResultCode.DONE:
             self._report_end(ended)
         else:
@@ -88,10 +95,13 @@
             account=ended.account,
             code=int(ended.result.code),
         )
-        self._domain.table.end(ended)
+        self._domain.table.finish_job(ended)
 
     def end_finished_jobs(self) -> None:
-        """Gives up open jobs whose final result the book already has."""
+        """Closes jobs that already have a final result in the job view.
+
+        An earlier owner may have recorded it after this VM took over the job.
+        """
         finished = [
             job
             for job, entry in self._domain.table.entries.items()
@@ -106,10 +116,10 @@
                 continue
             self._domain.scheduler.cancel(job)
             self._domain.requeue_at_ms.pop(job, None)
-            self._domain.table.end(self._domain.job_view.ended[job])
+            self._domain.table.finish_job(self._domain.job_view.ended[job])
 
     def cancel(self, entry: job_table.JobEntry) -> None:
-        """Cancels a job, at once or as soon as it is accepted.
+        """Cancels a job, or marks it for cancellation until it is accepted.
 
         Args:
             entry: The job.
@@ -121,10 +131,10 @@
             self.execute_cancel(entry)
 
     def execute_cancel(self, entry: job_table.JobEntry) -> None:
-        """Ends a cancelled job or stops its attempt.
+        """Stops the attempt of a cancelled job, or ends a job without one.
 
         Args:
-            entry: A job whose acceptance is recorded.
+            entry: A cancelled job whose acceptance is recorded.
         """
         job = entry.spec.job
         attempt = self._domain.attempt_of(job)
@@ -149,7 +159,7 @@
         entry: The job.
 
     Returns:
-        Not run only if no attempt can have run.
+        `CANCELLED_NOT_RUN` only if no attempt can have run.
     """
     code = (
         codes.ResultCode.CANCELLED_AFTER_START
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -1,4 +1,4 @@
-"""Hands queued jobs to other failure domains and takes them back."""
+"""Records moves of queued jobs between failure domains."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,10 @@
 
 
 class JobMoves:
-    """The durable side of moving jobs; the mover decides which."""
+    """Records the steps of each move durably.
+
+    The mover decides which jobs to move and calls the other failure domains.
+    """
 
     def __init__(
         self,
@@ -21,23 +24,24 @@
         domain: domain_context.DomainContext,
         completion: job_completion.JobCompletion,
     ) -> None:
-        """Initializes the part.
+        """Initializes the part for a failure domain.
 
         Args:
-            domain: What the parts of the failure domain share.
-            completion: Ends jobs.
+            domain: Shared state of the owned failure domain.
+            completion: Ends and cancels jobs.
         """
         self._domain = domain
         self._completion = completion
 
     def moved_to(self, job: ids.JobId) -> ids.FailureDomainId | None:
-        """Returns which failure domain schedules a job that was moved.
+        """Returns the failure domain that a job has been moved to.
 
         Args:
-            job: A job that has its home here.
+            job: A job whose home is this failure domain.
 
         Returns:
-            The failure domain, or None if the job was not moved.
+            The failure domain that schedules the job, or None if it was not
+            moved away.
         """
         moved = self._domain.job_view.outgoing_move(job)
         if moved is None or job in self._domain.table.entries:
@@ -45,9 +49,10 @@
         return moved.to
 
     def movable_jobs(self) -> list[jobs.JobSpec]:
-        """Returns queued jobs that may go elsewhere, first in line first.
+        """Returns the queued jobs that may be moved, in queue order.
 
-        Jobs that ran before, or for which room is being cleared, stay.
+        Not among them are jobs that may have run, that are not idempotent or
+        for which capacity is being freed by evictions.
         """
         entries = (
             self._domain.table.entries.get(job)
@@ -66,7 +71,7 @@
     def unconfirmed_moves(
         self,
     ) -> list[tuple[jobs.JobSpec, records.JobMoved]]:
-        """Returns the moves whose receiver has not answered yet."""
+        """Returns the recorded moves that the receiver has not answered yet."""
         return [
             (self._domain.table.entries[job].spec, moved)
             for job, moved in self._domain.job_view.moved.items()
@@ -82,12 +87,12 @@
         to: ids.FailureDomainId,
         on_released: Callable[[jobs.JobSpec, records.JobMoved], None],
     ) -> None:
-        """Takes a job out of the queue to hand it to another scheduler.
+        """Removes a job from the queue and records its move.
 
         Args:
             job: A queued job.
-            to: The failure domain that is to schedule it.
-            on_released: Told once the move is durable and no later owner of
+            to: The failure domain that shall schedule it.
+            on_released: Called once the move is durable and no later owner of
                 this failure domain can start the job.
         """
         entry = self._domain.table.entries[job]
@@ -102,37 +107,38 @@
             to=to,
         )
 
-        def released() -> None:
+        def handle_released() -> None:
             self._domain.job_view.fold(moved)
             on_released(entry.spec, moved)
 
         self._domain.outbox.write(
             self._domain.stream,
             moved,
-            lambda outcome: self._domain.token_check.confirm(released),
+            lambda outcome: self._domain.token_check.confirm(handle_released),
             limit_ms=None,
         )
 
     def settle_move(
         self, job: ids.JobId, to: ids.FailureDomainId, *, accepted: bool
     ) -> None:
-        """Notes what became of a job that was to be moved.
+        """Completes a move or returns the job to the queue.
 
         Args:
             job: The job.
-            to: The failure domain that was asked.
-            accepted: Whether it schedules the job now; if not, it is proved
-                that it never will, and the job is queued here again.
+            to: The failure domain that the job was offered to.
+            accepted: Whether that failure domain has accepted the job. False
+                only if its answer proves that it never will; the job is then
+                queued here again.
         """
         entry = self._domain.table.entries.get(job)
         if entry is None:
             return
         if accepted:
-            self._confirm_move(job, to)
+            self._record_confirmation(job, to)
         else:
-            self.record_move_home(job)
+            self.record_return(job)
         if accepted:
-            self._domain.table.forward(job)
+            self._domain.table.remove_moved(job)
             return
         entry.ending = False
         entry.state = states.JobState.QUEUED
@@ -142,20 +148,22 @@
         if entry.cancelled:
             self._completion.execute_cancel(entry)
 
-    def void_unsent_moves(self) -> None:
-        """Voids moves that a fenced owner has recorded but not made."""
-        void = [
+    def revert_unsent_moves(self) -> None:
+        """Reverts moves that a fenced owner has recorded but not sent."""
+        unsent = [
             moved.job
             for moved in self._domain.job_view.moved.values()
             if moved.to != self._domain.failure_domain
             and moved.job in self._domain.table.entries
             and not self._domain.table.entries[moved.job].ending
         ]
-        for job in void:
-            self.record_move_home(job)
+        for job in unsent:
+            self.record_return(job)
 
-    def _confirm_move(self, job: ids.JobId, to: ids.FailureDomainId) -> None:
-        """Records that another failure domain schedules a job now."""
+    def _record_confirmation(
+        self, job: ids.JobId, to: ids.FailureDomainId
+    ) -> None:
+        """Records that another failure domain has accepted a job."""
         self._domain.record(
             records.JobMoved(
                 record=ids.RecordId(self._domain.ctx.unique()),
@@ -166,7 +174,7 @@
             )
         )
 
-    def record_move_here(self, job: ids.JobId, number: int) -> None:
+    def record_arrival(self, job: ids.JobId, number: int) -> None:
         """Records that a move has brought a job here.
 
         Args:
@@ -183,8 +191,12 @@
             )
         )
 
-    def record_move_home(self, job: ids.JobId) -> None:
-        """Records that this failure domain schedules a job again."""
+    def record_return(self, job: ids.JobId) -> None:
+        """Records that this failure domain schedules a job again.
+
+        Args:
+            job: The job.
+        """
         self._domain.record(
             records.JobMoved(
                 record=ids.RecordId(self._domain.ctx.unique()),
--- a/citronmount/agent/job_rebuilder.py
+++ b/citronmount/agent/job_rebuilder.py
@@ -1,4 +1,4 @@
-"""Rebuilds the jobs of a failure domain that was taken over."""
+"""Rebuilds the jobs and attempts of a failure domain after a takeover."""
 
 from citronmount.agent import attempt_manager
 from citronmount.agent import domain_context
@@ -15,7 +15,7 @@
 
 
 class JobRebuilder:
-    """Takes over jobs from the book and attempts from workers."""
+    """Restores jobs from the job view and attempts from worker reports."""
 
     def __init__(
         self,
@@ -26,14 +26,14 @@
         manager: attempt_manager.AttemptManager,
         reports: worker_reports.WorkerReports,
     ) -> None:
-        """Initializes the part.
+        """Initializes the part for a failure domain.
 
         Args:
-            domain: What the parts of the failure domain share.
-            completion: Ends jobs.
-            moves: Moves jobs to other failure domains.
-            manager: Runs attempts.
-            reports: Takes reports of workers.
+            domain: Shared state of the owned failure domain.
+            completion: Ends and cancels jobs.
+            moves: Records moves of jobs between failure domains.
+            manager: Starts and stops attempts.
+            reports: Processes reports of workers.
         """
         self._domain = domain
         self._completion = completion
@@ -46,11 +46,15 @@
         reports: tuple[messages.Report, ...],
         silent: tuple[ids.WorkerId, ...],
     ) -> None:
-        """Takes over every job of the book and every attempt reported.
+        """Restores the jobs of the job view and adopts reported attempts.
+
+        If a job has several attempts, only the newest is adopted. If a worker
+        is silent, jobs without a reported attempt wait for one lease TTL,
+        because that worker may still run them.
 
         Args:
-            reports: The reports of the workers that answered.
-            silent: The workers that did not.
+            reports: The reports of the workers that have answered.
+            silent: The workers that have not.
         """
         newest: dict[ids.JobId, messages.LeaseReport] = {}
         leases = [lease for report in reports for lease in report.leases]
@@ -68,12 +72,12 @@
         self.restore_missing_jobs(delay_ms=delay_ms)
 
     def restore_missing_jobs(self, *, delay_ms: int = 0) -> None:
-        """Takes over accepted jobs that the table does not have.
+        """Restores accepted jobs that are not in the table.
 
-        Jobs that an earlier owner has ended leave the table.
+        Jobs that an earlier owner has ended are removed from the table.
 
         Args:
-            delay_ms: How long they must wait before they may be placed.
+            delay_ms: Time before the restored jobs may be placed.
         """
         self._completion.end_finished_jobs()
         missing = [
@@ -81,17 +85,17 @@
             for job, spec in self._domain.job_view.accepted.items()
             if job not in self._domain.table.entries
         ]
-        self._moves.void_unsent_moves()
+        self._moves.revert_unsent_moves()
         for spec in missing:
             self.restore_job(spec, delay_ms=delay_ms)
 
     def restore_job(self, spec: jobs.JobSpec, *, delay_ms: int) -> None:
-        """Takes over an accepted job of which no attempt was found.
+        """Restores an accepted job without a reported attempt.
 
         Args:
             spec: The job.
-            delay_ms: How long it must wait because a worker that did not
-                answer may still run it.
+            delay_ms: Time before the job may be placed, because a worker that
+                did not answer may still run it.
         """
         entry = job_table.JobEntry(spec=spec, durability=states.Durability.LOG)
         self._domain.table.entries[spec.job] = entry
--- a/citronmount/agent/job_table.py
+++ b/citronmount/agent/job_table.py
@@ -1,4 +1,4 @@
-"""The jobs of an owned failure domain and the callers that wait for them."""
+"""Jobs of an owned failure domain and the callers that wait for results."""
 
 from collections.abc import Callable
 import hashlib
@@ -28,13 +28,13 @@
 
 
 def final_state(code: codes.ResultCode) -> states.JobState:
-    """Returns the final job state that a result code stands for.
+    """Returns the final job state for a result code.
 
     Args:
         code: The code of a final result.
 
     Returns:
-        The state; refusals mean that the job was not run.
+        The state; `NOT_RUN` for refusals.
 
     Example:
         >>> final_state(codes.ResultCode.DEADLINE_PASSED).value
@@ -44,13 +44,13 @@
 
 
 def body_digest(spec: jobs.JobSpec) -> str:
-    """Returns a digest of what a job asks for, without id and time.
+    """Returns a digest of a job's content, without its id and submission time.
 
     Args:
         spec: The job.
 
     Returns:
-        Hexadecimal digest; equal bodies have equal digests.
+        A hexadecimal digest; equal bodies have equal digests.
     """
     body = msgspec.structs.replace(spec, job=ids.JobId(""), submitted_ms=0)
     return hashlib.blake2b(
@@ -59,20 +59,21 @@
 
 
 class JobEntry(msgspec.Struct, kw_only=True):
-    """One job without a final result.
+    """A job without a final result.
 
     Attributes:
         spec: The job.
-        state: Its present state.
-        durability: Where its acceptance is recorded; None before that.
-        attempts: How many attempts were made.
-        cancelled: Whether a caller has cancelled it.
-        ever_ran: Whether a task of any attempt may have run, as far as this
-            owner and the intents of earlier ones tell.
-        progress: Saved share of its work.
-        workers: Where it runs at present.
-        ending: Whether its final result is being recorded.
-        refusals: How often in a row workers have refused it.
+        state: The current state.
+        durability: Where the acceptance is recorded; None before that.
+        attempts: The number of attempts made.
+        cancelled: Whether a caller has cancelled the job.
+        ever_ran: Whether a task of any attempt may have run, judged by this
+            owner's attempts and the recorded intents of earlier owners.
+        progress: Checkpointed share of the work, between 0 and 1.
+        workers: The workers of the current attempt.
+        ending: Whether the final result or a move to another failure domain
+            is being recorded.
+        refusals: The number of consecutive refusals by workers.
         accept_responders: Callers that wait for the acceptance.
     """
 
@@ -89,7 +90,7 @@
     accept_responders: list[Responder] = msgspec.field(default_factory=list)
 
     def status(self) -> jobs.JobStatus:
-        """Returns what callers see."""
+        """Returns the status shown to callers."""
         return jobs.JobStatus(
             job=self.spec.job,
             account=self.spec.account,
@@ -108,40 +109,49 @@
 
 
 class JobTable:
-    """Open jobs by id, with those who wait for their results."""
+    """Jobs without a final result, by id, and the callers that wait for one.
+
+    Attributes:
+        entries: The jobs.
+    """
 
     def __init__(self) -> None:
         """Initializes an empty table."""
         self.entries: dict[ids.JobId, JobEntry] = {}
         self._waiters: dict[ids.JobId, list[_Waiter]] = {}
 
-    def wait(self, job: ids.JobId, responder: Responder, due_ms: int) -> None:
-        """Lets a caller wait for a job's final result.
+    def add_waiter(
+        self, job: ids.JobId, responder: Responder, due_ms: int
+    ) -> None:
+        """Registers a caller that waits for a job's final result.
 
         Args:
-            job: An open job.
-            responder: Who waits.
-            due_ms: Monotonic time at which to answer all the same.
+            job: A job in the table.
+            responder: Called with the final status.
+            due_ms: Monotonic time at which the caller gets the current status
+                instead.
         """
         waiter = _Waiter(responder=responder, due_ms=due_ms)
         self._waiters.setdefault(job, []).append(waiter)
 
-    def end(self, ended: records.JobEnded) -> None:
-        """Removes a job and answers those who wait for it.
+    def finish_job(self, ended: records.JobEnded) -> None:
+        """Removes a job and answers its waiters with the final status.
 
         Args:
-            ended: Its final result.
+            ended: The record of the job's final result.
         """
         self.entries.pop(ended.job, None)
         answer = peer_messages.JobAnswer(status=ended_status(ended))
         for waiter in self._waiters.pop(ended.job, []):
             waiter.responder(answer)
 
-    def forward(self, job: ids.JobId) -> None:
+    def remove_moved(self, job: ids.JobId) -> None:
         """Removes a job that another failure domain schedules from now on.
 
+        Its waiters are answered with the current status.
+
         Args:
-            job: The job; who waits for it is told its present state.
+            job: The job.
         """
         entry = self.entries.pop(job)
         answer = peer_messages.JobAnswer(status=entry.status())
@@ -149,7 +159,7 @@
             waiter.responder(answer)
 
     def answer_due(self, now_ms: int) -> None:
-        """Answers those whose wait is over with the present state.
+        """Answers waiters whose time is up with the current status.
 
         Args:
             now_ms: Monotonic time.
@@ -158,9 +168,9 @@
             due = [waiter for waiter in waiters if waiter.due_ms <= now_ms]
             if not due:
                 continue
-            left = [waiter for waiter in waiters if waiter.due_ms > now_ms]
-            if left:
-                self._waiters[job] = left
+            remaining = [waiter for waiter in waiters if waiter.due_ms > now_ms]
+            if remaining:
+                self._waiters[job] = remaining
             else:
                 del self._waiters[job]
             answer = peer_messages.JobAnswer(status=self.entries[job].status())
@@ -168,7 +178,7 @@
                 waiter.responder(answer)
 
     def answer_all(self) -> None:
-        """Answers everyone who waits with the present state."""
+        """Answers all waiters with the current status of their jobs."""
         for job in list(self._waiters):
             answer = peer_messages.JobAnswer(status=self.entries[job].status())
             for waiter in self._waiters.pop(job):
@@ -176,13 +186,13 @@
 
 
 def ended_status(ended: records.JobEnded) -> jobs.JobStatus:
-    """Returns what callers see of an ended job.
+    """Returns the status of an ended job, with its final result.
 
     Args:
-        ended: The record of its end.
+        ended: The record of the job's final result.
 
     Returns:
-        The status with the final result.
+        The status shown to callers.
     """
     return jobs.JobStatus(
         job=ended.job,
