--- a/citronmount/agent/attempts.py
+++ b/citronmount/agent/attempts.py
@@ -54,10 +54,7 @@
 
 
 class _Proof(enum.Enum):
-    """Whether a member that can't run any more ever ran.
-
-    `LOST` means unknown: the start was sent, but the worker fell silent.
-    """
+    """Whether a member that can't run any more ran; `LOST` if unknown."""
 
     NEVER_RAN = "never_ran"
     RAN = "ran"
@@ -186,15 +183,12 @@
         culprits: tuple[ids.WorkerId, ...] = (),
         grace_ms: int = 0,
     ) -> None:
-        """Stops the attempt before its tasks have finished.
-
-        Only the first call has an effect.
+        """Stops the attempt before its tasks have finished, once.
 
         Args:
-            reason: Why the attempt ends.
+            reason: Why the attempt ends; the first call's reason counts.
             culprits: Workers that caused the attempt to fail.
-            grace_ms: Time that running tasks get to write a checkpoint; 0
-                stops them without one.
+            grace_ms: Time for tasks to write a checkpoint; 0 means none.
         """
         if not self._gang.abort():
             return
@@ -250,9 +244,8 @@
     def absent(self, worker: ids.WorkerId, sequence: int) -> None:
         """Handles a worker's report that doesn't list the attempt.
 
-        The attempt stops if the worker should have a lease of it: because the
-        attempt is being adopted, or because the worker has started it and the
-        report is newer than the last answer to a call.
+        The attempt stops if it is being adopted, or if the worker had started
+        it and the report is newer than the last answer to a call.
 
         Args:
             worker: The worker.
@@ -276,14 +269,14 @@
             case gang.GangPhase.STOPPING:
                 self._tick_stopping()
 
-    def _reservations_end_ms(self) -> int:
+    def _reserved_until_ms(self) -> int:
         ttl_ms = self._ctx.settings.reservation_ttl_ms
         return (self._reserved_ms or 0) + ttl_ms
 
     def _tick_reserving(self) -> None:
         if self._reserved_ms is None:
             return
-        if self._ctx.now_ms >= self._reservations_end_ms() - START_MARGIN_MS:
+        if self._ctx.now_ms >= self._reserved_until_ms() - START_MARGIN_MS:
             pending = tuple(
                 worker
                 for worker, member in self._members.items()
@@ -298,7 +291,7 @@
     def _tick_starting(self) -> None:
         limit_ms = self._adopt_due_ms
         if limit_ms is None:
-            limit_ms = self._reservations_end_ms() + START_MARGIN_MS
+            limit_ms = self._reserved_until_ms() + START_MARGIN_MS
         if self._ctx.now_ms >= limit_ms:
             pending = tuple(
                 worker
@@ -379,9 +372,7 @@
         self._call(worker, (act,), reserved, retry_ms=CALL_RETRY_MS)
 
     def _check_reserved(self) -> None:
-        in_time = (
-            self._ctx.now_ms < self._reservations_end_ms() - START_MARGIN_MS
-        )
+        in_time = self._ctx.now_ms < self._reserved_until_ms() - START_MARGIN_MS
         ready = self._start_allowed and all(
             member.reserved for member in self._members.values()
         )
@@ -417,10 +408,8 @@
 
     def _check_finished(self) -> None:
         self._check_started()
-        complete = all(
-            member.exit_code == 0 for member in self._members.values()
-        )
-        if complete and self._gang.all_finished():
+        done = all(member.exit_code == 0 for member in self._members.values())
+        if done and self._gang.all_finished():
             self._exit_code = 0
             self._finish(ran=True)
 
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -1,4 +1,4 @@
-"""Brings a caller's job to the failure domain that can start it first."""
+"""Submits a caller's job to the failure domain that can start it first."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,7 @@
 
 
 class JobSubmission:
-    """Chooses the home of each job and submits it there."""
+    """Validates jobs, chooses their home failure domains and submits them."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         """Initializes the part.
 
         Args:
-            ctx: The shared context.
+            ctx: Clock, settings and calls shared by the parts of the agent.
             configuration: The configuration in force.
-            capacity: The room in each failure domain.
-            route: Takes a call to the owner of a failure domain.
+            capacity: The free capacity of each failure domain.
+            route: Sends a call to the owner of a failure domain.
         """
         self._ctx = ctx
         self._configuration = configuration
@@ -52,28 +52,34 @@
 
         Args:
             spec: The job, without an id.
-            respond: Told the job's status or why it is refused, once.
+            respond: Called once, with the job's status or the refusal.
         """
-        code, detail = self._fault(spec)
+        code, detail = self._validation_error(spec)
         if code is not None:
             respond(call_answers.failure(code, detail))
             return
         if spec.idempotency_key:
             self._submit_keyed(spec, respond)
             return
-        homes_left = homes.rank_job_homes(
+        candidates = homes.rank_job_homes(
             self._configuration.fold.current,
             spec,
             self._capacity.free_capacity(),
             self._ctx.settings.failure_domain,
         )
-        if homes_left:
-            self._submit_eagerly(spec, homes_left, homes_left[0], respond)
+        if candidates:
+            self._submit_to_first_free(spec, candidates, candidates[0], respond)
         else:
-            self._submit_patiently(spec, respond)
+            self._submit_without_known_owner(spec, respond)
 
-    def _submit_patiently(self, spec: jobs.JobSpec, respond: Respond) -> None:
-        """Submits a job while no owner of a failure domain is known yet."""
+    def _submit_without_known_owner(
+        self, spec: jobs.JobSpec, respond: Respond
+    ) -> None:
+        """Submits a job while no owner of a usable failure domain is known.
+
+        The job goes to the own failure domain if that is allowed, otherwise to
+        the first allowed one; the call waits there for an owner.
+        """
         own = self._ctx.settings.failure_domain
         allowed = shares.homes(self._configuration.fold.current, spec)
         if not allowed:
@@ -93,31 +99,31 @@
         job = homes.keyed_job_id(home, spec.account, key)
         self._submit_to(home, spec, job, respond)
 
-    def _submit_eagerly(
+    def _submit_to_first_free(
         self,
         spec: jobs.JobSpec,
-        homes_left: list[ids.FailureDomainId],
+        candidates: list[ids.FailureDomainId],
         fallback: ids.FailureDomainId,
         respond: Respond,
     ) -> None:
-        """Asks one failure domain after another to start the job at once.
+        """Tries failure domains in turn until one can start the job at once.
 
-        If none can, the job is queued in the first.
+        If none can, the job is queued in the fallback.
         """
-        if not homes_left:
+        if not candidates:
             job = ids.job_id(fallback, self._ctx.unique())
             self._submit_to(fallback, spec, job, respond)
             return
-        home, *others = homes_left
+        home, *remaining = candidates
 
-        def answered(answer: peer_messages.Answer) -> None:
+        def handle_answer(answer: peer_messages.Answer) -> None:
             if call_answers.is_not_startable(answer):
-                self._submit_eagerly(spec, others, fallback, respond)
+                self._submit_to_first_free(spec, remaining, fallback, respond)
             else:
                 respond(answer)
 
         job = ids.job_id(home, self._ctx.unique())
-        self._submit_to(home, spec, job, answered, eager=True)
+        self._submit_to(home, spec, job, handle_answer, eager=True)
 
     def _submit_to(
         self,
@@ -135,26 +141,28 @@
         body = peer_messages.SubmitJob(spec=filled, eager=eager)
         self._route(home, body, respond)
 
-    def _fault(self, spec: jobs.JobSpec) -> tuple[codes.ResultCode | None, str]:
-        """Returns why a job is refused at the door, or None."""
+    def _validation_error(
+        self, spec: jobs.JobSpec
+    ) -> tuple[codes.ResultCode | None, str]:
+        """Returns the code and detail of a job's first fault, or None."""
         if not self._configuration.usable:
             return codes.ResultCode.NO_CONFIGURATION, ""
         current = self._configuration.fold.current
         if all(account.name != spec.account for account in current.accounts):
             return codes.ResultCode.UNKNOWN_ACCOUNT, spec.account
         if not 1 <= spec.tasks <= MAX_TASKS:
-            limits = f"tasks must be 1 to {MAX_TASKS}"
-            return codes.ResultCode.INVALID_REQUEST, limits
+            message = f"tasks must be 1 to {MAX_TASKS}"
+            return codes.ResultCode.INVALID_REQUEST, message
         amounts = msgspec.structs.astuple(spec.per_task)
         if min(amounts) < 0 or max(amounts) < 1:
             return codes.ResultCode.INVALID_REQUEST, "per_task"
         if spec.run_time_s <= 0:
             return codes.ResultCode.INVALID_REQUEST, "run_time_s"
         if spec.deadline_ms is not None:
-            return self._deadline_fault(spec, spec.deadline_ms)
+            return self._deadline_error(spec, spec.deadline_ms)
         return None, ""
 
-    def _deadline_fault(
+    def _deadline_error(
         self, spec: jobs.JobSpec, deadline_ms: int
     ) -> tuple[codes.ResultCode | None, str]:
         if deadline_ms <= self._ctx.wall_ms:
--- a/citronmount/agent/lease_renewer.py
+++ b/citronmount/agent/lease_renewer.py
@@ -1,4 +1,4 @@
-"""Renews the leases of the workers that this VM keeps."""
+"""Renews the leases of the workers that are assigned to this VM."""
 
 from collections.abc import Callable
 import zlib
@@ -14,13 +14,13 @@
 __all__ = ["LeaseRenewer"]
 
 ACK_TIMEOUT_MS = 1_000
-AUTHORITY_MS = 20_000
+MAX_OWNER_SILENCE_MS = 20_000
 LOST_MARGIN_MS = 1_000
-SILENT_RETRY_MS = 1_000
+UNANSWERED_RETRY_MS = 1_000
 
 
-class _Kept(msgspec.Struct, kw_only=True):
-    """One worker that the VM keeps."""
+class _RenewedWorker(msgspec.Struct, kw_only=True):
+    """State of one worker whose leases this VM renews."""
 
     target: messages.ListedTarget
     due_ms: int
@@ -31,11 +31,15 @@
 
 
 class LeaseRenewer:
-    """Sends one renewal a worker and period, and passes on what changed.
+    """Renews the leases of assigned workers and reports changes to the owner.
 
-    Workers are divided among the VMs of the failure domain, so that no VM
-    carries the traffic of all. A keeper goes on without an owner for a
-    bounded time, so that running work outlives a take-over.
+    It sends one renewal per worker and period. Workers are divided among the
+    VMs of the failure domain, so that no VM carries the traffic of all. A
+    lease renewer continues without an owner for `MAX_OWNER_SILENCE_MS`, so
+    that running work survives a takeover.
+
+    Attributes:
+        lapsing_attempts: Attempts whose leases must not be renewed.
     """
 
     def __init__(
@@ -47,14 +51,16 @@
         on_worker_lost: Callable[[ids.WorkerId], None],
         on_token: Callable[[ids.FenceToken], None],
     ) -> None:
-        """Initializes a keeper of no workers.
+        """Initializes a lease renewer without workers.
 
         Args:
-            ctx: The shared context.
-            view: Who keeps which worker.
-            on_report: Takes changed reports if this VM is the owner.
-            on_worker_lost: Takes silent workers if this VM is the owner.
-            on_token: Takes every token that a worker has seen.
+            ctx: Clock, settings and calls shared by the parts of the agent.
+            view: The membership view, which assigns workers to VMs.
+            on_report: Called with changed reports if this VM is the owner.
+            on_worker_lost: Called with each worker whose leases must have
+                lapsed, if this VM is the owner.
+            on_token: Called with the highest token that a worker has seen, on
+                each of its answers.
         """
         self.lapsing_attempts: frozenset[ids.AttemptId] = frozenset()
         self._ctx = ctx
@@ -62,19 +68,19 @@
         self._on_report = on_report
         self._on_worker_lost = on_worker_lost
         self._on_token = on_token
-        self._kept: dict[ids.WorkerId, _Kept] = {}
-        self._owner_heard_ms = 0
+        self._renewed: dict[ids.WorkerId, _RenewedWorker] = {}
+        self._owner_alive_ms = 0
         self._unacknowledged: dict[ids.WorkerId, messages.Report | None] = {}
-        self._passing = False
+        self._sending = False
 
     def note_owner_alive(self) -> None:
-        """Notes that an owner, or this VM as owner, is at work."""
-        self._owner_heard_ms = self._ctx.now_ms
+        """Records that the failure domain has an owner, perhaps this VM."""
+        self._owner_alive_ms = self._ctx.now_ms
 
     def assign_workers(
         self, workers: tuple[messages.ListedTarget, ...]
     ) -> None:
-        """Recomputes which workers this VM keeps.
+        """Recomputes the workers whose leases this VM renews.
 
         Args:
             workers: All workers of the failure domain.
@@ -82,93 +88,93 @@
         candidates = self._view.candidates(
             self._ctx.settings.failure_domain, self._ctx.now_ms
         )
-        mine = {
+        assigned = {
             ids.WorkerId(target.name): target
             for target in workers
             if self._view.keeper(ids.WorkerId(target.name), candidates)
             == self._ctx.settings.vm
         }
-        for worker in [name for name in self._kept if name not in mine]:
-            del self._kept[worker]
-        for worker, target in mine.items():
-            if worker in self._kept:
-                self._kept[worker].target = target
+        for worker in [name for name in self._renewed if name not in assigned]:
+            del self._renewed[worker]
+        for worker, target in assigned.items():
+            if worker in self._renewed:
+                self._renewed[worker].target = target
             else:
-                self._kept[worker] = self._new(worker, target)
+                self._renewed[worker] = self._new_entry(worker, target)
 
     def tick(self, token: ids.FenceToken, owner: ids.VmId | None) -> None:
-        """Sends what is due.
+        """Sends due renewals and reports changes to the owner.
 
         Args:
-            token: The highest fencing token known.
-            owner: The owner of the failure domain; None while there is none
-                that could take reports.
+            token: The highest known fencing token.
+            owner: The owner of the failure domain; None while no owner can
+                process reports.
         """
-        silent_ms = self._ctx.now_ms - self._owner_heard_ms
-        if silent_ms <= AUTHORITY_MS and token > 0:
-            for worker, kept in self._kept.items():
-                if not kept.in_flight and kept.due_ms <= self._ctx.now_ms:
-                    self._renew(worker, kept, token)
-        self._note_lost()
-        self._pass_on(owner)
-
-    def _new(
+        owner_silence_ms = self._ctx.now_ms - self._owner_alive_ms
+        if owner_silence_ms <= MAX_OWNER_SILENCE_MS and token > 0:
+            for worker, entry in self._renewed.items():
+                if not entry.in_flight and entry.due_ms <= self._ctx.now_ms:
+                    self._renew(worker, entry, token)
+        self._mark_lost_workers()
+        self._forward_reports(owner)
+
+    def _new_entry(
         self, worker: ids.WorkerId, target: messages.ListedTarget
-    ) -> _Kept:
+    ) -> _RenewedWorker:
         period_ms = self._ctx.settings.renew_period_ms
         spread_ms = zlib.crc32(worker.encode()) % max(period_ms // 3, 1)
-        return _Kept(
+        return _RenewedWorker(
             target=target,
             due_ms=self._ctx.now_ms + spread_ms,
             answered_ms=self._ctx.now_ms,
         )
 
     def _renew(
-        self, worker: ids.WorkerId, kept: _Kept, token: ids.FenceToken
+        self, worker: ids.WorkerId, entry: _RenewedWorker, token: ids.FenceToken
     ) -> None:
-        kept.in_flight = True
-        kept.due_ms = self._ctx.now_ms + self._ctx.settings.renew_period_ms
+        entry.in_flight = True
+        entry.due_ms = self._ctx.now_ms + self._ctx.settings.renew_period_ms
         act = messages.Renew(
             ttl_ms=self._ctx.settings.lease_ttl_ms,
             lapse=tuple(sorted(self.lapsing_attempts)),
         )
         call = messages.WorkerCall(
-            token=token, acts=(act,), known_sequence=kept.sequence
+            token=token, acts=(act,), known_sequence=entry.sequence
         )
 
-        def answered(answer: messages.WorkerAnswer | None) -> None:
-            kept.in_flight = False
+        def handle_answer(answer: messages.WorkerAnswer | None) -> None:
+            entry.in_flight = False
             if answer is None:
-                kept.due_ms = min(
-                    kept.due_ms, self._ctx.now_ms + SILENT_RETRY_MS
+                entry.due_ms = min(
+                    entry.due_ms, self._ctx.now_ms + UNANSWERED_RETRY_MS
                 )
                 return
-            kept.answered_ms = self._ctx.now_ms
+            entry.answered_ms = self._ctx.now_ms
             self._on_token(answer.token)
             if answer.report is not None:
-                kept.sequence = answer.report.sequence
-                kept.report = answer.report
+                entry.sequence = answer.report.sequence
+                entry.report = answer.report
                 self._unacknowledged[worker] = answer.report
 
-        self._ctx.call_worker(kept.target, call, answered)
+        self._ctx.call_worker(entry.target, call, handle_answer)
 
-    def _note_lost(self) -> None:
-        """Marks workers whose leases must have lapsed by now."""
-        limit_ms = self._ctx.settings.lease_ttl_ms + LOST_MARGIN_MS
-        for worker, kept in self._kept.items():
-            if self._ctx.now_ms - kept.answered_ms > limit_ms:
+    def _mark_lost_workers(self) -> None:
+        """Marks workers that have been silent until their leases lapsed."""
+        max_silence_ms = self._ctx.settings.lease_ttl_ms + LOST_MARGIN_MS
+        for worker, entry in self._renewed.items():
+            if self._ctx.now_ms - entry.answered_ms > max_silence_ms:
                 self._unacknowledged[worker] = None
 
-    def _pass_on(self, owner: ids.VmId | None) -> None:
+    def _forward_reports(self, owner: ids.VmId | None) -> None:
         if not self._unacknowledged or owner is None:
             return
         if owner == self._ctx.settings.vm:
-            waiting = self._unacknowledged
+            pending = self._unacknowledged
             self._unacknowledged = {}
-            for worker, report in waiting.items():
+            for worker, report in pending.items():
                 self._deliver(worker, report)
-        elif not self._passing:
-            self._send(owner)
+        elif not self._sending:
+            self._send_reports(owner)
 
     def _deliver(
         self, worker: ids.WorkerId, report: messages.Report | None
@@ -178,13 +184,15 @@
         else:
             self._on_report(report)
 
-    def _send(self, owner: ids.VmId) -> None:
-        self._passing = True
+    def _send_reports(self, owner: ids.VmId) -> None:
+        self._sending = True
         sent = dict(self._unacknowledged)
         call = self._ctx.new_call()
 
-        def acknowledged(answer: peer_messages.Acknowledge | None) -> None:
-            self._passing = False
+        def handle_acknowledgement(
+            answer: peer_messages.Acknowledge | None,
+        ) -> None:
+            self._sending = False
             if answer is None:
                 return
             for worker, report in sent.items():
@@ -201,5 +209,9 @@
             ),
         )
         self._ctx.call_peer(
-            owner, call, message, acknowledged, timeout_ms=ACK_TIMEOUT_MS
+            owner,
+            call,
+            message,
+            handle_acknowledgement,
+            timeout_ms=ACK_TIMEOUT_MS,
         )
--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -1,4 +1,4 @@
-"""The failure domain that a VM owns: carries out the scheduler's decisions."""
+"""The failure domain that a VM owns, with its scheduler, jobs and attempts."""
 
 from citronmount.agent import attempt_manager
 from citronmount.agent import domain_context
@@ -20,16 +20,17 @@
 
 
 class OwnedDomain:
-    """Scheduler, jobs and attempts of the owned failure domain.
+    """Runs the scheduler of an owned failure domain and executes decisions.
 
-    It exists from the end of a rebuild until the VM steps down or is fenced
-    off. Everything that must last is in the job book and the outbox.
+    An instance lives from the moment that the VM becomes the owner until it
+    steps down or is fenced. All state that must survive it is in the job view
+    and the outbox.
 
     Attributes:
-        job_calls: Takes callers' calls for jobs.
-        moves: Hands jobs to other failure domains.
-        reports: Takes reports of workers.
-        rebuilder: Takes over jobs and attempts.
+        job_calls: Handles callers' calls for jobs.
+        moves: Records moves of jobs between failure domains.
+        reports: Processes reports of workers.
+        rebuilder: Restores jobs and adopts attempts after a takeover.
     """
 
     def __init__(
@@ -40,7 +41,7 @@
         """Initializes an owned failure domain without workers.
 
         Args:
-            context: What its parts share.
+            context: State and services shared by its parts.
         """
         completion = job_completion.JobCompletion(domain=context)
         self._context = context
@@ -83,7 +84,7 @@
         self._context.placement_enabled = placement_enabled
 
     def summary(self) -> peer_messages.DomainSummary:
-        """Returns what other VMs are told of the failure domain."""
+        """Returns the summary that heartbeats carry to other VMs."""
         scheduler = self._context.scheduler
         return peer_messages.DomainSummary(
             failure_domain=self._context.failure_domain,
@@ -94,7 +95,7 @@
         )
 
     def fragmentation(self) -> float:
-        """Returns the share of free accelerators that queued work can't use."""
+        """Returns the share of free accelerators that queued jobs can't use."""
         return self._context.scheduler.fragmentation()
 
     def in_service(self) -> bool:
@@ -104,10 +105,13 @@
     def set_configuration(
         self, configuration: configuration_lib.Configuration
     ) -> None:
-        """Takes over a new version; what has not started is called back.
+        """Applies a new version of the configuration.
+
+        If it takes the failure domain out of service, attempts that are still
+        reserving stop.
 
         Args:
-            configuration: The version in force.
+            configuration: The configuration in force.
         """
         self._context.configuration = configuration
         self._context.scheduler.set_configuration(configuration)
@@ -118,7 +122,7 @@
                 attempt.stop(decisions.AttemptEnd.REFUSED)
 
     def set_workers(self, workers: tuple[messages.ListedTarget, ...]) -> None:
-        """Takes over the platform's list of workers.
+        """Applies the platform's list of workers.
 
         Args:
             workers: The workers of the failure domain.
@@ -135,14 +139,14 @@
             )
 
     def all_attempts_running(self) -> bool:
-        """Returns whether no attempt is between two phases."""
+        """Returns whether no attempt is reserving, starting or stopping."""
         return all(
             attempt.phase is gang.GangPhase.RUNNING
             for attempt in self._context.attempts.values()
         )
 
     def lapsing_attempts(self) -> tuple[ids.AttemptId, ...]:
-        """Returns the attempts that keepers must not renew."""
+        """Returns the attempts whose leases must not be renewed."""
         return tuple(
             attempt.attempt
             for attempt in self._context.attempts.values()
@@ -150,7 +154,7 @@
         )
 
     def tick(self) -> None:
-        """Decides, retries and answers whatever is due."""
+        """Runs everything that is due: retries, decisions and answers."""
         context = self._context
         context.scheduler.set_wall_clock(
             now_ms=context.ctx.now_ms, wall_ms=context.ctx.wall_ms
@@ -166,12 +170,12 @@
         context.token_check.tick()
 
     def decide_if_due(self) -> None:
-        """Decides after an event that may have made room."""
+        """Runs the scheduler if a job was accepted or an attempt has ended."""
         if self._context.decision_due and self._context.placement_enabled:
             self.decide()
 
     def decide(self) -> None:
-        """Carries out what the scheduler decides now."""
+        """Runs the scheduler and executes its decisions."""
         self._context.decision_due = False
         for decision in self._context.scheduler.decide(
             self._context.ctx.now_ms
--- a/citronmount/agent/worker_reports.py
+++ b/citronmount/agent/worker_reports.py
@@ -1,4 +1,4 @@
-"""Takes what workers report to the owner of a failure domain."""
+"""Processes worker reports for the owner of a failure domain."""
 
 from citronmount.agent import attempt_manager
 from citronmount.agent import domain_context
@@ -13,7 +13,14 @@
 
 
 class WorkerReports:
-    """Follows workers and the attempts that they report."""
+    """Tracks the state of workers and updates the attempts that they report.
+
+    Attributes:
+        obsolete_attempts: Attempts reported during a rebuild for which a newer
+            attempt of the same job was reported too; they are not adopted.
+        lost_workers: Workers that have been silent for longer than the lease
+            TTL.
+    """
 
     def __init__(
         self,
@@ -21,11 +28,11 @@
         domain: domain_context.DomainContext,
         manager: attempt_manager.AttemptManager,
     ) -> None:
-        """Initializes the part.
+        """Initializes the part for a failure domain.
 
         Args:
-            domain: What the parts of the failure domain share.
-            manager: Runs attempts.
+            domain: Shared state of the owned failure domain.
+            manager: Starts and stops attempts.
         """
         self._domain = domain
         self._manager = manager
@@ -36,10 +43,13 @@
         self._worker_states: dict[ids.WorkerId, states.TargetState] = {}
 
     def handle_report(self, report: messages.Report) -> None:
-        """Takes over a worker's report.
+        """Processes a worker's report.
+
+        A report with a higher fencing token than the owner's means that the
+        owner is fenced. A report older than the last one is dropped.
 
         Args:
-            report: The report; one older than the last is dropped.
+            report: The report.
         """
         if report.token > self._domain.token:
             self._domain.on_fenced(report.token)
@@ -60,10 +70,10 @@
                 attempt.absent(worker, report.sequence)
 
     def handle_worker_lost(self, worker: ids.WorkerId) -> None:
-        """Notes that a worker has been silent for more than a lease time.
+        """Marks a worker lost and updates its attempts.
 
         Args:
-            worker: The worker.
+            worker: The worker, silent for longer than the lease TTL.
         """
         if worker not in self.lost_workers:
             self.lost_workers.add(worker)
@@ -74,11 +84,11 @@
     def handle_answer(
         self, worker: ids.WorkerId, answer: messages.WorkerAnswer
     ) -> None:
-        """Takes over what comes with a worker's answer to any call.
+        """Processes the token and the report in a worker's answer.
 
         Args:
             worker: The worker.
-            answer: Its answer.
+            answer: The answer to any call.
         """
         if answer.token > self._domain.token:
             self._domain.on_fenced(answer.token)
@@ -94,11 +104,11 @@
     def set_worker_state(
         self, worker: ids.WorkerId, state: states.TargetState
     ) -> None:
-        """Notes whether a worker may get new tasks.
+        """Sets a worker's state, which decides whether it gets new tasks.
 
         Args:
             worker: The worker.
-            state: Its state.
+            state: The state.
         """
         domain = self._domain
         if self._worker_states.get(worker, states.TargetState.UP) is not state:
@@ -114,15 +124,15 @@
             attempt.report(worker, lease)
             return
         job = lease.spec.job
-        holds = lease.state.holds_resources
-        wanted = lease.state is states.LeaseState.FINISHED or holds
-        unplaced = (
+        holding = lease.state.holds_resources
+        keeps_outcome = lease.state is states.LeaseState.FINISHED or holding
+        without_attempt = (
             job not in self._domain.attempt_by_job
             and job not in self._domain.job_view.ended
         )
-        if wanted and unplaced and self._adoptable(lease):
+        if keeps_outcome and without_attempt and self._adoptable(lease):
             self._adopt(worker, lease)
-        elif holds:
+        elif holding:
             self._stop_unknown_attempt(worker, lease)
         else:
             self._domain.forgettable_attempts.setdefault(worker, set()).add(
@@ -130,7 +140,10 @@
             )
 
     def _adoptable(self, lease: messages.LeaseReport) -> bool:
-        """Returns whether an unknown lease may be taken over as it is."""
+        """Returns whether the attempt of an unknown lease may be adopted.
+
+        Its job must be unknown as well or be held back from the queue.
+        """
         if lease.attempt in self.obsolete_attempts:
             return False
         job = lease.spec.job
@@ -139,7 +152,7 @@
         return True
 
     def _adopt(self, worker: ids.WorkerId, lease: messages.LeaseReport) -> None:
-        """Takes over an attempt that an earlier owner has started."""
+        """Adopts an attempt that an earlier owner has started."""
         spec = lease.spec
         self._domain.requeue_at_ms.pop(spec.job, None)
         entry = self._domain.table.entries.get(spec.job)
@@ -171,7 +184,7 @@
     def _stop_unknown_attempt(
         self, worker: ids.WorkerId, lease: messages.LeaseReport
     ) -> None:
-        """Stops an attempt that no job wants any more."""
+        """Stops an attempt that the owner does not track."""
         target = self._domain.targets.get(worker)
         if target is None:
             return
@@ -188,7 +201,10 @@
         )
 
     def trace_quarantine(self) -> None:
-        """Notes in the time line which workers fail what is placed there."""
+        """Adds changes of quarantine to the timeline.
+
+        Quarantined workers fail the jobs that are placed on them.
+        """
         quarantined = frozenset(self._domain.scheduler.quarantined())
         for worker in sorted(quarantined - self._traced_quarantined):
             self._trace_state(worker, states.TargetState.QUARANTINED)
@@ -207,7 +223,11 @@
         )
 
     def send_forget_calls(self) -> None:
-        """Lets workers drop ended attempts whose results are in the log."""
+        """Lets workers drop ended attempts from their reports.
+
+        It waits until the outbox is empty, so that the results are durable in
+        the log before workers forget them.
+        """
         if (
             not self._domain.forgettable_attempts
             or not self._domain.outbox.empty()
