--- a/citronmount/agent/attempts.py
+++ b/citronmount/agent/attempts.py
@@ -117,7 +117,7 @@
         self._ctx = ctx
         self._token = token
         self._handlers = handlers
-        self._gang, self._core = gang.new_gang()
+        self._gang, self._gang_state = gang.new_gang()
         self._members = {
             group.worker: _Member(
                 target=targets[group.worker], tasks=group.tasks
@@ -136,7 +136,7 @@
     @property
     def phase(self) -> gang.GangPhase:
         """The phase of the gang's state machine."""
-        return self._core.phase
+        return self._gang_state.phase
 
     @property
     def workers(self) -> tuple[ids.WorkerId, ...]:
@@ -479,7 +479,7 @@
     def _proof_of_run(self, proofs: list[_Proof | None]) -> bool | None:
         if _Proof.RAN in proofs:
             return True
-        if not self._core.may_have_run or _Proof.LOST not in proofs:
+        if not self._gang_state.may_have_run or _Proof.LOST not in proofs:
             return False
         return None
 
--- a/citronmount/agent/worker_reports.py
+++ b/citronmount/agent/worker_reports.py
@@ -125,12 +125,12 @@
             return
         job = lease.spec.job
         holding = lease.state.holds_resources
-        keeps_outcome = lease.state is states.LeaseState.FINISHED or holding
-        without_attempt = (
+        live_or_finished = lease.state is states.LeaseState.FINISHED or holding
+        needs_attempt = (
             job not in self._domain.attempt_by_job
             and job not in self._domain.job_view.ended
         )
-        if keeps_outcome and without_attempt and self._adoptable(lease):
+        if live_or_finished and needs_attempt and self._adoptable(lease):
             self._adopt(worker, lease)
         elif holding:
             self._stop_unknown_attempt(worker, lease)
--- a/citronmount/leases/__init__.py
+++ b/citronmount/leases/__init__.py
@@ -1,1 +1,1 @@
-"""State machines of leases and gangs at the targets."""
+"""State machine of gangs that run under leases at targets."""
--- a/citronmount/leases/tests/test_gang.py
+++ b/citronmount/leases/tests/test_gang.py
@@ -1,10 +1,10 @@
 import itertools
 import unittest
 
-from citronmount.leases import gang as gang_lib
+from citronmount.leases import gang
 
 INPUTS = ("all_reserved", "all_started", "all_finished", "abort", "all_stopped")
-ALLOWED = {
+TRANSITIONS = {
     ("reserving", "all_reserved"): "starting",
     ("reserving", "abort"): "stopping",
     ("starting", "all_started"): "running",
@@ -17,23 +17,23 @@
 
 
 class GangTest(unittest.TestCase):
-    def test_only_the_allowed_moves_are_made(self):
+    def test_inputs_cause_only_the_allowed_transitions(self):
         for inputs in itertools.product(INPUTS, repeat=4):
-            gang, core = gang_lib.new_gang()
-            for given in inputs:
-                before = core.phase.value
-                after = ALLOWED.get((before, given), before)
-                moved = getattr(gang, given)()
-                self.assertEqual(core.phase.value, after, inputs)
-                self.assertEqual(moved, (before, given) in ALLOWED, inputs)
+            machine, state = gang.new_gang()
+            for name in inputs:
+                before = state.phase.value
+                after = TRANSITIONS.get((before, name), before)
+                moved = getattr(machine, name)()
+                self.assertEqual(state.phase.value, after, inputs)
+                self.assertEqual(moved, (before, name) in TRANSITIONS, inputs)
 
-    def test_nothing_may_have_run_before_all_have_reserved(self):
-        gang, core = gang_lib.new_gang()
-        gang.abort()
-        self.assertFalse(core.may_have_run)
-        gang, core = gang_lib.new_gang()
-        gang.all_reserved()
-        self.assertTrue(core.may_have_run)
+    def test_nothing_may_have_run_before_all_members_have_reserved(self):
+        machine, state = gang.new_gang()
+        machine.abort()
+        self.assertFalse(state.may_have_run)
+        machine, state = gang.new_gang()
+        machine.all_reserved()
+        self.assertTrue(state.may_have_run)
 
 
 if __name__ == "__main__":
