--- a/citronmount/state/__init__.py
+++ b/citronmount/state/__init__.py
@@ -1,1 +1,1 @@
-"""Records, durability and recovery."""
+"""Records of the log streams and the job view folded from them."""
--- a/citronmount/state/job_view.py
+++ b/citronmount/state/job_view.py
@@ -1,4 +1,4 @@
-"""Folds the job stream of a failure domain into what must not be lost."""
+"""State of a failure domain's jobs, folded from its log stream."""
 
 import collections
 
@@ -10,22 +10,32 @@
 
 __all__ = ["JobView"]
 
-MAX_ENDED_JOBS = 20_000
-MAX_KEYS = 100_000
+MAX_RETAINED_JOBS = 20_000
+MAX_RETAINED_KEYS = 100_000
 
 
 class JobView:
     """Accepted jobs, intents, results and key claims of a failure domain.
 
-    Folding a record twice has no further effect. A final result wins over
-    everything but an intent with a higher fencing token: its writer had been
-    fenced off and never told it. So records may come from the log, from peers
-    and from the process itself in any order. Every claim of a key is kept
-    until its own result frees it.
+    Folding is idempotent and does not depend on the order of records, so they
+    may come from the log, from peers and from the process itself. A final
+    result overrides everything except an intent with a higher fencing token:
+    in that case the writer of the result was already fenced and never reported
+    it. Every claim of a key is kept until its own result frees it.
+
+    Attributes:
+        next_offset: The offset from which to read the stream next.
+        last_snapshot: The offset of the last snapshot, -1 before the first.
+        accepted: Jobs without a final result.
+        intents: The newest intent of each job.
+        cancelled: Jobs that callers have cancelled, without a final result.
+        moved: The last move of each job that was moved.
+        ended: Final results, the oldest first.
+        key_results: Answers of keyed requests, by key.
     """
 
     def __init__(self, *, failure_domain: ids.FailureDomainId) -> None:
-        """Initializes an empty book.
+        """Initializes an empty view.
 
         Args:
             failure_domain: The failure domain of the stream.
@@ -48,7 +58,7 @@
         self.key_results: collections.OrderedDict[str, records.KeyResult] = (
             collections.OrderedDict()
         )
-        self._freed: collections.OrderedDict[ids.RecordId, None] = (
+        self._freed_claims: collections.OrderedDict[ids.RecordId, None] = (
             collections.OrderedDict()
         )
 
@@ -59,9 +69,9 @@
             page: The page, read from `next_offset` on.
 
         Returns:
-            The records that were not folded before, in order.
+            The decoded records at offsets not folded before, in order.
         """
-        found = []
+        new_records = []
         for entry in page.records:
             if entry.offset < self.next_offset:
                 continue
@@ -70,43 +80,44 @@
                 self.last_snapshot = entry.offset
             if record is not None:
                 self.fold(record)
-                found.append(record)
+                new_records.append(record)
             self.next_offset = ids.Offset(entry.offset + 1)
         self.next_offset = max(self.next_offset, page.oldest)
-        return found
+        return new_records
 
     def fold(self, record: records.Record) -> None:
         """Folds one record.
 
         Args:
-            record: Any record; those of other streams are ignored.
+            record: The record; records of other streams are ignored.
         """
         match record:
             case records.JobAccepted(spec=spec):
-                self._accept(spec)
+                self._fold_accepted(spec)
             case records.AttemptIntended():
-                self._intend(record)
+                self._fold_intent(record)
             case records.JobCancelled(job=job):
-                self._cancel(job)
+                self._fold_cancelled(job)
             case records.JobEnded():
-                self._end(record)
+                self._fold_ended(record)
             case records.JobMoved():
-                self._move(record)
+                self._fold_move(record)
             case records.KeyClaimed():
-                self._claim(record)
+                self._fold_claim(record)
             case records.KeyResult():
-                self._key_result(record)
+                self._fold_key_result(record)
             case records.JobSnapshot():
                 self.merge_snapshot(record)
 
     def outgoing_move(self, job: ids.JobId) -> records.JobMoved | None:
-        """Returns the move by which a job has left the failure domain.
+        """Returns the move of a job to another failure domain.
 
         Args:
             job: The job.
 
         Returns:
-            The last move, or None if the job never left or is back.
+            The last move, or None if the job was never moved away or has
+            returned.
         """
         moved = self.moved.get(job)
         if moved is None or moved.to == self._failure_domain:
@@ -123,34 +134,35 @@
         return 1 if moved is None else moved.number + 1
 
     def merge_snapshot(self, snapshot: records.JobSnapshot) -> None:
-        """Folds a snapshot, which never outranks what is known.
+        """Folds a snapshot under the same rules as single records.
 
         Args:
-            snapshot: From the log or from a peer.
+            snapshot: A snapshot from the log or from a peer.
         """
         for ended in snapshot.ended:
-            self._end(ended)
+            self._fold_ended(ended)
         for spec in snapshot.accepted:
-            self._accept(spec)
+            self._fold_accepted(spec)
         for intent in snapshot.intents:
-            self._intend(intent)
+            self._fold_intent(intent)
         for job in snapshot.cancelled:
-            self._cancel(job)
+            self._fold_cancelled(job)
         for moved in snapshot.moved:
-            self._move(moved)
+            self._fold_move(moved)
         for result in snapshot.key_results:
-            self._key_result(result)
+            self._fold_key_result(result)
         for claim in snapshot.claims:
-            self._claim(claim)
+            self._fold_claim(claim)
 
     def snapshot(
         self, record: ids.RecordId, *, claims_since_ms: int = 0
     ) -> records.JobSnapshot:
-        """Returns the whole book as a record.
+        """Returns the whole view as a record.
 
         Args:
             record: The id of the new record.
-            claims_since_ms: Older claims and their results are left out.
+            claims_since_ms: Unix time in ms; claims made before it and their
+                results are left out.
 
         Returns:
             The snapshot.
@@ -178,13 +190,13 @@
             ),
         )
 
-    def _accept(self, spec: jobs.JobSpec) -> None:
+    def _fold_accepted(self, spec: jobs.JobSpec) -> None:
         moved = self.outgoing_move(spec.job)
-        gone = moved is not None and moved.confirmed
-        if spec.job not in self.ended and not gone:
+        moved_out = moved is not None and moved.confirmed
+        if spec.job not in self.ended and not moved_out:
             self.accepted.setdefault(spec.job, spec)
 
-    def _intend(self, intent: records.AttemptIntended) -> None:
+    def _fold_intent(self, intent: records.AttemptIntended) -> None:
         ended = self.ended.get(intent.job)
         if ended is not None and ended.token >= intent.token:
             return
@@ -192,26 +204,26 @@
             del self.ended[intent.job]
             self.accepted[intent.job] = intent.spec
         known = self.intents.get(intent.job)
-        if known is None or _age(known) < _age(intent):
+        if known is None or _intent_order(known) < _intent_order(intent):
             self.intents[intent.job] = intent
 
-    def _cancel(self, job: ids.JobId) -> None:
+    def _fold_cancelled(self, job: ids.JobId) -> None:
         if job not in self.ended:
             self.cancelled.add(job)
 
-    def _move(self, moved: records.JobMoved) -> None:
+    def _fold_move(self, moved: records.JobMoved) -> None:
         if moved.job in self.ended:
             return
         known = self.moved.get(moved.job)
-        if known is not None and _rank(known) >= _rank(moved):
+        if known is not None and _move_order(known) >= _move_order(moved):
             return
         self.moved[moved.job] = moved
         if moved.confirmed and moved.to != self._failure_domain:
             self.accepted.pop(moved.job, None)
-        while len(self.moved) > MAX_ENDED_JOBS:
+        while len(self.moved) > MAX_RETAINED_JOBS:
             self.moved.popitem(last=False)
 
-    def _end(self, ended: records.JobEnded) -> None:
+    def _fold_ended(self, ended: records.JobEnded) -> None:
         intent = self.intents.get(ended.job)
         if intent is not None and intent.token > ended.token:
             return
@@ -220,40 +232,40 @@
         self.cancelled.discard(ended.job)
         self.moved.pop(ended.job, None)
         self.ended.setdefault(ended.job, ended)
-        while len(self.ended) > MAX_ENDED_JOBS:
+        while len(self.ended) > MAX_RETAINED_JOBS:
             self.ended.popitem(last=False)
 
-    def _claim(self, claim: records.KeyClaimed) -> None:
-        standing = self._claims.get(claim.key, ())
-        known = any(held.record == claim.record for held in standing)
-        if known or claim.record in self._freed:
+    def _fold_claim(self, claim: records.KeyClaimed) -> None:
+        open_claims = self._claims.get(claim.key, ())
+        known = any(other.record == claim.record for other in open_claims)
+        if known or claim.record in self._freed_claims:
             return
-        self._claims[claim.key] = (*standing, claim)
-        while len(self._claims) > MAX_KEYS:
+        self._claims[claim.key] = (*open_claims, claim)
+        while len(self._claims) > MAX_RETAINED_KEYS:
             key, _ = self._claims.popitem(last=False)
             self.key_results.pop(key, None)
 
-    def _key_result(self, result: records.KeyResult) -> None:
+    def _fold_key_result(self, result: records.KeyResult) -> None:
         if codes.info(result.result.code).proves_not_run:
             self.free_claim(result.key, result.claim)
             return
         self.key_results.setdefault(result.key, result)
 
     def free_claim(self, key: str, claim: ids.RecordId) -> None:
-        """Gives a key back because its claim was never used.
+        """Frees a claim that was never used.
 
         Args:
             key: The key.
-            claim: The record id of the claim; another claim stays.
+            claim: The record id of the claim; other claims of the key stay.
         """
-        self._freed[claim] = None
-        while len(self._freed) > MAX_KEYS:
-            self._freed.popitem(last=False)
-        standing = tuple(
-            held for held in self.claims_of(key) if held.record != claim
+        self._freed_claims[claim] = None
+        while len(self._freed_claims) > MAX_RETAINED_KEYS:
+            self._freed_claims.popitem(last=False)
+        open_claims = tuple(
+            other for other in self.claims_of(key) if other.record != claim
         )
-        if standing:
-            self._claims[key] = standing
+        if open_claims:
+            self._claims[key] = open_claims
         else:
             self._claims.pop(key, None)
 
@@ -264,22 +276,22 @@
             key: The key.
 
         Returns:
-            At most one of them was ever granted.
+            The claims, of which at most one was ever granted.
         """
         return self._claims.get(key, ())
 
     def is_claim_freed(self, claim: ids.RecordId) -> bool:
-        """Returns whether a claim was given back.
+        """Returns whether a claim was freed.
 
         Args:
             claim: The record id of the claim.
         """
-        return claim in self._freed
+        return claim in self._freed_claims
 
 
-def _rank(moved: records.JobMoved) -> tuple[int, bool]:
+def _move_order(moved: records.JobMoved) -> tuple[int, bool]:
     return moved.number, moved.confirmed
 
 
-def _age(intent: records.AttemptIntended) -> tuple[int, int]:
+def _intent_order(intent: records.AttemptIntended) -> tuple[int, int]:
     return intent.token, intent.number
--- a/citronmount/state/records.py
+++ b/citronmount/state/records.py
@@ -1,4 +1,4 @@
-"""Records that the system writes to its own streams of the log service."""
+"""Records that the agents append to their streams of the log service."""
 
 import msgspec
 
@@ -47,10 +47,10 @@
     its offset.
 
     Attributes:
-        record: The id; a second copy in the log is ignored.
-        base_version: The version that the operator saw.
-        author: Who published it.
-        content: The whole configuration proposed; its version is ignored.
+        record: The record id; a second copy in the log is ignored.
+        base_version: The version that the operator's change is based on.
+        author: The name of the operator that has published it.
+        content: The whole proposed configuration; its version is ignored.
     """
 
     record: ids.RecordId
@@ -62,10 +62,13 @@
 class ConfigurationSnapshot(
     msgspec.Struct, frozen=True, kw_only=True, tag=True
 ):
-    """The folded configuration, appended again before retention drops it.
+    """The folded configuration.
+
+    It is appended before the retention of the log drops the records that it
+    was folded from.
 
     Attributes:
-        record: The id.
+        record: The record id.
         as_of: The offset of the last record folded into it.
         content: The configuration with its version.
         recent: Ids of the last accepted changes, so that a late copy of one
@@ -82,7 +85,7 @@
     """A job was accepted and must end in a final result.
 
     Attributes:
-        record: The id.
+        record: The record id.
         spec: The job.
     """
 
@@ -91,16 +94,18 @@
 
 
 class AttemptIntended(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """An attempt may start from now on; written before the first start.
+    """An attempt may start from now on.
+
+    It is durable before the first start call is sent.
 
     Attributes:
-        record: The id.
-        job: The job.
+        record: The record id.
+        job: The id of the job.
         spec: The job.
         token: The fencing token of the scheduler.
-        attempt: The attempt.
-        number: The number of the attempt.
-        placement: Where the gang will run.
+        attempt: The id of the attempt.
+        number: The number of the attempt within the job.
+        placement: The workers and the number of tasks at each.
     """
 
     record: ids.RecordId
@@ -113,17 +118,18 @@
 
 
 class JobEnded(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A job came to its final result.
+    """The final result of a job.
 
     Attributes:
-        record: The id.
-        job: The job.
-        account: Its client account.
+        record: The record id.
+        job: The id of the job.
+        account: The client account of the job.
         token: The fencing token of the scheduler.
         result: The result.
-        attempts: How many attempts were started.
-        body_digest: Digest of the job's body, to refuse another body.
-        durability: Where its acceptance was recorded.
+        attempts: The number of attempts made.
+        body_digest: Digest of the job's content, so that a submission with
+            the same id but other content is refused.
+        durability: Where the acceptance of the job was recorded.
     """
 
     record: ids.RecordId
@@ -140,8 +146,8 @@
     """A caller has cancelled a job, which must end as cancelled.
 
     Attributes:
-        record: The id.
-        job: The job.
+        record: The record id.
+        job: The id of the job.
     """
 
     record: ids.RecordId
@@ -149,15 +155,15 @@
 
 
 class JobMoved(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A queued job is handed to another failure domain.
+    """A queued job is moved to another failure domain.
 
     Attributes:
-        record: The id.
-        job: The job.
-        number: Counts the moves of the job; the highest one counts.
-        to: The failure domain that schedules it from now on; the stream's
-            own one takes the job back.
-        confirmed: Whether that failure domain has accepted it.
+        record: The record id.
+        job: The id of the job.
+        number: The number of the move within the job; the highest is in force.
+        to: The failure domain that schedules the job from now on. If it is the
+            stream's own one, the job has returned.
+        confirmed: Whether that failure domain has accepted the job.
     """
 
     record: ids.RecordId
@@ -168,14 +174,17 @@
 
 
 class KeyClaimed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A request that is not idempotent may be sent to one target.
+    """The exclusive right of a VM to run the work of an idempotency key.
+
+    With it, a request that is not idempotent may be sent to one target.
 
     Attributes:
-        record: The id.
+        record: The record id.
         key: The idempotency key with its account.
-        body_digest: Digest of the body, to refuse another body.
-        vm: The VM that may send it.
-        claimed_ms: Wall-clock time in ms.
+        body_digest: Digest of the body, so that another body under the same
+            key is refused.
+        vm: The VM that holds the claim.
+        claimed_ms: Unix time of the claim, in ms.
     """
 
     record: ids.RecordId
@@ -186,14 +195,14 @@
 
 
 class KeyResult(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The final answer of a request that is not idempotent.
+    """The final answer to a request that is not idempotent.
 
     Attributes:
-        record: The id.
+        record: The record id.
         key: The idempotency key with its account.
-        claim: The record id of the claim that is answered.
+        claim: The record id of the claim under which the request was run.
         result: The answer that every retry gets. A result that proves that
-            the request was not run frees the key.
+            the request was not run frees the claim.
     """
 
     record: ids.RecordId
@@ -203,18 +212,21 @@
 
 
 class JobSnapshot(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Unfinished and recent jobs, appended again before retention.
+    """Unfinished and recent jobs of a failure domain.
+
+    It is appended before the retention of the log drops the records that it
+    was folded from.
 
     Attributes:
-        record: The id.
+        record: The record id.
         as_of: The offset of the last record folded into it.
         accepted: Jobs without a final result.
         intents: The newest intent of each of those jobs.
-        cancelled: Those of them that callers have cancelled.
-        moved: Where jobs have gone that other failure domains schedule.
+        cancelled: Those of the accepted jobs that callers have cancelled.
+        moved: The last move of each moved job.
         ended: Recent final results.
         claims: Claims younger than the key lifetime.
-        key_results: Answers younger than the key lifetime.
+        key_results: Answers to requests under those claims.
     """
 
     record: ids.RecordId
@@ -261,7 +273,7 @@
     """Decodes a record read from the log service.
 
     Args:
-        data: Bytes made by `encode`, perhaps by a newer version.
+        data: Bytes written by `encode`, perhaps of a newer version.
 
     Returns:
         The record, or None if this version cannot read it.
--- a/citronmount/state/tests/test_job_view.py
+++ b/citronmount/state/tests/test_job_view.py
@@ -67,62 +67,66 @@
     )
 
 
-def folded(*entries):
-    book = job_view.JobView(failure_domain=HOME)
-    for entry in entries:
-        book.fold(entry)
-    return book
-
-
-class JobBookTest(unittest.TestCase):
-    def test_order_does_not_matter_once_a_job_has_ended(self):
-        entries = (ACCEPTED, intent(1), intent(2), CANCELLED, ENDED)
-        for order in itertools.permutations(entries):
-            book = folded(*order)
-            self.assertEqual(book.accepted, {})
-            self.assertEqual(book.intents, {})
-            self.assertEqual(book.cancelled, set())
-            self.assertEqual(list(book.ended), [JOB])
-
-    def test_the_newest_intent_counts(self):
+def fold_all(*folded):
+    view = job_view.JobView(failure_domain=HOME)
+    for record in folded:
+        view.fold(record)
+    return view
+
+
+class JobViewTest(unittest.TestCase):
+    def test_fold_order_does_not_matter_once_a_job_has_ended(self):
+        job_records = (ACCEPTED, intent(1), intent(2), CANCELLED, ENDED)
+        for order in itertools.permutations(job_records):
+            view = fold_all(*order)
+            self.assertEqual(view.accepted, {})
+            self.assertEqual(view.intents, {})
+            self.assertEqual(view.cancelled, set())
+            self.assertEqual(list(view.ended), [JOB])
+
+    def test_the_newest_intent_wins_in_any_order(self):
         for order in itertools.permutations((intent(1), intent(3), intent(2))):
-            self.assertEqual(folded(*order).intents[JOB].number, 3)
+            self.assertEqual(fold_all(*order).intents[JOB].number, 3)
 
-    def test_every_claim_stands_until_its_own_result_frees_it(self):
+    def test_a_claim_is_kept_until_its_own_result_frees_it(self):
         refusal = codes.ResultCode.NO_SLOT
-        book = folded(claim("a"), claim("b"), claim("a"))
-        self.assertEqual([c.vm for c in book.claims_of("k")], ["a", "b"])
-        book.fold(result("a", refusal))
-        self.assertEqual([c.vm for c in book.claims_of("k")], ["b"])
-        book.fold(claim("a"))
-        self.assertEqual([c.vm for c in book.claims_of("k")], ["b"])
-        book.fold(result("b", refusal))
-        self.assertEqual(book.claims_of("k"), ())
-
-    def test_an_end_told_by_a_fenced_owner_does_not_count(self):
-        late = msgspec.structs.replace(ENDED, token=ids.FenceToken(1))
-        newer = msgspec.structs.replace(intent(1), token=ids.FenceToken(2))
-        for order in itertools.permutations((ACCEPTED, late, newer)):
-            book = folded(*order)
-            self.assertEqual(dict(book.ended), {})
-            self.assertEqual(list(book.accepted), [JOB])
-
-    def test_a_result_that_may_have_run_keeps_the_key(self):
+        view = fold_all(claim("a"), claim("b"), claim("a"))
+        self.assertEqual([c.vm for c in view.claims_of("k")], ["a", "b"])
+        view.fold(result("a", refusal))
+        self.assertEqual([c.vm for c in view.claims_of("k")], ["b"])
+        view.fold(claim("a"))
+        self.assertEqual([c.vm for c in view.claims_of("k")], ["b"])
+        view.fold(result("b", refusal))
+        self.assertEqual(view.claims_of("k"), ())
+
+    def test_a_result_of_a_fenced_owner_is_ignored(self):
+        fenced_end = msgspec.structs.replace(ENDED, token=ids.FenceToken(1))
+        newer_intent = msgspec.structs.replace(
+            intent(1), token=ids.FenceToken(2)
+        )
+        for order in itertools.permutations(
+            (ACCEPTED, fenced_end, newer_intent)
+        ):
+            view = fold_all(*order)
+            self.assertEqual(dict(view.ended), {})
+            self.assertEqual(list(view.accepted), [JOB])
+
+    def test_an_unknown_outcome_keeps_the_claim(self):
         unknown = codes.ResultCode.OUTCOME_UNKNOWN
-        book = folded(claim("a"), result("a", unknown))
-        self.assertTrue(book.claims_of("k"))
-        self.assertIs(book.key_results["k"].result.code, unknown)
-
-    def test_a_confirmed_move_leaves_only_a_pointer(self):
-        book = folded(ACCEPTED, moved("fd-b"))
-        self.assertIn(JOB, book.accepted)
-        book.fold(moved("fd-b", confirmed=True))
-        book.fold(ACCEPTED)
-        book.fold(moved("fd-b"))
-        self.assertNotIn(JOB, book.accepted)
-        self.assertTrue(book.moved[JOB].confirmed)
-
-    def test_the_last_move_counts_in_any_order(self):
+        view = fold_all(claim("a"), result("a", unknown))
+        self.assertTrue(view.claims_of("k"))
+        self.assertIs(view.key_results["k"].result.code, unknown)
+
+    def test_a_confirmed_move_removes_the_job_and_keeps_the_move(self):
+        view = fold_all(ACCEPTED, moved("fd-b"))
+        self.assertIn(JOB, view.accepted)
+        view.fold(moved("fd-b", confirmed=True))
+        view.fold(ACCEPTED)
+        view.fold(moved("fd-b"))
+        self.assertNotIn(JOB, view.accepted)
+        self.assertTrue(view.moved[JOB].confirmed)
+
+    def test_the_last_move_wins_in_any_order(self):
         moves = (
             moved("fd-b"),
             moved(HOME, number=2),
@@ -130,26 +134,26 @@
             moved("fd-c", number=3, confirmed=True),
         )
         for order in itertools.permutations(moves):
-            book = folded(ACCEPTED, *order)
-            self.assertEqual(book.outgoing_move(JOB).to, "fd-c")
-            self.assertNotIn(JOB, book.accepted)
-
-    def test_a_job_that_moved_back_home_is_not_away(self):
-        book = folded(ACCEPTED, moved("fd-b"), moved(HOME, number=2))
-        self.assertIn(JOB, book.accepted)
-        self.assertIsNone(book.outgoing_move(JOB))
-
-    def test_a_snapshot_carries_everything(self):
-        book = folded(ACCEPTED, intent(2), CANCELLED, claim("a"), moved("b"))
-        copy = folded(book.snapshot(ids.RecordId("s")))
-        self.assertEqual(copy.accepted, book.accepted)
-        self.assertEqual(copy.intents, book.intents)
-        self.assertEqual(copy.cancelled, book.cancelled)
-        self.assertEqual(copy.claims_of("k"), book.claims_of("k"))
-        self.assertEqual(copy.moved, book.moved)
-
-    def test_a_snapshot_leaves_out_claims_past_their_lifetime(self):
-        snapshot = folded(claim("a")).snapshot(
+            view = fold_all(ACCEPTED, *order)
+            self.assertEqual(view.outgoing_move(JOB).to, "fd-c")
+            self.assertNotIn(JOB, view.accepted)
+
+    def test_a_returned_job_is_not_moved_away(self):
+        view = fold_all(ACCEPTED, moved("fd-b"), moved(HOME, number=2))
+        self.assertIn(JOB, view.accepted)
+        self.assertIsNone(view.outgoing_move(JOB))
+
+    def test_a_snapshot_restores_the_whole_view(self):
+        view = fold_all(ACCEPTED, intent(2), CANCELLED, claim("a"), moved("b"))
+        restored = fold_all(view.snapshot(ids.RecordId("s")))
+        self.assertEqual(restored.accepted, view.accepted)
+        self.assertEqual(restored.intents, view.intents)
+        self.assertEqual(restored.cancelled, view.cancelled)
+        self.assertEqual(restored.claims_of("k"), view.claims_of("k"))
+        self.assertEqual(restored.moved, view.moved)
+
+    def test_a_snapshot_omits_claims_past_their_lifetime(self):
+        snapshot = fold_all(claim("a")).snapshot(
             ids.RecordId("s"), claims_since_ms=6
         )
         self.assertEqual(snapshot.claims, ())
