--- a/citronmount/leases/gang.py
+++ b/citronmount/leases/gang.py
@@ -66,10 +66,10 @@
 
     def add_transition(source, trigger, target, phase):
         @source.upon(trigger).to(target)
-        def _transition(gang: Gang, state: GangState) -> bool:
-            state.phase = phase
+        def _transition(gang: Gang, gang_state: GangState) -> bool:
+            gang_state.phase = phase
             if phase is GangPhase.STARTING:
-                state.may_have_run = True
+                gang_state.may_have_run = True
             return True
 
     def ignore(source, *triggers):
