--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 
 from citronmount.agent import call_desk
+from citronmount.agent import capacity_tracker
 from citronmount.agent import claims as claims_lib
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_capacity
 from citronmount.agent import drain as drain_lib
 from citronmount.agent import effects
 from citronmount.agent import events
@@ -26,7 +26,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
-from citronmount.state import job_view
+from citronmount.state import job_views
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -64,7 +64,7 @@
             suspicion_ms=settings.suspicion_ms,
             remote_suspicion_ms=settings.remote_suspicion_ms,
         )
-        self.book = job_view.JobView(failure_domain=settings.failure_domain)
+        self.book = job_views.JobView(failure_domain=settings.failure_domain)
         self.outbox = outbox_lib.Outbox(ctx=self._ctx, view=self.view)
         self.reader = stream_reader.StreamReader(ctx=self._ctx, book=self.book)
         self.claims = claims_lib.Claims(
@@ -106,7 +106,7 @@
             configuration_keeper=self.configuration,
             claims=self.claims,
         )
-        rooms = domain_capacity.DomainCapacityTracker(
+        rooms = capacity_tracker.CapacityTracker(
             ctx=self._ctx, view=self.view, ownership=self.ownership
         )
         self.calls = call_desk.CallDesk(
@@ -447,8 +447,8 @@
             ready=self.view.ready,
         )
 
-    def _empty_book(self) -> job_view.JobView:
-        return job_view.JobView(failure_domain=self.settings.failure_domain)
+    def _empty_book(self) -> job_views.JobView:
+        return job_views.JobView(failure_domain=self.settings.failure_domain)
 
     def _configuration_changed(
         self, current: configuration.Configuration
--- a/citronmount/agent/call_desk.py
+++ b/citronmount/agent/call_desk.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from citronmount.agent import call_answers
+from citronmount.agent import capacity_tracker
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_capacity
 from citronmount.agent import job_submission
 from citronmount.agent import ownership as ownership_lib
 from citronmount.agent import request_desk
@@ -63,7 +63,7 @@
         view: view_lib.MembershipView,
         configuration: configuration_lib.ConfigurationKeeper,
         ownership: ownership_lib.Ownership,
-        rooms: domain_capacity.DomainCapacityTracker,
+        rooms: capacity_tracker.CapacityTracker,
         requests: request_desk.RequestDesk,
     ) -> None:
         """Initializes a desk without calls.
@@ -88,7 +88,7 @@
         self._submission = job_submission.JobSubmission(
             ctx=ctx,
             configuration=configuration,
-            capacity=rooms,
+            tracker=rooms,
             route=self.route,
         )
 
--- a/citronmount/agent/domain_capacity.py
+++ b/citronmount/agent/capacity_tracker.py
@@ -9,10 +9,10 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 
-__all__ = ["DomainCapacityTracker"]
+__all__ = ["CapacityTracker"]
 
 
-class DomainCapacityTracker:
+class CapacityTracker:
     """Tracks the free capacity of every failure domain.
 
     Owners report it in their heartbeats. Jobs that this VM has submitted since
@@ -51,7 +51,7 @@
         """
         self._recent_submissions.append((self._ctx.now_ms, home, accelerators))
 
-    def free_capacity(self) -> dict[ids.FailureDomainId, homes.DomainRoom]:
+    def free_capacities(self) -> dict[ids.FailureDomainId, homes.DomainRoom]:
         """Returns the free capacity of each failure domain with an owner.
 
         Accelerators of queued jobs and of jobs that this VM has submitted
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -12,7 +12,7 @@
 from citronmount.core import jobs
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
-from citronmount.state import job_view
+from citronmount.state import job_views
 from citronmount.state import records
 
 __all__ = ["ClaimOutcome", "Claims"]
@@ -68,7 +68,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        book: job_view.JobView,
+        book: job_views.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
     ) -> None:
--- a/citronmount/agent/domain_context.py
+++ b/citronmount/agent/domain_context.py
@@ -13,7 +13,7 @@
 from citronmount.core import scheduler as scheduler_lib
 from citronmount.core import states
 from citronmount.services import messages
-from citronmount.state import job_view as job_view_lib
+from citronmount.state import job_views
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -55,7 +55,7 @@
         *,
         ctx: context.Context,
         token: ids.FenceToken,
-        job_view: job_view_lib.JobView,
+        job_view: job_views.JobView,
         outbox: outbox_lib.Outbox,
         claims: claims_lib.Claims,
         policy: str,
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from citronmount.agent import call_answers
+from citronmount.agent import capacity_tracker
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_capacity
 from citronmount.agent import homes
 from citronmount.core import codes
 from citronmount.core import ids
@@ -31,7 +31,7 @@
         *,
         ctx: context.Context,
         configuration: configuration_lib.ConfigurationKeeper,
-        capacity: domain_capacity.DomainCapacityTracker,
+        tracker: capacity_tracker.CapacityTracker,
         route: Route,
     ) -> None:
         """Initializes the part.
@@ -39,12 +39,12 @@
         Args:
             ctx: Clock, settings and calls shared by the parts of the agent.
             configuration: The configuration in force.
-            capacity: The free capacity of each failure domain.
+            tracker: Tracks the free capacity of each failure domain.
             route: Sends a call to the owner of a failure domain.
         """
         self._ctx = ctx
         self._configuration = configuration
-        self._capacity = capacity
+        self._tracker = tracker
         self._route = route
 
     def submit(self, spec: jobs.JobSpec, respond: Respond) -> None:
@@ -64,7 +64,7 @@
         candidates = homes.rank_job_homes(
             self._configuration.fold.current,
             spec,
-            self._capacity.free_capacity(),
+            self._tracker.free_capacities(),
             self._ctx.settings.failure_domain,
         )
         if candidates:
@@ -137,7 +137,7 @@
         filled = msgspec.structs.replace(
             spec, job=job, submitted_ms=self._ctx.wall_ms
         )
-        self._capacity.record_submission(home, spec.accelerators)
+        self._tracker.record_submission(home, spec.accelerators)
         body = peer_messages.SubmitJob(spec=filled, eager=eager)
         self._route(home, body, respond)
 
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -3,9 +3,9 @@
 import msgspec
 
 from citronmount.agent import call_desk
+from citronmount.agent import capacity_tracker
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_capacity
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import owned_domain
 from citronmount.agent import ownership as ownership_lib
@@ -53,7 +53,7 @@
         outbox: outbox_lib.Outbox,
         ownership: ownership_lib.Ownership,
         calls: call_desk.CallDesk,
-        rooms: domain_capacity.DomainCapacityTracker,
+        rooms: capacity_tracker.CapacityTracker,
         configuration: configuration_lib.ConfigurationKeeper,
     ) -> None:
         """Initializes without moves.
@@ -178,7 +178,7 @@
         }
         return {
             name: room.accelerators
-            for name, room in self._rooms.free_capacity().items()
+            for name, room in self._rooms.free_capacities().items()
             if name != own and name in usable
         }
 
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -15,7 +15,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
-from citronmount.state import job_view
+from citronmount.state import job_views
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -54,7 +54,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        book: job_view.JobView,
+        book: job_views.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
         claims: claims_lib.Claims,
--- a/citronmount/agent/stream_reader.py
+++ b/citronmount/agent/stream_reader.py
@@ -4,7 +4,7 @@
 
 from citronmount.agent import context
 from citronmount.services import messages
-from citronmount.state import job_view
+from citronmount.state import job_views
 from citronmount.state import records
 
 __all__ = ["StreamReader"]
@@ -18,7 +18,9 @@
     Reads that are asked for while one is under way share the next one.
     """
 
-    def __init__(self, *, ctx: context.Context, book: job_view.JobView) -> None:
+    def __init__(
+        self, *, ctx: context.Context, book: job_views.JobView
+    ) -> None:
         """Initializes a reader at the book's offset.
 
         Args:
--- a/citronmount/state/tests/test_job_view.py
+++ b/citronmount/state/tests/test_job_views.py
@@ -6,7 +6,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.state import job_view
+from citronmount.state import job_views
 from citronmount.state import records
 
 HOME = ids.FailureDomainId("fd-a")
@@ -68,7 +68,7 @@
 
 
 def fold_all(*folded):
-    view = job_view.JobView(failure_domain=HOME)
+    view = job_views.JobView(failure_domain=HOME)
     for record in folded:
         view.fold(record)
     return view
