--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -198,7 +198,7 @@
         )
 
     def _free_claim(self, claim: records.KeyClaimed) -> None:
-        """Releases the claim of an attempt that never ran and never will."""
+        """Frees the claim of an attempt that never ran and never will."""
         not_run = jobs.RequestResult(
             request=ids.RequestId(""), code=codes.ResultCode.TARGET_REFUSED
         )
--- a/citronmount/agent/attempts.py
+++ b/citronmount/agent/attempts.py
@@ -236,7 +236,7 @@
             case states.LeaseState.FAILED:
                 self._member_failed(worker, member, lease)
             case states.LeaseState.LAPSED | states.LeaseState.STOPPED:
-                self._member_gone(worker, member, lease.ran)
+                self._member_lease_ended(worker, member, lease.ran)
             case states.LeaseState.RESERVED:
                 if self._adopt_due_ms is not None:
                     self.stop(decisions.AttemptEnd.WORKER_LOST)
@@ -289,10 +289,10 @@
                 self._reserve(worker)
 
     def _tick_starting(self) -> None:
-        limit_ms = self._adopt_due_ms
-        if limit_ms is None:
-            limit_ms = self._reserved_until_ms() + START_MARGIN_MS
-        if self._ctx.now_ms >= limit_ms:
+        deadline_ms = self._adopt_due_ms
+        if deadline_ms is None:
+            deadline_ms = self._reserved_until_ms() + START_MARGIN_MS
+        if self._ctx.now_ms >= deadline_ms:
             pending = tuple(
                 worker
                 for worker, member in self._members.items()
@@ -430,7 +430,7 @@
         self.stop(reason, culprits=(worker,))
         self._check_stopped()
 
-    def _member_gone(
+    def _member_lease_ended(
         self, worker: ids.WorkerId, member: _Member, ran: bool
     ) -> None:
         member.proof = _Proof.RAN if ran else _Proof.NEVER_RAN
--- a/citronmount/agent/domain_context.py
+++ b/citronmount/agent/domain_context.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Callable
 
-from citronmount.agent import attempts as attempts_lib
+from citronmount.agent import attempts
 from citronmount.agent import claims as claims_lib
 from citronmount.agent import context
 from citronmount.agent import job_table
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import token_check
-from citronmount.config import configuration as configuration_lib
+from citronmount.config import configuration
 from citronmount.core import ids
-from citronmount.core import scheduler as scheduler_lib
+from citronmount.core import scheduler
 from citronmount.core import states
 from citronmount.services import messages
 from citronmount.state import job_views
@@ -83,13 +83,13 @@
         ] = lambda worker, answer: None
         self.failure_domain = ctx.settings.failure_domain
         self.stream = records.job_stream(self.failure_domain)
-        self.scheduler = scheduler_lib.DomainScheduler(
+        self.scheduler = scheduler.DomainScheduler(
             failure_domain=self.failure_domain, policy=policy
         )
-        self.configuration = configuration_lib.Configuration()
+        self.configuration = configuration.Configuration()
         self.table = job_table.JobTable()
         self.targets: dict[ids.WorkerId, messages.ListedTarget] = {}
-        self.attempts: dict[ids.AttemptId, attempts_lib.Attempt] = {}
+        self.attempts: dict[ids.AttemptId, attempts.Attempt] = {}
         self.attempt_by_job: dict[ids.JobId, ids.AttemptId] = {}
         self.requeue_at_ms: dict[ids.JobId, int] = {}
         self.fenced_workers: set[ids.WorkerId] = set()
@@ -108,7 +108,7 @@
             for domain in self.configuration.failure_domains
         )
 
-    def attempt_of(self, job: ids.JobId) -> attempts_lib.Attempt | None:
+    def attempt_of(self, job: ids.JobId) -> attempts.Attempt | None:
         """Returns the attempt of a job that has not ended, if there is one.
 
         Args:
--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -22,7 +22,7 @@
 class OwnedDomain:
     """Runs the scheduler of an owned failure domain and executes decisions.
 
-    An instance lives from the moment that the VM becomes the owner until it
+    An instance exists from the moment that the VM becomes the owner until it
     steps down or is fenced. All state that must survive it is in the job view
     and the outbox.
 
@@ -66,12 +66,12 @@
 
     @property
     def token(self) -> ids.FenceToken:
-        """The fencing token that the workers have seen."""
+        """The owner's fencing token, which the workers have seen."""
         return self._context.token
 
     @property
     def table(self) -> job_table.JobTable:
-        """The open jobs."""
+        """The jobs without a final result."""
         return self._context.table
 
     @property
@@ -107,8 +107,8 @@
     ) -> None:
         """Applies a new version of the configuration.
 
-        If it takes the failure domain out of service, attempts that are still
-        reserving stop.
+        While the failure domain is out of service, attempts that are still
+        reserving are stopped.
 
         Args:
             configuration: The configuration in force.
--- a/citronmount/leases/gang.py
+++ b/citronmount/leases/gang.py
@@ -36,8 +36,7 @@
     """The inputs of the machine.
 
     Each returns whether the input has caused a transition. An input that the
-    current phase does not allow is ignored, because answers of workers arrive
-    late and more than once.
+    current phase does not allow is ignored.
     """
 
     def all_reserved(self) -> bool:
