--- a/citronmount/agent/capacity_tracker.py
+++ b/citronmount/agent/capacity_tracker.py
@@ -94,6 +94,6 @@
             if known is None or known.token < summary.token:
                 newest[summary.failure_domain] = summary
         if self._ownership.domain is not None:
-            own = self._ownership.domain.summary()
-            newest[own.failure_domain] = own
+            own_summary = self._ownership.domain.summary()
+            newest[own_summary.failure_domain] = own
         return newest
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -77,15 +77,15 @@
     ) -> None:
         """Submits a job while no owner of a usable failure domain is known.
 
-        The job goes to the own failure domain if that is allowed, otherwise to
-        the first allowed one; the call waits there for an owner.
+        The job is submitted to this VM's failure domain if that is allowed,
+        otherwise to the first allowed one, where the call waits for an owner.
         """
-        own = self._ctx.settings.failure_domain
+        own_domain = self._ctx.settings.failure_domain
         allowed = shares.homes(self._configuration.fold.current, spec)
         if not allowed:
             respond(call_answers.failure(codes.ResultCode.HOME_UNREACHABLE))
             return
-        home = own if own in allowed else allowed[0]
+        home = own_domain if own_domain in allowed else allowed[0]
         job = ids.job_id(home, self._ctx.unique())
         self._submit_to(home, spec, job, respond)
 
