--- a/citronmount/agent/capacity_tracker.py
+++ b/citronmount/agent/capacity_tracker.py
@@ -95,5 +95,5 @@
                 newest[summary.failure_domain] = summary
         if self._ownership.domain is not None:
             own_summary = self._ownership.domain.summary()
-            newest[own_summary.failure_domain] = own
+            newest[own_summary.failure_domain] = own_summary
         return newest
