--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -233,7 +233,7 @@
         entry.state = states.JobState.RUNNING
         entry.ever_ran = True
         entry.refusals = 0
-        self._domain.scheduler.started(
+        self._domain.scheduler.attempt_started(
             attempt.spec.job, self._domain.ctx.now_ms
         )
         self._domain.ctx.trace(
@@ -262,7 +262,7 @@
             )
         final = _final_result(entry, result)
         refused = result.how is decisions.AttemptEnd.REFUSED
-        verdict = self._domain.scheduler.ended(
+        verdict = self._domain.scheduler.attempt_ended(
             job,
             result.how,
             self._domain.ctx.now_ms,
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -56,7 +56,7 @@
         """
         entries = (
             self._domain.table.entries.get(job)
-            for job in self._domain.scheduler.unclaimed()
+            for job in self._domain.scheduler.queued_without_placement()
         )
         return [
             entry.spec
