--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -3,16 +3,16 @@
 from collections.abc import Callable
 
 from citronmount.agent import call_router
+from citronmount.agent import capacity_tracker
 from citronmount.agent import claims
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_rooms
 from citronmount.agent import drain
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.agent import heartbeats
 from citronmount.agent import joining
-from citronmount.agent import keeping as keeping_lib
+from citronmount.agent import lease_renewer
 from citronmount.agent import mover
 from citronmount.agent import outbox
 from citronmount.agent import ownership
@@ -26,7 +26,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
-from citronmount.state import job_view
+from citronmount.state import job_views
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -64,7 +64,9 @@
             suspicion_ms=settings.suspicion_ms,
             remote_suspicion_ms=settings.remote_suspicion_ms,
         )
-        self.job_view = job_view.JobView(failure_domain=settings.failure_domain)
+        self.job_view = job_views.JobView(
+            failure_domain=settings.failure_domain
+        )
         self.outbox = outbox.Outbox(ctx=self._ctx, view=self.view)
         self.reader = stream_reader.StreamReader(
             ctx=self._ctx, job_view=self.job_view
@@ -95,11 +97,11 @@
         self._make_call_handlers()
 
     def _make_call_handlers(self) -> None:
-        self.lease_renewer = keeping_lib.Keeping(
+        self.lease_renewer = lease_renewer.LeaseRenewer(
             ctx=self._ctx,
             view=self.view,
             on_report=self._on_worker_report,
-            on_lost=self._on_worker_lost,
+            on_worker_lost=self._on_worker_lost,
             on_token=self.ownership.learn_token,
         )
         self.requests = request_handler.RequestHandler(
@@ -108,7 +110,7 @@
             configuration_manager=self.configuration,
             claims=self.claims,
         )
-        capacity = domain_rooms.DomainRooms(
+        tracker = capacity_tracker.CapacityTracker(
             ctx=self._ctx, view=self.view, ownership=self.ownership
         )
         self.calls = call_router.CallRouter(
@@ -116,7 +118,7 @@
             view=self.view,
             configuration=self.configuration,
             ownership=self.ownership,
-            capacity=capacity,
+            tracker=tracker,
             requests=self.requests,
         )
         self.mover = mover.Mover(
@@ -124,7 +126,7 @@
             outbox=self.outbox,
             ownership=self.ownership,
             calls=self.calls,
-            capacity=capacity,
+            tracker=tracker,
             configuration=self.configuration,
         )
         self.drain = drain.Drain(
@@ -302,7 +304,7 @@
         if assignment == self._last_assignment:
             return
         self._last_assignment = assignment
-        self.lease_renewer.assign(self._workers)
+        self.lease_renewer.assign_workers(self._workers)
         members = sorted({*candidates, self.settings.vm})
         self.requests.router.set_share(
             members.index(self.settings.vm), len(members)
@@ -311,8 +313,10 @@
     def _tick_lease_renewal(self) -> None:
         domain = self.ownership.domain
         if domain is not None:
-            self.lease_renewer.owner_heard()
-            self.lease_renewer.lapse = frozenset(domain.lapsing())
+            self.lease_renewer.note_owner_alive()
+            self.lease_renewer.lapsing_attempts = frozenset(
+                domain.lapsing_attempts()
+            )
         owner = self.view.owner(self.settings.failure_domain, self._ctx.now_ms)
         rebuilding = owner == self.settings.vm and domain is None
         reachable = None if rebuilding else owner
@@ -375,7 +379,7 @@
             case peer_messages.LapseAttempts(token=token, attempts=attempts):
                 self.ownership.learn_token(token)
                 if token == self.ownership.token:
-                    self.lease_renewer.lapse = frozenset(attempts)
+                    self.lease_renewer.lapsing_attempts = frozenset(attempts)
             case peer_messages.StateRequest():
                 self._ctx.send(sender, self._state_answer(message))
 
@@ -398,7 +402,7 @@
         self.ownership.learn_token(heartbeat.token)
         self.requests.router.peer_free_slots(sender, heartbeat.free_slots)
         if heartbeat.domain is not None:
-            self.lease_renewer.owner_heard()
+            self.lease_renewer.note_owner_alive()
 
     def _handle_replicate(
         self, sender: ids.VmId, message: peer_messages.Replicate
@@ -409,7 +413,7 @@
             for record in message.records:
                 self.job_view.fold(record)
             if self.ownership.domain is not None:
-                self.ownership.domain.rebuilding.restore_missing()
+                self.ownership.domain.rebuilder.restore_missing_jobs()
         self._ctx.send(sender, peer_messages.Acknowledge(call=message.call))
 
     def _handle_lease_report(
@@ -420,17 +424,17 @@
             return
         self._ctx.send(sender, peer_messages.Acknowledge(call=message.call))
         for report in message.reports:
-            domain.reports.worker_report(report)
+            domain.reports.handle_report(report)
         for worker in message.lost:
-            domain.reports.worker_lost(worker)
+            domain.reports.handle_worker_lost(worker)
 
     def _on_worker_report(self, report: messages.Report) -> None:
         if self.ownership.domain is not None:
-            self.ownership.domain.reports.worker_report(report)
+            self.ownership.domain.reports.handle_report(report)
 
     def _on_worker_lost(self, worker: ids.WorkerId) -> None:
         if self.ownership.domain is not None:
-            self.ownership.domain.reports.worker_lost(worker)
+            self.ownership.domain.reports.handle_worker_lost(worker)
 
     def _state_answer(
         self, request: peer_messages.StateRequest
@@ -456,8 +460,8 @@
             ready=self.view.ready,
         )
 
-    def _empty_job_view(self) -> job_view.JobView:
-        return job_view.JobView(failure_domain=self.settings.failure_domain)
+    def _empty_job_view(self) -> job_views.JobView:
+        return job_views.JobView(failure_domain=self.settings.failure_domain)
 
     def _on_configuration_change(
         self, current: configuration.Configuration
--- a/citronmount/agent/call_router.py
+++ b/citronmount/agent/call_router.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from citronmount.agent import call_answers
+from citronmount.agent import capacity_tracker
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_rooms
 from citronmount.agent import job_submission
 from citronmount.agent import ownership as ownership_lib
 from citronmount.agent import request_handler
@@ -63,7 +63,7 @@
         view: view_lib.MembershipView,
         configuration: configuration_lib.ConfigurationManager,
         ownership: ownership_lib.Ownership,
-        capacity: domain_rooms.DomainRooms,
+        tracker: capacity_tracker.CapacityTracker,
         requests: request_handler.RequestHandler,
     ) -> None:
         """Initializes a router without calls.
@@ -73,7 +73,7 @@
             view: Determines the owner of each failure domain.
             configuration: Provides the configuration in force.
             ownership: Provides the local failure domain while this VM owns it.
-            capacity: The free capacity of each failure domain.
+            tracker: The free capacity of each failure domain.
             requests: Handles short requests.
         """
         self._ctx = ctx
@@ -88,7 +88,7 @@
         self._submission = job_submission.JobSubmission(
             ctx=ctx,
             configuration=configuration,
-            rooms=capacity,
+            tracker=tracker,
             route=self.route,
         )
 
@@ -286,15 +286,15 @@
                 return
         match body:
             case peer_messages.SubmitJob(spec=spec, eager=eager, move=move):
-                domain.intake.submit(spec, respond, eager=eager, move=move)
+                domain.job_calls.submit(spec, respond, eager=eager, move=move)
             case peer_messages.GetJob(job=job, wait_ms=wait_ms):
-                domain.intake.status(job, wait_ms, respond)
+                domain.job_calls.status(job, wait_ms, respond)
             case peer_messages.CancelJob(job=job):
-                domain.intake.cancel(job, respond)
+                domain.job_calls.cancel(job, respond)
             case peer_messages.CancelJobs(account=account):
-                respond(domain.intake.cancel_account(account))
+                respond(domain.job_calls.cancel_account(account))
             case peer_messages.ListJobs(account=account, limit=limit):
-                respond(domain.intake.statuses(account, limit))
+                respond(domain.job_calls.statuses(account, limit))
 
     def _follow_move(
         self,
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -124,7 +124,10 @@
         failure_domain = self._ctx.settings.failure_domain
         if self._view.candidates(failure_domain, self._ctx.now_ms):
             return self._limit_reached()
-        return self._ownership.domain.idle() or self._limit_reached()
+        return (
+            self._ownership.domain.all_attempts_running()
+            or self._limit_reached()
+        )
 
     def _limit_reached(self) -> bool:
         return self._elapsed_ms() >= self._ctx.settings.drain_limit_ms
--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -92,7 +92,7 @@
         if domain is None:
             return None
         return peer_messages.LapseAttempts(
-            token=domain.token, attempts=domain.lapsing()
+            token=domain.token, attempts=domain.lapsing_attempts()
         )
 
     def _heartbeat(self) -> peer_messages.Heartbeat:
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -3,9 +3,9 @@
 import msgspec
 
 from citronmount.agent import call_router
+from citronmount.agent import capacity_tracker
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_rooms
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import owned_domain
 from citronmount.agent import ownership as ownership_lib
@@ -54,7 +54,7 @@
         outbox: outbox_lib.Outbox,
         ownership: ownership_lib.Ownership,
         calls: call_router.CallRouter,
-        capacity: domain_rooms.DomainRooms,
+        tracker: capacity_tracker.CapacityTracker,
         configuration: configuration_lib.ConfigurationManager,
     ) -> None:
         """Initializes without moves.
@@ -64,14 +64,14 @@
             outbox: Provides whether the log answers.
             ownership: Provides the owned failure domain.
             calls: Routes submissions to other owners.
-            capacity: Provides the free capacity of each failure domain.
+            tracker: Provides the free capacity of each failure domain.
             configuration: Provides which failure domains are in service.
         """
         self._ctx = ctx
         self._outbox = outbox
         self._ownership = ownership
         self._calls = calls
-        self._capacity = capacity
+        self._tracker = tracker
         self._configuration = configuration
         self._next_period_ms = 0
         self._token = ids.FenceToken(0)
@@ -82,7 +82,7 @@
     def tick(self) -> None:
         """Starts new moves and retries unconfirmed ones."""
         domain = self._ownership.domain
-        if domain is None or not domain.placing:
+        if domain is None or not domain.placement_enabled:
             return
         if domain.token != self._token:
             self._token = domain.token
@@ -121,7 +121,7 @@
         out_of_service = not self._ownership.domain.in_service()
         due = [
             spec
-            for spec in self._ownership.domain.moves.queued_specs()
+            for spec in self._ownership.domain.moves.movable_jobs()
             if self._is_due(spec, out_of_service=out_of_service)
         ]
         for spec in due[:MAX_MOVES_PER_PERIOD]:
@@ -192,7 +192,7 @@
         }
         return {
             name: capacity.accelerators
-            for name, capacity in self._capacity.rooms().items()
+            for name, capacity in self._tracker.free_capacities().items()
             if name != own and name in in_service
         }
 
@@ -234,10 +234,10 @@
                 return
             if isinstance(answer, peer_messages.JobAnswer):
                 self._moves.pop(move.spec.job, None)
-                domain.moves.moved(move.spec.job, move.to, accepted=True)
+                domain.moves.settle_move(move.spec.job, move.to, accepted=True)
             elif _never_accepted(answer):
                 self._moves.pop(move.spec.job, None)
-                domain.moves.moved(move.spec.job, move.to, accepted=False)
+                domain.moves.settle_move(move.spec.job, move.to, accepted=False)
 
         body = peer_messages.SubmitJob(
             spec=move.spec, eager=move.eager, move=move.number
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -6,7 +6,7 @@
 from citronmount.agent import claims as claims_lib
 from citronmount.agent import configuration as configuration_lib
 from citronmount.agent import context
-from citronmount.agent import domain_core
+from citronmount.agent import domain_context
 from citronmount.agent import fencing
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import owned_domain
@@ -15,7 +15,7 @@
 from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
-from citronmount.state import job_view
+from citronmount.state import job_views
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
@@ -54,7 +54,7 @@
         *,
         ctx: context.Context,
         view: view_lib.MembershipView,
-        job_view: job_view.JobView,
+        job_view: job_views.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
         claims: claims_lib.Claims,
@@ -185,7 +185,7 @@
         domain = self.domain
         if domain is None:
             return
-        domain.placing = should_own or not self._view.draining
+        domain.placement_enabled = should_own or not self._view.draining
         domain.tick()
         if self._ctx.now_ms >= self._next_log_poll_ms:
             self._poll_log()
@@ -317,7 +317,7 @@
             self._start_owning()
 
     def _start_owning(self) -> None:
-        core = domain_core.DomainCore(
+        shared = domain_context.DomainContext(
             ctx=self._ctx,
             token=self.token,
             job_view=self._job_view,
@@ -326,7 +326,7 @@
             policy=self._ctx.settings.policy,
             on_fenced=self.learn_token,
         )
-        domain = owned_domain.OwnedDomain(core=core)
+        domain = owned_domain.OwnedDomain(context=shared)
         self.phase = OwnershipPhase.OWNER
         self.domain = domain
         self._next_log_poll_ms = self._ctx.now_ms + LOG_POLL_PERIOD_MS
@@ -339,7 +339,7 @@
             for target in targets
             if target.name not in self._reports
         )
-        domain.rebuilding.rebuild(tuple(self._reports.values()), silent)
+        domain.rebuilder.rebuild(tuple(self._reports.values()), silent)
         self._reports = {}
         self._ctx.trace(
             timeline.EventKind.REBUILD_DONE,
@@ -355,7 +355,7 @@
 
         def on_log_read(complete: bool) -> None:
             if complete and self.domain is not None:
-                self.domain.rebuilding.restore_missing()
+                self.domain.rebuilder.restore_missing_jobs()
                 self._append_snapshot_if_due()
 
         self._reader.read_to_end(on_log_read)
--- a/citronmount/agent/stream_reader.py
+++ b/citronmount/agent/stream_reader.py
@@ -4,7 +4,7 @@
 
 from citronmount.agent import context
 from citronmount.services import messages
-from citronmount.state import job_view
+from citronmount.state import job_views
 from citronmount.state import records
 
 __all__ = ["StreamReader"]
@@ -19,13 +19,13 @@
     """
 
     def __init__(
-        self, *, ctx: context.Context, job_view: job_view.JobView
+        self, *, ctx: context.Context, job_view: job_views.JobView
     ) -> None:
         """Initializes a reader at the offset of the job view.
 
         Args:
             ctx: The shared context.
-            job_view: The view that the records are folded into.
+            job_view: The job view that the records are folded into.
         """
         self.listeners: list[Callable[[records.Record], None]] = []
         self._ctx = ctx
