--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -5,7 +5,7 @@
 from citronmount.agent import call_router
 from citronmount.agent import capacity_tracker
 from citronmount.agent import claims
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import drain
 from citronmount.agent import effects
@@ -23,7 +23,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import job_views
@@ -58,7 +58,7 @@
         self._listing = False
         self._last_assignment: tuple[object, ...] = ()
         self._open_tickets: set[ids.TicketId] = set()
-        self.view = view_lib.MembershipView(
+        self.view = membership_view.MembershipView(
             vm=settings.vm,
             failure_domain=settings.failure_domain,
             suspicion_ms=settings.suspicion_ms,
@@ -78,7 +78,7 @@
             outbox=self.outbox,
             reader=self.reader,
         )
-        self.configuration = configuration_lib.ConfigurationManager(
+        self.configuration = configuration_manager.ConfigurationManager(
             ctx=self._ctx,
             view=self.view,
             outbox=self.outbox,
@@ -107,7 +107,7 @@
         self.requests = request_handler.RequestHandler(
             ctx=self._ctx,
             view=self.view,
-            configuration_manager=self.configuration,
+            config_manager=self.configuration,
             claims=self.claims,
         )
         tracker = capacity_tracker.CapacityTracker(
--- a/citronmount/agent/call_router.py
+++ b/citronmount/agent/call_router.py
@@ -8,7 +8,7 @@
 
 from citronmount.agent import call_answers
 from citronmount.agent import capacity_tracker
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import job_submission
 from citronmount.agent import ownership as ownership_lib
@@ -16,7 +16,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 
 __all__ = ["CallRouter"]
@@ -60,8 +60,8 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
-        configuration: configuration_lib.ConfigurationManager,
+        view: membership_view.MembershipView,
+        configuration: configuration_manager.ConfigurationManager,
         ownership: ownership_lib.Ownership,
         tracker: capacity_tracker.CapacityTracker,
         requests: request_handler.RequestHandler,
--- a/citronmount/agent/capacity_tracker.py
+++ b/citronmount/agent/capacity_tracker.py
@@ -6,7 +6,7 @@
 from citronmount.agent import homes
 from citronmount.agent import ownership as ownership_lib
 from citronmount.core import ids
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 
 __all__ = ["CapacityTracker"]
@@ -23,7 +23,7 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
+        view: membership_view.MembershipView,
         ownership: ownership_lib.Ownership,
     ) -> None:
         """Initializes a tracker without recent submissions.
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -10,7 +10,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 from citronmount.state import job_views
 from citronmount.state import records
@@ -67,7 +67,7 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
+        view: membership_view.MembershipView,
         job_view: job_views.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
--- a/citronmount/agent/configuration.py
+++ b/citronmount/agent/configuration_manager.py
@@ -12,8 +12,8 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
+from citronmount.membership import membership_view
 from citronmount.membership import rendezvous
-from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import records
@@ -50,7 +50,7 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
+        view: membership_view.MembershipView,
         outbox: outbox_lib.Outbox,
         on_change: Callable[[configuration.Configuration], None],
     ) -> None:
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -7,7 +7,7 @@
 from citronmount.agent import ownership as ownership_lib
 from citronmount.agent import request_handler
 from citronmount.core import ids
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 from citronmount.telemetry import events as timeline
 
@@ -31,7 +31,7 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
+        view: membership_view.MembershipView,
         outbox: outbox_lib.Outbox,
         ownership: ownership_lib.Ownership,
         calls: call_router.CallRouter,
--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -1,11 +1,11 @@
 """Sends heartbeats to the other VMs."""
 
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import ownership as ownership_lib
 from citronmount.agent import request_handler
 from citronmount.core import ids
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 
 __all__ = ["HeartbeatSender"]
@@ -22,8 +22,8 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
-        configuration: configuration_lib.ConfigurationManager,
+        view: membership_view.MembershipView,
+        configuration: configuration_manager.ConfigurationManager,
         ownership: ownership_lib.Ownership,
         requests: request_handler.RequestHandler,
     ) -> None:
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -6,7 +6,7 @@
 
 from citronmount.agent import call_answers
 from citronmount.agent import capacity_tracker
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import homes
 from citronmount.core import codes
@@ -30,7 +30,7 @@
         self,
         *,
         ctx: context.Context,
-        configuration: configuration_lib.ConfigurationManager,
+        configuration: configuration_manager.ConfigurationManager,
         tracker: capacity_tracker.CapacityTracker,
         route: Route,
     ) -> None:
--- a/citronmount/agent/joining.py
+++ b/citronmount/agent/joining.py
@@ -1,11 +1,11 @@
 """Synchronizes a started VM before it owns, renews leases or votes."""
 
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import ownership as ownership_lib
 from citronmount.agent import stream_reader
 from citronmount.core import ids
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 from citronmount.state import records
 
@@ -28,9 +28,9 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
+        view: membership_view.MembershipView,
         reader: stream_reader.StreamReader,
-        configuration: configuration_lib.ConfigurationManager,
+        configuration: configuration_manager.ConfigurationManager,
         ownership: ownership_lib.Ownership,
         listen_ms: int,
     ) -> None:
--- a/citronmount/agent/lease_renewer.py
+++ b/citronmount/agent/lease_renewer.py
@@ -7,7 +7,7 @@
 
 from citronmount.agent import context
 from citronmount.core import ids
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 
@@ -46,7 +46,7 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
+        view: membership_view.MembershipView,
         on_report: Callable[[messages.Report], None],
         on_worker_lost: Callable[[ids.WorkerId], None],
         on_token: Callable[[ids.FenceToken], None],
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -4,7 +4,7 @@
 
 from citronmount.agent import call_router
 from citronmount.agent import capacity_tracker
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import outbox as outbox_lib
 from citronmount.agent import owned_domain
@@ -55,7 +55,7 @@
         ownership: ownership_lib.Ownership,
         calls: call_router.CallRouter,
         tracker: capacity_tracker.CapacityTracker,
-        configuration: configuration_lib.ConfigurationManager,
+        configuration: configuration_manager.ConfigurationManager,
     ) -> None:
         """Initializes without moves.
 
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -10,7 +10,7 @@
 from citronmount.agent import context
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 from citronmount.state import records
 
@@ -84,7 +84,7 @@
     """
 
     def __init__(
-        self, *, ctx: context.Context, view: view_lib.MembershipView
+        self, *, ctx: context.Context, view: membership_view.MembershipView
     ) -> None:
         """Initializes an empty outbox.
 
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -4,7 +4,7 @@
 import enum
 
 from citronmount.agent import claims as claims_lib
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import domain_context
 from citronmount.agent import fencing
@@ -12,7 +12,7 @@
 from citronmount.agent import owned_domain
 from citronmount.agent import stream_reader
 from citronmount.core import ids
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import job_views
@@ -53,12 +53,12 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
+        view: membership_view.MembershipView,
         job_view: job_views.JobView,
         outbox: outbox_lib.Outbox,
         reader: stream_reader.StreamReader,
         claims: claims_lib.Claims,
-        configuration: configuration_lib.ConfigurationManager,
+        configuration: configuration_manager.ConfigurationManager,
         workers: Callable[[], tuple[messages.ListedTarget, ...]],
     ) -> None:
         """Initializes a follower.
--- a/citronmount/agent/request_forwarding.py
+++ b/citronmount/agent/request_forwarding.py
@@ -9,7 +9,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 
 __all__ = ["RequestForwarding", "refusal", "outcome_unknown"]
@@ -43,7 +43,7 @@
     """
 
     def __init__(
-        self, *, ctx: context.Context, view: view_lib.MembershipView
+        self, *, ctx: context.Context, view: membership_view.MembershipView
     ) -> None:
         """Initializes without requests.
 
--- a/citronmount/agent/request_handler.py
+++ b/citronmount/agent/request_handler.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from citronmount.agent import claims as claims_lib
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import effects
 from citronmount.agent import events
@@ -18,8 +18,8 @@
 from citronmount.core import jobs
 from citronmount.core import request_decisions
 from citronmount.core import short_requests
+from citronmount.membership import membership_view
 from citronmount.membership import rendezvous
-from citronmount.membership import view as view_lib
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import records
@@ -53,8 +53,8 @@
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
-        configuration_manager: configuration_lib.ConfigurationManager,
+        view: membership_view.MembershipView,
+        config_manager: configuration_manager.ConfigurationManager,
         claims: claims_lib.Claims,
     ) -> None:
         """Initializes a handler without runners.
@@ -62,13 +62,13 @@
         Args:
             ctx: The shared context.
             view: Determines which VMs are alive.
-            configuration_manager: Provides the configuration in force.
+            config_manager: Provides the configuration in force.
             claims: Claims idempotency keys.
         """
         self.router = short_requests.RequestRouter(vm=ctx.settings.vm)
         self._ctx = ctx
         self._view = view
-        self._configuration = configuration_manager
+        self._configuration = config_manager
         self._claims = claims
         self._runners: dict[ids.RunnerId, messages.ListedTarget] = {}
         self._open: dict[ids.RequestId, _OpenRequest] = {}
--- a/citronmount/membership/tests/test_view.py
+++ b/citronmount/membership/tests/test_membership_view.py
@@ -1,7 +1,7 @@
 import unittest
 
 from citronmount.core import ids
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 
@@ -10,7 +10,7 @@
 
 
 def make_view():
-    view = view_lib.MembershipView(
+    view = membership_view.MembershipView(
         vm=ids.VmId("a0"),
         failure_domain=LOCAL_DOMAIN,
         suspicion_ms=3_000,
@@ -81,7 +81,7 @@
     def test_views_agree_on_owner(self):
         first = make_view()
         first.record_heartbeat("a1", make_heartbeat(), 0)
-        second = view_lib.MembershipView(
+        second = membership_view.MembershipView(
             vm=ids.VmId("a1"),
             failure_domain=LOCAL_DOMAIN,
             suspicion_ms=3_000,
--- a/citronmount/service/agent_brain.py
+++ b/citronmount/service/agent_brain.py
@@ -4,7 +4,7 @@
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.config import configuration as configuration_lib
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.service import bodies
 
 __all__ = ["AgentBrain"]
@@ -88,7 +88,9 @@
 
 
 def _member(
-    view: view_lib.MembershipView, peer: view_lib.Peer, now_ms: int
+    view: membership_view.MembershipView,
+    peer: membership_view.Peer,
+    now_ms: int,
 ) -> bodies.Member:
     last = peer.heartbeat
     return bodies.Member(
