--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -221,6 +221,7 @@
         self._flush(stream)
 
     def _check_time_limits(self, write: _Write) -> None:
+        """Replicates an overdue write and ends one past its time limit."""
         age_ms = self._ctx.now_ms - write.since_ms
         log_timeout_ms = self._ctx.settings.log_patience_ms
         replication_due = not self.log_available or age_ms >= log_timeout_ms
@@ -231,6 +232,7 @@
             self._end_unanswered(write)
 
     def _end_unanswered(self, write: _Write) -> None:
+        """Reports the outcome as unknown, or drops a write never sent."""
         if write.sent or write.asked_peers:
             write.settle(WriteOutcome.UNKNOWN)
             return
