--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -1,40 +1,40 @@
 """Sends heartbeats to the other VMs."""
 
-from citronmount.agent import configuration as configuration_lib
+from citronmount.agent import configuration_manager
 from citronmount.agent import context
 from citronmount.agent import ownership as ownership_lib
-from citronmount.agent import request_desk
+from citronmount.agent import request_handler
 from citronmount.core import ids
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
 
-__all__ = ["Heartbeats"]
+__all__ = ["HeartbeatSender"]
 
 
-class Heartbeats:
-    """Tells peers that the VM lives, and what they need of it.
+class HeartbeatSender:
+    """Sends the VM's heartbeats and the state that they carry.
 
-    VMs of the own failure domain hear it often, the others seldom, so that
-    the traffic of many VMs stays small.
+    VMs of the same failure domain receive them more often than VMs of other
+    failure domains, which limits the traffic of large systems.
     """
 
     def __init__(
         self,
         *,
         ctx: context.Context,
-        view: view_lib.MembershipView,
-        configuration: configuration_lib.ConfigurationKeeper,
+        view: membership_view.MembershipView,
+        configuration: configuration_manager.ConfigurationManager,
         ownership: ownership_lib.Ownership,
-        requests: request_desk.RequestDesk,
+        requests: request_handler.RequestHandler,
     ) -> None:
-        """Initializes without having sent any.
+        """Initializes the sender; the first heartbeats are due at once.
 
         Args:
             ctx: The shared context.
-            view: Whom to tell.
-            configuration: The version to tell.
-            ownership: The failure domain's state to tell.
-            requests: The free slots to tell.
+            view: Determines the receivers.
+            configuration: Provides the version of the configuration in force.
+            ownership: Provides the token and the failure domain's summary.
+            requests: Provides the number of free slots at the runners.
         """
         self._ctx = ctx
         self._view = view
@@ -42,43 +42,45 @@
         self._ownership = ownership
         self._requests = requests
         self._sequence = 0
-        self._local_ms = 0
-        self._remote_ms = 0
+        self._next_local_ms = 0
+        self._next_remote_ms = 0
 
     def send_now(self) -> None:
-        """Sends one to everybody at once."""
-        self._local_ms = self._ctx.now_ms
-        self._remote_ms = self._ctx.now_ms
+        """Sends a heartbeat to all VMs before the period has elapsed."""
+        self._next_local_ms = self._ctx.now_ms
+        self._next_remote_ms = self._ctx.now_ms
         self.tick()
 
     def send_to(self, vm: ids.VmId) -> None:
-        """Sends one to a VM that has just started.
+        """Sends a heartbeat to a VM that has just started.
 
         Args:
-            vm: The VM, which has heard of nobody yet.
+            vm: The VM, which has not received any heartbeat yet.
         """
         self._ctx.send(vm, self._heartbeat())
 
     def tick(self) -> None:
-        """Sends what is due."""
-        local = self._ctx.now_ms >= self._local_ms
-        remote = self._ctx.now_ms >= self._remote_ms
+        """Sends the heartbeats that are due."""
+        local = self._ctx.now_ms >= self._next_local_ms
+        remote = self._ctx.now_ms >= self._next_remote_ms
         if not local and not remote:
             return
         heartbeat = self._heartbeat()
         settings = self._ctx.settings
         if local:
-            self._local_ms = self._ctx.now_ms + settings.heartbeat_ms
+            self._next_local_ms = self._ctx.now_ms + settings.heartbeat_ms
             self._send(heartbeat, local=True)
         if remote:
-            self._remote_ms = self._ctx.now_ms + settings.remote_heartbeat_ms
+            self._next_remote_ms = (
+                self._ctx.now_ms + settings.remote_heartbeat_ms
+            )
             self._send(heartbeat, local=False)
 
     def _send(self, heartbeat: peer_messages.Heartbeat, *, local: bool) -> None:
         own = self._ctx.settings.failure_domain
         for vm, peer in self._view.peers.items():
-            known = peer.listed or self._view.alive(vm, self._ctx.now_ms)
-            if known and (peer.failure_domain == own) is local:
+            exists = peer.listed or self._view.is_alive(vm, self._ctx.now_ms)
+            if exists and (peer.failure_domain == own) is local:
                 self._ctx.send(vm, heartbeat)
         lapsing = self._lapsing()
         if local and lapsing is not None:
@@ -90,7 +92,7 @@
         if domain is None:
             return None
         return peer_messages.LapseAttempts(
-            token=domain.token, attempts=domain.lapsing()
+            token=domain.token, attempts=domain.lapsing_attempts()
         )
 
     def _heartbeat(self) -> peer_messages.Heartbeat:
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -1,9 +1,9 @@
-"""Hands queued jobs to other failure domains and takes them back."""
+"""Records moves of queued jobs between failure domains."""
 
 from collections.abc import Callable
 
-from citronmount.agent import domain_core
-from citronmount.agent import job_ends
+from citronmount.agent import domain_context
+from citronmount.agent import job_completion
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
@@ -13,45 +13,50 @@
 
 
 class JobMoves:
-    """The durable side of moving jobs; the mover decides which."""
+    """Records the steps of each move durably.
+
+    The mover decides which jobs to move and calls the other failure domains.
+    """
 
     def __init__(
         self,
         *,
-        core: domain_core.DomainCore,
-        ends: job_ends.JobEnds,
+        domain: domain_context.DomainContext,
+        completion: job_completion.JobCompletion,
     ) -> None:
-        """Initializes the part.
+        """Initializes the part for a failure domain.
 
         Args:
-            core: What the parts of the failure domain share.
-            ends: Ends jobs.
+            domain: Shared state of the owned failure domain.
+            completion: Ends and cancels jobs.
         """
-        self._core = core
-        self._ends = ends
+        self._domain = domain
+        self._completion = completion
 
     def moved_to(self, job: ids.JobId) -> ids.FailureDomainId | None:
-        """Returns which failure domain schedules a job that was moved.
+        """Returns the failure domain that a job has been moved to.
 
         Args:
-            job: A job that has its home here.
+            job: A job whose home is this failure domain.
 
         Returns:
-            The failure domain, or None if the job was not moved.
+            The failure domain that schedules the job, or None if it was not
+            moved away.
         """
-        moved = self._core.job_view.outgoing_move(job)
-        if moved is None or job in self._core.table.entries:
+        moved = self._domain.job_view.outgoing_move(job)
+        if moved is None or job in self._domain.table.entries:
             return None
         return moved.to
 
-    def queued_specs(self) -> list[jobs.JobSpec]:
-        """Returns queued jobs that may go elsewhere, first in line first.
+    def movable_jobs(self) -> list[jobs.JobSpec]:
+        """Returns the queued jobs that may be moved, in queue order.
 
-        Jobs that ran before, or for which room is being cleared, stay.
+        Not among them are jobs that may have run, that are not idempotent or
+        for which capacity is being freed by evictions.
         """
         entries = (
-            self._core.table.entries.get(job)
-            for job in self._core.scheduler.queued_without_placement()
+            self._domain.table.entries.get(job)
+            for job in self._domain.scheduler.queued_without_placement()
         )
         return [
             entry.spec
@@ -66,14 +71,14 @@
     def unconfirmed_moves(
         self,
     ) -> list[tuple[jobs.JobSpec, records.JobMoved]]:
-        """Returns the moves whose receiver has not answered yet."""
+        """Returns the recorded moves that the receiver has not answered yet."""
         return [
-            (self._core.table.entries[job].spec, moved)
-            for job, moved in self._core.job_view.moved.items()
+            (self._domain.table.entries[job].spec, moved)
+            for job, moved in self._domain.job_view.moved.items()
             if not moved.confirmed
-            and moved.to != self._core.failure_domain
-            and job in self._core.table.entries
-            and self._core.table.entries[job].ending
+            and moved.to != self._domain.failure_domain
+            and job in self._domain.table.entries
+            and self._domain.table.entries[job].ending
         ]
 
     def move_out(
@@ -82,114 +87,121 @@
         to: ids.FailureDomainId,
         on_released: Callable[[jobs.JobSpec, records.JobMoved], None],
     ) -> None:
-        """Takes a job out of the queue to hand it to another scheduler.
+        """Removes a job from the queue and records its move.
 
         Args:
             job: A queued job.
-            to: The failure domain that is to schedule it.
-            on_released: Told once the move is durable and no later owner of
+            to: The failure domain that shall schedule it.
+            on_released: Called once the move is durable and no later owner of
                 this failure domain can start the job.
         """
-        entry = self._core.table.entries[job]
-        if not self._core.scheduler.cancel(job):
+        entry = self._domain.table.entries[job]
+        if not self._domain.scheduler.cancel(job):
             return
         entry.state = states.JobState.STOPPING
         entry.ending = True
         moved = records.JobMoved(
-            record=ids.RecordId(self._core.ctx.unique()),
+            record=ids.RecordId(self._domain.ctx.unique_id()),
             job=job,
-            number=self._core.job_view.next_move_number(job),
+            number=self._domain.job_view.next_move_number(job),
             to=to,
         )
 
-        def released() -> None:
-            self._core.job_view.fold(moved)
+        def handle_released() -> None:
+            self._domain.job_view.fold(moved)
             on_released(entry.spec, moved)
 
-        self._core.outbox.write(
-            self._core.stream,
+        self._domain.outbox.write(
+            self._domain.stream,
             moved,
-            lambda outcome: self._core.token_check.confirm(released),
+            lambda outcome: self._domain.token_check.confirm(handle_released),
             limit_ms=None,
         )
 
-    def moved(
+    def settle_move(
         self, job: ids.JobId, to: ids.FailureDomainId, *, accepted: bool
     ) -> None:
-        """Notes what became of a job that was to be moved.
+        """Completes a move or returns the job to the queue.
 
         Args:
             job: The job.
-            to: The failure domain that was asked.
-            accepted: Whether it schedules the job now; if not, it is proved
-                that it never will, and the job is queued here again.
+            to: The failure domain that the job was offered to.
+            accepted: Whether that failure domain has accepted the job. False
+                only if its answer proves that it never will; the job is then
+                queued here again.
         """
-        entry = self._core.table.entries.get(job)
+        entry = self._domain.table.entries.get(job)
         if entry is None:
             return
         if accepted:
-            self._confirm_move(job, to)
+            self._record_confirmation(job, to)
         else:
-            self.move_home(job)
+            self.record_return(job)
         if accepted:
-            self._core.table.forward(job)
+            self._domain.table.remove_moved(job)
             return
         entry.ending = False
         entry.state = states.JobState.QUEUED
-        self._core.scheduler.restore(
-            entry.spec, self._core.ctx.now_ms, progress=entry.progress
+        self._domain.scheduler.restore(
+            entry.spec, self._domain.ctx.now_ms, progress=entry.progress
         )
         if entry.cancelled:
-            self._ends.carry_out_cancel(entry)
+            self._completion.execute_cancel(entry)
 
-    def take_back(self) -> None:
-        """Voids moves that a fenced owner has recorded but not made."""
-        void = [
+    def revert_unsent_moves(self) -> None:
+        """Reverts moves that a fenced owner has recorded but not sent."""
+        unsent = [
             moved.job
-            for moved in self._core.job_view.moved.values()
-            if moved.to != self._core.failure_domain
-            and moved.job in self._core.table.entries
-            and not self._core.table.entries[moved.job].ending
+            for moved in self._domain.job_view.moved.values()
+            if moved.to != self._domain.failure_domain
+            and moved.job in self._domain.table.entries
+            and not self._domain.table.entries[moved.job].ending
         ]
-        for job in void:
-            self.move_home(job)
+        for job in unsent:
+            self.record_return(job)
 
-    def _confirm_move(self, job: ids.JobId, to: ids.FailureDomainId) -> None:
-        """Records that another failure domain schedules a job now."""
-        self._core.record(
+    def _record_confirmation(
+        self, job: ids.JobId, to: ids.FailureDomainId
+    ) -> None:
+        """Records that another failure domain has accepted a job."""
+        self._domain.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
-                number=self._core.job_view.next_move_number(job) - 1,
+                number=self._domain.job_view.next_move_number(job) - 1,
                 to=to,
                 confirmed=True,
             )
         )
 
-    def move_here(self, job: ids.JobId, number: int) -> None:
+    def record_arrival(self, job: ids.JobId, number: int) -> None:
         """Records that a move has brought a job here.
 
         Args:
             job: The job.
             number: The number of the move.
         """
-        self._core.record(
+        self._domain.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
                 number=number,
-                to=self._core.failure_domain,
+                to=self._domain.failure_domain,
                 confirmed=True,
             )
         )
 
-    def move_home(self, job: ids.JobId) -> None:
-        """Records that this failure domain schedules a job again."""
-        self._core.record(
+    def record_return(self, job: ids.JobId) -> None:
+        """Records that this failure domain schedules a job again.
+
+        Args:
+            job: The job.
+        """
+        self._domain.record(
             records.JobMoved(
-                record=ids.RecordId(self._core.ctx.unique()),
+                record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
-                number=self._core.job_view.next_move_number(job),
-                to=self._core.failure_domain,
+                number=self._domain.job_view.next_move_number(job),
+                to=self._domain.failure_domain,
             )
         )
