--- a/citronmount/service/agent_state_machine.py
+++ b/citronmount/service/agent_state_machine.py
@@ -4,7 +4,7 @@
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.config import configuration as configuration_lib
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.service import bodies
 
 __all__ = ["AgentStateMachine"]
@@ -90,14 +90,16 @@
 
 
 def _peer_member(
-    view: view_lib.MembershipView, peer: view_lib.Peer, now_ms: int
+    view: membership_view.MembershipView,
+    peer: membership_view.Peer,
+    now_ms: int,
 ) -> bodies.Member:
     heartbeat = peer.heartbeat
     return bodies.Member(
         vm=peer.vm,
         failure_domain=peer.failure_domain,
         listed=peer.listed,
-        alive=view.alive(peer.vm, now_ms),
+        alive=view.is_alive(peer.vm, now_ms),
         ready=heartbeat is not None and heartbeat.ready,
         draining=heartbeat is not None and heartbeat.draining,
         owner=view.owner(peer.failure_domain, now_ms) == peer.vm,
