--- a/citronmount/cli/client.py
+++ b/citronmount/cli/client.py
@@ -32,7 +32,7 @@
         refusal: The body of the answer.
     """
 
-    def __init__(self, refusal: bodies.Refusal) -> None:
+    def __init__(self, refusal: bodies.ResultBody) -> None:
         """Initializes the error.
 
         Args:
@@ -193,7 +193,7 @@
 def _refusal(reply: calls.Reply) -> Exception:
     try:
         return RefusedError(
-            msgspec.json.decode(reply.body, type=bodies.Refusal)
+            msgspec.json.decode(reply.body, type=bodies.ResultBody)
         )
     except (msgspec.DecodeError, ValueError):
         message = f"{reply.server}: HTTP status {reply.status}, not readable"
--- a/citronmount/cli/operate_commands.py
+++ b/citronmount/cli/operate_commands.py
@@ -52,7 +52,7 @@
     if len(connection.servers) != 1:
         raise click.UsageError("name exactly one --server to drain")
     call = calls.Call(method="POST", path=("v1", "drain"))
-    found = connection.run(lambda c: c.call(call, bodies.Refusal))
+    found = connection.run(lambda c: c.call(call, bodies.ResultBody))
     text = f"{connection.servers[0]}: {found.detail}"
     output.emit(found, text, as_json=as_json)
 
--- a/citronmount/cli/output.py
+++ b/citronmount/cli/output.py
@@ -117,8 +117,8 @@
     raise SystemExit(exit_of(code))
 
 
-def _body(failures: list[errors.CitronmountError]) -> bodies.Refusal:
+def _body(failures: list[errors.CitronmountError]) -> bodies.ResultBody:
     first = failures[0]
     if isinstance(first, client_lib.RefusedError):
         return first.refusal
-    return bodies.make_refusal(first.code, "; ".join(map(str, failures)))
+    return bodies.make_result_body(first.code, "; ".join(map(str, failures)))
--- a/citronmount/cli/tests/test_client.py
+++ b/citronmount/cli/tests/test_client.py
@@ -24,9 +24,9 @@
         good = bodies.JobsBody(jobs=(), total=0)
         for answer in (
             _lost(sent=False),
-            bodies.make_refusal(_CODES.DRAINING),
-            bodies.make_refusal(_CODES.REBUILDING),
-            bodies.make_refusal(_CODES.NO_CONFIGURATION),
+            bodies.make_result_body(_CODES.DRAINING),
+            bodies.make_result_body(_CODES.REBUILDING),
+            bodies.make_result_body(_CODES.NO_CONFIGURATION),
         ):
             found = self.call(idempotent=False, a=answer, b=good)
             self.assertEqual(found, good)
@@ -49,7 +49,7 @@
 
     def test_patience_waits_as_told_and_ends(self):
         good = bodies.JobsBody(jobs=(), total=0)
-        busy = bodies.make_refusal(_CODES.QUEUE_FULL, retry_after_ms=300)
+        busy = bodies.make_result_body(_CODES.QUEUE_FULL, retry_after_ms=300)
         self.assertEqual(
             self.call_patiently([busy, _lost(sent=True), good], 9_000), good
         )
@@ -59,14 +59,14 @@
         self.assertEqual(self.servers.pauses_ms, [300, 300, 100])
 
     def test_patience_repeats_nothing_that_may_have_taken_effect(self):
-        final = bodies.make_refusal(_CODES.UNKNOWN_ACCOUNT)
+        final = bodies.make_result_body(_CODES.UNKNOWN_ACCOUNT)
         with self.assertRaises(client_lib.RefusedError):
             self.call_patiently([final], 9_000)
         with self.assertRaises(ExceptionGroup):
             self.call_patiently([_lost(sent=True)], 9_000, idempotent=False)
 
     def test_other_refusals_are_final(self):
-        refusal = bodies.make_refusal(_CODES.UNKNOWN_ACCOUNT)
+        refusal = bodies.make_result_body(_CODES.UNKNOWN_ACCOUNT)
         with self.assertRaises(client_lib.RefusedError) as caught:
             self.call(a=refusal, b=bodies.JobsBody(jobs=(), total=0))
         self.assertEqual(caught.exception.refusal, refusal)
--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -315,7 +315,7 @@
         if retry_after_ms is None and codes.info(code).retry:
             retry_after_ms = DEFAULT_RETRY_AFTER_MS
         _set_retry_after(request, retry_after_ms)
-        body = bodies.make_refusal(code, detail, retry_after_ms)
+        body = bodies.make_result_body(code, detail, retry_after_ms)
         return self._send(request, code, body)
 
     def _send(
--- a/citronmount/service/bodies.py
+++ b/citronmount/service/bodies.py
@@ -18,10 +18,10 @@
     "Member",
     "MembersBody",
     "PublishBody",
-    "Refusal",
+    "ResultBody",
     "RequestBody",
     "TimelineBody",
-    "make_refusal",
+    "make_result_body",
 ]
 
 _MAX_TASKS = 100_000
@@ -125,7 +125,7 @@
         )
 
 
-class Refusal(msgspec.Struct, frozen=True, kw_only=True):
+class ResultBody(msgspec.Struct, frozen=True, kw_only=True):
     """Why a call was not served.
 
     Attributes:
@@ -143,11 +143,11 @@
     retry_after_ms: int | None = None
 
 
-def make_refusal(
+def make_result_body(
     code: codes.ResultCode,
     detail: str = "",
     retry_after_ms: int | None = None,
-) -> Refusal:
+) -> ResultBody:
     """Returns the body that tells of a result code.
 
     Args:
@@ -159,7 +159,7 @@
         The body.
     """
     row = codes.info(code)
-    return Refusal(
+    return ResultBody(
         code=int(code),
         name=code.name,
         detail=detail or row.meaning,
--- a/citronmount/service/http_server.py
+++ b/citronmount/service/http_server.py
@@ -75,7 +75,7 @@
             return
         self._refused = True
         body = msgspec.json.encode(
-            bodies.make_refusal(codes.ResultCode.TOO_LARGE)
+            bodies.make_result_body(codes.ResultCode.TOO_LARGE)
         )
         head = (
             b"HTTP/1.1 413 Request Entity Too Large\r\n"
