--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of a daemon for callers and operators."""
+"""The HTTP API of a daemon, for callers and operators."""
 
 from collections.abc import Callable
 import math
@@ -43,7 +43,7 @@
 
 
 class _RefusedError(errors.CitronmountError):
-    """A call that is refused before the state machine sees it."""
+    """A call that is refused before it reaches the state machine."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
 
 
 class Api:
-    """Turns HTTP requests into calls of the state machine and back."""
+    """Translates HTTP requests into calls of the state machine."""
 
     app = klein.Klein()
 
@@ -70,7 +70,7 @@
         state_machine: vm_state_machine.VmStateMachine,
         timeline: store.TimelineStore,
         metrics: metrics_lib.Metrics,
-        limit: rate_limiter.RateLimiter,
+        account_limiter: rate_limiter.RateLimiter,
         now_ms: Callable[[], int],
         wall_ms: Callable[[], int],
         new_id: Callable[[], str] = lambda: uuid.uuid4().hex,
@@ -79,15 +79,15 @@
 
         Args:
             vm: This VM.
-            failure_domain: Where it is.
-            runtime: Takes the calls.
-            state_machine: Tells the configuration, members and readiness.
-            timeline: This VM's part of the time line.
-            metrics: What to export.
-            limit: The rate limit of accounts.
-            now_ms: The monotonic clock.
-            wall_ms: The wall clock.
-            new_id: Makes unique strings.
+            failure_domain: The failure domain of this VM.
+            runtime: Passes calls to the state machine.
+            state_machine: Provides configuration, members and readiness.
+            timeline: The timeline events recorded on this VM.
+            metrics: The metrics to export.
+            account_limiter: Limits the request rate of each account.
+            now_ms: Returns the monotonic time.
+            wall_ms: Returns the Unix time.
+            new_id: Returns a new unique string.
         """
         self._vm = vm
         self._failure_domain = failure_domain
@@ -95,85 +95,94 @@
         self._state_machine = state_machine
         self._timeline = timeline
         self._metrics = metrics
-        self._limit = limit
+        self._account_limiter = account_limiter
         self._now_ms = now_ms
         self._wall_ms = wall_ms
         self._new_id = new_id
 
     @app.handle_errors(errors.CitronmountError)
-    def refuse(self, request: http.Request, reason: failure.Failure) -> bytes:
-        """Answers a call that was refused."""
+    def handle_error(
+        self, request: http.Request, reason: failure.Failure
+    ) -> bytes:
+        """Answers a call that raised an error of the system."""
         error = reason.value
         detail = getattr(error, "detail", str(error))
         retry_after_ms = getattr(error, "retry_after_ms", None)
-        return self._refuse(request, error.code, detail, retry_after_ms)
+        return self._send_code(request, error.code, detail, retry_after_ms)
 
     @app.handle_errors(exceptions.HTTPException)
-    def refuse_route(
+    def handle_http_error(
         self, request: http.Request, reason: failure.Failure
     ) -> bytes:
-        """Answers a path or method that the API does not have."""
+        """Answers a request for an unknown path or method."""
         status = reason.value.code
         detail = f"{status} {reason.value.name}"
-        data = self._refuse(request, codes.ResultCode.INVALID_REQUEST, detail)
+        data = self._send_code(
+            request, codes.ResultCode.INVALID_REQUEST, detail
+        )
         request.setResponseCode(status)
         return data
 
     @app.route("/v1/jobs", methods=["POST"])
     async def submit(self, request: http.Request) -> bytes:
         """Submits a job."""
-        body = _json(request, bodies.JobBody)
-        self._take_token(body.account)
+        body = _decode_body(request, bodies.JobBody)
+        self._check_rate_limit(body.account)
         spec = body.spec(self._wall_ms())
         answer = await self._call(peer_messages.SubmitJob(spec=spec))
-        return self._answer(request, answer, codes.ResultCode.ACCEPTED)
+        return self._send_answer(request, answer, codes.ResultCode.ACCEPTED)
 
     @app.route("/v1/jobs/<path:job>", methods=["GET"])
     async def get_job(self, request: http.Request, job: str) -> bytes:
-        """Returns the status of a job, after waiting for its end if asked."""
-        wait_ms = _number(request, "wait_ms", 0, MAX_WAIT_MS)
+        """Returns the status of a job.
+
+        With ``wait_ms`` the answer waits up to that long for the job to end.
+        """
+        wait_ms = _optional_number(request, "wait_ms", 0, MAX_WAIT_MS)
         call = peer_messages.GetJob(job=ids.JobId(job), wait_ms=wait_ms)
-        return self._answer(request, await self._call(call))
+        return self._send_answer(request, await self._call(call))
 
     @app.route("/v1/jobs", methods=["GET"])
     async def list_jobs(self, request: http.Request) -> bytes:
-        """Returns the jobs of one failure domain or all."""
+        """Returns the jobs of one failure domain or of all."""
         domain = _text(request, "failure_domain")
         call = peer_messages.ListJobs(
             failure_domain=ids.FailureDomainId(domain),
             account=ids.AccountId(_text(request, "account")),
-            limit=_number(request, "limit", DEFAULT_JOBS_LIMIT, MAX_LIMIT),
+            limit=_optional_number(
+                request, "limit", DEFAULT_JOBS_LIMIT, MAX_LIMIT
+            ),
         )
-        return self._answer(request, await self._call(call))
+        return self._send_answer(request, await self._call(call))
 
     @app.route("/v1/jobs/<path:job>", methods=["DELETE"])
     async def cancel_job(self, request: http.Request, job: str) -> bytes:
         """Cancels a job."""
         call = peer_messages.CancelJob(job=ids.JobId(job))
-        return self._answer(request, await self._call(call))
+        return self._send_answer(request, await self._call(call))
 
     @app.route("/v1/jobs", methods=["DELETE"])
     async def cancel_jobs(self, request: http.Request) -> bytes:
-        """Cancels every job of an account, in one failure domain or all."""
-        account = ids.AccountId(_required(request, "account"))
+        """Cancels all jobs of an account in one failure domain or in all."""
+        account = ids.AccountId(_required_text(request, "account"))
         domain = ids.FailureDomainId(_text(request, "failure_domain"))
         call = peer_messages.CancelJobs(account=account, failure_domain=domain)
-        return self._answer(request, await self._call(call))
+        return self._send_answer(request, await self._call(call))
 
     @app.route("/v1/requests", methods=["POST"])
     async def run_request(self, request: http.Request) -> bytes:
-        """Runs a short request and returns its answer."""
-        begin_ms = self._now_ms()
-        body = _json(request, bodies.RequestBody)
-        self._take_token(body.account)
+        """Runs a short request and returns its result."""
+        start_ms = self._now_ms()
+        body = _decode_body(request, bodies.RequestBody)
+        self._check_rate_limit(body.account)
         spec = body.spec(self._new_id())
         answer = await self._call(peer_messages.RunRequest(spec=spec))
-        self._metrics.record("request", "http", self._now_ms() - begin_ms)
-        return self._answer(request, answer)
+        self._metrics.record("request", "http", self._now_ms() - start_ms)
+        return self._send_answer(request, answer)
 
     @app.route("/v1/configuration", methods=["GET"])
     def get_configuration(self, request: http.Request) -> bytes:
-        """Returns the configuration in force at this VM."""
+        """Returns the configuration in force on this VM."""
         content = self._state_machine.configuration
         if content is None:
             raise _RefusedError(codes.ResultCode.NO_CONFIGURATION)
@@ -184,31 +193,33 @@
 
     @app.route("/v1/configuration", methods=["PUT"])
     async def publish(self, request: http.Request) -> bytes:
-        """Publishes the sheet of the body."""
+        """Publishes the configuration sheet in the request body."""
         base_version = _required_number(request, "base_version")
         author = _text(request, "author")
-        found = sheet.parse(_sheet_data(request))
-        if found.configuration is None or found.faults:
-            return self._refuse_sheet(request, found)
+        parsed = sheet.parse(_read_sheet(request))
+        if parsed.configuration is None or parsed.faults:
+            return self._refuse_sheet(request, parsed)
         change = records.ConfigurationChange(
             record=ids.RecordId(self._new_id()),
             base_version=ids.Version(base_version),
             author=author,
-            content=found.configuration,
+            content=parsed.configuration,
         )
         call = peer_messages.PublishConfiguration(change=change)
-        return self._answer(request, await self._call(call))
+        return self._send_answer(request, await self._call(call))
 
     @app.route("/v1/timeline", methods=["GET"])
     def get_timeline(self, request: http.Request) -> bytes:
-        """Returns this VM's part of the time line."""
-        wanted = store.Filter(
+        """Returns the timeline events recorded on this VM."""
+        event_filter = store.Filter(
             job=_text(request, "job"),
             account=_text(request, "account"),
             target=_text(request, "target"),
-            limit=_number(request, "limit", DEFAULT_EVENTS_LIMIT, MAX_LIMIT),
+            limit=_optional_number(
+                request, "limit", DEFAULT_EVENTS_LIMIT, MAX_LIMIT
+            ),
         )
-        found = self._timeline.find(wanted)
+        found = self._timeline.find(event_filter)
         body = bodies.TimelineBody(
             vm=self._vm, events=found.events, dropped=found.dropped
         )
@@ -216,23 +227,23 @@
 
     @app.route("/v1/drain", methods=["POST"])
     def drain(self, request: http.Request) -> bytes:
-        """Starts the planned stop of this VM."""
+        """Starts to drain this VM, which ends with a planned stop."""
         self._runtime.dispatch(events.DrainRequested())
-        return self._refuse(request, codes.ResultCode.ACCEPTED, "draining")
+        return self._send_code(request, codes.ResultCode.ACCEPTED, "draining")
 
     @app.route("/v1/health", methods=["GET"])
     def health(self, request: http.Request) -> bytes:
         """Returns 200 while the process runs."""
-        return self._refuse(request, codes.ResultCode.OK, "alive")
+        return self._send_code(request, codes.ResultCode.OK, "alive")
 
     @app.route("/v1/ready", methods=["GET"])
     def ready(self, request: http.Request) -> bytes:
-        """Returns 200 while the VM takes new work, otherwise 503."""
+        """Returns 200 while the VM accepts new work, otherwise 503."""
         if self._state_machine.ready:
-            return self._refuse(request, codes.ResultCode.OK, "ready")
-        return self._refuse(request, self._why_not_ready())
+            return self._send_code(request, codes.ResultCode.OK, "ready")
+        return self._send_code(request, self._not_ready_code())
 
-    def _why_not_ready(self) -> codes.ResultCode:
+    def _not_ready_code(self) -> codes.ResultCode:
         if self._state_machine.draining:
             return codes.ResultCode.DRAINING
         current = self._state_machine.configuration
@@ -248,7 +259,7 @@
 
     @app.route("/v1/membership", methods=["GET"])
     def membership(self, request: http.Request) -> bytes:
-        """Returns which VMs this VM knows and what it thinks of them."""
+        """Returns the VMs that this VM knows, as it sees them."""
         members = self._state_machine.members(self._now_ms())
         body = bodies.MembersBody(vm=self._vm, members=members)
         return self._send(request, codes.ResultCode.OK, body)
@@ -259,33 +270,35 @@
         self._metrics.count(f"calls.{type(body).__name__}")
         return self._runtime.call(body)
 
-    def _take_token(self, account: str) -> None:
-        wait_ms = self._limit.take(ids.AccountId(account), self._now_ms())
-        if wait_ms:
+    def _check_rate_limit(self, account: str) -> None:
+        retry_after_ms = self._account_limiter.take(
+            ids.AccountId(account), self._now_ms()
+        )
+        if retry_after_ms:
             raise _RefusedError(
-                codes.ResultCode.RATE_LIMITED, retry_after_ms=wait_ms
+                codes.ResultCode.RATE_LIMITED, retry_after_ms=retry_after_ms
             )
 
-    def _answer(
+    def _send_answer(
         self,
         request: http.Request,
         answer: peer_messages.Answer,
-        good: codes.ResultCode = codes.ResultCode.OK,
+        success_code: codes.ResultCode = codes.ResultCode.OK,
     ) -> bytes:
         match answer:
             case peer_messages.Failure(result=result):
-                return self._refuse(
+                return self._send_code(
                     request, result.code, result.detail, answer.retry_after_ms
                 )
             case peer_messages.JobAnswer(status=status):
-                return self._send(request, good, status)
+                return self._send(request, success_code, status)
             case peer_messages.JobsAnswer():
                 body = bodies.JobsBody(
                     jobs=answer.statuses,
                     total=answer.total,
                     unanswered=answer.unanswered,
                 )
-                return self._send(request, good, body)
+                return self._send(request, success_code, body)
             case peer_messages.RequestAnswer(result=result):
                 _set_retry_after(request, result.retry_after_ms)
                 return self._send(request, result.code, result)
@@ -294,18 +307,20 @@
                 return self._send(request, answer.result.code, body)
         raise _RefusedError(codes.ResultCode.INTERNAL)
 
-    def _refuse_sheet(self, request: http.Request, found: sheet.Sheet) -> bytes:
+    def _refuse_sheet(
+        self, request: http.Request, parsed: sheet.Sheet
+    ) -> bytes:
         content = self._state_machine.configuration
         code = codes.ResultCode.CONFIGURATION_INVALID
-        count = len(found.faults) + found.further_faults
+        count = len(parsed.faults) + parsed.further_faults
         body = _publish_body(
             jobs.JobResult(code=code, detail=f"{count} faults in the sheet"),
             ids.Version(0) if content is None else content.version,
-            tuple(str(fault) for fault in found.faults),
+            tuple(str(fault) for fault in parsed.faults),
         )
         return self._send(request, code, body)
 
-    def _refuse(
+    def _send_code(
         self,
         request: http.Request,
         code: codes.ResultCode,
@@ -332,7 +347,7 @@
         return msgspec.json.encode(body)
 
 
-def _json(request: http.Request, kind: type[_Body]) -> _Body:
+def _decode_body(request: http.Request, kind: type[_Body]) -> _Body:
     try:
         return msgspec.json.decode(request.content.read(), type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -341,11 +356,11 @@
         ) from error
 
 
-def _sheet_data(request: http.Request) -> bytes:
-    """Returns the sheet unless reading it would hold the loop up."""
+def _read_sheet(request: http.Request) -> bytes:
+    """Returns the sheet, unless parsing it would block the event loop."""
     data = request.content.read(MAX_SHEET_BYTES + 1)
     if len(data) > MAX_SHEET_BYTES:
-        detail = f"a sheet takes at most {MAX_SHEET_BYTES} bytes"
+        detail = f"expected a sheet of at most {MAX_SHEET_BYTES} bytes"
         raise _RefusedError(codes.ResultCode.TOO_LARGE, detail)
     return data
 
@@ -361,7 +376,7 @@
     return text
 
 
-def _required(request: http.Request, name: str) -> str:
+def _required_text(request: http.Request, name: str) -> str:
     text = _text(request, name)
     if not text:
         raise _invalid(name, "a value")
@@ -369,18 +384,18 @@
 
 
 def _required_number(request: http.Request, name: str) -> int:
-    text = _required(request, name)
+    text = _required_text(request, name)
     if not (text.isascii() and text.isdigit()):
         raise _invalid(name, "a whole number")
     return int(text)
 
 
-def _number(
-    request: http.Request, name: str, default: int, largest: int
+def _optional_number(
+    request: http.Request, name: str, default: int, maximum: int
 ) -> int:
     if not _text(request, name):
         return default
-    return min(_required_number(request, name), largest)
+    return min(_required_number(request, name), maximum)
 
 
 def _invalid(name: str, expected: str) -> _RefusedError:
--- a/citronmount/service/runtime.py
+++ b/citronmount/service/runtime.py
@@ -1,4 +1,4 @@
-"""Drives the state machine of a VM: feeds events and carries out effects."""
+"""The event loop of a VM: dispatches events and executes effects."""
 
 import collections
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 
 
 def _executes(kind: type[_Effect]) -> Callable[[_Executor], _Executor]:
-    """Registers the method that carries out one kind of effect."""
+    """Registers the method that executes one kind of effect."""
 
     def register(executor: _Executor) -> _Executor:
         _EXECUTORS[kind] = executor
@@ -48,7 +48,7 @@
 
 
 class Addresses(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the platform's services listen.
+    """Addresses of the platform's services.
 
     Attributes:
         log: ``ip:port`` of the log service.
@@ -60,13 +60,13 @@
 
 
 class Runtime:
-    """The loop round one state machine.
+    """The event loop of one state machine.
 
-    Events are taken in one after the other, never one inside another: an
-    event that arises while an effect is carried out waits for its turn.
+    Events are handled one at a time: an event that is dispatched while
+    another one is being handled, or its effects executed, is queued.
 
     Attributes:
-        exited: Fires when the state machine asks to end the process.
+        exited: Fires when the state machine requests the end of the process.
     """
 
     def __init__(
@@ -82,16 +82,16 @@
         now_ns: Callable[[], int] = time.monotonic_ns,
         wall_ns: Callable[[], int] = time.time_ns,
     ) -> None:
-        """Initializes a runtime that does not tick yet.
+        """Initializes the runtime without starting its ticks.
 
         Args:
-            reactor: The reactor to time with.
-            state_machine: The state machine.
+            reactor: The reactor that schedules the ticks.
+            state_machine: Handles the events.
             peers: Sends messages to other VMs.
-            http: Talks to platform and targets.
-            addresses: Where the platform listens.
-            on_trace: Takes the events that the state machine traces.
-            metrics: Gets latencies and counts.
+            http: Calls the platform's services and the targets.
+            addresses: The addresses of the platform's services.
+            on_trace: Called with each event that the state machine traces.
+            metrics: Receives durations and counters.
             now_ns: The monotonic clock.
             wall_ns: The wall clock.
         """
@@ -112,28 +112,28 @@
         self._calls: dict[
             ids.TicketId, defer.Deferred[peer_messages.Answer]
         ] = {}
-        self._ticker = task.LoopingCall(self.dispatch, events.Tick())
-        self._ticker.clock = reactor
+        self._tick_loop = task.LoopingCall(self.dispatch, events.Tick())
+        self._tick_loop.clock = reactor
 
     @property
     def open_calls(self) -> int:
-        """How many callers wait for an answer."""
+        """The number of callers that wait for an answer."""
         return len(self._calls)
 
     def start(self, tick_ms: int) -> None:
-        """Tells the state machine that it has started and begins to tick.
+        """Dispatches `events.Started` and starts the periodic ticks.
 
         Args:
-            tick_ms: Period of the ticks.
+            tick_ms: The period of the ticks.
         """
         self.dispatch(events.Started())
-        self._ticker.start(tick_ms / _MS_PER_S, now=False)
+        self._tick_loop.start(tick_ms / _MS_PER_S, now=False)
 
     def stop(self) -> None:
-        """Stops to tick and to take in events."""
+        """Stops the ticks and the handling of events."""
         self._stopped = True
-        if self._ticker.running:
-            self._ticker.stop()
+        if self._tick_loop.running:
+            self._tick_loop.stop()
 
     def call(
         self, body: peer_messages.CallerCall
@@ -144,7 +144,8 @@
             body: The call.
 
         Returns:
-            Fires with the answer; cancelled when the caller has left.
+            A Deferred that fires with the answer. Cancel it when the caller
+            has disconnected.
         """
         ticket = ids.TicketId(f"t{next(self._tickets)}")
         answer = defer.Deferred(lambda _: self._drop_call(ticket))
@@ -153,7 +154,7 @@
         return answer
 
     def dispatch(self, event: events.Event) -> None:
-        """Takes in an event and carries out what follows from it.
+        """Handles an event and executes its effects, or queues the event.
 
         Args:
             event: The event.
@@ -171,7 +172,7 @@
     def receive_peer_message(
         self, sender: ids.VmId, message: peer_messages.PeerMessage
     ) -> None:
-        """Takes in a message of a peer.
+        """Dispatches a message from a peer.
 
         Args:
             sender: The VM that sent it.
@@ -183,7 +184,7 @@
         kind = type(event).__name__
         begin_ns = self._now_ns()
         try:
-            wanted = self._state_machine.handle(
+            requested_effects = self._state_machine.handle(
                 event, begin_ns // _NS_PER_MS, self._wall_ns() // _NS_PER_MS
             )
         except Exception:
@@ -193,7 +194,7 @@
             return
         duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
         self._metrics.record("event", kind, duration_ms)
-        for effect in wanted:
+        for effect in requested_effects:
             self._execute(effect)
 
     def _execute(self, effect: effects.Effect) -> None:
@@ -205,7 +206,7 @@
             self._logger.exception("effect_failed", kind=kind)
 
     def _answer_internal_error(self, event: events.Event) -> None:
-        """Answers a caller whose call the state machine could not take in."""
+        """Answers a call that made the state machine raise an exception."""
         if isinstance(event, events.CallArrived):
             result = jobs.JobResult(code=codes.ResultCode.INTERNAL)
             self._answer_call(
@@ -219,9 +220,9 @@
     def _answer_call(
         self, ticket: ids.TicketId, answer: peer_messages.Answer
     ) -> None:
-        waiting = self._calls.pop(ticket, None)
-        if waiting is not None:
-            waiting.callback(answer)
+        pending = self._calls.pop(ticket, None)
+        if pending is not None:
+            pending.callback(answer)
 
     def _dispatch_result(
         self,
@@ -229,7 +230,7 @@
         answer: defer.Deferred[typing.Any],
         to_event: Callable[[typing.Any], events.Event],
     ) -> None:
-        """Feeds one event for an exchange: its answer or its failure."""
+        """Dispatches exactly one event when a call succeeds or fails."""
         begin_ns = self._now_ns()
 
         def finish(result: typing.Any) -> None:
@@ -262,8 +263,8 @@
         )
 
         def to_event(result: typing.Any) -> events.Event:
-            found = _answer_or_none(result)
-            offset = None if found is None else found.offset
+            append_answer = _answer_or_none(result)
+            offset = None if append_answer is None else append_answer.offset
             return events.LogAppended(call=effect.call, offset=offset)
 
         self._dispatch_result("append_log", answer, to_event)
--- a/citronmount/service/tests/test_api.py
+++ b/citronmount/service/tests/test_api.py
@@ -66,7 +66,7 @@
             state_machine=self.state_machine,
             timeline=self.timeline,
             metrics=self.metrics,
-            limit=rate_limiter.RateLimiter(rate_per_s=1, burst=2),
+            account_limiter=rate_limiter.RateLimiter(rate_per_s=1, burst=2),
             now_ms=lambda: self.now_ms,
             wall_ms=lambda: _WALL_MS,
             new_id=lambda: "made",
--- a/citronmount/service/tests/test_api_inputs.py
+++ b/citronmount/service/tests/test_api_inputs.py
@@ -98,7 +98,7 @@
         state_machine=state_machine,
         timeline=timeline,
         metrics=metrics,
-        limit=rate_limiter.RateLimiter(rate_per_s=1, burst=1_000_000),
+        account_limiter=rate_limiter.RateLimiter(rate_per_s=1, burst=1_000_000),
         now_ms=lambda: 0,
         wall_ms=lambda: 0,
     )
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a daemon from its settings."""
+"""Builds the components of a daemon from its settings."""
 
 import time
 
@@ -31,15 +31,15 @@
 
 
 class Components:
-    """The parts of one daemon, connected with each other but not started.
+    """The components of one daemon, connected but not started.
 
     Attributes:
-        state_machine: The state machine.
-        peers: The socket to other VMs.
-        http: The connections to platform and targets.
-        runtime: Drives the state machine.
-        api: Serves callers.
-        metrics: What is measured.
+        state_machine: The state machine of the VM.
+        peers: The transport of messages between VMs.
+        http: The HTTP client for the platform's services and the targets.
+        runtime: The event loop of the state machine.
+        api: The HTTP API for callers and operators.
+        metrics: The metrics that the daemon exports.
     """
 
     def __init__(
@@ -49,12 +49,12 @@
         settings: settings_lib.Settings,
         state_machine: vm_state_machine.VmStateMachine,
     ) -> None:
-        """Initializes the parts.
+        """Initializes the components.
 
         Args:
             reactor: The reactor of the process.
-            settings: The checked settings.
-            state_machine: The state machine.
+            settings: The validated settings.
+            state_machine: The state machine of the VM.
         """
         self.state_machine = state_machine
         self.metrics = metrics_lib.Metrics()
@@ -64,7 +64,7 @@
             vm=settings.vm.vm_id,
             bind_address=settings.listen.peer_address,
             keys=_peer_keys(settings.curve),
-            on_message=self._peer_arrived,
+            on_message=self._receive_peer_message,
         )
         self._logger = structlog.get_logger()
         self._timeline = store.TimelineStore(
@@ -82,7 +82,7 @@
                 log=settings.platform.log_address,
                 vm_list=settings.platform.vm_list_address,
             ),
-            on_trace=self._traced,
+            on_trace=self._record_event,
             metrics=self.metrics,
         )
         self.api = api_lib.Api(
@@ -92,25 +92,25 @@
             state_machine=state_machine,
             timeline=self._timeline,
             metrics=self.metrics,
-            limit=_limit(settings.limits),
+            account_limiter=_make_rate_limiter(settings.limits),
             now_ms=_now_ms,
             wall_ms=_wall_ms,
         )
         self._register_gauges()
 
-    def _peer_arrived(self, sender: ids.VmId, message: object) -> None:
+    def _receive_peer_message(self, sender: ids.VmId, message: object) -> None:
         self.runtime.receive_peer_message(sender, message)
 
-    def _traced(self, event: events.TimelineEvent) -> None:
+    def _record_event(self, event: events.TimelineEvent) -> None:
         self._timeline.add(event)
         self._stages.observe(event)
         logs.log_event(self._logger, event)
 
     def _class_of(self, account: str) -> str:
         content = self.state_machine.configuration
-        known = () if content is None else content.accounts
+        accounts = () if content is None else content.accounts
         return next(
-            (a.account_class.value for a in known if a.name == account),
+            (a.account_class.value for a in accounts if a.name == account),
             "unknown",
         )
 
@@ -134,13 +134,13 @@
 def make_state_machine(
     settings: settings_lib.Settings,
 ) -> vm_state_machine.VmStateMachine:
-    """Returns the state machine of the VM that the settings describe.
+    """Returns a new state machine for the VM that the settings describe.
 
     Args:
-        settings: The checked settings.
+        settings: The validated settings.
 
     Returns:
-        A new agent.
+        The state machine, with a new agent.
     """
     timing = settings.timing
     retention = settings.retention
@@ -173,7 +173,9 @@
     )
 
 
-def _limit(settings: settings_lib.LimitSettings) -> rate_limiter.RateLimiter:
+def _make_rate_limiter(
+    settings: settings_lib.LimitSettings,
+) -> rate_limiter.RateLimiter:
     return rate_limiter.RateLimiter(
         rate_per_s=settings.requests_per_second_per_account,
         burst=settings.burst_requests_per_account,
