--- a/citronmount/service/agent_state_machine.py
+++ b/citronmount/service/agent_state_machine.py
@@ -94,16 +94,18 @@
     peer: membership_view.Peer,
     now_ms: int,
 ) -> bodies.Member:
-    heartbeat = peer.heartbeat
+    last_heartbeat = peer.heartbeat
     return bodies.Member(
         vm=peer.vm,
         failure_domain=peer.failure_domain,
         listed=peer.listed,
         alive=view.is_alive(peer.vm, now_ms),
-        ready=heartbeat is not None and heartbeat.ready,
-        draining=heartbeat is not None and heartbeat.draining,
+        ready=last_heartbeat is not None and last_heartbeat.ready,
+        draining=last_heartbeat is not None and last_heartbeat.draining,
         owner=view.owner(peer.failure_domain, now_ms) == peer.vm,
-        config_version=heartbeat.config_version if heartbeat is not None else 0,
+        config_version=last_heartbeat.config_version
+        if last_heartbeat is not None
+        else 0,
     )
 
 
--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -128,7 +128,7 @@
         """Submits a job."""
         body = _decode_body(request, bodies.JobBody)
         self._check_rate_limit(body.account)
-        spec = body.spec(self._wall_ms())
+        spec = body.to_spec(self._wall_ms())
         answer = await self._call(peer_messages.SubmitJob(spec=spec))
         return self._send_answer(request, answer, codes.ResultCode.ACCEPTED)
 
@@ -175,7 +175,7 @@
         start_ms = self._now_ms()
         body = _decode_body(request, bodies.RequestBody)
         self._check_rate_limit(body.account)
-        spec = body.spec(self._new_id())
+        spec = body.to_spec(self._new_id())
         answer = await self._call(peer_messages.RunRequest(spec=spec))
         self._metrics.record("request", "http", self._now_ms() - start_ms)
         return self._send_answer(request, answer)
--- a/citronmount/service/bodies.py
+++ b/citronmount/service/bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the HTTP API, as callers send and get them."""
+"""JSON bodies of the requests and responses of the HTTP API."""
 
 from typing import Annotated
 
@@ -38,14 +38,14 @@
 class ResourcesBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Resources of one task, as `jobs.Resources`."""
+    """Resources of one task; the fields are those of `jobs.Resources`."""
 
     accelerators: Amount = 0
     cores: Amount = 0
     memory_gb: Amount = 0
 
-    def resources(self) -> jobs.Resources:
-        """Returns the amounts as the core has them."""
+    def to_resources(self) -> jobs.Resources:
+        """Returns the amounts as the type that the scheduler uses."""
         return jobs.Resources(
             accelerators=self.accelerators,
             cores=self.cores,
@@ -56,7 +56,7 @@
 class JobBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A job as a caller describes it; the fields are those of `JobSpec`."""
+    """A submitted job; the fields are those of `jobs.JobSpec`."""
 
     account: Name
     tasks: Annotated[int, msgspec.Meta(ge=1, le=_MAX_TASKS)] = 1
@@ -69,20 +69,20 @@
     idempotency_key: Key = ""
     command: str = ""
 
-    def spec(self, submitted_ms: int) -> jobs.JobSpec:
-        """Returns the job without an id.
+    def to_spec(self, submitted_ms: int) -> jobs.JobSpec:
+        """Returns the specification of the job, with an empty id.
 
         Args:
-            submitted_ms: Wall-clock time of arrival.
+            submitted_ms: Unix time at which the job was submitted.
 
         Returns:
-            The job.
+            The specification.
         """
         return jobs.JobSpec(
             job=ids.JobId(""),
             account=ids.AccountId(self.account),
             tasks=self.tasks,
-            per_task=self.per_task.resources(),
+            per_task=self.per_task.to_resources(),
             adjacency=self.adjacency,
             run_time_s=self.run_time_s,
             deadline_ms=self.deadline_ms,
@@ -97,7 +97,7 @@
 class RequestBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A short request; the fields are those of `RequestSpec`."""
+    """A short request; the fields are those of `jobs.RequestSpec`."""
 
     account: Name
     request: Key = ""
@@ -106,17 +106,17 @@
     idempotent: bool = True
     idempotency_key: Key = ""
 
-    def spec(self, made_id: str) -> jobs.RequestSpec:
-        """Returns the request with an id.
+    def to_spec(self, generated_id: str) -> jobs.RequestSpec:
+        """Returns the specification of the request.
 
         Args:
-            made_id: The id to give it if the caller gave none.
+            generated_id: The request id if the caller gave none.
 
         Returns:
-            The request.
+            The specification.
         """
         return jobs.RequestSpec(
-            request=ids.RequestId(self.request or made_id),
+            request=ids.RequestId(self.request or generated_id),
             account=ids.AccountId(self.account),
             payload=self.payload,
             timeout_ms=self.timeout_ms,
@@ -126,14 +126,14 @@
 
 
 class ResultBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a call was not served.
+    """A response that carries only a result code and its details.
 
     Attributes:
         code: The number of the result code.
-        name: Its name.
-        detail: More for a person.
-        proves_not_run: Whether the work was certainly not run.
-        retry_after_ms: When to come back, if that may help.
+        name: The name of the result code.
+        detail: Human-readable details.
+        proves_not_run: Whether the code proves that the work was not run.
+        retry_after_ms: How long to wait before a retry, if a retry may help.
     """
 
     code: int
@@ -148,22 +148,22 @@
     detail: str = "",
     retry_after_ms: int | None = None,
 ) -> ResultBody:
-    """Returns the body that tells of a result code.
+    """Returns the response body for a result code.
 
     Args:
-        code: The code.
-        detail: More for a person; the code's meaning if empty.
-        retry_after_ms: When to come back.
+        code: The result code.
+        detail: Human-readable details; if empty, the meaning of the code.
+        retry_after_ms: How long to wait before a retry.
 
     Returns:
         The body.
     """
-    row = codes.info(code)
+    info = codes.info(code)
     return ResultBody(
         code=int(code),
         name=code.name,
-        detail=detail or row.meaning,
-        proves_not_run=row.proves_not_run,
+        detail=detail or info.meaning,
+        proves_not_run=info.proves_not_run,
         retry_after_ms=retry_after_ms,
     )
 
@@ -172,9 +172,9 @@
     """A list of jobs.
 
     Attributes:
-        jobs: Their statuses, oldest first.
-        total: How many there are without the limit.
-        unanswered: Failure domains that could not be asked.
+        jobs: The statuses of the jobs, oldest first.
+        total: The number of matching jobs, without the limit.
+        unanswered: Failure domains that did not answer.
     """
 
     jobs: tuple[jobs.JobStatus, ...]
@@ -183,10 +183,10 @@
 
 
 class ConfigurationBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The configuration in force at the VM.
+    """The configuration in force on the VM.
 
     Attributes:
-        version: Its version.
+        version: The version of the configuration.
         content: The configuration.
     """
 
@@ -195,14 +195,14 @@
 
 
 class PublishBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a published sheet.
+    """The response to the publication of a configuration sheet.
 
     Attributes:
         code: The number of the result code.
-        name: Its name.
-        detail: More for a person.
-        version: The version in force after the answer.
-        faults: Every fault of the sheet.
+        name: The name of the result code.
+        detail: Human-readable details.
+        version: The version in force when the answer was sent.
+        faults: All faults of the sheet.
     """
 
     code: int
@@ -213,12 +213,12 @@
 
 
 class TimelineBody(msgspec.Struct, frozen=True, kw_only=True):
-    """One VM's part of the time line.
+    """The timeline events recorded on one VM.
 
     Attributes:
         vm: The VM.
         events: The events, oldest first.
-        dropped: How many older events the bounded memory has let go.
+        dropped: The number of older events that the bounded store has dropped.
     """
 
     vm: ids.VmId
@@ -227,17 +227,18 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """What a VM knows of another one, or of itself.
+    """A VM as another VM, or itself, sees it.
 
     Attributes:
         vm: The VM.
-        failure_domain: Where it is.
+        failure_domain: The failure domain of the VM.
         listed: Whether the platform lists it as live.
         alive: Whether its heartbeats arrive.
-        ready: Whether it says that it takes work.
-        draining: Whether it says that it is stopping.
-        owner: Whether it schedules its failure domain, in this view.
-        config_version: The configuration version in force there.
+        ready: Whether its last heartbeat says that it accepts work.
+        draining: Whether its last heartbeat says that it is stopping.
+        owner: Whether, in this view, it owns its failure domain and so
+            schedules the jobs there.
+        config_version: The configuration version in force on the VM.
     """
 
     vm: ids.VmId
@@ -251,11 +252,11 @@
 
 
 class MembersBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The VMs as one VM sees them.
+    """The membership view of one VM.
 
     Attributes:
-        vm: The VM whose view it is.
-        members: All VMs that it knows, itself included.
+        vm: The VM that holds the view.
+        members: All VMs that it knows, including itself.
     """
 
     vm: ids.VmId
--- a/citronmount/service/settings.py
+++ b/citronmount/service/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a daemon, read from TOML."""
+"""The settings of a daemon, read from a TOML file."""
 
 import enum
 import os
@@ -43,7 +43,7 @@
 
 
 class LogLevel(enum.Enum):
-    """The least important log lines that are written."""
+    """The lowest severity of log lines that are written."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -55,8 +55,8 @@
     """Which VM this is.
 
     Attributes:
-        id: The VM.
-        failure_domain: Where it is.
+        id: The id of the VM.
+        failure_domain: The failure domain of the VM.
         region: The region of the failure domain.
     """
 
@@ -66,23 +66,25 @@
 
     @property
     def vm_id(self) -> ids.VmId:
-        """The VM as a typed id."""
+        """The id of the VM as `ids.VmId`."""
         return ids.VmId(self.id)
 
     @property
     def failure_domain_id(self) -> ids.FailureDomainId:
-        """The failure domain as a typed id."""
+        """The failure domain as `ids.FailureDomainId`."""
         return ids.FailureDomainId(self.failure_domain)
 
 
 class ListenSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the daemon listens.
+    """The addresses at which the daemon listens.
 
     Attributes:
         caller_address: ``ip:port`` of the HTTP API.
         peer_address: ``ip:port`` of the socket for other VMs.
-        tls_certificate_path: PEM file of the API's certificate, if any.
-        tls_key_path: PEM file of the certificate's key, if any.
+        tls_certificate_path: PEM file with the certificate of the API, or
+            None for plain HTTP.
+        tls_key_path: PEM file with the private key of the certificate, or
+            None for plain HTTP.
     """
 
     caller_address: Address
@@ -92,7 +94,7 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the platform's services listen.
+    """The addresses of the platform's services.
 
     Attributes:
         log_address: ``ip:port`` of the log service.
@@ -107,7 +109,7 @@
     """Keys that authenticate and encrypt the sockets between VMs.
 
     Attributes:
-        enabled: Whether CURVE is used; off only in tests.
+        enabled: Whether CURVE is used; to be disabled only in tests.
         public_key: The VM's own public key, if enabled.
         secret_key: The VM's own secret key, if enabled.
         allowed_public_keys: Public keys of the peers that may connect.
@@ -119,18 +121,20 @@
     allowed_public_keys: tuple[CurveKey, ...] = ()
 
     def __repr__(self) -> str:
-        """Returns a text that keeps the secret key out of logs."""
+        """Returns a text without the secret key, which must not be logged."""
         return f"CurveSettings(enabled={self.enabled})"
 
 
 class LimitSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on what callers may send.
+    """Limits on requests and on memory.
 
     Attributes:
-        max_body_bytes: The longest body of a request.
-        requests_per_second_per_account: Sustained rate of one account.
-        burst_requests_per_account: Requests that may come at once.
-        max_timeline_events: Events of the time line kept in memory.
+        max_body_bytes: The largest request body.
+        requests_per_second_per_account: The sustained request rate of one
+            account.
+        burst_requests_per_account: The number of requests that one account
+            may send at once.
+        max_timeline_events: The number of timeline events kept in memory.
     """
 
     max_body_bytes: Bytes = 8_388_608
@@ -143,14 +147,15 @@
     """Periods and lifetimes.
 
     Attributes:
-        tick_ms: Period of the agent's tick.
+        tick_ms: Period of the agent's ticks.
         heartbeat_ms: Period of heartbeats between VMs.
-        suspicion_ms: Silence after which a VM counts as dead.
-        lease_ttl_ms: Lifetime of a running lease without renewal.
+        suspicion_ms: Time without a heartbeat after which a VM is considered
+            dead.
+        lease_ttl_ms: Lifetime of a running lease that is not renewed.
         renew_period_ms: Period of lease renewal.
         reservation_ttl_ms: Lifetime of a reservation.
-        config_poll_ms: Period of reading the configuration stream.
-        reclaim_grace_ms: How long evicted tasks may save their work.
+        config_poll_ms: Period of polling the configuration stream.
+        reclaim_grace_ms: Time that evicted tasks have to save their work.
     """
 
     tick_ms: PeriodMs = 250
@@ -164,11 +169,11 @@
 
 
 class LoggingSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Where log lines go.
+    """The level and the destination of log lines.
 
     Attributes:
-        level: The least important lines that are written.
-        file_path: The log file; standard output if absent.
+        level: The lowest severity of lines that are written.
+        file_path: The log file, or None for standard output.
     """
 
     level: LogLevel = LogLevel.INFO
@@ -176,10 +181,10 @@
 
 
 class RetentionSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """How long records can be relied on.
+    """Retention periods.
 
     Attributes:
-        log_retention_ms: How long the log service keeps a record.
+        log_retention_ms: How long the log service retains a record.
         key_lifetime_ms: How long an idempotency key is remembered.
     """
 
@@ -188,17 +193,17 @@
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """All settings of a daemon, one section each.
+    """All settings of a daemon; each field is a section of the file.
 
     Attributes:
         vm: Which VM this is.
-        listen: Where it listens.
-        platform: Where the platform listens.
-        curve: Keys between VMs.
-        limits: Bounds on callers.
+        listen: The addresses at which the daemon listens.
+        platform: The addresses of the platform's services.
+        curve: Keys of the sockets between VMs.
+        limits: Limits on requests and on memory.
         timing: Periods and lifetimes.
-        logging: Where log lines go.
-        retention: How long records can be relied on.
+        logging: The level and the destination of log lines.
+        retention: Retention periods.
     """
 
     vm: VmSettings
@@ -220,7 +225,7 @@
         path: The TOML file.
 
     Returns:
-        The faults, sorted by key; empty if a daemon can start from the file.
+        The faults, sorted by key; empty if the daemon can start.
     """
     return _read(path)[1]
 
@@ -232,10 +237,11 @@
         path: The TOML file.
 
     Returns:
-        The settings, checked.
+        The validated settings.
 
     Raises:
-        ExceptionGroup: Of `settings_faults.SettingError`, one a fault.
+        ExceptionGroup: The file has faults; the group holds one
+            `settings_faults.SettingError` for each.
     """
     settings, faults = _read(path)
     if settings is None or faults:
--- a/citronmount/service/settings_faults.py
+++ b/citronmount/service/settings_faults.py
@@ -1,4 +1,4 @@
-"""Faults found in the settings of a daemon."""
+"""Faults in the settings of a daemon."""
 
 import msgspec
 
@@ -13,9 +13,9 @@
 
     Attributes:
         file: The settings file.
-        key: The dotted key at fault, or empty for the whole file.
-        code: A 6xxx result code.
-        expected: What the key should hold.
+        key: The dotted key, or empty if the fault concerns the whole file.
+        code: A result code of the 6xxx family.
+        expected: A description of the expected value.
     """
 
     file: str
@@ -24,23 +24,23 @@
     expected: str
 
     def __str__(self) -> str:
-        """Returns one line for a person."""
-        place = f"{self.file}: {self.key}" if self.key else self.file
-        return f"{place}: {self.code.name}: {self.expected}"
+        """Returns the fault as one human-readable line."""
+        location = f"{self.file}: {self.key}" if self.key else self.file
+        return f"{location}: {self.code.name}: {self.expected}"
 
 
 class SettingError(errors.InvalidInputError):
-    """A settings file that a daemon cannot start from.
+    """Raised for each fault that keeps a daemon from starting.
 
     Attributes:
-        fault: What is wrong.
+        fault: The fault.
     """
 
     def __init__(self, fault: SettingFault) -> None:
         """Initializes the error.
 
         Args:
-            fault: What is wrong.
+            fault: The fault.
         """
         super().__init__(str(fault), code=fault.code)
         self.fault = fault
--- a/citronmount/service/settings_formats.py
+++ b/citronmount/service/settings_formats.py
@@ -1,4 +1,4 @@
-"""Formats of text settings, checked by name."""
+"""Named formats of text settings and their checks."""
 
 from collections.abc import Callable
 import ipaddress
@@ -10,9 +10,9 @@
 
 __all__ = ["Address", "expected_of", "fault_of", "parse_address"]
 
-_LAST_PORT = 65_535
+_MAX_PORT = 65_535
 _CURVE_KEY_CHARACTERS = 40
-_Z85 = frozenset(
+_Z85_ALPHABET = frozenset(
     "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
     ".-:+=^!/*?&<>()[]{}@%$#"
 )
@@ -25,12 +25,12 @@
 
 
 class _Format(msgspec.Struct, frozen=True, kw_only=True):
-    """A format of text.
+    """The format of a text setting.
 
     Attributes:
-        expected: What it asks for, for a person.
-        code: The result code of a text that does not keep it.
-        check: Whether a text keeps it.
+        expected: A human-readable description of the format.
+        code: The result code of a text that does not match the format.
+        check: Returns whether a text matches the format.
     """
 
     expected: str
@@ -46,7 +46,7 @@
     expected: str,
     code: codes.ResultCode = codes.ResultCode.SETTING_RANGE,
 ) -> Callable[[Check], Check]:
-    """Registers the check of a format."""
+    """Registers a function as the check of a format."""
 
     def register(check: Check) -> Check:
         _FORMATS[name] = _Format(expected=expected, code=code, check=check)
@@ -56,13 +56,13 @@
 
 
 def expected_of(name: str) -> str:
-    """Returns what a format asks for.
+    """Returns the description of a format.
 
     Args:
-        name: The name of a format.
+        name: The name of the format.
 
     Returns:
-        A text for a person.
+        A human-readable description.
     """
     return _FORMATS[name].expected
 
@@ -72,29 +72,34 @@
 
     Args:
         name: ``address``, ``curve_key``, ``id``, ``name`` or ``path``.
-        text: The text of the setting.
+        text: The value of the setting.
 
     Returns:
-        None if it keeps the format, otherwise a code and what is expected.
+        None if the text matches the format, otherwise a result code and the
+        description of the format.
 
     Example:
         >>> fault_of("address", "10.0.0.1:8080") is None
         True
         >>> fault_of("address", "log.example:8080")[1]
-        'an IP number and a port, such as 10.0.0.1:8080'
+        'an IP address and a port, such as 10.0.0.1:8080'
     """
-    found = _FORMATS[name]
-    return None if found.check(text) else (found.code, found.expected)
+    text_format = _FORMATS[name]
+    return (
+        None
+        if text_format.check(text)
+        else (text_format.code, text_format.expected)
+    )
 
 
 def parse_address(text: str) -> Address | None:
-    """Parses an address.
+    """Parses an IP address and a port.
 
     Args:
-        text: ``ip:port``, with an IPv6 number in brackets.
+        text: ``ip:port``, with an IPv6 address in brackets.
 
     Returns:
-        The IP number and the port, or None if malformed.
+        The IP address and the port, or None if the text is malformed.
 
     Example:
         >>> parse_address("[::1]:8080")
@@ -117,17 +122,17 @@
 
 @_format(
     "address",
-    "an IP number and a port, such as 10.0.0.1:8080",
+    "an IP address and a port, such as 10.0.0.1:8080",
     codes.ResultCode.SETTING_ADDRESS,
 )
 def _is_address(text: str) -> bool:
     address = parse_address(text)
-    return address is not None and 1 <= address[1] <= _LAST_PORT
+    return address is not None and 1 <= address[1] <= _MAX_PORT
 
 
 @_format("curve_key", "a CURVE key of 40 Z85 characters")
 def _is_curve_key(text: str) -> bool:
-    return len(text) == _CURVE_KEY_CHARACTERS and _Z85.issuperset(text)
+    return len(text) == _CURVE_KEY_CHARACTERS and _Z85_ALPHABET.issuperset(text)
 
 
 @_format("id", "1 to 64 ASCII letters, digits, '-', '_' or '.'")
@@ -142,6 +147,6 @@
     return names.is_valid(text) and names.normalize(text) == text
 
 
-@_format("path", "a path of a file")
+@_format("path", "the path of a file")
 def _is_path(text: str) -> bool:
     return bool(text) and "\0" not in text
--- a/citronmount/service/settings_reader.py
+++ b/citronmount/service/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads a TOML file into a struct of sections and gathers every fault."""
+"""Reads a TOML settings file into a struct and collects every fault."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -18,10 +18,12 @@
 __all__ = ["read"]
 
 _MAX_FILE_BYTES = 1 << 20
-_SIMILAR = 0.5
+_MIN_SIMILARITY = 0.5
 
 Faults = tuple[settings_faults.SettingFault, ...]
-Found = tuple[str, codes.ResultCode, str]
+
+# Dotted key, result code and description of the expected value.
+FaultRow = tuple[str, codes.ResultCode, str]
 
 
 def read(
@@ -31,38 +33,40 @@
 
     Args:
         path: The TOML file.
-        schema: A struct whose fields are structs, one for each section.
+        schema: A struct type with one field of a struct type per section.
 
     Returns:
-        The settings, or None beside every fault found.
+        The settings and no faults, or None and all faults, sorted by key.
     """
     file = os.fspath(path)
-    tables, found = _parse(file)
+    tables, rows = _parse(file)
     if tables is not None:
-        found = list(_faults_of_sections(tables, schema))
-    if found:
-        return None, _sorted_faults(file, found)
+        rows = list(_section_faults(tables, schema))
+    if rows:
+        return None, _make_faults(file, rows)
     return msgspec.convert(tables, schema, strict=True), ()
 
 
-def _sorted_faults(file: str, found: list[Found]) -> Faults:
+def _make_faults(file: str, rows: list[FaultRow]) -> Faults:
     return tuple(
         settings_faults.SettingFault(
             file=file, key=key, code=code, expected=expected
         )
-        for key, code, expected in sorted(found)
+        for key, code, expected in sorted(rows)
     )
 
 
-def _parse(file: str) -> tuple[dict[str, object] | None, list[Found]]:
+def _parse(file: str) -> tuple[dict[str, object] | None, list[FaultRow]]:
     file_code = codes.ResultCode.SETTING_FILE
     try:
         with pathlib.Path(file).open("rb") as stream:
             data = stream.read(_MAX_FILE_BYTES + 1)
     except (OSError, ValueError) as error:
-        return None, [("", file_code, f"a readable file: {error}")]
+        return None, [("", file_code, f"a file that can be read: {error}")]
     if len(data) > _MAX_FILE_BYTES:
-        return None, [("", file_code, f"at most {_MAX_FILE_BYTES} bytes")]
+        return None, [
+            ("", file_code, f"a file of at most {_MAX_FILE_BYTES} bytes")
+        ]
     try:
         return tomllib.loads(data.decode("utf-8-sig")), []
     except (ValueError, RecursionError) as error:
@@ -70,57 +74,61 @@
         return None, [("", codes.ResultCode.SETTING_SYNTAX, expected)]
 
 
-def _faults_of_sections(
+def _section_faults(
     tables: Mapping[str, object], schema: type[msgspec.Struct]
-) -> Iterator[Found]:
+) -> Iterator[FaultRow]:
     fields = msgspec.structs.fields(schema)
-    yield from _unknown_keys(tables, [f.name for f in fields], "")
+    yield from _unknown_key_faults(tables, [f.name for f in fields], "")
     for field in fields:
         table = tables.get(field.name, {})
         if isinstance(table, Mapping):
-            yield from _faults_of_section(field.name, table, field.type)
+            yield from _table_faults(field.name, table, field.type)
         else:
             expected = f"a table, written as [{field.name}]"
             yield field.name, codes.ResultCode.SETTING_TYPE, expected
 
 
-def _faults_of_section(
+def _table_faults(
     section: str, table: Mapping[str, object], schema: type[msgspec.Struct]
-) -> Iterator[Found]:
+) -> Iterator[FaultRow]:
     fields = msgspec.structs.fields(schema)
-    yield from _unknown_keys(table, [f.name for f in fields], f"{section}.")
+    yield from _unknown_key_faults(
+        table, [f.name for f in fields], f"{section}."
+    )
     for field in fields:
         key = f"{section}.{field.name}"
         if field.name in table:
-            yield from _faults_of_value(key, table[field.name], field.type)
+            yield from _value_faults(key, table[field.name], field.type)
         elif field.required:
             expected = f"{_describe(field.type)} (the key is required)"
             yield key, codes.ResultCode.SETTING_MISSING, expected
 
 
-def _unknown_keys(
+def _unknown_key_faults(
     table: Mapping[str, object], known: list[str], prefix: str
-) -> Iterator[Found]:
+) -> Iterator[FaultRow]:
     for key in table:
         if key not in known:
-            expected = _suggestion(key, known)
+            expected = _expected_key(key, known)
             yield f"{prefix}{key}", codes.ResultCode.SETTING_UNKNOWN, expected
 
 
-def _suggestion(key: str, known: list[str]) -> str:
-    """Returns the known key that is meant, which may differ in its unit."""
+def _expected_key(key: str, known: list[str]) -> str:
+    """Suggests a known key, preferably one that differs only in its unit."""
     stem = key.rpartition("_")[0]
     same_stem = [k for k in known if stem and k.rpartition("_")[0] == stem]
-    near = same_stem or difflib.get_close_matches(key, known, 1, _SIMILAR)
-    if near:
-        return f"a known key, perhaps {near[0]}"
+    candidates = same_stem or difflib.get_close_matches(
+        key, known, 1, _MIN_SIMILARITY
+    )
+    if candidates:
+        return f"a known key, perhaps {candidates[0]}"
     return f"a known key: {', '.join(known)}"
 
 
-def _faults_of_value(key: str, value: object, kind: object) -> Iterator[Found]:
-    plain = _without_bounds(kind)
+def _value_faults(key: str, value: object, kind: object) -> Iterator[FaultRow]:
+    unconstrained = _without_constraints(kind)
     try:
-        msgspec.convert(value, plain, strict=True)
+        msgspec.convert(value, unconstrained, strict=True)
     except (msgspec.ValidationError, RecursionError):
         yield key, codes.ResultCode.SETTING_TYPE, _describe(kind)
         return
@@ -132,37 +140,37 @@
     yield from _format_faults(key, value, kind)
 
 
-def _format_faults(key: str, value: object, kind: object) -> Iterator[Found]:
+def _format_faults(key: str, value: object, kind: object) -> Iterator[FaultRow]:
     name = _format_of(kind)
     if name is None:
         return
-    indexed = (
+    keyed_texts = (
         [(f"{key}[{i}]", item) for i, item in enumerate(value)]
         if isinstance(value, list)
         else [(key, value)]
     )
-    for place, text in indexed:
+    for text_key, text in keyed_texts:
         fault = settings_formats.fault_of(name, text)
         if fault is not None:
-            yield place, *fault
+            yield text_key, *fault
 
 
-def _without_bounds(kind: object) -> object:
-    """Returns a type with no `Annotated` in it."""
+def _without_constraints(kind: object) -> object:
+    """Returns a type with every `Annotated` replaced by its base type."""
     if typing.get_origin(kind) is typing.Annotated:
-        return _without_bounds(typing.get_args(kind)[0])
+        return _without_constraints(typing.get_args(kind)[0])
     if isinstance(kind, types.UnionType) or (
         typing.get_origin(kind) is typing.Union
     ):
-        parts = [_without_bounds(arg) for arg in typing.get_args(kind)]
+        parts = [_without_constraints(arg) for arg in typing.get_args(kind)]
         return typing.Union[tuple(parts)]  # noqa: UP007
     if typing.get_origin(kind) is tuple:
-        return tuple[_without_bounds(typing.get_args(kind)[0]), ...]
+        return tuple[_without_constraints(typing.get_args(kind)[0]), ...]
     return kind
 
 
 def _meta_of(kind: object) -> msgspec.Meta | None:
-    """Returns the first `msgspec.Meta` within a type."""
+    """Returns the first `msgspec.Meta` in a type, searched depth first."""
     if typing.get_origin(kind) is typing.Annotated:
         return kind.__metadata__[0]
     metas = (_meta_of(arg) for arg in typing.get_args(kind))
@@ -175,8 +183,8 @@
 
 
 def _describe(kind: object) -> str:
-    """Returns what a value of a type should be, for a person."""
-    plain = _without_bounds(kind)
+    """Returns a human-readable description of the values of a type."""
+    plain = _without_constraints(kind)
     values = [m.value for m in getattr(plain, "__members__", {}).values()]
     if values:
         return f"one of {', '.join(values)}"
@@ -186,12 +194,12 @@
     meta = _meta_of(kind)
     if meta is None:
         return _TYPE_NAMES[plain]
-    low = meta.ge if meta.ge is not None else f"above {meta.gt}"
-    return f"{_TYPE_NAMES[plain]} from {low} to {meta.le}"
+    lower = meta.ge if meta.ge is not None else f"above {meta.gt}"
+    return f"{_TYPE_NAMES[plain]} from {lower} to {meta.le}"
 
 
 _TYPE_NAMES = {
     bool: "true or false",
-    int: "a whole number",
+    int: "an integer",
     float: "a number",
 }
--- a/citronmount/service/settings_rules.py
+++ b/citronmount/service/settings_rules.py
@@ -1,4 +1,4 @@
-"""Rules that hold between several settings."""
+"""Validation rules across settings and against the file system."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
 
 __all__ = ["faults_of"]
 
-Found = tuple[str, codes.ResultCode, str]
-Rule = Callable[["settings_lib.Settings"], Iterator[Found]]
+# Dotted key, result code and description of the expected value.
+FaultRow = tuple[str, codes.ResultCode, str]
+Rule = Callable[["settings_lib.Settings"], Iterator[FaultRow]]
 
 _FILE = codes.ResultCode.SETTING_FILE
 _MISSING = codes.ResultCode.SETTING_MISSING
@@ -29,6 +30,7 @@
 
 
 def _rule(rule: Rule) -> Rule:
+    """Registers a rule."""
     _RULES.append(rule)
     return rule
 
@@ -36,26 +38,26 @@
 def faults_of(
     settings: settings_lib.Settings, file: str
 ) -> tuple[settings_faults.SettingFault, ...]:
-    """Returns the faults between keys that are right each by itself.
+    """Returns the faults of settings that are each valid by themselves.
 
     Args:
         settings: The settings.
-        file: Where they come from.
+        file: The file from which they were read.
 
     Returns:
         The faults, sorted by key.
     """
-    found = [fault for rule in _RULES for fault in rule(settings)]
+    rows = [row for rule in _RULES for row in rule(settings)]
     return tuple(
         settings_faults.SettingFault(
             file=file, key=key, code=code, expected=expected
         )
-        for key, code, expected in sorted(found)
+        for key, code, expected in sorted(rows)
     )
 
 
 @_rule
-def _ports_differ(settings: settings_lib.Settings) -> Iterator[Found]:
+def _ports_differ(settings: settings_lib.Settings) -> Iterator[FaultRow]:
     caller = settings_formats.parse_address(settings.listen.caller_address)
     peer = settings_formats.parse_address(settings.listen.peer_address)
     same_host = (
@@ -64,41 +66,47 @@
         or peer[0].is_unspecified
     )
     if same_host and caller[1] == peer[1]:
-        expected = "a port other than that of listen.caller_address"
+        expected = "a port that differs from that of listen.caller_address"
         yield "listen.peer_address", _RANGE, expected
 
 
 @_rule
-def _tls_files_come_together(
+def _tls_files_are_both_set(
     settings: settings_lib.Settings,
-) -> Iterator[Found]:
+) -> Iterator[FaultRow]:
     listen = settings.listen
     if listen.tls_certificate_path and not listen.tls_key_path:
-        yield "listen.tls_key_path", _MISSING, "the key of the certificate"
+        yield (
+            "listen.tls_key_path",
+            _MISSING,
+            "the private key of listen.tls_certificate_path",
+        )
     if listen.tls_key_path and not listen.tls_certificate_path:
-        expected = "the certificate of the key"
+        expected = "the certificate of listen.tls_key_path"
         yield "listen.tls_certificate_path", _MISSING, expected
 
 
 @_rule
-def _files_can_be_used(settings: settings_lib.Settings) -> Iterator[Found]:
+def _files_are_accessible(
+    settings: settings_lib.Settings,
+) -> Iterator[FaultRow]:
     for name in ("tls_certificate_path", "tls_key_path"):
         path = getattr(settings.listen, name)
         if path is not None and not os.access(path, os.R_OK):
             yield f"listen.{name}", _FILE, "a file that can be read"
     log_path = settings.logging.file_path
-    if log_path is not None and not _can_be_written(log_path):
+    if log_path is not None and not _is_writable(log_path):
         yield "logging.file_path", _FILE, "a file that can be written"
 
 
-def _can_be_written(path: str) -> bool:
+def _is_writable(path: str) -> bool:
     if os.path.exists(path):
         return os.path.isfile(path) and os.access(path, os.W_OK)
     return os.access(os.path.dirname(path) or ".", os.W_OK)
 
 
 @_rule
-def _curve_has_keys(settings: settings_lib.Settings) -> Iterator[Found]:
+def _curve_keys_are_set(settings: settings_lib.Settings) -> Iterator[FaultRow]:
     curve = settings.curve
     if not curve.enabled:
         return
@@ -109,7 +117,7 @@
 
 
 @_rule
-def _curve_keys_match(settings: settings_lib.Settings) -> Iterator[Found]:
+def _curve_keys_match(settings: settings_lib.Settings) -> Iterator[FaultRow]:
     curve = settings.curve
     if not (curve.enabled and curve.public_key and curve.secret_key):
         return
@@ -123,7 +131,8 @@
         yield "curve.public_key", _RANGE, expected
 
 
-_LONGER = (
+# Section, longer period, shorter period.
+_ORDERED_PERIODS = (
     ("timing", "suspicion_ms", "heartbeat_ms"),
     ("timing", "lease_ttl_ms", "renew_period_ms"),
     ("timing", "renew_period_ms", "tick_ms"),
@@ -134,9 +143,9 @@
 
 
 @_rule
-def _periods_nest(settings: settings_lib.Settings) -> Iterator[Found]:
-    for section, longer, shorter in _LONGER:
-        values = getattr(settings, section)
-        if getattr(values, longer) <= getattr(values, shorter):
+def _periods_are_ordered(settings: settings_lib.Settings) -> Iterator[FaultRow]:
+    for section, longer, shorter in _ORDERED_PERIODS:
+        periods = getattr(settings, section)
+        if getattr(periods, longer) <= getattr(periods, shorter):
             expected = f"more than {section}.{shorter}"
             yield f"{section}.{longer}", _RANGE, expected
