--- a/citronmount/clients/__init__.py
+++ b/citronmount/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Messages and clients of the platform's services."""
+"""Clients of the log service, the VM list and the targets."""
--- a/citronmount/clients/byte_counting.py
+++ b/citronmount/clients/byte_counting.py
@@ -1,4 +1,4 @@
-"""Counts the bytes of outgoing HTTP connections."""
+"""Counts the bytes sent and received over outgoing connections."""
 
 import msgspec
 from twisted.internet import defer
@@ -11,11 +11,11 @@
 
 
 class Traffic(msgspec.Struct, kw_only=True):
-    """Bytes of all connections so far, HTTP headers included.
+    """Byte counts of all connections so far, including HTTP headers.
 
     Attributes:
-        sent_bytes: Bytes handed to the connections.
-        received_bytes: Bytes that came from them.
+        sent_bytes: Bytes written to the connections.
+        received_bytes: Bytes received from them.
     """
 
     sent_bytes: int = 0
@@ -23,17 +23,17 @@
 
 
 class _ByteCountingProtocol(policies.ProtocolWrapper):
-    """Adds the bytes of one connection to the traffic of its factory."""
+    """Adds the bytes of one connection to its factory's counts."""
 
     def makeConnection(  # noqa: N802
         self, transport: interfaces.ITCPTransport
     ) -> None:
-        """Lets small requests leave at once."""
+        """Disables Nagle's algorithm, which delays small requests."""
         transport.setTcpNoDelay(True)
         super().makeConnection(transport)
 
     def write(self, data: bytes) -> None:
-        """Counts and writes bytes."""
+        """Counts and writes the data."""
         self.factory.traffic.sent_bytes += len(data)
         super().write(data)
 
@@ -43,13 +43,13 @@
         super().writeSequence(data)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Counts and passes on what came in."""
+        """Counts the data and passes it to the wrapped protocol."""
         self.factory.traffic.received_bytes += len(data)
         super().dataReceived(data)
 
 
 class _ByteCountingFactory(policies.WrappingFactory):
-    """Wraps the protocols of one connection attempt."""
+    """Wraps the protocols that another factory builds."""
 
     protocol = _ByteCountingProtocol
     noisy = False
@@ -63,7 +63,7 @@
 
 @implementer(interfaces.IStreamClientEndpoint)
 class ByteCountingEndpoint:
-    """Connects like another endpoint and counts the bytes."""
+    """Wraps an endpoint and counts the bytes of its connections."""
 
     def __init__(
         self,
@@ -74,8 +74,8 @@
         """Initializes the endpoint.
 
         Args:
-            endpoint: Makes the connections.
-            traffic: Gets the bytes.
+            endpoint: The endpoint that makes the connections.
+            traffic: The counts to add to.
         """
         self._endpoint = endpoint
         self._traffic = traffic
@@ -83,13 +83,13 @@
     def connect(
         self, factory: interfaces.IProtocolFactory
     ) -> defer.Deferred[protocol.Protocol]:
-        """Connects.
+        """Connects with the wrapped endpoint.
 
         Args:
-            factory: Makes the protocol of the connection.
+            factory: Builds the protocol of the connection.
 
         Returns:
-            Fires with the protocol that the factory made.
+            A Deferred that fires with the protocol that the factory built.
         """
         connected = self._endpoint.connect(
             _ByteCountingFactory(factory, self._traffic)
--- a/citronmount/clients/http_client.py
+++ b/citronmount/clients/http_client.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with a service of the platform or with a target."""
+"""An HTTP client for the platform's services and the targets."""
 
 import typing
 
@@ -37,6 +37,7 @@
 MAX_CACHED_URLS = 10_000
 
 _MS_PER_S = 1_000
+# Failures that prove that no byte of the request was sent.
 NOT_SENT = (
     error.ConnectError,
     error.ConnectingCancelledError,
@@ -46,10 +47,10 @@
 
 
 class NoAnswerError(errors.UnreachableError):
-    """An exchange that brought no usable answer.
+    """Raised when a call fails or its answer cannot be used.
 
     Attributes:
-        sent: Whether any byte of the request may have left.
+        sent: Whether any byte of the request may have been sent.
     """
 
     def __init__(
@@ -58,17 +59,20 @@
         """Initializes the error.
 
         Args:
-            message: What went wrong.
+            message: A description of the failure.
             code: UNREACHABLE or TIMED_OUT.
-            sent: Whether any byte of the request may have left.
+            sent: Whether any byte of the request may have been sent.
         """
         super().__init__(message, code=code)
         self.sent = sent
 
 
 @implementer(iweb.IAgentEndpointFactory)
-class _NumericEndpoints:
-    """Connects to IP numbers, with no resolver and so with no thread."""
+class _NumericEndpointFactory:
+    """Builds endpoints for IP addresses, without a name resolver.
+
+    Twisted's resolver would use a pool of threads.
+    """
 
     def __init__(
         self, reactor: interfaces.IReactorTCP, traffic: byte_counting.Traffic
@@ -79,7 +83,7 @@
     def endpointForURI(  # noqa: N802
         self, uri: web_client.URI
     ) -> interfaces.IStreamClientEndpoint:
-        """Returns the endpoint of a URI whose host is an IP number."""
+        """Returns the endpoint of a URI whose host is an IP address."""
         host = uri.host.decode("ascii").strip("[]")
         make = (
             endpoints.TCP6ClientEndpoint
@@ -98,26 +102,26 @@
     pool: web_client.HTTPConnectionPool,
     traffic: byte_counting.Traffic,
 ) -> iweb.IAgent:
-    """Returns an HTTP agent for services that are named by IP numbers.
+    """Returns an HTTP agent for URIs whose hosts are IP addresses.
 
     Args:
         reactor: The reactor to connect with.
-        pool: Keeps idle connections.
-        traffic: Gets the bytes of all connections.
+        pool: The pool of persistent connections.
+        traffic: The byte counts of all connections.
 
     Returns:
         The agent.
     """
     return web_client.Agent.usingEndpointFactory(
-        reactor, _NumericEndpoints(reactor, traffic), pool
+        reactor, _NumericEndpointFactory(reactor, traffic), pool
     )
 
 
 @implementer(iweb.IBodyProducer)
 class _BytesProducer:
-    """Writes a whole body together with the headers.
+    """Writes a whole body at once, together with the headers.
 
-    Twisted's producer of files writes it one turn of the reactor later.
+    Twisted's `FileBodyProducer` writes the body one reactor iteration later.
     """
 
     def __init__(self, body: bytes) -> None:
@@ -127,26 +131,26 @@
     def startProducing(  # noqa: N802
         self, consumer: interfaces.IConsumer
     ) -> defer.Deferred[None]:
-        """Writes the body."""
+        """Writes the whole body."""
         consumer.write(self._body)
         return defer.succeed(None)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Does nothing, as all is written at once."""
+        """Does nothing, since the body is written at once."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Does nothing, as all is written at once."""
+        """Does nothing, since the body is written at once."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Does nothing, as all is written at once."""
+        """Does nothing, since the body is written at once."""
 
 
 class HttpResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """Any answer, whatever its status.
+    """A response of any HTTP status.
 
     Attributes:
         status: The HTTP status.
-        body: The bytes of the body.
+        body: The undecoded body.
     """
 
     status: int
@@ -154,17 +158,17 @@
 
 
 class _CachedResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer that may still be valid."""
+    """A decoded body with the ETag that revalidates it."""
 
     etag: str
     body: msgspec.Struct
 
 
 class HttpClient:
-    """Sends requests over bounded pools of persistent connections.
+    """Sends requests over a bounded pool of persistent connections.
 
     Attributes:
-        traffic: Bytes of all connections so far.
+        traffic: The byte counts of all connections.
     """
 
     def __init__(
@@ -173,76 +177,82 @@
         reactor: interfaces.IReactorTime,
         agent: iweb.IAgent | None = None,
     ) -> None:
-        """Initializes with no connection.
+        """Initializes the client without a connection.
 
         Args:
-            reactor: The reactor to connect and time with.
-            agent: Replaces the pooled agent, for tests.
+            reactor: The reactor for connections and timeouts.
+            agent: Used instead of an agent with a connection pool, in tests.
         """
         self._reactor = reactor
         self._pool = web_client.HTTPConnectionPool(reactor)
         self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS_PER_HOST
         self._pool.cachedConnectionTimeout = IDLE_CONNECTION_S
         self.traffic = byte_counting.Traffic()
-        pooled = make_http_agent(reactor, self._pool, self.traffic)
-        self._http = treq_client.HTTPClient(agent or pooled)
+        pooled_agent = make_http_agent(reactor, self._pool, self.traffic)
+        self._http = treq_client.HTTPClient(agent or pooled_agent)
         self._urls: dict[tuple[str, str], hyperlink.EncodedURL] = {}
-        self._kept: dict[tuple[str, str], _CachedResponse] = {}
+        self._cache: dict[tuple[str, str], _CachedResponse] = {}
 
     def get(
         self,
         address: str,
         path: str,
-        kind: type[_Body],
+        answer_type: type[_Body],
         timeout_ms: int,
         params: dict[str, str] | None = None,
         *,
         revalidate: bool = False,
     ) -> defer.Deferred[_Body]:
-        """Reads a resource.
+        """Sends a GET request.
 
         Args:
             address: ``ip:port`` of the service.
-            path: The path.
-            kind: The type of the answer.
-            timeout_ms: When to give up.
-            params: The query.
-            revalidate: Whether to keep the answer with its ETag and to ask
-                next time only whether it has changed (RFC 9110, section 13).
+            path: The path of the resource.
+            answer_type: The type of the answer.
+            timeout_ms: The time limit of the call.
+            params: The query parameters.
+            revalidate: Whether to cache the answer with its ETag and to make
+                the next request conditional (RFC 9110, section 13).
 
         Returns:
-            Fires with the answer or fails with `NoAnswerError`.
+            A Deferred that fires with the answer or fails with
+            `NoAnswerError`.
         """
         request = (
-            self._read_if_changed(address, path, kind)
+            self._get_revalidated(address, path, answer_type)
             if revalidate
-            else self._request("GET", address, path, kind, params=params)
+            else self._request_decoded(
+                "GET", address, path, answer_type, params=params
+            )
         )
-        return self._bounded(request, timeout_ms)
+        return self._with_timeout(request, timeout_ms)
 
     def post(
         self,
         address: str,
         path: str,
         body: msgspec.Struct,
-        kind: type[_Body],
+        answer_type: type[_Body],
         timeout_ms: int,
     ) -> defer.Deferred[_Body]:
-        """Sends a body.
+        """Sends a POST request.
 
         Args:
             address: ``ip:port`` of the service.
-            path: The path.
-            body: The body.
-            kind: The type of the answer.
-            timeout_ms: When to give up.
+            path: The path of the resource.
+            body: The body, which is encoded as MessagePack.
+            answer_type: The type of the answer.
+            timeout_ms: The time limit of the call.
 
         Returns:
-            Fires with the answer or fails with `NoAnswerError`.
+            A Deferred that fires with the answer or fails with
+            `NoAnswerError`.
         """
         data = _BytesProducer(wire_format.encode(body))
-        request = self._request("POST", address, path, kind, data=data)
-        return self._bounded(request, timeout_ms)
+        request = self._request_decoded(
+            "POST", address, path, answer_type, data=data
+        )
+        return self._with_timeout(request, timeout_ms)
 
     def call(
         self,
@@ -255,28 +265,29 @@
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
     ) -> defer.Deferred[HttpResponse]:
-        """Makes a call whose status and body the caller reads itself.
+        """Sends a request and returns the undecoded response.
 
         Args:
             method: The HTTP method.
             address: ``ip:port`` of the service.
-            path: The path.
-            timeout_ms: When to give up.
+            path: The path of the resource.
+            timeout_ms: The time limit of the call.
             query: The encoded query, or empty.
-            headers: Headers beside those of HTTP.
-            body: The body, if the call has one.
+            headers: Headers to add to those that HTTP requires.
+            body: The body, or None to send none.
 
         Returns:
-            Fires with the answer or fails with `NoAnswerError`.
+            A Deferred that fires with the response, whatever its status, or
+            fails with `NoAnswerError`.
         """
         url = self._url(address, path)
         if query:
             url = hyperlink.EncodedURL.from_text(f"{url.to_text()}?{query}")
         data = None if body is None else _BytesProducer(body)
-        request = self._call(method, url, headers or {}, data)
-        return self._bounded(request, timeout_ms)
+        request = self._request_undecoded(method, url, headers or {}, data)
+        return self._with_timeout(request, timeout_ms)
 
-    async def _call(
+    async def _request_undecoded(
         self,
         method: str,
         url: hyperlink.EncodedURL,
@@ -291,13 +302,15 @@
             allow_redirects=False,
             unbuffered=True,
         )
-        return HttpResponse(status=response.code, body=await _content(response))
+        return HttpResponse(
+            status=response.code, body=await _read_body(response)
+        )
 
     def close(self) -> defer.Deferred[None]:
         """Closes every idle connection.
 
         Returns:
-            Fires once they are closed.
+            A Deferred that fires once they are closed.
         """
         return self._pool.closeCachedConnections()
 
@@ -310,36 +323,36 @@
             self._urls[address, path] = url
         return url
 
-    async def _request(
+    async def _request_decoded(
         self,
         method: str,
         address: str,
         path: str,
-        kind: type[_Body],
+        answer_type: type[_Body],
         **options: object,
     ) -> _Body:
-        response = await self._respond(method, address, path, **options)
-        return await _decoded(response, kind)
+        response = await self._send(method, address, path, **options)
+        return await _decode_response(response, answer_type)
 
-    async def _read_if_changed(
-        self, address: str, path: str, kind: type[_Body]
+    async def _get_revalidated(
+        self, address: str, path: str, answer_type: type[_Body]
     ) -> _Body:
-        kept = self._kept.get((address, path))
-        headers = {"If-None-Match": kept.etag} if kept else {}
-        response = await self._respond("GET", address, path, headers)
-        if kept and response.code == http.NOT_MODIFIED:
-            await _content(response)
-            return kept.body
-        body = await _decoded(response, kind)
+        cached = self._cache.get((address, path))
+        headers = {"If-None-Match": cached.etag} if cached else {}
+        response = await self._send("GET", address, path, headers)
+        if cached and response.code == http.NOT_MODIFIED:
+            await _read_body(response)
+            return cached.body
+        body = await _decode_response(response, answer_type)
         etags = response.headers.getRawHeaders("ETag", [])
-        self._kept.pop((address, path), None)
+        self._cache.pop((address, path), None)
         if etags:
-            self._kept[address, path] = _CachedResponse(
+            self._cache[address, path] = _CachedResponse(
                 etag=etags[0], body=body
             )
         return body
 
-    def _respond(
+    def _send(
         self,
         method: str,
         address: str,
@@ -359,7 +372,7 @@
             **options,
         )
 
-    def _bounded(
+    def _with_timeout(
         self,
         request: typing.Coroutine[defer.Deferred[object], object, _Body],
         timeout_ms: int,
@@ -371,18 +384,20 @@
         return answer.addErrback(_raise_no_answer)
 
 
-async def _decoded(response: iweb.IResponse, kind: type[_Body]) -> _Body:
-    data = await _content(response)
+async def _decode_response(
+    response: iweb.IResponse, answer_type: type[_Body]
+) -> _Body:
+    data = await _read_body(response)
     if response.code != http.OK:
         raise NoAnswerError(
-            f"HTTP status {response.code}",
+            f"expected HTTP status 200, got {response.code}",
             code=codes.ResultCode.UNREACHABLE,
             sent=True,
         )
-    return wire_format.decode(data, kind)
+    return wire_format.decode(data, answer_type)
 
 
-async def _content(response: iweb.IResponse) -> bytes:
+async def _read_body(response: iweb.IResponse) -> bytes:
     parts: list[bytes] = []
     size = 0
 
@@ -391,7 +406,7 @@
         size += len(part)
         if size > MAX_BODY_BYTES:
             raise NoAnswerError(
-                "the answer is too large",
+                f"expected a body of at most {MAX_BODY_BYTES} bytes, got more",
                 code=codes.ResultCode.UNREACHABLE,
                 sent=True,
             )
@@ -402,7 +417,7 @@
 
 
 def _timed_out(result: object, timeout_s: float) -> object:
-    """Marks the failure of an exchange that was cancelled for its time."""
+    """Replaces the cancellation of a call by a timeout error."""
     if isinstance(result, failure.Failure):
         raise NoAnswerError(
             f"no answer within {timeout_s} s",
@@ -413,7 +428,7 @@
 
 
 def _raise_no_answer(reason: failure.Failure) -> typing.NoReturn:
-    """Turns any failure of an exchange into `NoAnswerError`."""
+    """Raises `NoAnswerError` for any failure of a call."""
     if reason.check(NoAnswerError):
         reason.raiseException()
     raise NoAnswerError(
--- a/citronmount/clients/platform_api.py
+++ b/citronmount/clients/platform_api.py
@@ -1,4 +1,4 @@
-"""Typed clients of the log service, the platform's list and the targets."""
+"""Typed calls of the log service, the VM list and the targets."""
 
 from twisted.internet import defer
 
@@ -28,15 +28,15 @@
     """Appends records to a stream of the log service.
 
     Args:
-        http: The connections to use.
+        http: The HTTP client.
         address: ``ip:port`` of the log service.
         stream: The stream.
-        records: Pairs of record id and encoded record.
-        timeout_ms: When to give up.
+        records: Pairs of a record id and an encoded record.
+        timeout_ms: The time limit of the call.
 
     Returns:
-        Fires with the offset of the first record. After a failure the records
-        may be in the log all the same.
+        A Deferred that fires with the offset of the first record. After a
+        failure, the records may or may not have been appended.
     """
     return http.post(
         address,
@@ -58,15 +58,15 @@
     """Reads records of a stream of the log service.
 
     Args:
-        http: The connections to use.
+        http: The HTTP client.
         address: ``ip:port`` of the log service.
         stream: The stream.
-        start: The first offset wanted.
-        limit: The most records to return.
-        timeout_ms: When to give up.
+        start: The offset of the first record to read.
+        limit: The largest number of records to return.
+        timeout_ms: The time limit of the call.
 
     Returns:
-        Fires with the records.
+        A Deferred that fires with the records.
     """
     return http.get(
         address,
@@ -82,13 +82,16 @@
 ) -> defer.Deferred[messages.PlatformView]:
     """Reads the platform's list of VMs and targets.
 
+    The request is conditional: an unchanged list comes from the cache of the
+    HTTP client.
+
     Args:
-        http: The connections to use.
-        address: ``ip:port`` of the list.
-        timeout_ms: When to give up.
+        http: The HTTP client.
+        address: ``ip:port`` of the VM list.
+        timeout_ms: The time limit of the call.
 
     Returns:
-        Fires with the list.
+        A Deferred that fires with the list.
     """
     return http.get(
         address,
@@ -108,13 +111,14 @@
     """Sends acts to a worker.
 
     Args:
-        http: The connections to use.
+        http: The HTTP client.
         address: ``ip:port`` of the worker.
-        body: The acts.
-        timeout_ms: When to give up.
+        body: The acts and the fencing token.
+        timeout_ms: The time limit of the call.
 
     Returns:
-        Fires with the answer. After a failure the acts may have taken effect.
+        A Deferred that fires with the answer. After a failure, the acts may
+        or may not have taken effect.
     """
     return http.post(
         address, wire_format.ACTS_PATH, body, messages.WorkerAnswer, timeout_ms
@@ -130,14 +134,15 @@
     """Sends a short request to a runner.
 
     Args:
-        http: The connections to use.
+        http: The HTTP client.
         address: ``ip:port`` of the runner.
         spec: The request.
-        timeout_ms: When to give up.
+        timeout_ms: The time limit of the call.
 
     Returns:
-        Fires with the answer. The `sent` of a failure tells whether the
-        runner may have got the request.
+        A Deferred that fires with the answer or fails with
+        `http_client.NoAnswerError`, whose `sent` says whether the runner may
+        have received the request.
     """
     answer = http.post(
         address,
@@ -146,16 +151,17 @@
         messages.RunnerAnswer,
         timeout_ms,
     )
-    return answer.addCallback(_check_request, spec.request)
+    return answer.addCallback(_check_answered_request, spec.request)
 
 
-def _check_request(
+def _check_answered_request(
     answer: messages.RunnerAnswer, request: ids.RequestId
 ) -> messages.RunnerAnswer:
-    """Refuses an answer that belongs to another request."""
+    """Raises `NoAnswerError` for an answer to a different request."""
     if answer.request != request:
         raise http_client.NoAnswerError(
-            "the answer names another request",
+            f"expected an answer to request {request}, got one to "
+            f"{answer.request}",
             code=codes.ResultCode.UNREACHABLE,
             sent=True,
         )
--- a/citronmount/clients/wire_format.py
+++ b/citronmount/clients/wire_format.py
@@ -1,4 +1,4 @@
-"""Paths and bodies of the HTTP protocol of the platform and the targets."""
+"""Paths and MessagePack bodies of the platform's and targets' HTTP APIs."""
 
 import typing
 
@@ -29,20 +29,20 @@
 
 
 class AppendRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of an append to a stream.
+    """The body of a request to append to a stream.
 
     Attributes:
-        records: Pairs of record id and encoded record.
+        records: Pairs of a record id and an encoded record.
     """
 
     records: tuple[tuple[ids.RecordId, bytes], ...]
 
 
 class AppendAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to an append.
+    """The answer to a request to append.
 
     Attributes:
-        offset: The offset of the first record.
+        offset: The offset of the first appended record.
     """
 
     offset: ids.Offset
@@ -52,7 +52,7 @@
     """Returns the path of a stream's records.
 
     Args:
-        stream: The stream.
+        stream: The name of the stream.
 
     Returns:
         The path, for example ``/streams/config/records``.
@@ -61,31 +61,31 @@
 
 
 def encode(body: msgspec.Struct) -> bytes:
-    """Encodes a body.
+    """Encodes a body as MessagePack.
 
     Args:
-        body: Any message of the protocol.
+        body: The body.
 
     Returns:
-        MessagePack bytes.
+        The encoded body.
     """
     return _ENCODER.encode(body)
 
 
-def decode(data: bytes, kind: type[_Body]) -> _Body:
-    """Decodes a body.
+def decode(data: bytes, body_type: type[_Body]) -> _Body:
+    """Decodes a MessagePack body.
 
     Args:
-        data: Bytes made by `encode`.
-        kind: The type expected.
+        data: The encoded body.
+        body_type: The expected type of the body.
 
     Returns:
         The body.
 
     Raises:
-        msgspec.DecodeError: The bytes are not such a body.
+        msgspec.DecodeError: The data is not an encoded body of this type.
     """
-    decoder = _DECODERS.get(kind)
+    decoder = _DECODERS.get(body_type)
     if decoder is None:
-        decoder = _DECODERS[kind] = msgspec.msgpack.Decoder(kind)
+        decoder = _DECODERS[body_type] = msgspec.msgpack.Decoder(body_type)
     return decoder.decode(data)
--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -347,9 +347,9 @@
         return msgspec.json.encode(body)
 
 
-def _decode_body(request: http.Request, kind: type[_Body]) -> _Body:
+def _decode_body(request: http.Request, body_type: type[_Body]) -> _Body:
     try:
-        return msgspec.json.decode(request.content.read(), type=kind)
+        return msgspec.json.decode(request.content.read(), type=body_type)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise _RefusedError(
             codes.ResultCode.INVALID_REQUEST, str(error)
--- a/citronmount/service/runtime.py
+++ b/citronmount/service/runtime.py
@@ -37,11 +37,11 @@
 _Executor = Callable[["Runtime", _Effect], None]
 
 
-def _executes(kind: type[_Effect]) -> Callable[[_Executor], _Executor]:
-    """Registers the method that executes one kind of effect."""
+def _executes(effect_type: type[_Effect]) -> Callable[[_Executor], _Executor]:
+    """Registers the method that executes one type of effect."""
 
     def register(executor: _Executor) -> _Executor:
-        _EXECUTORS[kind] = executor
+        _EXECUTORS[effect_type] = executor
         return executor
 
     return register
--- a/citronmount/service/settings_reader.py
+++ b/citronmount/service/settings_reader.py
@@ -125,23 +125,27 @@
     return f"a known key: {', '.join(known)}"
 
 
-def _value_faults(key: str, value: object, kind: object) -> Iterator[FaultRow]:
-    unconstrained = _without_constraints(kind)
+def _value_faults(
+    key: str, value: object, field_type: object
+) -> Iterator[FaultRow]:
+    unconstrained = _without_constraints(field_type)
     try:
         msgspec.convert(value, unconstrained, strict=True)
     except (msgspec.ValidationError, RecursionError):
-        yield key, codes.ResultCode.SETTING_TYPE, _describe(kind)
+        yield key, codes.ResultCode.SETTING_TYPE, _describe(field_type)
         return
     try:
-        msgspec.convert(value, kind, strict=True)
+        msgspec.convert(value, field_type, strict=True)
     except msgspec.ValidationError:
-        yield key, codes.ResultCode.SETTING_RANGE, _describe(kind)
+        yield key, codes.ResultCode.SETTING_RANGE, _describe(field_type)
         return
-    yield from _format_faults(key, value, kind)
+    yield from _format_faults(key, value, field_type)
 
 
-def _format_faults(key: str, value: object, kind: object) -> Iterator[FaultRow]:
-    name = _format_of(kind)
+def _format_faults(
+    key: str, value: object, field_type: object
+) -> Iterator[FaultRow]:
+    name = _format_of(field_type)
     if name is None:
         return
     keyed_texts = (
@@ -155,43 +159,45 @@
             yield text_key, *fault
 
 
-def _without_constraints(kind: object) -> object:
+def _without_constraints(field_type: object) -> object:
     """Returns a type with every `Annotated` replaced by its base type."""
-    if typing.get_origin(kind) is typing.Annotated:
-        return _without_constraints(typing.get_args(kind)[0])
-    if isinstance(kind, types.UnionType) or (
-        typing.get_origin(kind) is typing.Union
+    if typing.get_origin(field_type) is typing.Annotated:
+        return _without_constraints(typing.get_args(field_type)[0])
+    if isinstance(field_type, types.UnionType) or (
+        typing.get_origin(field_type) is typing.Union
     ):
-        parts = [_without_constraints(arg) for arg in typing.get_args(kind)]
+        parts = [
+            _without_constraints(arg) for arg in typing.get_args(field_type)
+        ]
         return typing.Union[tuple(parts)]  # noqa: UP007
-    if typing.get_origin(kind) is tuple:
-        return tuple[_without_constraints(typing.get_args(kind)[0]), ...]
-    return kind
+    if typing.get_origin(field_type) is tuple:
+        return tuple[_without_constraints(typing.get_args(field_type)[0]), ...]
+    return field_type
 
 
-def _meta_of(kind: object) -> msgspec.Meta | None:
+def _meta_of(field_type: object) -> msgspec.Meta | None:
     """Returns the first `msgspec.Meta` in a type, searched depth first."""
-    if typing.get_origin(kind) is typing.Annotated:
-        return kind.__metadata__[0]
-    metas = (_meta_of(arg) for arg in typing.get_args(kind))
+    if typing.get_origin(field_type) is typing.Annotated:
+        return field_type.__metadata__[0]
+    metas = (_meta_of(arg) for arg in typing.get_args(field_type))
     return next((meta for meta in metas if meta is not None), None)
 
 
-def _format_of(kind: object) -> str | None:
-    meta = _meta_of(kind)
+def _format_of(field_type: object) -> str | None:
+    meta = _meta_of(field_type)
     return (meta.extra or {}).get("format") if meta else None
 
 
-def _describe(kind: object) -> str:
+def _describe(field_type: object) -> str:
     """Returns a human-readable description of the values of a type."""
-    plain = _without_constraints(kind)
+    plain = _without_constraints(field_type)
     values = [m.value for m in getattr(plain, "__members__", {}).values()]
     if values:
         return f"one of {', '.join(values)}"
-    name = _format_of(kind)
+    name = _format_of(field_type)
     if name is not None:
         return settings_formats.expected_of(name)
-    meta = _meta_of(kind)
+    meta = _meta_of(field_type)
     if meta is None:
         return _TYPE_NAMES[plain]
     lower = meta.ge if meta.ge is not None else f"above {meta.gt}"
