--- a/citronmount/clients/messages.py
+++ b/citronmount/clients/messages.py
@@ -1,6 +1,6 @@
-"""Messages of the platform's services as the system uses them.
+"""Messages of the log service, the VM list and the targets.
 
-Sources are the users' brief and the stand-ins in `citronmount.standins`.
+The formats follow the users' brief; `citronmount.standins` serves them.
 """
 
 import enum
@@ -40,8 +40,9 @@
     """One record of a stream of the log service.
 
     Attributes:
-        offset: Position in the stream, rising, never used twice.
-        record: The writer's id; a retried append has the same one.
+        offset: The position in the stream; it increases and is never reused.
+        record: The id that the writer gave the record; a retried append has
+            the same id.
         data: The encoded record.
     """
 
@@ -51,12 +52,12 @@
 
 
 class LogPage(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a read of a stream.
+    """The answer to a request to read a stream.
 
     Attributes:
-        records: Records from the asked offset on, in order.
-        oldest: The oldest offset still retained.
-        end: The offset that the next appended record will get.
+        records: Records from the requested offset on, in order.
+        oldest: The oldest offset that is still retained.
+        end: The offset of the next record to be appended.
     """
 
     records: tuple[LogRecord, ...]
@@ -65,13 +66,13 @@
 
 
 class ListedVm(msgspec.Struct, frozen=True, kw_only=True):
-    """One VM of the system in the platform's list, which lags.
+    """A VM of the system in the platform's list, which may be out of date.
 
     Attributes:
         vm: The VM.
-        failure_domain: Where it is.
+        failure_domain: The failure domain of the VM.
         peer_address: ``ip:port`` of its peer socket.
-        state: Live or leaving.
+        state: LIVE or LEAVING.
     """
 
     vm: ids.VmId
@@ -81,16 +82,18 @@
 
 
 class ListedTarget(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker or runner in the platform's list.
+    """A worker or runner in the platform's list.
 
     Attributes:
         name: The worker id or runner id.
-        address: ``ip:port`` of its HTTP interface.
-        failure_domain: Where it is.
-        rack: The rack, for workers.
-        capacity: Resources of a worker; zero for runners.
-        slots: Concurrent short requests of a runner; 0 for workers.
-        connections: Connections that a runner takes; 0 for workers.
+        address: ``ip:port`` of its HTTP API.
+        failure_domain: The failure domain of the target.
+        rack: The rack of a worker; empty for runners.
+        capacity: The resources of a worker; zero for runners.
+        slots: The number of short requests that a runner runs at once; 0 for
+            workers.
+        connections: The number of connections that a runner accepts; 0 for
+            workers.
         state: UP or LEAVING.
     """
 
@@ -105,12 +108,12 @@
 
 
 class PlatformView(msgspec.Struct, frozen=True, kw_only=True):
-    """The platform's list of VMs and targets at one moment.
+    """A snapshot of the platform's list of VMs and targets.
 
     Attributes:
-        vms: The system's own VMs.
-        workers: Targets with accelerators, for jobs.
-        runners: Targets with slots, for short requests.
+        vms: The VMs of the system.
+        workers: Targets with accelerators, which run jobs.
+        runners: Targets with slots, which run short requests.
     """
 
     vms: tuple[ListedVm, ...] = ()
@@ -119,20 +122,20 @@
 
 
 class Reserve(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks a worker to hold resources for one attempt.
+    """Reserves resources of a worker for one attempt.
 
-    The worker grants it, or refuses when it lacks capacity, is leaving or has
-    stopped the attempt before. The reservation cannot be renewed: it lapses
-    `ttl_ms` after the grant unless `Start` comes first. Repeating it has no
-    further effect.
+    The worker refuses if it lacks capacity, is leaving or has already stopped
+    the attempt. The reservation cannot be renewed: it expires `ttl_ms` after
+    it was granted unless `Start` comes first. The act is idempotent.
 
     Attributes:
         attempt: The attempt.
-        spec: The job, kept as label so that a scheduler can rebuild.
-        placement: Where the whole gang runs.
-        tasks: Tasks of the gang on this worker.
+        spec: The job. The worker reports it back, so that a new owner can
+            rebuild its state.
+        placement: The placement of the whole gang.
+        tasks: The number of the gang's tasks on this worker.
         number: The number of the attempt.
-        ttl_ms: Lifetime of the reservation on the worker's own clock.
+        ttl_ms: Lifetime of the reservation, by the worker's clock.
     """
 
     attempt: ids.AttemptId
@@ -146,12 +149,11 @@
 class Start(msgspec.Struct, frozen=True, kw_only=True, tag=True):
     """Starts the tasks of a reserved attempt.
 
-    Repeating it has no further effect; without a live reservation it is
-    refused.
+    The act is idempotent. It is refused without a live reservation.
 
     Attributes:
         attempt: The attempt.
-        ttl_ms: Lifetime of the running lease until renewed.
+        ttl_ms: Lifetime of the running lease, unless it is renewed.
     """
 
     attempt: ids.AttemptId
@@ -159,11 +161,11 @@
 
 
 class Renew(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Renews every running lease of the worker but those named.
+    """Renews all running leases of the worker except those in `lapse`.
 
     Attributes:
-        ttl_ms: New lifetime of the leases.
-        lapse: Attempts that are not renewed.
+        ttl_ms: Lifetime of the renewed leases from now on.
+        lapse: Attempts whose leases are left to expire.
     """
 
     ttl_ms: int
@@ -171,7 +173,7 @@
 
 
 class Checkpoint(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks a running attempt to save its work.
+    """Makes a running attempt save a checkpoint of its work.
 
     Attributes:
         attempt: The attempt.
@@ -181,11 +183,11 @@
 
 
 class Throttle(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Limits a running attempt to a share of its speed.
+    """Limits a running attempt to a share of its full speed.
 
     Attributes:
         attempt: The attempt.
-        share: Speed between 0 and 1.
+        share: The share, between 0 and 1.
     """
 
     attempt: ids.AttemptId
@@ -193,14 +195,14 @@
 
 
 class Stop(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Ends an attempt at this worker for good.
+    """Stops an attempt on this worker permanently.
 
-    The worker remembers the attempt, so that no delayed reserve or start can
-    run it afterwards. The outcome tells whether it ever ran.
+    The worker remembers the attempt, so that a delayed `Reserve` or `Start`
+    cannot run it later. The outcome says whether the attempt ever ran.
 
     Attributes:
         attempt: The attempt.
-        grace_ms: How long tasks may take to save their work.
+        grace_ms: The time that tasks have to save their work.
     """
 
     attempt: ids.AttemptId
@@ -211,7 +213,7 @@
     """Lets the worker drop ended attempts from its reports.
 
     Attributes:
-        attempts: Ended attempts whose results are recorded.
+        attempts: Ended attempts whose results are in the log.
     """
 
     attempts: tuple[ids.AttemptId, ...]
@@ -221,7 +223,7 @@
 
 
 class ActOutcome(enum.Enum):
-    """How a worker answers one act."""
+    """The outcome of one act on a worker."""
 
     DONE = "done"
     STALE_TOKEN = "stale_token"
@@ -236,13 +238,15 @@
 
 
 class ActResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to one act, in the order of the call.
+    """The answer to one act; answers come in the order of the call's acts.
 
-    `Stop` is answered NEVER_RAN or RAN; the others DONE or a refusal.
+    `Stop` is answered with NEVER_RAN or RAN, other acts with DONE or a
+    refusal.
 
     Attributes:
-        outcome: What the worker did.
-        progress: Saved share of the work between 0 and 1, by `Checkpoint`.
+        outcome: The outcome of the act.
+        progress: The checkpointed share of the work, between 0 and 1; only
+            for `Checkpoint`.
     """
 
     outcome: ActOutcome
@@ -250,18 +254,18 @@
 
 
 class LeaseReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a worker reports of one attempt.
+    """A worker's report on one attempt.
 
     Attributes:
         attempt: The attempt.
         number: The number of the attempt.
-        state: Its state at this worker.
+        state: The state of the lease on this worker.
         spec: The job, from the reservation.
-        placement: Where the whole gang runs.
-        ran: Whether its tasks ever started at this worker.
-        exit_code: The tasks' exit code, once FINISHED or FAILED.
-        running_ms: How long its tasks have run.
-        progress: Saved share of the work between 0 and 1.
+        placement: The placement of the whole gang.
+        ran: Whether tasks of the attempt ever started on this worker.
+        exit_code: The exit code of the tasks, once FINISHED or FAILED.
+        running_ms: How long the tasks have run.
+        progress: The checkpointed share of the work, between 0 and 1.
     """
 
     attempt: ids.AttemptId
@@ -276,14 +280,14 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """What a worker reports of itself.
+    """A worker's report on itself and its attempts.
 
     Attributes:
         worker: The worker.
         token: The highest fencing token it has seen.
-        sequence: Rises with every change at the worker.
+        sequence: Increases with every change on the worker.
         state: UP or LEAVING.
-        leases: All attempts not yet forgotten.
+        leases: All attempts that `Forget` has not yet dropped.
     """
 
     worker: ids.WorkerId
@@ -296,15 +300,16 @@
 class WorkerCall(msgspec.Struct, frozen=True, kw_only=True):
     """A batch of acts for one worker.
 
-    A worker refuses every act of a call whose token is lower than one it has
-    seen; a higher token becomes the one it has seen.
+    A worker refuses all acts of a call whose token is lower than the highest
+    one that it has seen; it remembers a higher one.
 
     Attributes:
         token: The fencing token of the sender.
-        acts: What to do, in order; may be empty to fence and read.
-        known_sequence: The report that the sender has; the worker leaves the
-            report out of its answer when nothing has changed since. Minus one
-            asks for it always.
+        acts: The acts, in order. An empty call only fences lower tokens and
+            reads the report.
+        known_sequence: The sequence of the last report that the sender has.
+            The worker omits the report from its answer if nothing has
+            changed since; with -1 it always sends the report.
     """
 
     token: ids.FenceToken
@@ -316,9 +321,10 @@
     """A worker's answer to a batch of acts.
 
     Attributes:
-        token: The highest token seen, the call's own included.
+        token: The highest token that the worker has seen, including that of
+            the call.
         results: One result for each act.
-        report: The worker's report, or None if the sender has it.
+        report: The worker's report, or None if the sender already has it.
     """
 
     token: ids.FenceToken
@@ -327,7 +333,7 @@
 
 
 class RunnerOutcome(enum.Enum):
-    """How a runner answers a short request."""
+    """The outcome of a short request on a runner."""
 
     DONE = "done"
     FAILED = "failed"
@@ -341,10 +347,10 @@
     BUSY and LEAVING prove that the request was not run.
 
     Attributes:
-        request: The id of the request that is answered.
-        outcome: What the runner did.
-        payload: The answer, whole.
-        free_slots: Slots free at the time of the answer.
+        request: The id of the answered request.
+        outcome: The outcome of the request.
+        payload: The whole result.
+        free_slots: The number of free slots at the time of the answer.
     """
 
     request: ids.RequestId
--- a/citronmount/clients/tests/test_platform_api.py
+++ b/citronmount/clients/tests/test_platform_api.py
@@ -1,4 +1,4 @@
-"""Tests of the platform clients against the HTTP stand-ins."""
+"""Tests of the platform calls against the HTTP stand-ins."""
 
 import contextlib
 import socket
@@ -27,7 +27,7 @@
 _DOMAIN = ids.FailureDomainId("kr-a")
 
 
-def _free_address() -> str:
+def _unused_address() -> str:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         host, port = probe.getsockname()
@@ -37,7 +37,7 @@
 def _worker() -> messages.ListedTarget:
     return messages.ListedTarget(
         name="w1",
-        address=_free_address(),
+        address=_unused_address(),
         failure_domain=_DOMAIN,
         capacity=jobs.Resources(accelerators=8, cores=64, memory_gb=128),
     )
@@ -46,14 +46,14 @@
 def _runner() -> messages.ListedTarget:
     return messages.ListedTarget(
         name="r1",
-        address=_free_address(),
+        address=_unused_address(),
         failure_domain=_DOMAIN,
         slots=1,
         connections=60,
     )
 
 
-def _request(name: str, service_ms: int = 1) -> jobs.RequestSpec:
+def _request_spec(name: str, service_ms: int = 1) -> jobs.RequestSpec:
     return jobs.RequestSpec(
         request=ids.RequestId(name),
         account=ids.AccountId("a"),
@@ -62,12 +62,12 @@
 
 
 class PlatformApiTest(unittest.TestCase):
-    """Every client against its stand-in, over sockets of loopback."""
+    """Each call against its stand-in, over loopback sockets."""
 
     def setUp(self) -> None:
         self.settings = http.StandinSettings(
-            log_address=_free_address(),
-            vm_list_address=_free_address(),
+            log_address=_unused_address(),
+            vm_list_address=_unused_address(),
             workers=(_worker(),),
             runners=(_runner(),),
         )
@@ -77,7 +77,7 @@
         self.http = http_client.HttpClient(reactor=reactor)
         self.addCleanup(lambda: loop.run(_wait(self.http.close())))
 
-    def test_log_keeps_bytes_and_order(self) -> None:
+    def test_log_returns_appended_records_unchanged_and_in_order(self) -> None:
         records = ((ids.RecordId("r1"), b"\xff\x00"), (ids.RecordId("r2"), b""))
         answer = loop.run(_wait(self._append(records)))
         self.assertEqual(0, answer.offset)
@@ -88,7 +88,9 @@
         self.assertLess(100, self.http.traffic.sent_bytes)
         self.assertLess(100, self.http.traffic.received_bytes)
 
-    def test_lost_append_answer_took_effect(self) -> None:
+    def test_append_with_a_lost_answer_is_reported_as_possibly_sent(
+        self,
+    ) -> None:
         self._put_faults(
             self.settings.log_address, http_faults.Faults(lost_answers=1)
         )
@@ -98,7 +100,7 @@
         self.assertTrue(caught.exception.sent)
         self.assertEqual(1, loop.run(_wait(self._read())).end)
 
-    def test_log_outage_is_no_answer(self) -> None:
+    def test_log_outage_fails_as_unreachable(self) -> None:
         self._put_faults(
             self.settings.log_address, http_faults.Faults(down=True)
         )
@@ -106,7 +108,7 @@
             loop.run(_wait(self._read()))
         self.assertIs(codes.ResultCode.UNREACHABLE, caught.exception.code)
 
-    def test_slow_answer_times_out(self) -> None:
+    def test_slow_answer_fails_as_timed_out(self) -> None:
         self._put_faults(
             self.settings.log_address, http_faults.Faults(delay_ms=500)
         )
@@ -115,7 +117,7 @@
         self.assertIs(codes.ResultCode.TIMED_OUT, caught.exception.code)
         self.assertTrue(caught.exception.sent)
 
-    def test_list_shows_a_leaving_target(self) -> None:
+    def test_leaving_target_is_listed_and_refuses_requests(self) -> None:
         self._put(
             self.settings.vm_list_address, "/targets/r1/state", b"leaving"
         )
@@ -128,10 +130,10 @@
         )
         self.assertEqual(self.settings.workers, view.workers)
         self.assertIs(states.TargetState.LEAVING, view.runners[0].state)
-        answer = loop.run(_wait(self._run(_request("q1"))))
+        answer = loop.run(_wait(self._run(_request_spec("q1"))))
         self.assertIs(messages.RunnerOutcome.LEAVING, answer.outcome)
 
-    def test_unchanged_list_costs_little(self) -> None:
+    def test_unchanged_list_is_cached_and_a_changed_one_is_not(self) -> None:
         address = self.settings.vm_list_address
         first, second = (
             loop.run(
@@ -168,9 +170,12 @@
         outcome = answer.results[0].outcome
         self.assertIs(messages.ActOutcome.STALE_TOKEN, outcome)
 
-    def test_runner_answers_each_request_and_refuses_when_busy(self) -> None:
-        both = [self._run(_request("q1", 200)), self._run(_request("q2"))]
-        answers = loop.run(_wait(defer.gatherResults(both)))
+    def test_busy_runner_refuses_and_answers_are_not_mixed_up(self) -> None:
+        calls = [
+            self._run(_request_spec("q1", 200)),
+            self._run(_request_spec("q2")),
+        ]
+        answers = loop.run(_wait(defer.gatherResults(calls)))
         outcomes = {answer.request: answer.outcome for answer in answers}
         self.assertEqual(
             {messages.RunnerOutcome.DONE, messages.RunnerOutcome.BUSY},
@@ -178,23 +183,23 @@
         )
         self.assertEqual({"q1", "q2"}, set(outcomes))
 
-    def test_lost_runner_answer_was_sent(self) -> None:
+    def test_lost_runner_answer_is_reported_as_possibly_sent(self) -> None:
         address = self.settings.runners[0].address
         self._put_faults(address, http_faults.Faults(lost_answers=1))
         with self.assertRaises(http_client.NoAnswerError) as caught:
-            loop.run(_wait(self._run(_request("q1"))))
+            loop.run(_wait(self._run(_request_spec("q1"))))
         self.assertTrue(caught.exception.sent)
         self.assertEqual(2, len(self.events))
 
-    def test_refused_connection_was_not_sent(self) -> None:
+    def test_refused_connection_is_reported_as_not_sent(self) -> None:
         answer = platform_api.call_runner(
-            self.http, _free_address(), _request("q1"), _TIMEOUT_MS
+            self.http, _unused_address(), _request_spec("q1"), _TIMEOUT_MS
         )
         with self.assertRaises(http_client.NoAnswerError) as caught:
             loop.run(_wait(answer))
         self.assertFalse(caught.exception.sent)
 
-    def test_foreign_body_is_no_answer(self) -> None:
+    def test_body_of_another_type_is_refused(self) -> None:
         address = self.settings.vm_list_address
         answer = self.http.get(
             address, "/timeline", messages.PlatformView, _TIMEOUT_MS
@@ -236,8 +241,8 @@
         self.assertEqual(200, response.code)
 
 
-async def _wait(answer: defer.Deferred) -> object:
-    return await answer
+async def _wait(result: defer.Deferred) -> object:
+    return await result
 
 
 def _close(stack: contextlib.ExitStack) -> None:
--- a/citronmount/service/tests/fakes.py
+++ b/citronmount/service/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A scripted state machine and a silent network for tests of the shell."""
+"""Fakes of the state machine, the peers and the HTTP client."""
 
 from collections.abc import Callable
 
@@ -12,17 +12,19 @@
 from citronmount.peers import messages as peer_messages
 from citronmount.service import bodies
 
-Answers = Callable[[peer_messages.CallerCall], peer_messages.Answer | None]
+AnswerFunction = Callable[
+    [peer_messages.CallerCall], peer_messages.Answer | None
+]
 
 
 class FakeStateMachine:
-    """Records events and answers calls from a script."""
+    """Records events and answers calls and events as the test sets."""
 
-    def __init__(self, answer: Answers = lambda body: None) -> None:
+    def __init__(self, answer: AnswerFunction = lambda body: None) -> None:
         self.answer = answer
         self.events: list[events.Event] = []
         self.effects: dict[type, list[effects.Effect]] = {}
-        self.broken = False
+        self.raises = False
         self.ready = True
         self.draining = False
         self.configuration = configuration_lib.Configuration(
@@ -43,14 +45,14 @@
         self, event: events.Event, now_ms: int, wall_ms: int
     ) -> list[effects.Effect]:
         self.events.append(event)
-        if self.broken:
-            raise ValueError("broken on purpose")
-        found = list(self.effects.get(type(event), []))
+        if self.raises:
+            raise ValueError("raised for the test")
+        returned = list(self.effects.get(type(event), []))
         if isinstance(event, events.CallArrived):
             body = self.answer(event.body)
             if body is not None:
-                found.append(effects.Reply(ticket=event.ticket, body=body))
-        return found
+                returned.append(effects.Reply(ticket=event.ticket, body=body))
+        return returned
 
     def members(self, now_ms: int) -> tuple[bodies.Member, ...]:
         return ()
@@ -58,13 +60,13 @@
     def fragmentation(self) -> float:
         return 0.25
 
-    def of_type(self, kind: type) -> list[events.Event]:
+    def of_type(self, event_type: type) -> list[events.Event]:
         """Returns the events of one type, in order."""
-        return [event for event in self.events if isinstance(event, kind)]
+        return [event for event in self.events if isinstance(event, event_type)]
 
 
 class FakePeers:
-    """Notes what is sent to peers."""
+    """Records messages to peers and the addresses of peers."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, peer_messages.PeerMessage]] = []
@@ -79,20 +81,20 @@
 
 
 class FakeHttp:
-    """Leaves every exchange open until the test ends it."""
+    """Leaves every call pending until the test completes it."""
 
     def __init__(self) -> None:
-        self.open: list[defer.Deferred] = []
+        self.pending: list[defer.Deferred] = []
         self.paths: list[str] = []
 
     def get(self, address: str, path: str, *rest: object, **more: object):
-        return self._exchange(path)
+        return self._call(path)
 
     def post(self, address: str, path: str, *rest: object):
-        return self._exchange(path)
+        return self._call(path)
 
-    def _exchange(self, path: str) -> defer.Deferred:
+    def _call(self, path: str) -> defer.Deferred:
         self.paths.append(path)
         answer = defer.Deferred()
-        self.open.append(answer)
+        self.pending.append(answer)
         return answer
--- a/citronmount/service/tests/test_api.py
+++ b/citronmount/service/tests/test_api.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP API over an in-memory connection."""
+"""Tests of the HTTP API over in-memory connections."""
 
 import unittest
 
@@ -43,7 +43,7 @@
 
 
 class ApiTest(unittest.TestCase):
-    """Every route, with a scripted state machine behind it."""
+    """Every route, with a fake state machine behind it."""
 
     def setUp(self) -> None:
         self.state_machine = fakes.FakeStateMachine()
@@ -73,17 +73,19 @@
         )
         self.http = testing.StubTreq(self.api.app.resource())
 
-    def test_submit(self) -> None:
-        self._answer(peer_messages.JobAnswer(status=_STATUS))
+    def test_submitted_job_is_accepted_with_the_time_of_submission(
+        self,
+    ) -> None:
+        self._set_answer(peer_messages.JobAnswer(status=_STATUS))
         status, body = self._send(
             "POST", "/v1/jobs", b'{"account": "a", "tasks": 2}'
         )
         self.assertEqual(202, status)
         self.assertEqual(_STATUS, msgspec.convert(body, jobs.JobStatus))
-        spec = self._calls()[0].spec
-        self.assertEqual(("", 2, _WALL_MS), _summary(spec))
+        spec = self._received_calls()[0].spec
+        self.assertEqual(("", 2, _WALL_MS), _spec_summary(spec))
 
-    def test_malformed_bodies_are_refused_before_the_state_machine(self):
+    def test_malformed_body_does_not_reach_the_state_machine(self):
         bodies = (
             b"",
             b"\xff",
@@ -100,9 +102,9 @@
                 status, found = self._send("POST", "/v1/jobs", body)
                 self.assertEqual((400, 2002), (status, found["code"]))
                 self.assertTrue(found["proves_not_run"])
-        self.assertEqual([], self._calls())
+        self.assertEqual([], self._received_calls())
 
-    def test_statuses_by_family(self) -> None:
+    def test_failures_have_the_status_of_their_code_or_family(self) -> None:
         rows = (
             (codes.ResultCode.NEVER_FITS, 400),
             (codes.ResultCode.UNKNOWN_JOB, 404),
@@ -115,17 +117,17 @@
         )
         for code, expected in rows:
             with self.subTest(code.name):
-                self._answer(_failure(code))
+                self._set_answer(_failure(code))
                 status, body = self._send("GET", "/v1/jobs/kr-a/7f")
                 self.assertEqual((expected, int(code)), (status, body["code"]))
 
-    def test_retryable_refusal_says_when_to_come_back(self) -> None:
-        self._answer(_failure(codes.ResultCode.QUEUE_FULL, 1_500))
+    def test_refusal_that_may_be_retried_has_a_retry_after_header(self) -> None:
+        self._set_answer(_failure(codes.ResultCode.QUEUE_FULL, 1_500))
         response = self._response("GET", "/v1/jobs/kr-a/7f")
         self.assertEqual(["2"], response.headers.getRawHeaders("Retry-After"))
 
-    def test_get_and_cancel_a_job_whose_id_has_a_slash(self) -> None:
-        self._answer(peer_messages.JobAnswer(status=_STATUS))
+    def test_job_id_with_a_slash_can_be_read_and_cancelled(self) -> None:
+        self._set_answer(peer_messages.JobAnswer(status=_STATUS))
         self._send("GET", "/v1/jobs/kr-a/7f?wait_ms=999999999")
         self._send("DELETE", "/v1/jobs/kr-a/7f")
         self.assertEqual(
@@ -135,11 +137,11 @@
                 ),
                 peer_messages.CancelJob(job="kr-a/7f"),
             ],
-            self._calls(),
+            self._received_calls(),
         )
 
-    def test_cancel_of_an_account_names_who_did_not_answer(self) -> None:
-        self._answer(
+    def test_cancel_of_an_account_lists_domains_without_an_answer(self) -> None:
+        self._set_answer(
             peer_messages.JobsAnswer(
                 statuses=(_STATUS,), total=4, unanswered=("kr-b",)
             )
@@ -150,44 +152,44 @@
         )
         self.assertEqual(["kr-b"], body["unanswered"])
         self._send("DELETE", "/v1/jobs?account=a&failure_domain=kr-a")
-        domains = [call.failure_domain for call in self._calls()]
+        domains = [call.failure_domain for call in self._received_calls()]
         self.assertEqual(["", "kr-a"], domains)
 
-    def test_list_jobs(self) -> None:
-        self._answer(peer_messages.JobsAnswer(statuses=(_STATUS,), total=1))
+    def test_list_jobs_passes_account_and_limit(self) -> None:
+        self._set_answer(peer_messages.JobsAnswer(statuses=(_STATUS,), total=1))
         status, body = self._send("GET", "/v1/jobs?account=a&limit=5")
         self.assertEqual((200, 1), (status, body["total"]))
-        call = self._calls()[0]
+        call = self._received_calls()[0]
         self.assertEqual(("", "a", 5), msgspec.structs.astuple(call))
 
-    def test_bad_query_is_refused(self) -> None:
+    def test_malformed_query_is_refused(self) -> None:
         for query in ("limit=x", "limit=-1", "limit=%FF", "limit=%D9%A1"):
             with self.subTest(query):
                 status, body = self._send("GET", f"/v1/jobs?{query}")
                 self.assertEqual((400, 2002), (status, body["code"]))
 
-    def test_request(self) -> None:
+    def test_request_gets_an_id_and_the_status_of_its_result(self) -> None:
         for code, expected in (
             (codes.ResultCode.DONE, 200),
             (codes.ResultCode.NO_SLOT, 503),
         ):
             result = jobs.RequestResult(request="made", code=code)
-            self._answer(peer_messages.RequestAnswer(result=result))
+            self._set_answer(peer_messages.RequestAnswer(result=result))
             status, body = self._send(
                 "POST", "/v1/requests", b'{"account": "a"}'
             )
             self.assertEqual((expected, int(code)), (status, body["code"]))
-        self.assertEqual("made", self._calls()[0].spec.request)
+        self.assertEqual("made", self._received_calls()[0].spec.request)
 
-    def test_rate_limit_is_per_account(self) -> None:
-        self._answer(peer_messages.JobAnswer(status=_STATUS))
+    def test_rate_limit_applies_to_each_account_and_recovers(self) -> None:
+        self._set_answer(peer_messages.JobAnswer(status=_STATUS))
         bodies = [b'{"account": "a"}'] * 3 + [b'{"account": "b"}']
         found = [self._send("POST", "/v1/jobs", body)[0] for body in bodies]
         self.assertEqual([202, 202, 429, 202], found)
         self.now_ms = 1_000
         self.assertEqual(202, self._send("POST", "/v1/jobs", bodies[0])[0])
 
-    def test_publish(self) -> None:
+    def test_published_sheet_is_passed_on_and_its_result_returned(self) -> None:
         rows = (
             (codes.ResultCode.CONFIGURATION_ACCEPTED, 200),
             (codes.ResultCode.CONFIGURATION_STALE_BASE, 409),
@@ -195,35 +197,35 @@
         )
         for code, expected in rows:
             with self.subTest(code.name):
-                self._answer(
+                self._set_answer(
                     peer_messages.PublishAnswer(
                         result=jobs.JobResult(code=code), version=4
                     )
                 )
                 status, body = self._publish("base_version=3&author=me")
                 self.assertEqual((expected, 4), (status, body["version"]))
-        change = self._calls()[0].change
+        change = self._received_calls()[0].change
         self.assertEqual((3, "me"), (change.base_version, change.author))
-        wanted = sheet.parse(_SHEET.encode()).configuration
-        self.assertEqual(wanted, change.content)
+        expected_content = sheet.parse(_SHEET.encode()).configuration
+        self.assertEqual(expected_content, change.content)
 
-    def test_faulty_sheet_is_refused_with_every_fault(self) -> None:
+    def test_faulty_sheet_is_refused_with_all_faults(self) -> None:
         data = _HEADER + "failure_domain,kr-a,,off,,,,,,,\nwhat,,,,,,,,,,\n"
         status, body = self._publish("base_version=3", data)
         self.assertEqual((422, 7002, 2), _publish_summary(status, body))
-        self.assertEqual([], self._calls())
+        self.assertEqual([], self._received_calls())
 
-    def test_sheet_that_takes_too_long_to_read_is_refused(self) -> None:
+    def test_sheet_that_would_block_the_event_loop_is_refused(self) -> None:
         row = "client_account,a,paying,,,,,,,,\n"
         data = _HEADER + row * (api_lib.MAX_SHEET_BYTES // len(row) + 1)
         status, body = self._publish("base_version=3", data)
         self.assertEqual((413, 2006), (status, body["code"]))
 
-    def test_publish_needs_a_base_version(self) -> None:
+    def test_publication_without_a_base_version_is_refused(self) -> None:
         status, body = self._publish("author=me")
         self.assertEqual((400, 2002), (status, body["code"]))
 
-    def test_configuration(self) -> None:
+    def test_configuration_is_returned_or_reported_as_missing(self) -> None:
         status, body = self._send("GET", "/v1/configuration")
         self.assertEqual((200, 3), (status, body["version"]))
         found = msgspec.convert(
@@ -249,7 +251,7 @@
         self.assertEqual([3], [e["physical_ms"] for e in body["events"]])
         self.assertEqual(2, body["dropped"])
 
-    def test_health_readiness_and_metrics(self) -> None:
+    def test_health_readiness_membership_and_metrics_are_served(self) -> None:
         self.metrics.record("job.paying", "queued", 5)
         self.assertEqual(200, self._send("GET", "/v1/health")[0])
         self.assertEqual(200, self._send("GET", "/v1/ready")[0])
@@ -258,14 +260,14 @@
         found = [(h["work_class"], h["stage"]) for h in body["histograms"]]
         self.assertEqual([("job.paying", "queued")], found)
 
-    def test_unknown_path_and_method_are_told_in_json(self) -> None:
+    def test_unknown_path_or_method_is_answered_in_json(self) -> None:
         rows = (("GET", "/v2/jobs", 404), ("PATCH", "/v1/jobs", 405))
         for method, path, expected in rows:
             with self.subTest(path):
                 status, body = self._send(method, path)
                 self.assertEqual((expected, 2002), (status, body["code"]))
 
-    def test_readiness_tells_what_is_missing(self) -> None:
+    def test_readiness_names_what_is_missing(self) -> None:
         self.state_machine.ready = False
         self.assertEqual(3008, self._send("GET", "/v1/ready")[1]["code"])
         self.state_machine.configuration = configuration_lib.Configuration()
@@ -283,7 +285,7 @@
         self.state_machine.ready, self.state_machine.draining = False, True
         self.assertEqual(503, self._send("GET", "/v1/ready")[0])
 
-    def test_caller_that_closes_its_connection_has_left(self) -> None:
+    def test_closed_connection_is_reported_as_a_caller_that_left(self) -> None:
         answer = self.http.request(
             "POST", "http://127.0.0.1/v1/jobs", data=b'{"account": "a"}'
         )
@@ -298,10 +300,10 @@
             [event.ticket for event in left],
         )
 
-    def _answer(self, body: peer_messages.Answer) -> None:
+    def _set_answer(self, body: peer_messages.Answer) -> None:
         self.state_machine.answer = lambda call: body
 
-    def _calls(self) -> list[peer_messages.CallerCall]:
+    def _received_calls(self) -> list[peer_messages.CallerCall]:
         return [
             event.body
             for event in self.state_machine.of_type(events.CallArrived)
@@ -329,7 +331,7 @@
         return results[0]
 
 
-def _summary(spec: jobs.JobSpec) -> tuple[str, int, int]:
+def _spec_summary(spec: jobs.JobSpec) -> tuple[str, int, int]:
     return spec.job, spec.tasks, spec.submitted_ms
 
 
--- a/citronmount/service/tests/test_api_inputs.py
+++ b/citronmount/service/tests/test_api_inputs.py
@@ -1,4 +1,4 @@
-"""Properties of the HTTP API for arbitrary input."""
+"""Property tests of the HTTP API with arbitrary input."""
 
 import unittest
 
@@ -50,7 +50,7 @@
         ("GET", "/v1/timeline"),
     )
 )
-_QUERY = strategies.dictionaries(
+_QUERIES = strategies.dictionaries(
     strategies.sampled_from(
         ("account", "limit", "base_version", "failure_domain", "wait_ms")
     ),
@@ -78,7 +78,7 @@
             return peer_messages.JobAnswer(status=_STATUS)
 
 
-def _client() -> testing.StubTreq:
+def _make_client() -> testing.StubTreq:
     state_machine = fakes.FakeStateMachine(_answer)
     metrics = metrics_lib.Metrics()
     timeline = store.TimelineStore(max_events=1)
@@ -106,16 +106,16 @@
 
 
 class InputTest(unittest.TestCase):
-    """No input brings a traceback or an answer without a code."""
+    """Arbitrary input never causes a traceback or an internal error."""
 
     def setUp(self) -> None:
-        self.http = _client()
+        self.http = _make_client()
 
     @hypothesis.settings(
         derandomize=True, max_examples=150, deadline=None, database=None
     )
-    @hypothesis.given(route=_ROUTES, query=_QUERY, body=_BODIES)
-    def test_every_answer_is_json_and_no_fault_of_the_system(
+    @hypothesis.given(route=_ROUTES, query=_QUERIES, body=_BODIES)
+    def test_every_answer_is_json_without_an_internal_error(
         self,
         route: tuple[str, str],
         query: dict[str, str],
@@ -129,6 +129,6 @@
         answer.addCallback(lambda r: r.content().addCallback(results.append))
         answer.addCallback(lambda _: results.append(None))
         self.http.flush()
-        found = msgspec.json.decode(results[0])
-        code = found.get("code", codes.ResultCode.OK)
-        self.assertNotEqual(9, code // 1_000, found)
+        decoded = msgspec.json.decode(results[0])
+        code = decoded.get("code", codes.ResultCode.OK)
+        self.assertNotEqual(9, code // 1_000, decoded)
--- a/citronmount/service/tests/test_cleanup.py
+++ b/citronmount/service/tests/test_cleanup.py
@@ -1,4 +1,4 @@
-"""Tests of the closing stack."""
+"""Tests of the cleanup stack."""
 
 import asyncio
 import unittest
@@ -7,9 +7,9 @@
 
 
 class CleanupStackTest(unittest.TestCase):
-    """Every callback runs, and every error is told."""
+    """Order of the callbacks and collection of their errors."""
 
-    def test_all_run_last_first_and_errors_are_gathered(self) -> None:
+    def test_failed_callback_does_not_keep_others_from_running(self) -> None:
         order = []
 
         def close(name: str) -> None:
@@ -29,5 +29,5 @@
         with self.assertRaises(ExceptionGroup) as caught:
             asyncio.run(run())
         self.assertEqual(["later", "c", "b", "a"], order)
-        found = [str(error) for error in caught.exception.exceptions]
-        self.assertEqual(["c", "a"], found)
+        messages = [str(error) for error in caught.exception.exceptions]
+        self.assertEqual(["c", "a"], messages)
--- a/citronmount/service/tests/test_http_server.py
+++ b/citronmount/service/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP server: bounded bodies and a close that cuts nothing."""
+"""Tests of the HTTP server: body size limit and graceful shutdown."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class _Echo(resource.Resource):
-    """Answers with its body, at once or when told to."""
+    """Answers with the request body, at once or once `wait` fires."""
 
     isLeaf = True  # noqa: N815
 
@@ -36,7 +36,7 @@
 
 
 class HttpServerTest(unittest.TestCase):
-    """The factory with in-memory connections."""
+    """The factory with in-memory transports."""
 
     def setUp(self) -> None:
         self.echo = _Echo()
@@ -50,20 +50,20 @@
         transport.protocol = protocol
         return transport
 
-    def _post(self, head: bytes, body: bytes) -> testing.StringTransport:
+    def _post(self, header: bytes, body: bytes) -> testing.StringTransport:
         transport = self._connect()
         transport.protocol.dataReceived(
-            b"POST / HTTP/1.1\r\nHost: h\r\n" + head + b"\r\n\r\n" + body
+            b"POST / HTTP/1.1\r\nHost: h\r\n" + header + b"\r\n\r\n" + body
         )
         return transport
 
-    def test_body_within_the_limit_is_served(self) -> None:
+    def test_body_of_the_largest_size_is_served(self) -> None:
         transport = self._post(b"Content-Length: 10", b"0123456789")
         self.assertIn(b"200 OK", transport.value())
         self.assertTrue(transport.value().endswith(b"0123456789"))
         self.assertFalse(transport.disconnecting)
 
-    def test_longer_bodies_are_refused_and_the_connection_is_closed(self):
+    def test_larger_body_is_refused_once_and_the_connection_closed(self):
         cases = (
             (b"Content-Length: 11", b"0123456789a"),
             (b"Content-Length: 99999999999", b""),
@@ -73,35 +73,35 @@
                 b"6\r\n012345\r\n6\r\n012345\r\n0\r\n\r\n",
             ),
         )
-        for head, body in cases:
-            with self.subTest(head, body=body):
-                transport = self._post(head, body)
+        for header, body in cases:
+            with self.subTest(header, body=body):
+                transport = self._post(header, body)
                 self.assertEqual(1, transport.value().count(b"HTTP/1.1"))
                 self.assertIn(b" 413 ", transport.value())
                 self.assertIn(b'"code":2006', transport.value())
                 self.assertTrue(transport.disconnecting)
 
-    def test_connection_close_ends_a_persistent_connection(self) -> None:
+    def test_answer_with_connection_close_closes_the_connection(self) -> None:
         self.echo.close = True
         transport = self._post(b"Content-Length: 1", b"x")
         self.assertIn(b"connection: close", transport.value().lower())
         self.assertTrue(transport.disconnecting)
 
-    def test_close_waits_for_all_connections(self) -> None:
+    def test_shutdown_waits_until_all_connections_are_closed(self) -> None:
         clock = task.Clock()
         transports = [self._connect() for _ in range(2)]
-        ends = []
+        results = []
         closing = self.factory.close_connections(clock)
-        defer.ensureDeferred(closing).addBoth(ends.append)
+        defer.ensureDeferred(closing).addBoth(results.append)
         self.assertTrue(all(t.disconnecting for t in transports))
         for transport in transports:
             clock.advance(0)
-            self.assertEqual([], ends)
+            self.assertEqual([], results)
             transport.protocol.connectionLost(None)
         clock.advance(0)
-        self.assertEqual([None], ends)
+        self.assertEqual([None], results)
 
-    def test_connection_that_does_not_close_is_aborted(self) -> None:
+    def test_connection_that_does_not_close_in_time_is_aborted(self) -> None:
         clock = task.Clock()
         transport = self._connect()
         aborted = []
--- a/citronmount/service/tests/test_listening.py
+++ b/citronmount/service/tests/test_listening.py
@@ -1,4 +1,4 @@
-"""Tests of the caller port, with and without TLS."""
+"""Tests of the HTTP port, with and without TLS."""
 
 import datetime
 import ipaddress
@@ -34,7 +34,7 @@
 
 
 class _Reader(protocol.Protocol):
-    """Collects what comes in until the connection is closed."""
+    """Collects the received data until the connection is closed."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -48,35 +48,41 @@
 
 
 class ListeningTest(unittest.TestCase):
-    """What a client gets from the port."""
+    """What a client receives from the port."""
 
     def setUp(self) -> None:
         directory = self.enterContext(tempfile.TemporaryDirectory())
         self.directory = pathlib.Path(directory)
 
-    def test_plain(self) -> None:
+    def test_port_without_a_certificate_speaks_plain_tcp(self) -> None:
         settings = settings_lib.ListenSettings(
             caller_address=f"{_HOST}:0", peer_address=f"{_HOST}:0"
         )
-        self.assertEqual(_GREETING, loop.run(_greeting(settings, None)))
+        self.assertEqual(_GREETING, loop.run(_receive_greeting(settings, None)))
 
-    def test_tls_by_the_certificate_of_the_settings(self) -> None:
-        certificate, settings = self._tls()
-        trust = ssl.optionsForClientTLS(
+    def test_port_uses_the_certificate_of_the_settings(self) -> None:
+        certificate, settings = self._make_tls_settings()
+        tls_options = ssl.optionsForClientTLS(
             _HOST, trustRoot=ssl.Certificate.loadPEM(certificate)
         )
-        self.assertEqual(_GREETING, loop.run(_greeting(settings, trust)))
+        self.assertEqual(
+            _GREETING, loop.run(_receive_greeting(settings, tls_options))
+        )
 
-    def test_client_that_trusts_another_certificate_gets_nothing(self) -> None:
-        other, _ = self._tls()
-        _, settings = self._tls()
-        trust = ssl.optionsForClientTLS(
-            _HOST, trustRoot=ssl.Certificate.loadPEM(other)
+    def test_client_that_trusts_another_certificate_receives_nothing(
+        self,
+    ) -> None:
+        other_certificate, _ = self._make_tls_settings()
+        _, settings = self._make_tls_settings()
+        tls_options = ssl.optionsForClientTLS(
+            _HOST, trustRoot=ssl.Certificate.loadPEM(other_certificate)
+        )
+        self.assertEqual(
+            b"", loop.run(_receive_greeting(settings, tls_options))
         )
-        self.assertEqual(b"", loop.run(_greeting(settings, trust)))
 
-    def _tls(self) -> tuple[bytes, settings_lib.ListenSettings]:
-        certificate, key = _self_signed()
+    def _make_tls_settings(self) -> tuple[bytes, settings_lib.ListenSettings]:
+        certificate, key = _make_self_signed()
         certificate_path = self.directory / "a:certificate.pem"
         key_path = self.directory / "a:key.pem"
         certificate_path.write_bytes(certificate)
@@ -89,22 +95,22 @@
         )
 
 
-async def _greeting(
-    settings: settings_lib.ListenSettings, trust: object | None
+async def _receive_greeting(
+    settings: settings_lib.ListenSettings, tls_options: object | None
 ) -> bytes:
     port = await listening.listen(
         reactor, settings, protocol.Factory.forProtocol(_Greeter)
     )
     endpoint = endpoints.TCP4ClientEndpoint(reactor, _HOST, port.getHost().port)
-    if trust is not None:
-        endpoint = endpoints.wrapClientTLS(trust, endpoint)
+    if tls_options is not None:
+        endpoint = endpoints.wrapClientTLS(tls_options, endpoint)
     client = await endpoint.connect(protocol.Factory.forProtocol(_Reader))
     await client.closed
     await port.stopListening()
     return client.data
 
 
-def _self_signed() -> tuple[bytes, bytes]:
+def _make_self_signed() -> tuple[bytes, bytes]:
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, "caller")])
     now = datetime.datetime.now(datetime.UTC)
--- a/citronmount/service/tests/test_runtime.py
+++ b/citronmount/service/tests/test_runtime.py
@@ -1,4 +1,4 @@
-"""Tests of the loop round the state machine."""
+"""Tests of the event loop of the state machine."""
 
 import unittest
 
@@ -21,13 +21,13 @@
 
 _CALL = ids.CallId("c1")
 _ADDRESS = "127.0.0.1:1"
-_RUN = effects.CallRunner(
+_CALL_RUNNER = effects.CallRunner(
     call=_CALL,
     runner=ids.RunnerId("r1"),
     address=_ADDRESS,
     spec=jobs.RequestSpec(request=ids.RequestId("q"), account="a"),
 )
-_EFFECTS_WITH_CALLS = (
+_CALL_EFFECTS = (
     effects.AppendLog(call=_CALL, stream="s", records=()),
     effects.ReadLog(call=_CALL, stream="s", start=0),
     effects.ListPlatform(call=_CALL),
@@ -37,7 +37,7 @@
         address=_ADDRESS,
         body=messages.WorkerCall(token=1),
     ),
-    _RUN,
+    _CALL_RUNNER,
 )
 
 
@@ -48,10 +48,10 @@
 
 
 class RuntimeTest(unittest.TestCase):
-    """Events in, effects out."""
+    """The events that the runtime dispatches and the effects it executes."""
 
     def setUp(self) -> None:
-        self.lines = self.enterContext(testing.capture_logs())
+        self.log_lines = self.enterContext(testing.capture_logs())
         self.clock = task.Clock()
         self.state_machine = fakes.FakeStateMachine()
         self.peers = fakes.FakePeers()
@@ -76,17 +76,17 @@
         self.assertEqual(1, len(self.state_machine.of_type(events.Started)))
         self.assertEqual(4, len(self.state_machine.of_type(events.Tick)))
 
-    def test_each_call_gets_exactly_one_event(self) -> None:
-        for effect in _EFFECTS_WITH_CALLS:
+    def test_each_failed_call_dispatches_exactly_one_event(self) -> None:
+        for effect in _CALL_EFFECTS:
             with self.subTest(type(effect).__name__):
                 self.state_machine.effects = {events.Started: [effect]}
                 self.state_machine.events.clear()
                 self.runtime.dispatch(events.Started())
-                self.http.open.pop().errback(_no_answer())
+                self.http.pending.pop().errback(_no_answer())
                 answers = self.state_machine.events[1:]
                 self.assertEqual([_CALL], [event.call for event in answers])
 
-    def test_good_answers_are_passed_on(self) -> None:
+    def test_answers_are_dispatched_and_listed_peers_are_set(self) -> None:
         view = messages.PlatformView(
             vms=(
                 messages.ListedVm(
@@ -101,8 +101,8 @@
             ]
         }
         self.runtime.dispatch(events.Started())
-        self.http.open[0].callback(view)
-        self.http.open[1].callback(
+        self.http.pending[0].callback(view)
+        self.http.pending[1].callback(
             wire_format.AppendAnswer(offset=ids.Offset(9))
         )
         self.assertEqual(
@@ -114,15 +114,15 @@
         )
         self.assertEqual({"v": _ADDRESS}, self.peers.peers)
 
-    def test_runner_answer_tells_whether_it_was_sent(self) -> None:
+    def test_failed_runner_call_says_whether_it_was_sent(self) -> None:
         for sent in (True, False):
             with self.subTest(sent=sent):
-                self.state_machine.effects = {events.Started: [_RUN]}
+                self.state_machine.effects = {events.Started: [_CALL_RUNNER]}
                 self.runtime.dispatch(events.Started())
-                self.http.open.pop().errback(_no_answer(sent))
+                self.http.pending.pop().errback(_no_answer(sent))
                 self.assertIs(sent, self.state_machine.events[-1].sent)
 
-    def test_event_that_arises_in_an_effect_waits_for_its_turn(self) -> None:
+    def test_event_dispatched_by_an_effect_is_queued(self) -> None:
         order = []
 
         def send(to: str, message: peer_messages.PeerMessage) -> bool:
@@ -142,25 +142,29 @@
         self.assertEqual([("a", 1), ("b", 1)], order)
         self.assertEqual(2, len(self.state_machine.of_type(events.Tick)))
 
-    def test_caller_that_leaves_is_told_once(self) -> None:
+    def test_caller_that_leaves_is_dispatched_once_and_gets_no_answer(
+        self,
+    ) -> None:
         body = peer_messages.GetJob(job=ids.JobId("kr-a/1"))
         answer = self.runtime.call(body)
-        left = []
-        answer.addErrback(left.append)
+        failures = []
+        answer.addErrback(failures.append)
         answer.cancel()
-        self.assertTrue(left[0].check(defer.CancelledError))
+        self.assertTrue(failures[0].check(defer.CancelledError))
         ticket = self.state_machine.of_type(events.CallerLeft)[0].ticket
-        late = effects.Reply(
+        late_reply = effects.Reply(
             ticket=ticket, body=peer_messages.JobsAnswer(statuses=())
         )
-        self.state_machine.effects = {events.Tick: [late, late]}
+        self.state_machine.effects = {events.Tick: [late_reply, late_reply]}
         self.runtime.dispatch(events.Tick())
         self.assertEqual(0, self.runtime.open_calls)
 
-    def test_fault_of_the_state_machine_is_answered_and_counted(self) -> None:
-        self.state_machine.broken = True
+    def test_exception_of_the_state_machine_is_answered_and_counted(
+        self,
+    ) -> None:
+        self.state_machine.raises = True
         answer = self.runtime.call(peer_messages.GetJob(job="kr-a/1"))
-        logged = [line["event"] for line in self.lines]
+        logged = [line["event"] for line in self.log_lines]
         self.assertEqual(["event_failed"], logged)
         results = []
         answer.addCallback(results.append)
@@ -168,7 +172,7 @@
         counters = self.metrics.snapshot().counters
         self.assertEqual(1, counters["events_failed"])
 
-    def test_exit_fires_once(self) -> None:
+    def test_repeated_exit_fires_once(self) -> None:
         self.state_machine.effects = {
             events.Tick: [effects.Exit(), effects.Exit()]
         }
--- a/citronmount/service/tests/test_settings.py
+++ b/citronmount/service/tests/test_settings.py
@@ -1,3 +1,5 @@
+"""Tests of the settings of a daemon."""
+
 import pathlib
 import re
 import tempfile
@@ -11,7 +13,7 @@
 from citronmount.service import settings_faults
 
 _EXAMPLE = pathlib.Path("examples/settings/citronmountd.toml")
-_DEFAULT = re.compile(r"^# (?=[a-z_]+ = )", re.MULTILINE)
+_COMMENTED_DEFAULT = re.compile(r"^# (?=[a-z_]+ = )", re.MULTILINE)
 _CODES = codes.ResultCode
 
 
@@ -27,23 +29,23 @@
         self.path.write_bytes(data)
         return settings.check(self.path)
 
-    def keys(self, text):
+    def keys_and_codes(self, text):
         return {(f.key, f.code) for f in self.faults(text)}
 
-    def changed(self, old, new):
+    def example_with(self, old, new):
         self.assertIn(old, self.example)
         return self.example.replace(old, new)
 
-    def test_example_loads(self):
+    def test_example_settings_load(self):
         loaded = settings.load(_EXAMPLE)
         self.assertEqual(loaded.vm.failure_domain_id, "kr-a")
         self.assertEqual(loaded.timing, settings.TimingSettings())
 
-    def test_example_shows_every_default(self):
+    def test_example_lists_every_default_value(self):
         lines = self.example.splitlines()
         without_paths = "\n".join(ln for ln in lines if "_path" not in ln)
-        shown = _DEFAULT.sub("", without_paths)
-        self.path.write_text(shown, encoding="utf-8")
+        uncommented = _COMMENTED_DEFAULT.sub("", without_paths)
+        self.path.write_text(uncommented, encoding="utf-8")
         loaded = settings.load(self.path)
         for section in ("limits", "timing", "logging", "retention"):
             default = type(getattr(loaded, section))()
@@ -80,17 +82,19 @@
         )
         for (old, new, key), code in zip(cases, expected, strict=True):
             with self.subTest(new=new):
-                (fault,) = self.faults(self.changed(old, new))
+                (fault,) = self.faults(self.example_with(old, new))
                 self.assertTrue(fault.key.startswith(key), fault)
                 self.assertEqual(fault.code, code)
 
-    def test_wrong_unit_names_the_right_one(self):
-        text = self.changed("[timing]", "[timing]\nlease_ttl_s = 10")
+    def test_key_with_a_wrong_unit_suggests_the_right_one(self):
+        text = self.example_with("[timing]", "[timing]\nlease_ttl_s = 10")
         (fault,) = self.faults(text)
         self.assertIn("lease_ttl_ms", fault.expected)
 
-    def test_all_faults_come_at_once(self):
-        found = self.keys("vm = 3\n[listen]\ncaller_address = 'x'\n[nope]\n")
+    def test_all_faults_are_reported_at_once(self):
+        faults = self.keys_and_codes(
+            "vm = 3\n[listen]\ncaller_address = 'x'\n[nope]\n"
+        )
         self.assertLessEqual(
             {
                 ("vm", _CODES.SETTING_TYPE),
@@ -99,26 +103,26 @@
                 ("nope", _CODES.SETTING_UNKNOWN),
                 ("platform.log_address", _CODES.SETTING_MISSING),
             },
-            found,
+            faults,
         )
 
-    def test_load_raises_a_group_of_typed_errors(self):
+    def test_load_raises_a_group_of_setting_errors(self):
         self.path.write_text("", encoding="utf-8")
         with self.assertRaises(ExceptionGroup) as caught:
             settings.load(self.path)
         for error in caught.exception.exceptions:
             self.assertIsInstance(error, settings_faults.SettingError)
 
-    def test_unreadable_files(self):
+    def test_unreadable_file_is_one_fault(self):
         for path in ("/nonexistent/x.toml", "a\0b", "."):
             (fault,) = settings.check(path)
             self.assertEqual(fault.code, _CODES.SETTING_FILE)
 
-    def test_keys_must_match(self):
-        text = self.changed('secret_key = ")Os', 'secret_key = ")Ot')
+    def test_public_key_that_does_not_match_is_refused(self):
+        text = self.example_with('secret_key = ")Os', 'secret_key = ")Ot')
         self.assertIn("curve.public_key", {f.key for f in self.faults(text)})
 
-    def test_secret_key_stays_out_of_logs(self):
+    def test_repr_does_not_contain_the_secret_key(self):
         loaded = settings.load(_EXAMPLE)
         self.assertNotIn(loaded.curve.secret_key, repr(loaded))
 
@@ -131,7 +135,9 @@
             ),
         )
     )
-    def test_any_bytes_are_refused_with_a_place(self, data):
+    def test_arbitrary_bytes_are_refused_with_file_and_expected_value(
+        self, data
+    ):
         for fault in self.faults(data):
             self.assertEqual(int(fault.code) // 1000, 6)
             self.assertTrue(fault.file)
@@ -139,7 +145,7 @@
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=300)
     @hypothesis.given(strategies.data())
-    def test_any_value_of_any_key_loads_or_is_refused(self, data):
+    def test_unusual_value_of_any_key_loads_or_is_refused(self, data):
         lines = re.findall(r"^(?:# )?[a-z_]+ = .*$", self.example, re.MULTILINE)
         line = data.draw(strategies.sampled_from(lines))
         value = data.draw(
