--- a/citronmount/clients/http_client.py
+++ b/citronmount/clients/http_client.py
@@ -398,22 +398,22 @@
 
 
 async def _read_body(response: iweb.IResponse) -> bytes:
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
 
-    def collect(part: bytes) -> None:
+    def collect(chunk: bytes) -> None:
         nonlocal size
-        size += len(part)
+        size += len(chunk)
         if size > MAX_BODY_BYTES:
             raise NoAnswerError(
                 f"expected a body of at most {MAX_BODY_BYTES} bytes, got more",
                 code=codes.ResultCode.UNREACHABLE,
                 sent=True,
             )
-        parts.append(part)
+        chunks.append(chunk)
 
     await treq.collect(response, collect)
-    return b"".join(parts)
+    return b"".join(chunks)
 
 
 def _timed_out(result: object, timeout_s: float) -> object:
--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -43,7 +43,7 @@
 
 
 class _RefusedError(errors.CitronmountError):
-    """A call that is refused before it reaches the state machine."""
+    """Raised to refuse a call before it reaches the state machine."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
     def handle_error(
         self, request: http.Request, reason: failure.Failure
     ) -> bytes:
-        """Answers a call that raised an error of the system."""
+        """Answers a call that raised a `CitronmountError`."""
         error = reason.value
         detail = getattr(error, "detail", str(error))
         retry_after_ms = getattr(error, "retry_after_ms", None)
@@ -145,10 +145,10 @@
     @app.route("/v1/jobs", methods=["GET"])
     async def list_jobs(self, request: http.Request) -> bytes:
         """Returns the jobs of one failure domain or of all."""
-        domain = _text(request, "failure_domain")
+        domain = _query_text(request, "failure_domain")
         call = peer_messages.ListJobs(
             failure_domain=ids.FailureDomainId(domain),
-            account=ids.AccountId(_text(request, "account")),
+            account=ids.AccountId(_query_text(request, "account")),
             limit=_optional_number(
                 request, "limit", DEFAULT_JOBS_LIMIT, MAX_LIMIT
             ),
@@ -165,7 +165,7 @@
     async def cancel_jobs(self, request: http.Request) -> bytes:
         """Cancels all jobs of an account in one failure domain or in all."""
         account = ids.AccountId(_required_text(request, "account"))
-        domain = ids.FailureDomainId(_text(request, "failure_domain"))
+        domain = ids.FailureDomainId(_query_text(request, "failure_domain"))
         call = peer_messages.CancelJobs(account=account, failure_domain=domain)
         return self._send_answer(request, await self._call(call))
 
@@ -195,7 +195,7 @@
     async def publish(self, request: http.Request) -> bytes:
         """Publishes the configuration sheet in the request body."""
         base_version = _required_number(request, "base_version")
-        author = _text(request, "author")
+        author = _query_text(request, "author")
         parsed = sheet.parse(_read_sheet(request))
         if parsed.configuration is None or parsed.faults:
             return self._refuse_sheet(request, parsed)
@@ -212,16 +212,16 @@
     def get_timeline(self, request: http.Request) -> bytes:
         """Returns the timeline events recorded on this VM."""
         event_filter = store.Filter(
-            job=_text(request, "job"),
-            account=_text(request, "account"),
-            target=_text(request, "target"),
+            job=_query_text(request, "job"),
+            account=_query_text(request, "account"),
+            target=_query_text(request, "target"),
             limit=_optional_number(
                 request, "limit", DEFAULT_EVENTS_LIMIT, MAX_LIMIT
             ),
         )
-        found = self._timeline.find(event_filter)
+        matching = self._timeline.find(event_filter)
         body = bodies.TimelineBody(
-            vm=self._vm, events=found.events, dropped=found.dropped
+            vm=self._vm, events=matching.events, dropped=matching.dropped
         )
         return self._send(request, codes.ResultCode.OK, body)
 
@@ -357,7 +357,7 @@
 
 
 def _read_sheet(request: http.Request) -> bytes:
-    """Returns the sheet, unless parsing it would block the event loop."""
+    """Returns the sheet; parsing a larger one would block the event loop."""
     data = request.content.read(MAX_SHEET_BYTES + 1)
     if len(data) > MAX_SHEET_BYTES:
         detail = f"expected a sheet of at most {MAX_SHEET_BYTES} bytes"
@@ -365,40 +365,41 @@
     return data
 
 
-def _text(request: http.Request, name: str) -> str:
+def _query_text(request: http.Request, name: str) -> str:
     values = request.args.get(name.encode("ascii"), [b""])
     try:
         text = values[0].decode("utf-8")
     except UnicodeDecodeError as error:
-        raise _invalid(name, "UTF-8") from error
+        raise _invalid_query(name, "UTF-8") from error
     if len(text) > _MAX_QUERY_LENGTH:
-        raise _invalid(name, f"at most {_MAX_QUERY_LENGTH} characters")
+        raise _invalid_query(name, f"at most {_MAX_QUERY_LENGTH} characters")
     return text
 
 
 def _required_text(request: http.Request, name: str) -> str:
-    text = _text(request, name)
+    text = _query_text(request, name)
     if not text:
-        raise _invalid(name, "a value")
+        raise _invalid_query(name, "a value")
     return text
 
 
 def _required_number(request: http.Request, name: str) -> int:
     text = _required_text(request, name)
     if not (text.isascii() and text.isdigit()):
-        raise _invalid(name, "a whole number")
+        raise _invalid_query(name, "a non-negative integer")
     return int(text)
 
 
 def _optional_number(
     request: http.Request, name: str, default: int, maximum: int
 ) -> int:
-    if not _text(request, name):
+    """Returns a number of the query, clamped to the maximum."""
+    if not _query_text(request, name):
         return default
     return min(_required_number(request, name), maximum)
 
 
-def _invalid(name: str, expected: str) -> _RefusedError:
+def _invalid_query(name: str, expected: str) -> _RefusedError:
     detail = f"{name}: expected {expected}"
     return _RefusedError(codes.ResultCode.INVALID_REQUEST, detail)
 
--- a/citronmount/service/daemon.py
+++ b/citronmount/service/daemon.py
@@ -41,34 +41,34 @@
     """
     log = structlog.get_logger()
     state_machine = wiring.make_state_machine(settings)
-    parts = wiring.Components(
+    components = wiring.Components(
         reactor=reactor, settings=settings, state_machine=state_machine
     )
     async with cleanup.CleanupStack() as stack:
-        stack.push("platform connections", parts.http.close)
-        parts.peers.open()
-        stack.push("peer sockets", parts.peers.close)
-        stack.push("runtime", parts.runtime.stop)
-        await _open_api(reactor, settings, parts, stack)
-        _drain_on_signal(reactor, parts)
-        parts.runtime.start(settings.timing.tick_ms)
+        stack.push("platform connections", components.http.close)
+        components.peers.open()
+        stack.push("peer sockets", components.peers.close)
+        stack.push("runtime", components.runtime.stop)
+        await _open_api(reactor, settings, components, stack)
+        _drain_on_signal(reactor, components)
+        components.runtime.start(settings.timing.tick_ms)
         log.info(
             "listening",
             callers=settings.listen.caller_address,
-            peers=parts.peers.address,
+            peers=components.peers.address,
         )
-        await parts.runtime.exited
+        await components.runtime.exited
         log.info("exiting")
 
 
 async def _open_api(
     reactor: interfaces.IReactorCore,
     settings: settings_lib.Settings,
-    parts: wiring.Components,
+    components: wiring.Components,
     stack: cleanup.CleanupStack,
 ) -> None:
     factory = http_server.make_http_factory(
-        parts.api.app.resource(), settings.limits.max_body_bytes
+        components.api.app.resource(), settings.limits.max_body_bytes
     )
     port = await listening.listen(reactor, settings.listen, factory)
     stack.push("caller connections", lambda: factory.close_connections(reactor))
@@ -76,12 +76,14 @@
 
 
 def _drain_on_signal(
-    reactor: interfaces.IReactorCore, parts: wiring.Components
+    reactor: interfaces.IReactorCore, components: wiring.Components
 ) -> None:
     """Installs handlers by which SIGTERM and SIGINT start a drain."""
 
     def drain(signal_number: int, frame: object) -> None:
-        reactor.callFromThread(parts.runtime.dispatch, events.DrainRequested())
+        reactor.callFromThread(
+            components.runtime.dispatch, events.DrainRequested()
+        )
 
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signal_number, drain)
@@ -143,7 +145,7 @@
     "--platform",
     "on_platform",
     is_flag=True,
-    help="Run on, or check the settings of, the users' platform.",
+    help="Run the daemon on the users' platform, or check its settings.",
 )
 @click.version_option(citronmount.__version__, prog_name="citronmountd")
 def main(
@@ -151,15 +153,15 @@
 ) -> None:
     """Runs the daemon of one VM.
 
-    Exits with 0 after a planned stop, 1 after a fault and 2 if the settings
-    are faulty.
+    The exit status is 0 after a planned stop, 1 after an error and 2 for
+    invalid settings.
     """
     if on_platform:
-        sys.exit(_on_platform(settings_path, check_path))
+        sys.exit(_run_platform_daemon(settings_path, check_path))
     if check_path is not None:
         sys.exit(_check(check_path))
     if settings_path is None:
-        raise click.UsageError("give --settings FILE or --check FILE")
+        raise click.UsageError("expected --settings FILE or --check FILE")
     try:
         settings = settings_lib.load(settings_path)
     except ExceptionGroup as group:
@@ -175,11 +177,13 @@
     sys.exit(status)
 
 
-def _on_platform(settings_path: str | None, check_path: str | None) -> int:
-    """Runs or checks the daemon of the users' platform.
+def _run_platform_daemon(
+    settings_path: str | None, check_path: str | None
+) -> int:
+    """Runs the daemon for the users' platform or checks its settings.
 
-    Its modules are imported only here, so that the other daemon does not load
-    them.
+    Its modules are imported here, so that they are loaded only with
+    ``--platform``.
     """
     from citronmount.platform import daemon as platform_daemon
 
--- a/citronmount/service/runtime.py
+++ b/citronmount/service/runtime.py
@@ -66,7 +66,8 @@
     another one is being handled, or its effects executed, is queued.
 
     Attributes:
-        exited: Fires when the state machine requests the end of the process.
+        exited: A Deferred that fires when the state machine requests the end
+            of the process.
     """
 
     def __init__(
@@ -92,8 +93,8 @@
             addresses: The addresses of the platform's services.
             on_trace: Called with each event that the state machine traces.
             metrics: Receives durations and counters.
-            now_ns: The monotonic clock.
-            wall_ns: The wall clock.
+            now_ns: Returns the monotonic time in nanoseconds.
+            wall_ns: Returns the Unix time in nanoseconds.
         """
         self.exited: defer.Deferred[None] = defer.Deferred()
         self._state_machine = state_machine
@@ -109,7 +110,7 @@
         self._handling = False
         self._stopped = False
         self._tickets = itertools.count(1)
-        self._calls: dict[
+        self._pending_calls: dict[
             ids.TicketId, defer.Deferred[peer_messages.Answer]
         ] = {}
         self._tick_loop = task.LoopingCall(self.dispatch, events.Tick())
@@ -118,7 +119,7 @@
     @property
     def open_calls(self) -> int:
         """The number of callers that wait for an answer."""
-        return len(self._calls)
+        return len(self._pending_calls)
 
     def start(self, tick_ms: int) -> None:
         """Dispatches `events.Started` and starts the periodic ticks.
@@ -149,7 +150,7 @@
         """
         ticket = ids.TicketId(f"t{next(self._tickets)}")
         answer = defer.Deferred(lambda _: self._drop_call(ticket))
-        self._calls[ticket] = answer
+        self._pending_calls[ticket] = answer
         self.dispatch(events.CallArrived(ticket=ticket, body=body))
         return answer
 
@@ -182,17 +183,17 @@
 
     def _handle(self, event: events.Event) -> None:
         kind = type(event).__name__
-        begin_ns = self._now_ns()
+        start_ns = self._now_ns()
         try:
             requested_effects = self._state_machine.handle(
-                event, begin_ns // _NS_PER_MS, self._wall_ns() // _NS_PER_MS
+                event, start_ns // _NS_PER_MS, self._wall_ns() // _NS_PER_MS
             )
         except Exception:
             self._metrics.count("events_failed")
             self._logger.exception("event_failed", kind=kind)
             self._answer_internal_error(event)
             return
-        duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
+        duration_ms = (self._now_ns() - start_ns) / _NS_PER_MS
         self._metrics.record("event", kind, duration_ms)
         for effect in requested_effects:
             self._execute(effect)
@@ -214,13 +215,13 @@
             )
 
     def _drop_call(self, ticket: ids.TicketId) -> None:
-        if self._calls.pop(ticket, None) is not None:
+        if self._pending_calls.pop(ticket, None) is not None:
             self.dispatch(events.CallerLeft(ticket=ticket))
 
     def _answer_call(
         self, ticket: ids.TicketId, answer: peer_messages.Answer
     ) -> None:
-        pending = self._calls.pop(ticket, None)
+        pending = self._pending_calls.pop(ticket, None)
         if pending is not None:
             pending.callback(answer)
 
@@ -230,11 +231,11 @@
         answer: defer.Deferred[typing.Any],
         to_event: Callable[[typing.Any], events.Event],
     ) -> None:
-        """Dispatches exactly one event when a call succeeds or fails."""
-        begin_ns = self._now_ns()
+        """Dispatches exactly one event once a call has succeeded or failed."""
+        start_ns = self._now_ns()
 
         def finish(result: typing.Any) -> None:
-            duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
+            duration_ms = (self._now_ns() - start_ns) / _NS_PER_MS
             self._metrics.record("exchange", kind, duration_ms)
             if isinstance(result, failure.Failure):
                 self._record_no_answer(kind, result)
@@ -354,6 +355,7 @@
 
 
 def _may_have_been_sent(result: typing.Any) -> bool:
+    """Returns False only if the call provably never left this VM."""
     if isinstance(result, failure.Failure):
         error = result.value
         return not isinstance(error, http_client.NoAnswerError) or error.sent
--- a/citronmount/service/settings_reader.py
+++ b/citronmount/service/settings_reader.py
@@ -166,10 +166,10 @@
     if isinstance(field_type, types.UnionType) or (
         typing.get_origin(field_type) is typing.Union
     ):
-        parts = [
+        members = [
             _without_constraints(arg) for arg in typing.get_args(field_type)
         ]
-        return typing.Union[tuple(parts)]  # noqa: UP007
+        return typing.Union[tuple(members)]  # noqa: UP007
     if typing.get_origin(field_type) is tuple:
         return tuple[_without_constraints(typing.get_args(field_type)[0]), ...]
     return field_type
--- a/citronmount/service/tests/test_api.py
+++ b/citronmount/service/tests/test_api.py
@@ -99,9 +99,9 @@
         )
         for body in bodies:
             with self.subTest(body[:40]):
-                status, found = self._send("POST", "/v1/jobs", body)
-                self.assertEqual((400, 2002), (status, found["code"]))
-                self.assertTrue(found["proves_not_run"])
+                status, answer = self._send("POST", "/v1/jobs", body)
+                self.assertEqual((400, 2002), (status, answer["code"]))
+                self.assertTrue(answer["proves_not_run"])
         self.assertEqual([], self._received_calls())
 
     def test_failures_have_the_status_of_their_code_or_family(self) -> None:
@@ -184,8 +184,8 @@
     def test_rate_limit_applies_to_each_account_and_recovers(self) -> None:
         self._set_answer(peer_messages.JobAnswer(status=_STATUS))
         bodies = [b'{"account": "a"}'] * 3 + [b'{"account": "b"}']
-        found = [self._send("POST", "/v1/jobs", body)[0] for body in bodies]
-        self.assertEqual([202, 202, 429, 202], found)
+        statuses = [self._send("POST", "/v1/jobs", body)[0] for body in bodies]
+        self.assertEqual([202, 202, 429, 202], statuses)
         self.now_ms = 1_000
         self.assertEqual(202, self._send("POST", "/v1/jobs", bodies[0])[0])
 
@@ -228,10 +228,10 @@
     def test_configuration_is_returned_or_reported_as_missing(self) -> None:
         status, body = self._send("GET", "/v1/configuration")
         self.assertEqual((200, 3), (status, body["version"]))
-        found = msgspec.convert(
+        content = msgspec.convert(
             body["content"], configuration_lib.Configuration
         )
-        self.assertEqual(self.state_machine.configuration, found)
+        self.assertEqual(self.state_machine.configuration, content)
         self.state_machine.configuration = None
         status, body = self._send("GET", "/v1/configuration")
         self.assertEqual((503, 3002), (status, body["code"]))
@@ -257,8 +257,8 @@
         self.assertEqual(200, self._send("GET", "/v1/ready")[0])
         self.assertEqual(200, self._send("GET", "/v1/membership")[0])
         _, body = self._send("GET", "/v1/metrics")
-        found = [(h["work_class"], h["stage"]) for h in body["histograms"]]
-        self.assertEqual([("job.paying", "queued")], found)
+        stages = [(h["work_class"], h["stage"]) for h in body["histograms"]]
+        self.assertEqual([("job.paying", "queued")], stages)
 
     def test_unknown_path_or_method_is_answered_in_json(self) -> None:
         rows = (("GET", "/v2/jobs", 404), ("PATCH", "/v1/jobs", 405))
--- a/citronmount/service/tests/test_settings.py
+++ b/citronmount/service/tests/test_settings.py
@@ -92,7 +92,7 @@
         self.assertIn("lease_ttl_ms", fault.expected)
 
     def test_all_faults_are_reported_at_once(self):
-        faults = self.keys_and_codes(
+        reported = self.keys_and_codes(
             "vm = 3\n[listen]\ncaller_address = 'x'\n[nope]\n"
         )
         self.assertLessEqual(
@@ -103,7 +103,7 @@
                 ("nope", _CODES.SETTING_UNKNOWN),
                 ("platform.log_address", _CODES.SETTING_MISSING),
             },
-            faults,
+            reported,
         )
 
     def test_load_raises_a_group_of_setting_errors(self):
