--- a/citronmount/clients/http_client.py
+++ b/citronmount/clients/http_client.py
@@ -85,13 +85,15 @@
     ) -> interfaces.IStreamClientEndpoint:
         """Returns the endpoint of a URI whose host is an IP address."""
         host = uri.host.decode("ascii").strip("[]")
-        make = (
+        endpoint_type = (
             endpoints.TCP6ClientEndpoint
             if abstract.isIPv6Address(host)
             else endpoints.TCP4ClientEndpoint
         )
         timeout_s = CONNECT_TIMEOUT_MS / _MS_PER_S
-        endpoint = make(self._reactor, host, uri.port, timeout=timeout_s)
+        endpoint = endpoint_type(
+            self._reactor, host, uri.port, timeout=timeout_s
+        )
         return byte_counting.ByteCountingEndpoint(
             endpoint=endpoint, traffic=self._traffic
         )
--- a/citronmount/service/bodies.py
+++ b/citronmount/service/bodies.py
@@ -201,7 +201,7 @@
         code: The number of the result code.
         name: The name of the result code.
         detail: Human-readable details.
-        version: The version in force when the answer was sent.
+        version: The version in force after the call.
         faults: All faults of the sheet.
     """
 
@@ -234,8 +234,8 @@
         failure_domain: The failure domain of the VM.
         listed: Whether the platform lists it as live.
         alive: Whether its heartbeats arrive.
-        ready: Whether its last heartbeat says that it accepts work.
-        draining: Whether its last heartbeat says that it is stopping.
+        ready: Whether it reports that it accepts work.
+        draining: Whether it reports that it is stopping.
         owner: Whether, in this view, it owns its failure domain and so
             schedules the jobs there.
         config_version: The configuration version in force on the VM.
--- a/citronmount/service/settings.py
+++ b/citronmount/service/settings.py
@@ -110,9 +110,10 @@
 
     Attributes:
         enabled: Whether CURVE is used; to be disabled only in tests.
-        public_key: The VM's own public key, if enabled.
-        secret_key: The VM's own secret key, if enabled.
-        allowed_public_keys: Public keys of the peers that may connect.
+        public_key: The VM's own public key; required if enabled.
+        secret_key: The VM's own secret key; required if enabled.
+        allowed_public_keys: Public keys of the peers that may connect;
+            required if enabled.
     """
 
     enabled: bool = True
--- a/citronmount/service/tests/fakes.py
+++ b/citronmount/service/tests/fakes.py
@@ -87,10 +87,10 @@
         self.pending: list[defer.Deferred] = []
         self.paths: list[str] = []
 
-    def get(self, address: str, path: str, *rest: object, **more: object):
+    def get(self, address: str, path: str, *args: object, **kwargs: object):
         return self._call(path)
 
-    def post(self, address: str, path: str, *rest: object):
+    def post(self, address: str, path: str, *args: object):
         return self._call(path)
 
     def _call(self, path: str) -> defer.Deferred:
