--- a/citronmount/fleet_service/node.py
+++ b/citronmount/fleet_service/node.py
@@ -41,7 +41,7 @@
         *,
         clock: interfaces.IReactorTime,
         log: ports.Log,
-        worker_orders: ports.WorkerOrders,
+        worker_orders: ports.WorkerCommands,
         decode: Decode,
         bounds: fleet_configuration.Bounds,
         policy: lease_sessions.LeasePolicy,
--- a/citronmount/fleet_service/owner_loop.py
+++ b/citronmount/fleet_service/owner_loop.py
@@ -59,7 +59,7 @@
         *,
         clock: interfaces.IReactorTime,
         log: ports.Log,
-        worker_orders: ports.WorkerOrders,
+        worker_orders: ports.WorkerCommands,
         job_view: job_views.JobView,
         jobs: log_tail.LogTail,
         workers: log_tail.LogTail,
@@ -339,7 +339,9 @@
     async def _ask(
         self, owner: pool_owner.PoolOwner, command: commands.RequestAdvice
     ) -> None:
-        answer = await self._worker_orders.ask(command, ADVICE_TIMEOUT_MS)
+        answer = await self._worker_orders.request_advice(
+            command, ADVICE_TIMEOUT_MS
+        )
         owner.reports.advice_answered(command, answer, self._now_ms())
         self.kick()
 
@@ -347,7 +349,7 @@
         self, owner: pool_owner.PoolOwner, command: commands.RenewLeases
     ) -> None:
         sent_ms = self._now_ms()
-        answer = await self._worker_orders.hold(
+        answer = await self._worker_orders.renew_leases(
             command, command.wait_ms + HOLD_MARGIN_MS
         )
         if isinstance(answer, commands.LeaseReport):
--- a/citronmount/fleet_service/ports.py
+++ b/citronmount/fleet_service/ports.py
@@ -29,7 +29,7 @@
     "Topic",
     "UnansweredError",
     "WorkerChanged",
-    "WorkerOrders",
+    "WorkerCommands",
 ]
 
 
@@ -222,7 +222,7 @@
         """Leaves the owners' group."""
 
 
-class WorkerOrders(typing.Protocol):
+class WorkerCommands(typing.Protocol):
     """The orders that workers take. No call fails; silence is a verdict."""
 
     def start(
@@ -235,12 +235,12 @@
     ) -> defer.Deferred[tuple[commands.StopOutcome, int | None]]:
         """Stops a run; fires with the verdict and the worker's clock."""
 
-    def ask(
+    def request_advice(
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> defer.Deferred[commands.AdviceAnswer | None]:
         """Asks a queue's policy; fires with None if it does not answer."""
 
-    def hold(
+    def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> defer.Deferred[commands.LeaseReport | commands.StopOutcome]:
         """Renews leases; fires with the report or why there is none."""
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -85,7 +85,7 @@
         self,
         settings: vm_settings.VmSettings,
         connections: exchange.Exchange,
-    ) -> ports.WorkerOrders:
+    ) -> ports.WorkerCommands:
         """Returns the orders that the site's workers take."""
 
     def decode(
--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -43,7 +43,7 @@
         self,
         settings: vm_settings.VmSettings,
         connections: exchange.Exchange,
-    ) -> ports.WorkerOrders:
+    ) -> ports.WorkerCommands:
         """Returns the orders that the platform's runners take."""
         return runners.RunnerOrders(
             connections=connections, advice_address=settings.advice_address
--- a/citronmount/platform/runners.py
+++ b/citronmount/platform/runners.py
@@ -88,7 +88,7 @@
 
 
 class RunnerOrders:
-    """Makes the calls of `ports.WorkerOrders` at the platform's runners."""
+    """Makes the calls of `ports.WorkerCommands` at the platform's runners."""
 
     def __init__(
         self, *, connections: exchange.Exchange, advice_address: str = ""
@@ -105,7 +105,7 @@
     async def start(
         self, command: commands.Start, timeout_ms: int
     ) -> tuple[commands.StartOutcome, int | None]:
-        """Starts a task; see `ports.WorkerOrders`."""
+        """Starts a task; see `ports.WorkerCommands`."""
         body = _Start(
             task=command.task,
             run_id=command.run,
@@ -127,7 +127,7 @@
     async def stop(
         self, command: commands.Stop, timeout_ms: int
     ) -> tuple[commands.StopOutcome, int | None]:
-        """Stops a run; see `ports.WorkerOrders`."""
+        """Stops a run; see `ports.WorkerCommands`."""
         body = _Stop(
             task=command.task,
             run_id=command.run,
@@ -138,10 +138,10 @@
             return commands.StopOutcome.UNKNOWN, None
         return _stop_outcome(answer.status), _decoded(answer).clock_ms
 
-    async def hold(
+    async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
-        """Renews leases and asks what runs; see `ports.WorkerOrders`."""
+        """Renews leases and asks what runs; see `ports.WorkerCommands`."""
         body = _Hold(
             fencing_token=int(command.token),
             last_seen=command.last_seen,
@@ -158,10 +158,10 @@
         except (msgspec.DecodeError, LookupError, ValueError):
             return commands.StopOutcome.UNKNOWN
 
-    async def ask(
+    async def request_advice(
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> commands.AdviceAnswer | None:
-        """Asks a queue's policy; see `ports.WorkerOrders`."""
+        """Asks a queue's policy; see `ports.WorkerCommands`."""
         body = _Question(
             step=advice_request.step,
             workers=[worker.worker for worker in advice_request.workers],
--- a/citronmount/platform/tests/loopback_site.py
+++ b/citronmount/platform/tests/loopback_site.py
@@ -163,7 +163,7 @@
             wait_ms=said.get("wait_ms", 0),
             token=ids.FenceToken(said["fencing_token"]),
         )
-        report = await self.pool.hold(command, SILENCE_MS)
+        report = await self.pool.renew_leases(command, SILENCE_MS)
         if not isinstance(report, commands.LeaseReport):
             request.setResponseCode(409)
             return self._answer("fence")
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -77,7 +77,7 @@
 
 
 class PoolWorkers:
-    """All workers; implements `ports.WorkerOrders`.
+    """All workers; implements `ports.WorkerCommands`.
 
     Attributes:
         workers: The workers by id.
@@ -162,7 +162,7 @@
             return commands.StopOutcome.UNKNOWN, None
         return worker.stop(command), worker.now_ms()
 
-    async def ask(
+    async def request_advice(
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> commands.AdviceAnswer | None:
         """Allows the workers in `allowed` for every step."""
@@ -177,7 +177,7 @@
             valid_ms=TICKET_MS,
         )
 
-    async def hold(
+    async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
         """Renews leases and asks what runs."""
