--- a/citronmount/fleet_service/front.py
+++ b/citronmount/fleet_service/job_service.py
@@ -19,7 +19,7 @@
 from citronmount.workflow import records
 from citronmount.workflow import spec
 
-__all__ = ["Answer", "Front", "Verdict"]
+__all__ = ["JobService", "RequestOutcome", "RequestResult"]
 
 APPEND_TIMEOUT_MS = 500
 APPEND_RETRY_MS = 40
@@ -40,7 +40,7 @@
 )
 
 
-class Verdict(enum.Enum):
+class RequestOutcome(enum.Enum):
     """What became of a call that changes a job."""
 
     DONE = "done"
@@ -49,7 +49,7 @@
     UNCERTAIN = "uncertain"
 
 
-class Answer(msgspec.Struct, frozen=True, kw_only=True):
+class RequestResult(msgspec.Struct, frozen=True, kw_only=True):
     """The answer to a call that changes a job.
 
     Attributes:
@@ -57,11 +57,11 @@
         retry_after_s: When to come back, if nothing was done.
     """
 
-    verdict: Verdict
+    verdict: RequestOutcome
     retry_after_s: int = 0
 
 
-class Front:
+class JobService:
     """Answers callers from the fold of the job topic.
 
     Attributes:
@@ -113,7 +113,7 @@
         account: ids.AccountId,
         workflow: spec.Workflow,
         timeout_ms: int,
-    ) -> Answer:
+    ) -> RequestResult:
         """Accepts a job once it is durable.
 
         Args:
@@ -126,7 +126,7 @@
             DONE if the job is stored, NOT_DONE if it surely is not.
         """
         if self._job_view.state_of(workflow.job) is not None:
-            return Answer(verdict=Verdict.DONE)
+            return RequestResult(verdict=RequestOutcome.DONE)
         submission = spec.Submission(
             workflow=workflow,
             account=account,
@@ -148,7 +148,7 @@
 
     async def cancel(
         self, queue: fleet_configuration.Queue, job: ids.JobId, timeout_ms: int
-    ) -> Answer:
+    ) -> RequestResult:
         """Cancels a job once that is durable.
 
         Args:
@@ -161,9 +161,9 @@
         """
         state = await self.state(queue, job)
         if state is None:
-            return Answer(verdict=Verdict.UNKNOWN_JOB)
+            return RequestResult(verdict=RequestOutcome.UNKNOWN_JOB)
         if state in _ENDED:
-            return Answer(verdict=Verdict.DONE)
+            return RequestResult(verdict=RequestOutcome.DONE)
         answer = await self._append(records.Cancelled(job=job), timeout_ms)
         self._trace.info(
             "job_cancelled",
@@ -233,7 +233,9 @@
             return False
         return True
 
-    async def _append(self, record: records.Record, timeout_ms: int) -> Answer:
+    async def _append(
+        self, record: records.Record, timeout_ms: int
+    ) -> RequestResult:
         """Appends, again and again for a while.
 
         A second copy of a record changes nothing, so an append that got no
@@ -244,10 +246,11 @@
             (timeout_ms - ANSWER_MARGIN_MS) / _MS_PER_S
         )
         if not await self._log_answers():
-            return Answer(
-                verdict=Verdict.NOT_DONE, retry_after_s=LOG_OUTAGE_RETRY_S
+            return RequestResult(
+                verdict=RequestOutcome.NOT_DONE,
+                retry_after_s=LOG_OUTAGE_RETRY_S,
             )
-        verdict = Verdict.NOT_DONE
+        verdict = RequestOutcome.NOT_DONE
         for attempt in range(_MAX_APPENDS):
             left_ms = int((end_s - self._clock.seconds()) * _MS_PER_S)
             if left_ms < SHORTEST_APPEND_MS:
@@ -255,18 +258,21 @@
             limit_ms = min(APPEND_TIMEOUT_MS, left_ms)
             try:
                 offset = await self._log.append([entry], limit_ms)
-            except ports.NotDoneError:
-                if verdict is Verdict.NOT_DONE and attempt >= _NOT_DONE_TRIES:
+            except ports.CallRefusedError:
+                if (
+                    verdict is RequestOutcome.NOT_DONE
+                    and attempt >= _NOT_DONE_TRIES
+                ):
                     break
             except errors.UnreachableError:
-                if verdict is not Verdict.UNCERTAIN:
+                if verdict is not RequestOutcome.UNCERTAIN:
                     limit_s = UNCERTAIN_LIMIT_MS / _MS_PER_S
                     end_s = min(end_s, self._clock.seconds() + limit_s)
-                verdict = Verdict.UNCERTAIN
+                verdict = RequestOutcome.UNCERTAIN
             else:
                 self._contact.answered()
                 if self._job_view.apply(offset, record):
                     self._on_change()
-                return Answer(verdict=Verdict.DONE)
+                return RequestResult(verdict=RequestOutcome.DONE)
             await task.deferLater(self._clock, APPEND_RETRY_MS / _MS_PER_S)
-        return Answer(verdict=verdict, retry_after_s=LOG_OUTAGE_RETRY_S)
+        return RequestResult(verdict=verdict, retry_after_s=LOG_OUTAGE_RETRY_S)
--- a/citronmount/fleet_service/log_tail.py
+++ b/citronmount/fleet_service/log_tail.py
@@ -100,7 +100,7 @@
 
         Raises:
             UnreachableError: The log did not answer.
-            HistoryLostError: The records expired; the loop reads anew.
+            LogTruncatedError: The records expired; the loop reads anew.
         """
         if self.position is None:
             await self._read_snapshot()
@@ -114,7 +114,7 @@
         while not self._stopped:
             try:
                 await self._read_once()
-            except ports.HistoryLostError:
+            except ports.LogTruncatedError:
                 self._trace.warning("history_lost", position=self.position)
                 self.position = None
             except errors.UnreachableError as error:
@@ -141,7 +141,7 @@
         )
         self._take(page)
 
-    async def _read_now(self, timeout_ms: int) -> ports.Page:
+    async def _read_now(self, timeout_ms: int) -> ports.LogPage:
         """Reads what is there, without waiting for more."""
         began_s = self._clock.seconds()
         page = await self._log.read(self._topic, self.position, 0, timeout_ms)
@@ -156,7 +156,7 @@
         self.position = snapshot.end_offset
         self._on_snapshot(snapshot.records)
 
-    def _take(self, page: ports.Page) -> None:
+    def _take(self, page: ports.LogPage) -> None:
         self._contact.answered()
         fresh = [
             record
--- a/citronmount/fleet_service/owner_loop.py
+++ b/citronmount/fleet_service/owner_loop.py
@@ -59,7 +59,7 @@
         *,
         clock: interfaces.IReactorTime,
         log: ports.Log,
-        worker_orders: ports.WorkerCommands,
+        worker_commands: ports.WorkerCommands,
         job_view: job_views.JobView,
         jobs: log_tail.LogTail,
         workers: log_tail.LogTail,
@@ -74,7 +74,7 @@
         Args:
             clock: The reactor.
             log: The log.
-            worker_orders: The workers.
+            worker_commands: The workers.
             job_view: The fold of the job topic.
             jobs: The tail that feeds the book.
             workers: The tail that feeds the directory.
@@ -87,7 +87,7 @@
         self.active = False
         self._clock = clock
         self._log = log
-        self._worker_orders = worker_orders
+        self._worker_commands = worker_commands
         self._job_view = job_view
         self._jobs = jobs
         self._workers = workers
@@ -321,7 +321,7 @@
         self, owner: pool_owner.PoolOwner, command: commands.Start
     ) -> None:
         number = min(command.attempt, len(START_TIMEOUTS_MS))
-        outcome, clock_ms = await self._worker_orders.start(
+        outcome, clock_ms = await self._worker_commands.start(
             command, START_TIMEOUTS_MS[number - 1]
         )
         owner.reports.start_answered(command, outcome, clock_ms, self._now_ms())
@@ -330,7 +330,7 @@
     async def _stop(
         self, owner: pool_owner.PoolOwner, command: commands.Stop
     ) -> None:
-        outcome, clock_ms = await self._worker_orders.stop(
+        outcome, clock_ms = await self._worker_commands.stop(
             command, STOP_TIMEOUT_MS
         )
         owner.reports.stop_answered(command, outcome, clock_ms, self._now_ms())
@@ -339,7 +339,7 @@
     async def _ask(
         self, owner: pool_owner.PoolOwner, command: commands.RequestAdvice
     ) -> None:
-        answer = await self._worker_orders.request_advice(
+        answer = await self._worker_commands.request_advice(
             command, ADVICE_TIMEOUT_MS
         )
         owner.reports.advice_answered(command, answer, self._now_ms())
@@ -349,7 +349,7 @@
         self, owner: pool_owner.PoolOwner, command: commands.RenewLeases
     ) -> None:
         sent_ms = self._now_ms()
-        answer = await self._worker_orders.renew_leases(
+        answer = await self._worker_commands.renew_leases(
             command, command.wait_ms + HOLD_MARGIN_MS
         )
         if isinstance(answer, commands.LeaseReport):
--- a/citronmount/fleet_service/node.py
+++ b/citronmount/fleet_service/pool_vm.py
@@ -14,14 +14,14 @@
 from citronmount.fleet import worker_directory
 from citronmount.fleet_service import candidacy
 from citronmount.fleet_service import contact as contact_lib
-from citronmount.fleet_service import front as front_lib
+from citronmount.fleet_service import job_service
 from citronmount.fleet_service import log_tail
 from citronmount.fleet_service import owner_loop
 from citronmount.fleet_service import ports
 from citronmount.workflow import job_views
 from citronmount.workflow import records
 
-__all__ = ["Node"]
+__all__ = ["PoolVm"]
 
 LOG_SILENCE_LIMIT_MS = 1_000
 WORKERS_PACE_MS = 400
@@ -29,11 +29,11 @@
 Decode = Callable[[ports.Topic, ports.LogRecord], ports.LogEvent | None]
 
 
-class Node:
+class PoolVm:
     """The parts of one VM.
 
     Attributes:
-        front: Answers callers.
+        job_service: Handles the calls about jobs.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         *,
         clock: interfaces.IReactorTime,
         log: ports.Log,
-        worker_orders: ports.WorkerCommands,
+        worker_commands: ports.WorkerCommands,
         decode: Decode,
         bounds: fleet_configuration.Bounds,
         policy: lease_sessions.LeasePolicy,
@@ -53,7 +53,7 @@
         Args:
             clock: The reactor.
             log: The log.
-            worker_orders: The workers.
+            worker_commands: The workers.
             decode: Makes an event of a record of the site.
             bounds: Times that the site sets.
             policy: How leases are renewed.
@@ -93,7 +93,7 @@
             on_records=self._change_workers,
             pace_ms=WORKERS_PACE_MS,
         )
-        self.front = front_lib.Front(
+        self.job_service = job_service.JobService(
             clock=clock,
             log=log,
             job_view=self._job_view,
@@ -105,7 +105,7 @@
         self._owner = owner_loop.OwnerLoop(
             clock=clock,
             log=log,
-            worker_orders=worker_orders,
+            worker_commands=worker_commands,
             job_view=self._job_view,
             jobs=self._jobs,
             workers=self._workers,
@@ -135,7 +135,7 @@
         """Whether the VM should get new connections."""
         silent_ms = self._contact.silent_ms()
         in_touch = silent_ms < LOG_SILENCE_LIMIT_MS or not self._contact.lost
-        return self.front.ready and in_touch and not self._draining
+        return self.job_service.ready and in_touch and not self._draining
 
     @property
     def owns_pool(self) -> bool:
@@ -205,7 +205,7 @@
             match event:
                 case ports.ConfigurationChanged(configuration=fresh):
                     self._put_in_force(fresh)
-                case ports.DomainSwitched(domain=domain, out=out):
+                case ports.DomainServiceChanged(domain=domain, out=out):
                     self._directory.set_domain_out_of_service(domain, out)
                     self._trace.info("domain_switched", domain=domain, out=out)
         self._owner.notice()
@@ -213,7 +213,7 @@
     def _put_in_force(
         self, fresh: fleet_configuration.FleetConfiguration
     ) -> None:
-        before = self.front.configuration
+        before = self.job_service.configuration
         if before is not None and before.version > fresh.version:
             self._trace.warning(
                 "older_configuration_ignored",
@@ -221,7 +221,7 @@
                 in_force=before.version,
             )
             return
-        self.front.configuration = fresh
+        self.job_service.configuration = fresh
         self._owner.configure(fresh.accounts)
         self._trace.info("configuration_in_force", version=fresh.version)
 
--- a/citronmount/fleet_service/ports.py
+++ b/citronmount/fleet_service/ports.py
@@ -16,18 +16,18 @@
 
 __all__ = [
     "ConfigurationChanged",
-    "DomainSwitched",
+    "DomainServiceChanged",
     "FencedError",
-    "HistoryLostError",
+    "LogTruncatedError",
     "Log",
     "LogEvent",
     "LogRecord",
     "Membership",
-    "NotDoneError",
-    "Page",
+    "CallRefusedError",
+    "LogPage",
     "Snapshot",
     "Topic",
-    "UnansweredError",
+    "UnknownOutcomeError",
     "WorkerChanged",
     "WorkerCommands",
 ]
@@ -41,11 +41,11 @@
     WORKERS = "workers"
 
 
-class NotDoneError(errors.UnreachableError):
+class CallRefusedError(errors.UnreachableError):
     """The log refused a call, which therefore had no effect."""
 
 
-class UnansweredError(errors.UnreachableError):
+class UnknownOutcomeError(errors.UnreachableError):
     """A call got no answer and may have had its effect."""
 
 
@@ -66,7 +66,7 @@
         self.epoch = epoch
 
 
-class HistoryLostError(errors.CitronmountError):
+class LogTruncatedError(errors.CitronmountError):
     """The log no longer has the records that a reader wants."""
 
     def __init__(self) -> None:
@@ -91,7 +91,7 @@
     offset: int
 
 
-class Page(msgspec.Struct, frozen=True, kw_only=True):
+class LogPage(msgspec.Struct, frozen=True, kw_only=True):
     """Records from one offset on.
 
     Attributes:
@@ -142,7 +142,7 @@
     configuration: fleet_configuration.FleetConfiguration
 
 
-class DomainSwitched(msgspec.Struct, frozen=True, kw_only=True):
+class DomainServiceChanged(msgspec.Struct, frozen=True, kw_only=True):
     """Operators took a failure domain out of service or back.
 
     Attributes:
@@ -166,7 +166,7 @@
     entry: worker_directory.Worker | None
 
 
-LogEvent = ConfigurationChanged | DomainSwitched | WorkerChanged
+LogEvent = ConfigurationChanged | DomainServiceChanged | WorkerChanged
 
 
 class Log(typing.Protocol):
@@ -202,7 +202,7 @@
 
     def read(
         self, topic: Topic, offset: int, wait_ms: int, timeout_ms: int
-    ) -> defer.Deferred[Page]:
+    ) -> defer.Deferred[LogPage]:
         """Reads records, waiting for the first if there is none yet."""
 
     def snapshot(
--- a/citronmount/fleet_service/tests/pool.py
+++ b/citronmount/fleet_service/tests/pool_fixture.py
@@ -14,8 +14,8 @@
 from citronmount.fleet import fleet_configuration
 from citronmount.fleet import lease_sessions
 from citronmount.fleet import worker_directory
-from citronmount.fleet_service import front
-from citronmount.fleet_service import node as node_lib
+from citronmount.fleet_service import job_service
+from citronmount.fleet_service import pool_vm
 from citronmount.fleet_service import ports
 from citronmount.fleet_service.tests import heap_clock
 from citronmount.standins import pool_log
@@ -28,7 +28,7 @@
 STEP_S = 0.005
 
 
-def queue(
+def make_queue(
     name: str = "batch",
     priority: int = 1,
     max_attempts: int = 3,
@@ -51,7 +51,7 @@
     )
 
 
-def one_task(accelerators: int = 1, **options: object) -> spec.Step:
+def make_step(accelerators: int = 1, **options: object) -> spec.Step:
     demand = spec.Demand(
         millicores=1_000 * accelerators,
         memory_mb=1_000,
@@ -61,10 +61,10 @@
     return spec.Step(demand=demand, **options)
 
 
-class PoolCase(unittest.TestCase):
+class PoolTestCase(unittest.TestCase):
     """A pool of three VMs and some workers, driven by a virtual clock."""
 
-    vms = 3
+    vm_count = 3
     workers_per_rack = 2
     racks = 2
 
@@ -77,7 +77,7 @@
         self.wall_ahead_ms = 1_000_000
         self.log = pool_log.PoolLog(clock=self.clock)
         self.plans: dict[str, pool_workers.TaskPlan] = {}
-        self.pool = pool_workers.PoolWorkers(
+        self.pool_workers = pool_workers.PoolWorkers(
             clock=self.clock, plans=self.plan_of
         )
         self.steps: dict[tuple[str, int], spec.Step] = {}
@@ -88,23 +88,23 @@
             False
         )
         self.entries: dict[str, bytes] = {}
-        self.guaranteed: dict[str, int] = {}
+        self.guaranteed_accelerators: dict[str, int] = {}
         for rack in range(self.racks):
             for number in range(self.workers_per_rack):
                 self.add_worker(f"w{rack}{number}", rack=f"rack{rack}")
-        self.nodes = [self.make_node(n) for n in range(self.vms)]
-        self.configure()
+        self.pool_vms = [self.make_vm(n) for n in range(self.vm_count)]
+        self.publish_configuration()
         self.run_for(3.0)
 
     def tearDown(self) -> None:
-        self.assertEqual([], self.pool.broken)
+        self.assertEqual([], self.pool_workers.broken)
 
-    def make_node(self, number: int, capable: bool = True) -> node_lib.Node:
+    def make_vm(self, number: int, capable: bool = True) -> pool_vm.PoolVm:
         vm = ids.VmId(f"vm{number}")
-        node = node_lib.Node(
+        node = pool_vm.PoolVm(
             clock=self.clock,
             log=pool_log.PoolLogClient(log=self.log, vm=vm),
-            worker_orders=self.pool,
+            worker_commands=self.pool_workers,
             decode=self.decode,
             bounds=fleet_configuration.Bounds(max_lease_ms=6_000),
             policy=lease_sessions.LeasePolicy(
@@ -135,7 +135,7 @@
             rack=ids.RackId(rack),
         )
         entry = msgspec.structs.replace(entry, **changes)
-        worker = self.pool.add(entry)
+        worker = self.pool_workers.add(entry)
         self.publish(entry)
         return worker
 
@@ -150,7 +150,7 @@
     def remove_entry(self, name: str) -> None:
         self.log.write(ports.Topic.WORKERS, [(name, None)])
 
-    def configure(
+    def publish_configuration(
         self, *more: fleet_configuration.Queue, version: int = 1
     ) -> None:
         accounts = tuple(
@@ -159,11 +159,11 @@
                 keys=frozenset({f"key-{name}"}),
                 guaranteed_accelerators=count,
             )
-            for name, count in self.guaranteed.items()
+            for name, count in self.guaranteed_accelerators.items()
         )
         self.configuration = fleet_configuration.FleetConfiguration(
             version=version,
-            queues=(queue(), queue("urgent", priority=0), *more),
+            queues=(make_queue(), make_queue("urgent", priority=0), *more),
             accounts=accounts,
         )
         self.log.write(ports.Topic.CONFIGURATION, [("config", b"x")])
@@ -173,7 +173,7 @@
     ) -> ports.LogEvent | None:
         if topic is ports.Topic.CONFIGURATION:
             if record.key.startswith("out/"):
-                return ports.DomainSwitched(
+                return ports.DomainServiceChanged(
                     domain=ids.FailureDomainId(record.key[4:]),
                     out=record.value is not None,
                 )
@@ -216,7 +216,7 @@
         account: str = "acme",
         at: int = 0,
         **options: int,
-    ) -> front.Verdict:
+    ) -> job_service.RequestOutcome:
         for number, step in enumerate(steps):
             self.steps[job, number] = step
         workflow = spec.Workflow(
@@ -224,13 +224,13 @@
         )
         queues = self.configuration.queues
         chosen = next(q for q in queues if q.terms.queue == to)
-        call = self.nodes[at].front.submit(
+        call = self.pool_vms[at].job_service.submit(
             chosen, ids.AccountId(account), workflow, 3_000
         )
         return self.wait_for(defer.ensureDeferred(call)).verdict
 
-    def cancel(self, job: str, at: int = 0) -> front.Verdict:
-        call = self.nodes[at].front.cancel(
+    def cancel(self, job: str, at: int = 0) -> job_service.RequestOutcome:
+        call = self.pool_vms[at].job_service.cancel(
             self.configuration.queues[0], ids.JobId(job), 3_000
         )
         return self.wait_for(defer.ensureDeferred(call)).verdict
@@ -238,15 +238,17 @@
     def state(
         self, job: str, at: int = 0, to: int = 0
     ) -> states.JobState | None:
-        call = self.nodes[at].front.state(
+        call = self.pool_vms[at].job_service.state(
             self.configuration.queues[to], ids.JobId(job)
         )
         return self.wait_for(defer.ensureDeferred(call))
 
     def owner(self) -> int:
-        active = [n for n, node in enumerate(self.nodes) if node.owns_pool]
+        active = [n for n, node in enumerate(self.pool_vms) if node.owns_pool]
         self.assertEqual(1, len(active), "one VM owns the pool")
         return active[0]
 
     def started(self, job: str) -> list[tuple[str, int, str]]:
-        return [each for each in self.pool.starts if each[0].startswith(job)]
+        return [
+            each for each in self.pool_workers.starts if each[0].startswith(job)
+        ]
--- a/citronmount/fleet_service/tests/test_big_pool.py
+++ b/citronmount/fleet_service/tests/test_big_pool.py
@@ -2,19 +2,20 @@
 
 from citronmount.core import states
 from citronmount.fleet import worker_sessions
-from citronmount.fleet_service.tests import pool
+from citronmount.fleet_service.tests import pool_fixture
 from citronmount.standins import pool_workers
 
 
-class BigPoolTest(pool.PoolCase):
+class BigPoolTest(pool_fixture.PoolTestCase):
     workers_per_rack = 20
     racks = 8
 
     def test_new_owner_asks_idle_workers_a_few_at_a_time(self) -> None:
         self.assertLessEqual(
-            self.pool.most_open_holds, worker_sessions.MAX_FIRST_RENEWALS
+            self.pool_workers.most_open_holds,
+            worker_sessions.MAX_FIRST_RENEWALS,
         )
-        gang = pool.one_task(tasks=160, accelerators=8, gang=True)
+        gang = pool_fixture.make_step(tasks=160, accelerators=8, gang=True)
         self.submit("all", gang)
         self.run_for(0.3)
         self.assertEqual(160, len(self.started("all")))
@@ -24,24 +25,24 @@
     ) -> None:
         cut = [
             worker
-            for name, worker in self.pool.workers.items()
+            for name, worker in self.pool_workers.workers.items()
             if name[1] in "012"
         ]
         for worker in cut:
             worker.fault = pool_workers.WorkerFault.SILENT
         number = self.owner()
-        defer.ensureDeferred(self.nodes[number].give_up())
+        defer.ensureDeferred(self.pool_vms[number].give_up())
         self.run_for(0.8)
-        gang = pool.one_task(tasks=100, accelerators=8, gang=True)
-        self.submit("rest", gang, at=(number + 1) % self.vms)
+        gang = pool_fixture.make_step(tasks=100, accelerators=8, gang=True)
+        self.submit("rest", gang, at=(number + 1) % self.vm_count)
         self.run_for(0.2)
         self.assertEqual(100, len(self.started("rest")))
 
     def test_wide_steps_and_gangs_on_a_big_pool_all_complete(self) -> None:
         self.run_time_ms = lambda task, run: 2_000 + 97 * len(task) % 900
         for number in range(24):
-            wide = pool.one_task(tasks=39, estimate_ms=3_000)
-            gang = pool.one_task(
+            wide = pool_fixture.make_step(tasks=39, estimate_ms=3_000)
+            gang = pool_fixture.make_step(
                 tasks=13, gang=True, one_rack=True, accelerators=4
             )
             self.submit(f"wide{number}", wide)
@@ -52,4 +53,4 @@
         self.assertEqual(
             {states.JobState.DONE}, {self.state(job) for job in jobs}
         )
-        self.assertEqual(24 * (39 + 13), len(self.pool.starts))
+        self.assertEqual(24 * (39 + 13), len(self.pool_workers.starts))
--- a/citronmount/fleet_service/tests/test_silent_workers.py
+++ b/citronmount/fleet_service/tests/test_silent_workers.py
@@ -1,15 +1,15 @@
 from citronmount.core import states
-from citronmount.fleet_service.tests import pool
+from citronmount.fleet_service.tests import pool_fixture
 from citronmount.standins import pool_workers
 
 DONE = states.JobState.DONE
 
 
-class SilentWorkerTest(pool.PoolCase):
+class SilentWorkerTest(pool_fixture.PoolTestCase):
     def set_fault(
         self, fault: pool_workers.WorkerFault, prefix: str = ""
     ) -> None:
-        for name, worker in self.pool.workers.items():
+        for name, worker in self.pool_workers.workers.items():
             if name.startswith(prefix):
                 worker.fault = fault
 
@@ -19,11 +19,15 @@
         self.run_time_ms = lambda task, run: 30_000
         self.submit(
             "busy",
-            pool.one_task(tasks=4, max_tasks_per_worker=1, estimate_ms=30_000),
+            pool_fixture.make_step(
+                tasks=4, max_tasks_per_worker=1, estimate_ms=30_000
+            ),
         )
         self.run_for(0.5)
         self.set_fault(pool_workers.WorkerFault.SILENT, "w00")
-        self.submit("j", pool.one_task(tasks=4, accelerators=7, gang=True))
+        self.submit(
+            "j", pool_fixture.make_step(tasks=4, accelerators=7, gang=True)
+        )
         self.run_for(3.0)
         self.set_fault(pool_workers.WorkerFault.NONE)
         self.run_for(1.0)
@@ -32,12 +36,12 @@
 
     def test_busy_worker_that_fell_silent_gets_no_new_work(self) -> None:
         self.run_time_ms = lambda task, run: 30_000
-        self.submit("busy", pool.one_task())
+        self.submit("busy", pool_fixture.make_step())
         self.run_for(0.5)
         silent = self.started("busy")[0][2]
         self.set_fault(pool_workers.WorkerFault.SILENT, silent)
         self.run_for(2.0)
-        self.submit("j", pool.one_task(tasks=2))
+        self.submit("j", pool_fixture.make_step(tasks=2))
         self.run_for(0.3)
         self.assertEqual(2, len(self.started("j")))
 
@@ -50,12 +54,14 @@
         self.run_for(0.5)
         self.run_time_ms = lambda task, run: 30_000
         near = {"data_rack": "rack0", "max_tasks_per_worker": 1}
-        self.submit("busy", pool.one_task(tasks=3, **near))
+        self.submit("busy", pool_fixture.make_step(tasks=3, **near))
         self.run_for(0.5)
         self.assertEqual(3, len(self.started("busy")))
         self.set_fault(pool_workers.WorkerFault.SILENT, "w0")
         self.run_for(2.0)
-        gang = pool.one_task(tasks=2, accelerators=8, gang=True, one_rack=True)
+        gang = pool_fixture.make_step(
+            tasks=2, accelerators=8, gang=True, one_rack=True
+        )
         self.submit("j", gang)
         self.run_for(0.3)
         racks = {worker[:2] for _, _, worker in self.started("j")}
@@ -65,11 +71,13 @@
         self,
     ) -> None:
         self.run_time_ms = lambda task, run: 30_000
-        self.submit("busy", pool.one_task(data_rack="rack0"))
+        self.submit("busy", pool_fixture.make_step(data_rack="rack0"))
         self.run_for(0.5)
         silent = self.started("busy")[0][2]
         self.set_fault(pool_workers.WorkerFault.SILENT, silent)
         self.run_for(2.0)
-        self.submit("j", pool.one_task(accelerators=8, data_rack="rack0"))
+        self.submit(
+            "j", pool_fixture.make_step(accelerators=8, data_rack="rack0")
+        )
         self.run_for(0.3)
         self.assertEqual(1, len(self.started("j")))
--- a/citronmount/fleet_service/tests/test_slow_members.py
+++ b/citronmount/fleet_service/tests/test_slow_members.py
@@ -1,22 +1,22 @@
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.fleet_service.tests import pool
+from citronmount.fleet_service.tests import pool_fixture
 
 DONE = states.JobState.DONE
 
 
-class SlowMemberTest(pool.PoolCase):
+class SlowMemberTest(pool_fixture.PoolTestCase):
     workers_per_rack = 3
 
     def setUp(self) -> None:
         super().setUp()
         self.run_time_ms = lambda task, run: 2_500
-        self.gang = pool.one_task(
+        self.gang = pool_fixture.make_step(
             tasks=4, accelerators=8, gang=True, estimate_ms=2_500
         )
 
     def slow(self, name: str, factor: float) -> None:
-        self.pool.workers[ids.WorkerId(name)].slowdown = factor
+        self.pool_workers.workers[ids.WorkerId(name)].slowdown = factor
 
     def test_gang_leaves_a_worker_that_holds_it_up(self) -> None:
         self.slow("w00", 6.0)
--- a/citronmount/fleet_service/tests/test_worker_speeds.py
+++ b/citronmount/fleet_service/tests/test_worker_speeds.py
@@ -1,15 +1,15 @@
 from twisted.internet import defer
 
 from citronmount.core import ids
-from citronmount.fleet_service.tests import pool
+from citronmount.fleet_service.tests import pool_fixture
 
 
-class WorkerSpeedsTest(pool.PoolCase):
+class WorkerSpeedsTest(pool_fixture.PoolTestCase):
     workers_per_rack = 4
 
     def replace_owner(self) -> None:
         number = self.owner()
-        stopped = defer.ensureDeferred(self.nodes[number].give_up())
+        stopped = defer.ensureDeferred(self.pool_vms[number].give_up())
         self.wait_for(stopped)
         self.run_for(1.0)
         self.assertNotEqual(number, self.owner())
@@ -19,19 +19,19 @@
     ) -> None:
         slow = {"w00", "w02", "w11"}
         for name in slow:
-            self.pool.workers[ids.WorkerId(name)].slowdown = 1.3
-        tight = pool.queue("tight", priority=0, slack_factor=1.5)
-        self.configure(tight, version=2)
+            self.pool_workers.workers[ids.WorkerId(name)].slowdown = 1.3
+        tight = pool_fixture.make_queue("tight", priority=0, slack_factor=1.5)
+        self.publish_configuration(tight, version=2)
         self.run_for(0.5)
         self.run_time_ms = lambda task, run: 2_500
-        wide = pool.one_task(
+        wide = pool_fixture.make_step(
             tasks=8, accelerators=8, gang=True, estimate_ms=2_500
         )
         for number in range(3):
             self.submit(f"wide{number}", wide)
             self.run_for(4.0)
         self.replace_owner()
-        gang = pool.one_task(
+        gang = pool_fixture.make_step(
             tasks=5, accelerators=8, gang=True, estimate_ms=2_500
         )
         self.submit("j", gang, to="tight")
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -20,9 +20,9 @@
 from twisted.web import server
 
 from citronmount.fleet import lease_sessions
-from citronmount.fleet_service import front as front_lib
-from citronmount.fleet_service import node as node_lib
+from citronmount.fleet_service import job_service
 from citronmount.fleet_service import pages
+from citronmount.fleet_service import pool_vm
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import reloading
 from citronmount.fleet_service import vm_settings
@@ -81,7 +81,7 @@
     ) -> ports.Log:
         """Returns the site's log."""
 
-    def worker_orders(
+    def worker_commands(
         self,
         settings: vm_settings.VmSettings,
         connections: exchange.Exchange,
@@ -93,7 +93,7 @@
     ) -> ports.LogEvent | None:
         """Decodes a record of the operators or the workers."""
 
-    def api(self, front: front_lib.Front) -> Api:
+    def api(self, service: job_service.JobService) -> Api:
         """Returns the interface for callers."""
 
 
@@ -128,7 +128,7 @@
     )
     metrics.gauge("owns_pool", lambda: node.owns_pool)
     metrics.gauge("ready", lambda: node.ready)
-    api = adapter.api(node.front)
+    api = adapter.api(node.job_service)
     terminated: defer.Deferred[None] = defer.Deferred()
     _on_signals(reactor, terminated, reloader)
     async with closing.ClosingStack() as stack:
@@ -169,17 +169,17 @@
     settings: vm_settings.VmSettings,
     http: exchange.Exchange,
     log: ports.Log,
-) -> node_lib.Node:
+) -> pool_vm.PoolVm:
     lease_ms = min(LEASE_MS, settings.bounds.max_lease_ms - LEASE_MARGIN_MS)
     policy = lease_sessions.LeasePolicy(
         lease_ms=lease_ms,
         max_lease_ms=settings.bounds.max_lease_ms,
         stop_ms=settings.bounds.stop_ms,
     )
-    return node_lib.Node(
+    return pool_vm.PoolVm(
         clock=reactor,
         log=log,
-        worker_orders=adapter.worker_orders(settings, http),
+        worker_commands=adapter.worker_commands(settings, http),
         decode=adapter.decode,
         bounds=settings.bounds,
         policy=policy,
--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -5,7 +5,7 @@
 
 import click
 
-from citronmount.fleet_service import front as front_lib
+from citronmount.fleet_service import job_service
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import vm_process
 from citronmount.fleet_service import vm_settings
@@ -39,7 +39,7 @@
             member=member,
         )
 
-    def worker_orders(
+    def worker_commands(
         self,
         settings: vm_settings.VmSettings,
         connections: exchange.Exchange,
@@ -55,9 +55,9 @@
         """Decodes a record of the operators or the runners."""
         return entries.decode(topic, record)
 
-    def api(self, front: front_lib.Front) -> vm_process.Api:
+    def api(self, service: job_service.JobService) -> vm_process.Api:
         """Returns the interface that the platform's clients call."""
-        return job_api.JobApi(front=front)
+        return job_api.JobApi(front=service)
 
 
 def check(path: str) -> int:
--- a/citronmount/platform/entries.py
+++ b/citronmount/platform/entries.py
@@ -90,7 +90,7 @@
         return _configuration(record.value, record.offset)
     if record.key.startswith(_OUT_OF_SERVICE_PREFIX):
         domain = record.key.removeprefix(_OUT_OF_SERVICE_PREFIX)
-        return ports.DomainSwitched(
+        return ports.DomainServiceChanged(
             domain=ids.FailureDomainId(domain), out=record.value is not None
         )
     if record.key.startswith(_WAVE_PREFIX):
--- a/citronmount/platform/framing.py
+++ b/citronmount/platform/framing.py
@@ -39,7 +39,7 @@
     return _LENGTH.pack(len(content)) + content
 
 
-def decode_page(body: bytes, first: int) -> ports.Page:
+def decode_page(body: bytes, first: int) -> ports.LogPage:
     """Decodes the answer to a read.
 
     Args:
@@ -57,7 +57,7 @@
         records = _decode_records(body, first)
     except (struct.error, IndexError) as error:
         raise BadPageError(f"page from {first}: {error}") from error
-    return ports.Page(
+    return ports.LogPage(
         records=tuple(records),
         next_offset=first + len(records),
         end_offset=end,
--- a/citronmount/platform/job_api.py
+++ b/citronmount/platform/job_api.py
@@ -11,7 +11,7 @@
 from citronmount.core import errors
 from citronmount.core import ids
 from citronmount.fleet import fleet_configuration
-from citronmount.fleet_service import front as front_lib
+from citronmount.fleet_service import job_service
 from citronmount.platform import job_bodies
 
 __all__ = ["JobApi", "close_after_answer"]
@@ -24,10 +24,10 @@
 _MS_PER_S = 1_000
 
 _STATUSES = {
-    front_lib.Verdict.DONE: http.OK,
-    front_lib.Verdict.UNKNOWN_JOB: http.GONE,
-    front_lib.Verdict.NOT_DONE: http.SERVICE_UNAVAILABLE,
-    front_lib.Verdict.UNCERTAIN: http.GATEWAY_TIMEOUT,
+    job_service.RequestOutcome.DONE: http.OK,
+    job_service.RequestOutcome.UNKNOWN_JOB: http.GONE,
+    job_service.RequestOutcome.NOT_DONE: http.SERVICE_UNAVAILABLE,
+    job_service.RequestOutcome.UNCERTAIN: http.GATEWAY_TIMEOUT,
 }
 
 
@@ -40,7 +40,7 @@
 
     app = klein.Klein()
 
-    def __init__(self, *, front: front_lib.Front) -> None:
+    def __init__(self, *, front: job_service.JobService) -> None:
         """Initializes the interface.
 
         Args:
@@ -197,9 +197,9 @@
     return min(int(text), queue.timeout_ms)
 
 
-def _answer(request: iweb.IRequest, answer: front_lib.Answer) -> bytes:
+def _answer(request: iweb.IRequest, answer: job_service.RequestResult) -> bytes:
     request.setResponseCode(_STATUSES[answer.verdict])
-    if answer.verdict is front_lib.Verdict.NOT_DONE:
+    if answer.verdict is job_service.RequestOutcome.NOT_DONE:
         request.setHeader("retry-after", str(answer.retry_after_s))
     return b"{}"
 
--- a/citronmount/platform/log.py
+++ b/citronmount/platform/log.py
@@ -129,7 +129,7 @@
 
     async def read(
         self, topic: ports.Topic, offset: int, wait_ms: int, timeout_ms: int
-    ) -> ports.Page:
+    ) -> ports.LogPage:
         """Reads records; see `ports.Log`."""
         query = {
             **_place(topic),
@@ -139,7 +139,7 @@
         }
         answer = await self._call("GET", "/-/log-read", query, timeout_ms)
         if answer.status == http.HTTPStatus.GONE:
-            raise ports.HistoryLostError
+            raise ports.LogTruncatedError
         return framing.decode_page(_checked(answer).body, offset)
 
     async def snapshot(
@@ -225,7 +225,11 @@
                 body=body,
             )
         except exchange.NoAnswerError as error:
-            kind = ports.UnansweredError if error.sent else ports.NotDoneError
+            kind = (
+                ports.UnknownOutcomeError
+                if error.sent
+                else ports.CallRefusedError
+            )
             raise kind(f"{path}: {error}", code=error.code) from error
 
 
@@ -245,7 +249,7 @@
     if answer.status == http.HTTPStatus.OK:
         return answer
     nothing_done = answer.status in _NOTHING_DONE
-    kind = ports.NotDoneError if nothing_done else ports.UnansweredError
+    kind = ports.CallRefusedError if nothing_done else ports.UnknownOutcomeError
     raise kind(
         f"HTTP status {answer.status}", code=codes.ResultCode.UNREACHABLE
     )
--- a/citronmount/platform/tests/test_job_api.py
+++ b/citronmount/platform/tests/test_job_api.py
@@ -6,7 +6,7 @@
 from twisted.internet import defer
 
 from citronmount.core import ids
-from citronmount.fleet_service.tests import pool
+from citronmount.fleet_service.tests import pool_fixture
 from citronmount.platform import job_api
 from citronmount.standins import pool_log
 
@@ -15,15 +15,15 @@
 KEY = {"X-Api-Key": "key-acme"}
 
 
-class JobApiTest(pool.PoolCase):
+class JobApiTest(pool_fixture.PoolTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.guaranteed = {"acme": 4}
-        self.configure(version=2)
+        self.guaranteed_accelerators = {"acme": 4}
+        self.publish_configuration(version=2)
         self.run_for(0.5)
         self.run_time_ms = lambda task, run: 1_000
-        self.steps[JOB, 0] = pool.one_task()
-        api = job_api.JobApi(front=self.nodes[1].front)
+        self.steps[JOB, 0] = pool_fixture.make_step()
+        api = job_api.JobApi(front=self.pool_vms[1].job_service)
         self.http = treq.testing.StubTreq(api.app.resource())
 
     def call(
@@ -47,7 +47,7 @@
         for _ in range(800):
             if results:
                 break
-            self.clock.advance(pool.STEP_S)
+            self.clock.advance(pool_fixture.STEP_S)
             self.http.flush()
         self.assertTrue(results, "no answer")
         return results[0]
@@ -80,7 +80,7 @@
             with self.subTest(method=method, path=where, status=status):
                 code, _ = self.call(method, where, body, headers)
                 self.assertEqual(status, code)
-        self.assertEqual([], self.pool.starts)
+        self.assertEqual([], self.pool_workers.starts)
 
     def test_refusal_while_the_log_refuses_says_when_to_come_back(
         self,
@@ -100,7 +100,7 @@
         self.assertFalse(channel.persistent)
 
     def test_vm_without_configuration_refuses(self) -> None:
-        self.nodes[1].front.configuration = None
+        self.pool_vms[1].job_service.configuration = None
         self.assertEqual(503, self.call("POST", f"/batch/{JOB}", BODY)[0])
 
 
--- a/citronmount/standins/pool_log.py
+++ b/citronmount/standins/pool_log.py
@@ -84,17 +84,17 @@
         """Drops the history of a topic; the newest of each key stays."""
         self._first[topic] = len(self.topics[topic])
 
-    def page(self, topic: ports.Topic, offset: int) -> ports.Page:
+    def page(self, topic: ports.Topic, offset: int) -> ports.LogPage:
         """Returns the records from an offset on.
 
         Raises:
-            HistoryLostError: They expired.
+            LogTruncatedError: They expired.
         """
         if offset < self._first[topic]:
-            raise ports.HistoryLostError
+            raise ports.LogTruncatedError
         records = tuple(self.topics[topic][offset:])
         end = len(self.topics[topic])
-        return ports.Page(records=records, next_offset=end, end_offset=end)
+        return ports.LogPage(records=records, next_offset=end, end_offset=end)
 
     def newest(self, topic: ports.Topic) -> ports.Snapshot:
         """Returns the newest record of each key."""
@@ -218,7 +218,7 @@
 
     async def read(
         self, topic: ports.Topic, offset: int, wait_ms: int, timeout_ms: int
-    ) -> ports.Page:
+    ) -> ports.LogPage:
         """Reads records, waiting for the first if there is none yet."""
         await self._arrive(timeout_ms, topic)
         page = self._log.page(topic, offset)
@@ -263,7 +263,7 @@
         await task.deferLater(self._log.clock, ANSWER_S / 2)
         fault = self._log.faults.get(self._vm, LogFault.NONE)
         if fault is LogFault.REFUSES:
-            raise ports.NotDoneError(
+            raise ports.CallRefusedError(
                 "refused", code=codes.ResultCode.UNREACHABLE
             )
         if fault is LogFault.SILENT or topic in self._log.silent_topics:
@@ -277,6 +277,6 @@
 
     async def _time_out(self, timeout_ms: int) -> None:
         await task.deferLater(self._log.clock, timeout_ms / _MS_PER_S)
-        raise ports.UnansweredError(
+        raise ports.UnknownOutcomeError(
             "no answer", code=codes.ResultCode.TIMED_OUT
         )
