--- a/citronmount/fleet_service/job_service.py
+++ b/citronmount/fleet_service/job_service.py
@@ -12,7 +12,7 @@
 from citronmount.core import ids
 from citronmount.core import states
 from citronmount.fleet import fleet_configuration
-from citronmount.fleet_service import contact as contact_lib
+from citronmount.fleet_service import log_health
 from citronmount.fleet_service import log_tail
 from citronmount.fleet_service import ports
 from citronmount.workflow import job_views
@@ -26,7 +26,7 @@
 UNCERTAIN_LIMIT_MS = 500
 ANSWER_MARGIN_MS = 50
 SHORTEST_APPEND_MS = 60
-FRESH_CONTACT_MS = 100
+RECENT_ANSWER_MS = 100
 PROBE_TIMEOUT_MS = 400
 LOG_OUTAGE_RETRY_S = 1
 
@@ -75,7 +75,7 @@
         log: ports.Log,
         job_view: job_views.JobView,
         jobs: log_tail.LogTail,
-        contact: contact_lib.LogContact,
+        health: log_health.LogHealth,
         on_change: Callable[[], None],
         wall: Callable[[], int],
     ) -> None:
@@ -86,7 +86,7 @@
             log: The log.
             job_view: The fold of the job topic.
             jobs: The tail that feeds the book.
-            contact: Tells whether the log answers.
+            health: Tells whether the log answers.
             on_change: Called after a change of the book.
             wall: Tells the Unix time in milliseconds.
         """
@@ -95,7 +95,7 @@
         self._log = log
         self._job_view = job_view
         self._jobs = jobs
-        self._contact = contact
+        self._health = health
         self._on_change = on_change
         self._wall = wall
         self._trace = structlog.get_logger()
@@ -198,14 +198,14 @@
         Args:
             optional: Whether an older state may be told if that fails.
         """
-        if optional and self._contact.lost:
+        if optional and self._health.last_call_failed:
             return
-        probe_ms = self._contact.patience_ms(PROBE_TIMEOUT_MS)
+        probe_ms = self._health.timeout_ms(PROBE_TIMEOUT_MS)
         timeout_ms = probe_ms if optional else log_tail.LOOK_UP_MS
         try:
             await self._jobs.catch_up(timeout_ms=timeout_ms)
         except errors.CitronmountError as error:
-            self._contact.failed()
+            self._health.record_failure()
             if not optional:
                 raise
             self._trace.warning("older_state_told", error=str(error))
@@ -220,15 +220,15 @@
         A record sent to a log that is silent may be appended much later, so
         a caller could not be told that nothing will run.
         """
-        if self._contact.lost:
+        if self._health.last_call_failed:
             return False
-        if self._contact.silent_ms() < FRESH_CONTACT_MS:
+        if self._health.since_answer_ms() < RECENT_ANSWER_MS:
             return True
         try:
-            timeout_ms = self._contact.patience_ms(PROBE_TIMEOUT_MS)
+            timeout_ms = self._health.timeout_ms(PROBE_TIMEOUT_MS)
             await self._jobs.catch_up(timeout_ms=timeout_ms)
         except errors.CitronmountError as error:
-            self._contact.failed()
+            self._health.record_failure()
             self._trace.warning("log_does_not_answer", error=str(error))
             return False
         return True
@@ -270,7 +270,7 @@
                     end_s = min(end_s, self._clock.seconds() + limit_s)
                 verdict = RequestOutcome.UNCERTAIN
             else:
-                self._contact.answered()
+                self._health.record_answer()
                 if self._job_view.apply(offset, record):
                     self._on_change()
                 return RequestResult(verdict=RequestOutcome.DONE)
--- a/citronmount/fleet_service/contact.py
+++ b/citronmount/fleet_service/log_health.py
@@ -9,15 +9,15 @@
 
 from twisted.internet import interfaces
 
-__all__ = ["LogContact"]
+__all__ = ["LogHealth"]
 
-PATIENCE_FACTOR = 1.5
-MOST_PATIENCE_MS = 900
+LATENCY_TIMEOUT_FACTOR = 1.5
+MAX_TIMEOUT_MS = 900
 
 _MS_PER_S = 1_000
 
 
-class LogContact:
+class LogHealth:
     """Notes the outcome of every call at the log."""
 
     def __init__(self, *, clock: interfaces.IReactorTime) -> None:
@@ -32,11 +32,11 @@
         self._took_ms = 0
 
     @property
-    def lost(self) -> bool:
+    def last_call_failed(self) -> bool:
         """Whether the newest call got no answer or was refused."""
         return self._failed
 
-    def answered(self, took_ms: int | None = None) -> None:
+    def record_answer(self, took_ms: int | None = None) -> None:
         """Notes an answer.
 
         Args:
@@ -48,11 +48,11 @@
         self._answered_s = self._clock.seconds()
         self._failed = False
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Notes a call that got no answer or was refused."""
         self._failed = True
 
-    def patience_ms(self, usual_ms: int) -> int:
+    def timeout_ms(self, usual_ms: int) -> int:
         """Returns how long to wait for an answer.
 
         A log that is slow is not silent: its next answer may take as long as
@@ -64,9 +64,11 @@
         Returns:
             Milliseconds.
         """
-        slow_ms = min(int(self._took_ms * PATIENCE_FACTOR), MOST_PATIENCE_MS)
+        slow_ms = min(
+            int(self._took_ms * LATENCY_TIMEOUT_FACTOR), MAX_TIMEOUT_MS
+        )
         return max(usual_ms, slow_ms)
 
-    def silent_ms(self) -> int:
+    def since_answer_ms(self) -> int:
         """Returns the time since the last answer."""
         return int((self._clock.seconds() - self._answered_s) * _MS_PER_S)
--- a/citronmount/fleet_service/log_tail.py
+++ b/citronmount/fleet_service/log_tail.py
@@ -9,7 +9,7 @@
 from twisted.python import failure
 
 from citronmount.core import errors
-from citronmount.fleet_service import contact as contact_lib
+from citronmount.fleet_service import log_health
 from citronmount.fleet_service import ports
 
 __all__ = ["LogTail"]
@@ -41,7 +41,7 @@
         *,
         clock: interfaces.IReactorTime,
         log: ports.Log,
-        contact: contact_lib.LogContact,
+        health: log_health.LogHealth,
         topic: ports.Topic,
         on_snapshot: OnRecords,
         on_records: OnRecords,
@@ -52,7 +52,7 @@
         Args:
             clock: The reactor.
             log: The log.
-            contact: Notes whether the log answers.
+            health: Notes whether the log answers.
             topic: The topic.
             on_snapshot: Gets the newest record of each key, which replace all
                 that was handed on before.
@@ -65,7 +65,7 @@
         self._clock = clock
         self._log = log
         self._resume: interfaces.IDelayedCall | None = None
-        self._contact = contact
+        self._health = health
         self._topic = topic
         self._on_snapshot = on_snapshot
         self._on_records = on_records
@@ -147,17 +147,17 @@
         page = await self._log.read(self._topic, self.position, 0, timeout_ms)
         took_ms = int((self._clock.seconds() - began_s) * _MS_PER_S)
         self._take(page)
-        self._contact.answered(took_ms)
+        self._health.record_answer(took_ms)
         return page
 
     async def _read_snapshot(self) -> None:
         snapshot = await self._log.snapshot(self._topic, SNAPSHOT_TIMEOUT_MS)
-        self._contact.answered()
+        self._health.record_answer()
         self.position = snapshot.end_offset
         self._on_snapshot(snapshot.records)
 
     def _take(self, page: ports.LogPage) -> None:
-        self._contact.answered()
+        self._health.record_answer()
         fresh = [
             record
             for record in page.records
@@ -190,7 +190,7 @@
                 self._resume.cancel()
 
     def _note_lost(self, error: errors.UnreachableError) -> None:
-        self._contact.failed()
+        self._health.record_failure()
         if not self._lost:
             self._lost = True
             self._trace.warning("log_lost", error=str(error))
--- a/citronmount/fleet_service/candidacy.py
+++ b/citronmount/fleet_service/owner_election.py
@@ -10,10 +10,10 @@
 from twisted.internet import task
 
 from citronmount.core import errors
-from citronmount.fleet_service import contact as contact_lib
+from citronmount.fleet_service import log_health
 from citronmount.fleet_service import ports
 
-__all__ = ["Candidacy"]
+__all__ = ["OwnerElection"]
 
 TTL_MS = 1_100
 JOIN_PERIOD_MS = 300
@@ -27,7 +27,7 @@
 _MS_PER_S = 1_000
 
 
-class Candidacy:
+class OwnerElection:
     """Joins the group in a loop, if it has too few members.
 
     The group names the next owner: the member that is dealt the partition of
@@ -43,7 +43,7 @@
         *,
         clock: interfaces.IReactorTime,
         log: ports.Log,
-        contact: contact_lib.LogContact,
+        health: log_health.LogHealth,
         owns: Callable[[], bool],
         owner_member: Callable[[], str | None],
         refresh: Callable[[], Awaitable[None]],
@@ -56,7 +56,7 @@
         Args:
             clock: The reactor.
             log: The log.
-            contact: Notes whether the log answers.
+            health: Notes whether the log answers.
             owns: Tells whether this VM decides for the pool at present.
             owner_member: Tells the member that took the pool over last, as
                 far as is known here.
@@ -70,7 +70,7 @@
         self.candidate = False
         self._clock = clock
         self._log = log
-        self._contact = contact
+        self._health = health
         self._yielded_until_s = 0.0
         self._owns = owns
         self._owner_member = owner_member
@@ -94,7 +94,7 @@
         self._next_look_s = self._clock.seconds() + delay_s
         self._loop.start(JOIN_PERIOD_MS / _MS_PER_S)
 
-    def yield_pool(self) -> None:
+    def yield_ownership(self) -> None:
         """Leaves the pool to a newer owner, of which a fence has told.
 
         The record that names it is folded before this VM looks again.
@@ -134,7 +134,7 @@
                 self._in_group = True
                 await self._join()
         except errors.CitronmountError as error:
-            self._contact.failed()
+            self._health.record_failure()
             self._trace.debug("group_call_failed", error=str(error))
 
     async def _is_wanted(self) -> bool:
@@ -147,14 +147,14 @@
             return False
         self._next_look_s = self._clock.seconds() + LOOK_PERIOD_S
         members = await self._log.members(JOIN_TIMEOUT_MS)
-        self._contact.answered()
+        self._health.record_answer()
         return len(members) < (ENOUGH_MEMBERS if self._capable else 1)
 
     async def _join(self) -> None:
         membership = await self._log.join(
             self._generation, TTL_MS, JOIN_TIMEOUT_MS
         )
-        self._contact.answered()
+        self._health.record_answer()
         candidate = await self._should_own(membership)
         self._generation = membership.generation
         if not self._loop.running:
--- a/citronmount/fleet_service/pool_vm.py
+++ b/citronmount/fleet_service/pool_vm.py
@@ -12,10 +12,10 @@
 from citronmount.fleet import fleet_configuration
 from citronmount.fleet import lease_sessions
 from citronmount.fleet import worker_directory
-from citronmount.fleet_service import candidacy
-from citronmount.fleet_service import contact as contact_lib
 from citronmount.fleet_service import job_service
+from citronmount.fleet_service import log_health
 from citronmount.fleet_service import log_tail
+from citronmount.fleet_service import owner_election
 from citronmount.fleet_service import owner_loop
 from citronmount.fleet_service import ports
 from citronmount.workflow import job_views
@@ -65,12 +65,12 @@
         self._job_view = job_views.JobView()
         self._directory = worker_directory.WorkerDirectory()
         self._draining = False
-        self._contact = contact_lib.LogContact(clock=clock)
-        elsewhere = contact_lib.LogContact(clock=clock)
+        self._job_log_health = log_health.LogHealth(clock=clock)
+        other_log_health = log_health.LogHealth(clock=clock)
         self._jobs = log_tail.LogTail(
             clock=clock,
             log=log,
-            contact=self._contact,
+            health=self._job_log_health,
             topic=ports.Topic.JOBS,
             on_snapshot=self._fold_snapshot,
             on_records=self._fold,
@@ -79,7 +79,7 @@
         self._configuration = log_tail.LogTail(
             clock=clock,
             log=log,
-            contact=elsewhere,
+            health=other_log_health,
             topic=ports.Topic.CONFIGURATION,
             on_snapshot=self._reconfigure,
             on_records=self._configure,
@@ -87,7 +87,7 @@
         self._workers = log_tail.LogTail(
             clock=clock,
             log=log,
-            contact=elsewhere,
+            health=other_log_health,
             topic=ports.Topic.WORKERS,
             on_snapshot=self._replace_workers,
             on_records=self._change_workers,
@@ -98,7 +98,7 @@
             log=log,
             job_view=self._job_view,
             jobs=self._jobs,
-            contact=self._contact,
+            health=self._job_log_health,
             on_change=self._notice,
             wall=wall,
         )
@@ -115,10 +115,10 @@
             on_fenced=self._yield_pool,
             wall=wall,
         )
-        self._candidacy = candidacy.Candidacy(
+        self._election = owner_election.OwnerElection(
             clock=clock,
             log=log,
-            contact=elsewhere,
+            health=other_log_health,
             owns=lambda: self._owner.active,
             owner_member=self._owner_member,
             refresh=self._jobs.catch_up,
@@ -133,8 +133,11 @@
     @property
     def ready(self) -> bool:
         """Whether the VM should get new connections."""
-        silent_ms = self._contact.silent_ms()
-        in_touch = silent_ms < LOG_SILENCE_LIMIT_MS or not self._contact.lost
+        silent_ms = self._job_log_health.since_answer_ms()
+        in_touch = (
+            silent_ms < LOG_SILENCE_LIMIT_MS
+            or not self._job_log_health.last_call_failed
+        )
         return self.job_service.ready and in_touch and not self._draining
 
     @property
@@ -146,7 +149,7 @@
         """Starts the tails and joins the group."""
         self._configuration.start()
         self._jobs.start()
-        self._candidacy.start()
+        self._election.start()
 
     def start_draining(self) -> None:
         """Asks for no new connections."""
@@ -155,7 +158,7 @@
     async def give_up(self) -> None:
         """Lets another VM become the owner."""
         self._owner.set_candidate(False)
-        await self._candidacy.stop()
+        await self._election.stop()
 
     def stop(self) -> None:
         """Stops the tails."""
@@ -163,7 +166,7 @@
         self._configuration.stop()
 
     def _yield_pool(self) -> None:
-        self._candidacy.yield_pool()
+        self._election.yield_ownership()
 
     def _notice(self) -> None:
         self._owner.notice()
--- a/citronmount/fleet_service/reloading.py
+++ b/citronmount/fleet_service/settings_reloader.py
@@ -7,10 +7,10 @@
 
 from citronmount.fleet_service import vm_settings
 
-__all__ = ["Reloader"]
+__all__ = ["SettingsReloader"]
 
 
-class Reloader:
+class SettingsReloader:
     """Reads the settings file again, on a signal or when it has changed.
 
     The address of the log service is taken over at once; other changes are in
--- a/citronmount/fleet_service/pages.py
+++ b/citronmount/fleet_service/status_resources.py
@@ -9,10 +9,10 @@
 from citronmount.telemetry import exposition
 from citronmount.telemetry import metrics as metrics_lib
 
-__all__ = ["MetricsPage", "ReadyPage"]
+__all__ = ["MetricsResource", "ReadinessResource"]
 
 
-class MetricsPage(resource.Resource):
+class MetricsResource(resource.Resource):
     """Answers every path with all metrics as text."""
 
     isLeaf = True  # noqa: N815
@@ -32,7 +32,7 @@
         return exposition.render(self._metrics.snapshot()).encode("utf-8")
 
 
-class ReadyPage(resource.Resource):
+class ReadinessResource(resource.Resource):
     """Tells whether the VM should get new connections."""
 
     isLeaf = True  # noqa: N815
--- a/citronmount/fleet_service/tests/test_reloading.py
+++ b/citronmount/fleet_service/tests/test_settings_reloader.py
@@ -6,7 +6,7 @@
 
 from citronmount.core import ids
 from citronmount.fleet import fleet_configuration
-from citronmount.fleet_service import reloading
+from citronmount.fleet_service import settings_reloader
 from citronmount.fleet_service import vm_settings
 
 SETTINGS = vm_settings.VmSettings(
@@ -32,7 +32,7 @@
         self.fresh = SETTINGS
         self.addresses: list[str] = []
         self.reads = 0
-        self.reloader = reloading.Reloader(
+        self.reloader = settings_reloader.SettingsReloader(
             path=str(self.path),
             load=self.load,
             settings=SETTINGS,
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -21,10 +21,10 @@
 
 from citronmount.fleet import lease_sessions
 from citronmount.fleet_service import job_service
-from citronmount.fleet_service import pages
 from citronmount.fleet_service import pool_vm
 from citronmount.fleet_service import ports
-from citronmount.fleet_service import reloading
+from citronmount.fleet_service import settings_reloader
+from citronmount.fleet_service import status_resources
 from citronmount.fleet_service import vm_settings
 from citronmount.service import closing
 from citronmount.service import site
@@ -120,7 +120,7 @@
     member = f"{settings.vm}/{secrets.token_hex(PROCESS_NONCE_BYTES)}"
     log = adapter.log(settings, http, member)
     node = _node(reactor, adapter, settings, http, log)
-    reloader = reloading.Reloader(
+    reloader = settings_reloader.SettingsReloader(
         path=path,
         load=adapter.load,
         settings=settings,
@@ -139,7 +139,9 @@
             "caller connections", lambda: factory.close_connections(reactor)
         )
         stack.push("caller port", port.stopListening)
-        ready = server.Site(pages.ReadyPage(ready=lambda: node.ready))
+        ready = server.Site(
+            status_resources.ReadinessResource(ready=lambda: node.ready)
+        )
         await _listen(reactor, settings.ready_address, ready)
         await _listen_for_metrics(reactor, settings, metrics)
         node.start()
@@ -193,7 +195,7 @@
     metrics: metrics_lib.Metrics,
 ) -> None:
     """Serves metrics; a port that is taken costs only the metrics."""
-    page = server.Site(pages.MetricsPage(metrics=metrics))
+    page = server.Site(status_resources.MetricsResource(metrics=metrics))
     try:
         await _listen(reactor, settings.metrics_address, page)
     except error.CannotListenError as reason:
@@ -213,7 +215,7 @@
 def _on_signals(
     reactor: interfaces.IReactorCore,
     terminated: defer.Deferred[None],
-    reloader: reloading.Reloader,
+    reloader: settings_reloader.SettingsReloader,
 ) -> None:
     def fire() -> None:
         if not terminated.called:
