--- a/citronmount/fleet_service/__init__.py
+++ b/citronmount/fleet_service/__init__.py
@@ -1,1 +1,1 @@
-"""The reactor side of a pool's front and owner."""
+"""The Twisted services of one VM of a pool: log reader, job service, owner."""
--- a/citronmount/fleet_service/job_service.py
+++ b/citronmount/fleet_service/job_service.py
@@ -1,4 +1,4 @@
-"""Accepts, cancels and tells the state of jobs at one VM."""
+"""Handles the calls of clients at one VM: submit, cancel, read job states."""
 
 from collections.abc import Callable
 import enum
@@ -23,17 +23,17 @@
 
 APPEND_TIMEOUT_MS = 500
 APPEND_RETRY_MS = 40
-UNCERTAIN_LIMIT_MS = 500
-ANSWER_MARGIN_MS = 50
-SHORTEST_APPEND_MS = 60
+UNKNOWN_OUTCOME_LIMIT_MS = 500
+RESPONSE_MARGIN_MS = 50
+MIN_APPEND_TIMEOUT_MS = 60
 RECENT_ANSWER_MS = 100
 PROBE_TIMEOUT_MS = 400
-LOG_OUTAGE_RETRY_S = 1
+OUTAGE_RETRY_AFTER_S = 1
 
 _MS_PER_S = 1_000
 _MAX_APPENDS = 50
-_NOT_DONE_TRIES = 2
-_ENDED = (
+_MAX_REFUSED_RETRIES = 2
+_FINAL_STATES = (
     states.JobState.DONE,
     states.JobState.FAILED,
     states.JobState.CANCELLED,
@@ -41,7 +41,11 @@
 
 
 class RequestOutcome(enum.Enum):
-    """What became of a call that changes a job."""
+    """The outcome of a call that changes a job.
+
+    NOT_DONE means that the call certainly had no effect, UNCERTAIN that it may
+    still have one.
+    """
 
     DONE = "done"
     UNKNOWN_JOB = "unknown_job"
@@ -53,8 +57,8 @@
     """The answer to a call that changes a job.
 
     Attributes:
-        verdict: What became of it.
-        retry_after_s: When to come back, if nothing was done.
+        verdict: The outcome of the call.
+        retry_after_s: When the client should retry a call without effect.
     """
 
     verdict: RequestOutcome
@@ -62,10 +66,10 @@
 
 
 class JobService:
-    """Answers callers from the fold of the job topic.
+    """Answers clients from a view of the job topic.
 
     Attributes:
-        configuration: The version in force, or None before the first.
+        configuration: The configuration in force, or None before the first.
     """
 
     def __init__(
@@ -74,37 +78,37 @@
         clock: interfaces.IReactorTime,
         log: ports.Log,
         job_view: job_views.JobView,
-        jobs: log_tail.LogTail,
+        job_tail: log_tail.LogTail,
         health: log_health.LogHealth,
         on_change: Callable[[], None],
-        wall: Callable[[], int],
+        wall_clock: Callable[[], int],
     ) -> None:
-        """Initializes a front without configuration.
+        """Initializes a service without configuration.
 
         Args:
             clock: The reactor.
             log: The log.
             job_view: The fold of the job topic.
-            jobs: The tail that feeds the book.
-            health: Tells whether the log answers.
-            on_change: Called after a change of the book.
-            wall: Tells the Unix time in milliseconds.
+            job_tail: The reader that feeds the job view.
+            health: The health of the job topic.
+            on_change: Called after this service has changed the job view.
+            wall_clock: Returns the Unix time in milliseconds.
         """
         self.configuration: fleet_configuration.FleetConfiguration | None = None
         self._clock = clock
         self._log = log
         self._job_view = job_view
-        self._jobs = jobs
+        self._job_tail = job_tail
         self._health = health
         self._on_change = on_change
-        self._wall = wall
-        self._trace = structlog.get_logger()
+        self._wall_clock = wall_clock
+        self._logger = structlog.get_logger()
 
     @property
     def ready(self) -> bool:
-        """Whether there is a configuration and a fold to answer from."""
+        """Whether a configuration and a first snapshot of the jobs are here."""
         return self.configuration is not None and (
-            self._jobs.position is not None
+            self._job_tail.position is not None
         )
 
     async def submit(
@@ -114,16 +118,20 @@
         workflow: spec.Workflow,
         timeout_ms: int,
     ) -> RequestResult:
-        """Accepts a job once it is durable.
+        """Accepts a job and answers once its record is durable.
+
+        Submissions are idempotent: a job that is known already is not
+        submitted again.
 
         Args:
             queue: The queue.
             account: The client account, or empty on a public queue.
             workflow: The job.
-            timeout_ms: How long the caller waits.
+            timeout_ms: How long the client waits.
 
         Returns:
-            DONE if the job is stored, NOT_DONE if it surely is not.
+            DONE if the job is stored, NOT_DONE if it certainly is not, and
+            UNCERTAIN otherwise.
         """
         if self._job_view.state_of(workflow.job) is not None:
             return RequestResult(verdict=RequestOutcome.DONE)
@@ -131,94 +139,101 @@
             workflow=workflow,
             account=account,
             terms=queue.terms,
-            accepted_ms=self._wall(),
+            accepted_ms=self._wall_clock(),
         )
         record = records.Submitted(submission=submission)
-        answer = await self._append(record, timeout_ms)
-        self._trace.info(
+        result = await self._append(record, timeout_ms)
+        self._logger.info(
             "job_submitted",
             job=workflow.job,
             queue=queue.terms.queue,
             account=account,
             steps=len(workflow.steps),
             tasks=sum(step.tasks for step in workflow.steps),
-            verdict=answer.verdict.value,
+            verdict=result.verdict.value,
         )
-        return answer
+        return result
 
     async def cancel(
         self, queue: fleet_configuration.Queue, job: ids.JobId, timeout_ms: int
     ) -> RequestResult:
-        """Cancels a job once that is durable.
+        """Cancels a job and answers once the cancellation is durable.
 
         Args:
             queue: The queue.
             job: The job.
-            timeout_ms: How long the caller waits.
+            timeout_ms: How long the client waits.
 
         Returns:
-            UNKNOWN_JOB if the queue has no such job.
+            UNKNOWN_JOB if the queue has no such job; otherwise as for
+            `submit`. A job that has already ended gives DONE.
+
+        Raises:
+            UnreachableError: The job is not known here and the log does not
+                answer.
         """
         state = await self.state(queue, job)
         if state is None:
             return RequestResult(verdict=RequestOutcome.UNKNOWN_JOB)
-        if state in _ENDED:
+        if state in _FINAL_STATES:
             return RequestResult(verdict=RequestOutcome.DONE)
-        answer = await self._append(records.Cancelled(job=job), timeout_ms)
-        self._trace.info(
+        result = await self._append(records.Cancelled(job=job), timeout_ms)
+        self._logger.info(
             "job_cancelled",
             job=job,
             queue=queue.terms.queue,
             state=state.value,
-            verdict=answer.verdict.value,
+            verdict=result.verdict.value,
         )
-        return answer
+        return result
 
     async def state(
         self, queue: fleet_configuration.Queue, job: ids.JobId
     ) -> states.JobState | None:
         """Returns the state of a job, or None if the queue has no such job.
 
-        The topic is read to its end first, unless the state is final; that
-        lets the tail read rarely.
+        Unless the state is final, the topic is read to its end first, so that
+        the background reader may poll at a low rate.
 
         Raises:
-            UnreachableError: It is not known and the log does not answer.
+            UnreachableError: The job is not known here and the log does not
+                answer.
         """
-        known = self._job_view.state_of(job)
-        if known not in _ENDED:
-            await self._refresh(known is not None)
+        known_state = self._job_view.state_of(job)
+        if known_state not in _FINAL_STATES:
+            await self._catch_up(known_state is not None)
         if self._job_view.queue_of(job) != queue.terms.queue:
             return None
         return self._job_view.state_of(job)
 
-    async def _refresh(self, optional: bool) -> None:
+    async def _catch_up(self, allow_stale: bool) -> None:
         """Reads to the end of the topic.
 
         Args:
-            optional: Whether an older state may be told if that fails.
+            allow_stale: Whether the state known so far may be returned if the
+                log does not answer.
         """
-        if optional and self._health.last_call_failed:
+        if allow_stale and self._health.last_call_failed:
             return
         probe_ms = self._health.timeout_ms(PROBE_TIMEOUT_MS)
-        timeout_ms = probe_ms if optional else log_tail.LOOK_UP_MS
+        timeout_ms = probe_ms if allow_stale else log_tail.CATCH_UP_TIMEOUT_MS
         try:
-            await self._jobs.catch_up(timeout_ms=timeout_ms)
+            await self._job_tail.catch_up(timeout_ms=timeout_ms)
         except errors.CitronmountError as error:
             self._health.record_failure()
-            if not optional:
+            if not allow_stale:
                 raise
-            self._trace.warning("older_state_told", error=str(error))
+            self._logger.warning("older_state_told", error=str(error))
 
     def pending(self, queue: fleet_configuration.Queue) -> int:
-        """Returns how many jobs of a queue have not begun."""
+        """Returns the number of jobs of a queue that have not started yet."""
         return self._job_view.count_queued(queue.terms.queue)
 
-    async def _log_answers(self) -> bool:
-        """Returns whether the log answers, asking it if that is not known.
+    async def _is_log_answering(self) -> bool:
+        """Returns whether the log answers, probing it if its state is unknown.
 
-        A record sent to a log that is silent may be appended much later, so
-        a caller could not be told that nothing will run.
+        A record sent to a log that does not answer may be appended much later,
+        so the client could not be told that the job will not run.
         """
         if self._health.last_call_failed:
             return False
@@ -226,53 +241,57 @@
             return True
         try:
             timeout_ms = self._health.timeout_ms(PROBE_TIMEOUT_MS)
-            await self._jobs.catch_up(timeout_ms=timeout_ms)
+            await self._job_tail.catch_up(timeout_ms=timeout_ms)
         except errors.CitronmountError as error:
             self._health.record_failure()
-            self._trace.warning("log_does_not_answer", error=str(error))
+            self._logger.warning("log_does_not_answer", error=str(error))
             return False
         return True
 
     async def _append(
         self, record: records.Record, timeout_ms: int
     ) -> RequestResult:
-        """Appends, again and again for a while.
+        """Appends a record, with retries.
 
-        A second copy of a record changes nothing, so an append that got no
-        answer may be repeated. A caller is not kept to its deadline for that.
+        Records are idempotent, so an append that got no answer may be retried.
+        From the first unknown outcome on, retries stop after
+        `UNKNOWN_OUTCOME_LIMIT_MS`, so that the client need not wait until its
+        deadline.
         """
         entry = (records.key_of(record), records.encode(record))
         end_s = self._clock.seconds() + (
-            (timeout_ms - ANSWER_MARGIN_MS) / _MS_PER_S
+            (timeout_ms - RESPONSE_MARGIN_MS) / _MS_PER_S
         )
-        if not await self._log_answers():
+        if not await self._is_log_answering():
             return RequestResult(
                 verdict=RequestOutcome.NOT_DONE,
-                retry_after_s=LOG_OUTAGE_RETRY_S,
+                retry_after_s=OUTAGE_RETRY_AFTER_S,
             )
-        verdict = RequestOutcome.NOT_DONE
+        outcome = RequestOutcome.NOT_DONE
         for attempt in range(_MAX_APPENDS):
-            left_ms = int((end_s - self._clock.seconds()) * _MS_PER_S)
-            if left_ms < SHORTEST_APPEND_MS:
+            remaining_ms = int((end_s - self._clock.seconds()) * _MS_PER_S)
+            if remaining_ms < MIN_APPEND_TIMEOUT_MS:
                 break
-            limit_ms = min(APPEND_TIMEOUT_MS, left_ms)
+            append_timeout_ms = min(APPEND_TIMEOUT_MS, remaining_ms)
             try:
-                offset = await self._log.append([entry], limit_ms)
+                offset = await self._log.append([entry], append_timeout_ms)
             except ports.CallRefusedError:
                 if (
-                    verdict is RequestOutcome.NOT_DONE
-                    and attempt >= _NOT_DONE_TRIES
+                    outcome is RequestOutcome.NOT_DONE
+                    and attempt >= _MAX_REFUSED_RETRIES
                 ):
                     break
             except errors.UnreachableError:
-                if verdict is not RequestOutcome.UNCERTAIN:
-                    limit_s = UNCERTAIN_LIMIT_MS / _MS_PER_S
+                if outcome is not RequestOutcome.UNCERTAIN:
+                    limit_s = UNKNOWN_OUTCOME_LIMIT_MS / _MS_PER_S
                     end_s = min(end_s, self._clock.seconds() + limit_s)
-                verdict = RequestOutcome.UNCERTAIN
+                outcome = RequestOutcome.UNCERTAIN
             else:
                 self._health.record_answer()
                 if self._job_view.apply(offset, record):
                     self._on_change()
                 return RequestResult(verdict=RequestOutcome.DONE)
             await task.deferLater(self._clock, APPEND_RETRY_MS / _MS_PER_S)
-        return RequestResult(verdict=verdict, retry_after_s=LOG_OUTAGE_RETRY_S)
+        return RequestResult(
+            verdict=outcome, retry_after_s=OUTAGE_RETRY_AFTER_S
+        )
--- a/citronmount/fleet_service/log_health.py
+++ b/citronmount/fleet_service/log_health.py
@@ -1,10 +1,12 @@
-"""Whether a part of the log answered this VM last time it was called.
+"""Tracks whether a part of the log answered the latest call of this VM.
 
-The topics may lie on different machines of the site, so one may be silent
-while the others answer: what takes jobs in only looks at the job topic.
+The topics of the log may be served by different machines of the site, so one
+topic may stop answering while the others do not. The job service therefore
+considers the calls at the job topic only.
 
-Load pattern: the log is silent for seconds while callers go on. A call whose
-record is not sent can truthfully be refused, at once.
+Load pattern: the log does not answer for seconds while clients keep
+submitting jobs. A submission whose record was never sent can be refused at
+once, because it is certain that the job will not run.
 """
 
 from twisted.internet import interfaces
@@ -18,7 +20,7 @@
 
 
 class LogHealth:
-    """Notes the outcome of every call at the log."""
+    """Records the outcome of every call at a part of the log."""
 
     def __init__(self, *, clock: interfaces.IReactorTime) -> None:
         """Initializes as if the log had just answered.
@@ -27,48 +29,49 @@
             clock: The reactor.
         """
         self._clock = clock
-        self._answered_s = clock.seconds()
-        self._failed = False
-        self._took_ms = 0
+        self._last_answer_s = clock.seconds()
+        self._last_call_failed = False
+        self._latency_ms = 0
 
     @property
     def last_call_failed(self) -> bool:
-        """Whether the newest call got no answer or was refused."""
-        return self._failed
+        """Whether the latest call got no answer or was refused."""
+        return self._last_call_failed
 
-    def record_answer(self, took_ms: int | None = None) -> None:
-        """Notes an answer.
+    def record_answer(self, latency_ms: int | None = None) -> None:
+        """Records an answer.
 
         Args:
-            took_ms: How long a call took that did not have to wait for
-                anything, if it was one.
+            latency_ms: The duration of a call that did not wait for records,
+                or None for any other call.
         """
-        if took_ms is not None:
-            self._took_ms = took_ms
-        self._answered_s = self._clock.seconds()
-        self._failed = False
+        if latency_ms is not None:
+            self._latency_ms = latency_ms
+        self._last_answer_s = self._clock.seconds()
+        self._last_call_failed = False
 
     def record_failure(self) -> None:
-        """Notes a call that got no answer or was refused."""
-        self._failed = True
+        """Records a call that got no answer or was refused."""
+        self._last_call_failed = True
 
-    def timeout_ms(self, usual_ms: int) -> int:
-        """Returns how long to wait for an answer.
+    def timeout_ms(self, default_ms: int) -> int:
+        """Returns the timeout of the next call.
 
-        A log that is slow is not silent: its next answer may take as long as
-        its last one.
+        A slow log is not an unreachable one: the next answer may take as long
+        as the last one, so the timeout grows with the latest latency, up to
+        `MAX_TIMEOUT_MS`.
 
         Args:
-            usual_ms: How long to wait for a log that was quick.
+            default_ms: The timeout for a log with a low latency.
 
         Returns:
             Milliseconds.
         """
-        slow_ms = min(
-            int(self._took_ms * LATENCY_TIMEOUT_FACTOR), MAX_TIMEOUT_MS
+        scaled_ms = min(
+            int(self._latency_ms * LATENCY_TIMEOUT_FACTOR), MAX_TIMEOUT_MS
         )
-        return max(usual_ms, slow_ms)
+        return max(default_ms, scaled_ms)
 
     def since_answer_ms(self) -> int:
-        """Returns the time since the last answer."""
-        return int((self._clock.seconds() - self._answered_s) * _MS_PER_S)
+        """Returns the time since the last answer in milliseconds."""
+        return int((self._clock.seconds() - self._last_answer_s) * _MS_PER_S)
--- a/citronmount/fleet_service/log_tail.py
+++ b/citronmount/fleet_service/log_tail.py
@@ -1,4 +1,4 @@
-"""Follows one topic of the log from its newest records to its end."""
+"""Follows one topic of the log: reads a snapshot, then each new record."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -15,12 +15,12 @@
 __all__ = ["LogTail"]
 
 READ_WAIT_MS = 1_500
-READ_MARGIN_MS = 700
+READ_TIMEOUT_MARGIN_MS = 700
 SNAPSHOT_TIMEOUT_MS = 2_500
-LOOK_UP_MS = 700
-LOST_READ_MS = 600
-FIRST_RETRY_MS = 50
-LAST_RETRY_MS = 200
+CATCH_UP_TIMEOUT_MS = 700
+OUTAGE_READ_TIMEOUT_MS = 600
+MIN_RETRY_DELAY_MS = 50
+MAX_RETRY_DELAY_MS = 200
 
 _MS_PER_S = 1_000
 
@@ -28,12 +28,13 @@
 
 
 class LogTail:
-    """Reads a topic in a loop and hands its records on in order.
+    """Reads a topic in a loop and passes its records on in order.
 
     Attributes:
         position: The next offset to read, or None before the first snapshot.
-        pace_ms: Time between two reads, so that records gather.
-        wait_ms: How long a read waits for records.
+        read_interval_ms: Pause between two reads, in which records accumulate
+            so that one read returns many.
+        read_wait_ms: How long a read waits for new records.
     """
 
     def __init__(
@@ -45,43 +46,44 @@
         topic: ports.Topic,
         on_snapshot: OnRecords,
         on_records: OnRecords,
-        pace_ms: int = 0,
+        read_interval_ms: int = 0,
     ) -> None:
-        """Initializes a tail that does not read yet.
+        """Initializes a reader that is not started.
 
         Args:
             clock: The reactor.
             log: The log.
-            health: Notes whether the log answers.
+            health: The health of the log, which this class updates.
             topic: The topic.
-            on_snapshot: Gets the newest record of each key, which replace all
-                that was handed on before.
-            on_records: Gets what came after.
-            pace_ms: Time between two reads, so that records gather.
+            on_snapshot: Called with the newest record of each key; they
+                replace all records passed on before.
+            on_records: Called with the records after those.
+            read_interval_ms: Pause between two reads, in which records
+                accumulate.
         """
         self.position: int | None = None
-        self.pace_ms = pace_ms
-        self.wait_ms = READ_WAIT_MS
+        self.read_interval_ms = read_interval_ms
+        self.read_wait_ms = READ_WAIT_MS
         self._clock = clock
         self._log = log
-        self._resume: interfaces.IDelayedCall | None = None
+        self._pause_end: interfaces.IDelayedCall | None = None
         self._health = health
         self._topic = topic
         self._on_snapshot = on_snapshot
         self._on_records = on_records
         self._running: defer.Deferred[None] | None = None
         self._stopped = True
-        self._lost = False
-        self._trace = structlog.get_logger().bind(topic=topic.value)
+        self._log_failing = False
+        self._logger = structlog.get_logger().bind(topic=topic.value)
 
     def start(self) -> None:
         """Starts reading."""
         self._stopped = False
         self._running = defer.ensureDeferred(self._run())
-        self._running.addErrback(self._ended)
+        self._running.addErrback(self._on_loop_end)
 
     def stop(self) -> None:
-        """Stops reading; a read on its way is cancelled."""
+        """Stops reading and cancels a read in flight."""
         self._stopped = True
         running, self._running = self._running, None
         if running is not None:
@@ -90,64 +92,65 @@
     async def catch_up(
         self,
         end_offset: int | None = None,
-        timeout_ms: int = LOOK_UP_MS,
+        timeout_ms: int = CATCH_UP_TIMEOUT_MS,
     ) -> None:
-        """Reads to the end of the topic, beside the loop.
+        """Reads to the end of the topic at once, independently of the loop.
 
         Args:
-            end_offset: The offset to reach, or None for the present end.
-            timeout_ms: How long each read may take.
+            end_offset: The offset to reach, or None for the current end.
+            timeout_ms: The timeout of each read.
 
         Raises:
             UnreachableError: The log did not answer.
-            LogTruncatedError: The records expired; the loop reads anew.
+            LogTruncatedError: The records have expired; the loop will start
+                over from a snapshot.
         """
         if self.position is None:
             await self._read_snapshot()
         while end_offset is None or self.position < end_offset:
-            page = await self._read_now(timeout_ms)
+            page = await self._read_available(timeout_ms)
             if page.next_offset >= page.end_offset:
                 return
 
     async def _run(self) -> None:
-        retry_ms = FIRST_RETRY_MS
+        retry_ms = MIN_RETRY_DELAY_MS
         while not self._stopped:
             try:
                 await self._read_once()
             except ports.LogTruncatedError:
-                self._trace.warning("history_lost", position=self.position)
+                self._logger.warning("history_lost", position=self.position)
                 self.position = None
             except errors.UnreachableError as error:
-                self._note_lost(error)
+                self._record_failure(error)
                 await self._pause(retry_ms)
-                retry_ms = min(retry_ms * 2, LAST_RETRY_MS)
+                retry_ms = min(retry_ms * 2, MAX_RETRY_DELAY_MS)
             else:
-                retry_ms = FIRST_RETRY_MS
-                self._note_regained()
-                await self._pause(self.pace_ms)
+                retry_ms = MIN_RETRY_DELAY_MS
+                self._record_recovery()
+                await self._pause(self.read_interval_ms)
 
     async def _read_once(self) -> None:
         if self.position is None:
             await self._read_snapshot()
             return
-        if self._lost:
-            await self._read_now(LOST_READ_MS)
+        if self._log_failing:
+            await self._read_available(OUTAGE_READ_TIMEOUT_MS)
             return
         page = await self._log.read(
             self._topic,
             self.position,
-            self.wait_ms,
-            self.wait_ms + READ_MARGIN_MS,
+            self.read_wait_ms,
+            self.read_wait_ms + READ_TIMEOUT_MARGIN_MS,
         )
-        self._take(page)
+        self._handle_page(page)
 
-    async def _read_now(self, timeout_ms: int) -> ports.LogPage:
-        """Reads what is there, without waiting for more."""
-        began_s = self._clock.seconds()
+    async def _read_available(self, timeout_ms: int) -> ports.LogPage:
+        """Reads the available records without waiting for more."""
+        started_s = self._clock.seconds()
         page = await self._log.read(self._topic, self.position, 0, timeout_ms)
-        took_ms = int((self._clock.seconds() - began_s) * _MS_PER_S)
-        self._take(page)
-        self._health.record_answer(took_ms)
+        latency_ms = int((self._clock.seconds() - started_s) * _MS_PER_S)
+        self._handle_page(page)
+        self._health.record_answer(latency_ms)
         return page
 
     async def _read_snapshot(self) -> None:
@@ -156,50 +159,50 @@
         self.position = snapshot.end_offset
         self._on_snapshot(snapshot.records)
 
-    def _take(self, page: ports.LogPage) -> None:
+    def _handle_page(self, page: ports.LogPage) -> None:
         self._health.record_answer()
-        fresh = [
+        new_records = [
             record
             for record in page.records
             if self.position is not None and record.offset >= self.position
         ]
         self.position = max(self.position or 0, page.next_offset)
-        if fresh:
-            self._on_records(fresh)
+        if new_records:
+            self._on_records(new_records)
 
-    def hurry(self, wait_ms: int) -> None:
-        """Reads without pauses from now on, and ends a pause at once.
+    def read_continuously(self, read_wait_ms: int) -> None:
+        """Reads without pauses from now on; a pause in progress ends at once.
 
         Args:
-            wait_ms: How long a read waits for records.
+            read_wait_ms: How long a read waits for new records.
         """
-        self.pace_ms = 0
-        self.wait_ms = wait_ms
-        if self._resume is not None and self._resume.active():
-            self._resume.reset(0)
+        self.read_interval_ms = 0
+        self.read_wait_ms = read_wait_ms
+        if self._pause_end is not None and self._pause_end.active():
+            self._pause_end.reset(0)
 
     async def _pause(self, pause_ms: int) -> None:
         paused: defer.Deferred[None] = defer.Deferred()
-        self._resume = self._clock.callLater(
+        self._pause_end = self._clock.callLater(
             pause_ms / _MS_PER_S, paused.callback, None
         )
         try:
             await paused
         finally:
-            if self._resume.active():
-                self._resume.cancel()
+            if self._pause_end.active():
+                self._pause_end.cancel()
 
-    def _note_lost(self, error: errors.UnreachableError) -> None:
+    def _record_failure(self, error: errors.UnreachableError) -> None:
         self._health.record_failure()
-        if not self._lost:
-            self._lost = True
-            self._trace.warning("log_lost", error=str(error))
+        if not self._log_failing:
+            self._log_failing = True
+            self._logger.warning("log_lost", error=str(error))
 
-    def _note_regained(self) -> None:
-        if self._lost:
-            self._lost = False
-            self._trace.info("log_regained", position=self.position)
+    def _record_recovery(self) -> None:
+        if self._log_failing:
+            self._log_failing = False
+            self._logger.info("log_regained", position=self.position)
 
-    def _ended(self, reason: failure.Failure) -> None:
+    def _on_loop_end(self, reason: failure.Failure) -> None:
         if not self._stopped:
-            self._trace.error("tail_failed", error=reason.getTraceback())
+            self._logger.error("tail_failed", error=reason.getTraceback())
--- a/citronmount/fleet_service/owner_election.py
+++ b/citronmount/fleet_service/owner_election.py
@@ -1,4 +1,4 @@
-"""Keeps the VM in the owners' group and tells when it is the candidate."""
+"""Leader election: decides whether this VM should own the pool."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -15,24 +15,24 @@
 
 __all__ = ["OwnerElection"]
 
-TTL_MS = 1_100
+MEMBER_TTL_MS = 1_100
 JOIN_PERIOD_MS = 300
 JOIN_TIMEOUT_MS = 600
-YIELD_MS = 1_000
-ENOUGH_MEMBERS = 5
-LOOK_PERIOD_S = 1.5
-FIRST_LOOK_SPREAD_S = 0.6
-LESS_CAPABLE_DELAY_S = 1.5
+YIELD_DURATION_MS = 1_000
+TARGET_MEMBERS = 5
+MEMBER_CHECK_PERIOD_S = 1.5
+FIRST_CHECK_JITTER_S = 0.6
+SMALL_VM_DELAY_S = 1.5
 
 _MS_PER_S = 1_000
 
 
 class OwnerElection:
-    """Joins the group in a loop, if it has too few members.
+    """Keeps the VM in the owners' group while the group needs it.
 
-    The group names the next owner: the member that is dealt the partition of
-    the jobs. It takes over once the present owner has left the group or has
-    not joined for the time to live.
+    The log assigns the partition of the jobs to one member of the group, which
+    is the next owner. It takes over once the current owner has left the group
+    or has not renewed its membership for `MEMBER_TTL_MS`.
 
     Attributes:
         candidate: Whether this VM should own the pool.
@@ -44,115 +44,124 @@
         clock: interfaces.IReactorTime,
         log: ports.Log,
         health: log_health.LogHealth,
-        owns: Callable[[], bool],
+        owns_pool: Callable[[], bool],
         owner_member: Callable[[], str | None],
-        refresh: Callable[[], Awaitable[None]],
+        refresh_owner: Callable[[], Awaitable[None]],
         on_change: Callable[[bool], None],
-        capable: bool = True,
+        sized_for_ownership: bool = True,
         jitter: Callable[[], float] = random.random,
     ) -> None:
-        """Initializes a candidacy that is not in the group.
+        """Initializes an election that this VM has not joined.
 
         Args:
             clock: The reactor.
             log: The log.
-            health: Notes whether the log answers.
-            owns: Tells whether this VM decides for the pool at present.
-            owner_member: Tells the member that took the pool over last, as
+            health: The health of the log, which this class updates.
+            owns_pool: Returns whether this VM currently owns the pool.
+            owner_member: Returns the member that took over the pool last, as
                 far as is known here.
-            refresh: Learns what is new of that.
-            on_change: Called when the VM becomes or ceases to be candidate.
-            capable: Whether the VM has the processor time to own a pool; one
-                that has not joins only a group without members.
-            jitter: Spreads the first looks of VMs that start together; a
-                share of a second.
+            refresh_owner: Reads the log to its end, which updates the answer
+                of `owner_member`.
+            on_change: Called when the VM becomes or stops being candidate.
+            sized_for_ownership: Whether the VM has enough processor time to
+                own a pool. A VM that has not joins only a group without
+                members.
+            jitter: Returns a random fraction, by which the first checks of VMs
+                that start together are spread out.
         """
         self.candidate = False
         self._clock = clock
         self._log = log
         self._health = health
         self._yielded_until_s = 0.0
-        self._owns = owns
+        self._owns_pool = owns_pool
         self._owner_member = owner_member
-        self._refresh = refresh
+        self._refresh_owner = refresh_owner
         self._on_change = on_change
-        self._capable = capable
+        self._sized_for_ownership = sized_for_ownership
         self._jitter = jitter
         self._generation = 0
-        self._in_group = False
-        self._next_look_s = 0.0
-        self._turns = defer.DeferredLock()
-        self._loop = task.LoopingCall(self._turn)
+        self._joined = False
+        self._next_check_s = 0.0
+        self._turn_lock = defer.DeferredLock()
+        self._loop = task.LoopingCall(self._run_turn)
         self._loop.clock = clock
-        self._trace = structlog.get_logger()
+        self._logger = structlog.get_logger()
 
     def start(self) -> None:
-        """Starts to look at the group."""
-        delay_s = self._jitter() * FIRST_LOOK_SPREAD_S
-        if not self._capable:
-            delay_s += LESS_CAPABLE_DELAY_S
-        self._next_look_s = self._clock.seconds() + delay_s
+        """Starts to check the group periodically."""
+        delay_s = self._jitter() * FIRST_CHECK_JITTER_S
+        if not self._sized_for_ownership:
+            delay_s += SMALL_VM_DELAY_S
+        self._next_check_s = self._clock.seconds() + delay_s
         self._loop.start(JOIN_PERIOD_MS / _MS_PER_S)
 
     def yield_ownership(self) -> None:
-        """Leaves the pool to a newer owner, of which a fence has told.
+        """Leaves the pool to a newer owner that has fenced this VM.
 
-        The record that names it is folded before this VM looks again.
+        The VM is no candidate for `YIELD_DURATION_MS`; by then the record that
+        names the newer owner has been folded.
         """
         self.candidate = False
-        self._yielded_until_s = self._clock.seconds() + YIELD_MS / _MS_PER_S
+        self._yielded_until_s = (
+            self._clock.seconds() + YIELD_DURATION_MS / _MS_PER_S
+        )
 
     async def stop(self) -> None:
         """Leaves the group, so that another VM becomes candidate at once.
 
-        A join that is on its way would put this VM back into the group if it
-        arrived after the call to leave, so its answer is awaited first.
+        A join in flight would put this VM back into the group if it reached
+        the log after the call to leave, so its answer is awaited first.
         """
         if not self._loop.running:
             return
         self._loop.stop()
-        await self._turns.acquire()
+        await self._turn_lock.acquire()
         try:
-            if self._in_group:
+            if self._joined:
                 await self._leave()
         finally:
-            self._turns.release()
+            self._turn_lock.release()
 
     async def _leave(self) -> None:
-        self._in_group = False
+        self._joined = False
         try:
             await self._log.leave(JOIN_TIMEOUT_MS)
         except errors.UnreachableError as error:
-            self._trace.warning("group_leave_failed", error=str(error))
+            self._logger.warning("group_leave_failed", error=str(error))
 
-    def _turn(self) -> defer.Deferred[None]:
-        return self._turns.run(lambda: defer.ensureDeferred(self._take_turn()))
+    def _run_turn(self) -> defer.Deferred[None]:
+        return self._turn_lock.run(
+            lambda: defer.ensureDeferred(self._update_membership())
+        )
 
-    async def _take_turn(self) -> None:
+    async def _update_membership(self) -> None:
         try:
-            if self._in_group or await self._is_wanted():
-                self._in_group = True
+            if self._joined or await self._group_needs_member():
+                self._joined = True
                 await self._join()
         except errors.CitronmountError as error:
             self._health.record_failure()
-            self._trace.debug("group_call_failed", error=str(error))
+            self._logger.debug("group_call_failed", error=str(error))
 
-    async def _is_wanted(self) -> bool:
+    async def _group_needs_member(self) -> bool:
         """Returns whether the group has too few members.
 
-        The log deals a fixed number of partitions, and a member that is dealt
-        none is not seen by the others; so only a few VMs are members.
+        The log assigns a fixed number of partitions, and a member without a
+        partition is invisible to the others; so only a few VMs are members.
         """
-        if self._clock.seconds() < self._next_look_s:
+        if self._clock.seconds() < self._next_check_s:
             return False
-        self._next_look_s = self._clock.seconds() + LOOK_PERIOD_S
+        self._next_check_s = self._clock.seconds() + MEMBER_CHECK_PERIOD_S
         members = await self._log.members(JOIN_TIMEOUT_MS)
         self._health.record_answer()
-        return len(members) < (ENOUGH_MEMBERS if self._capable else 1)
+        return len(members) < (
+            TARGET_MEMBERS if self._sized_for_ownership else 1
+        )
 
     async def _join(self) -> None:
         membership = await self._log.join(
-            self._generation, TTL_MS, JOIN_TIMEOUT_MS
+            self._generation, MEMBER_TTL_MS, JOIN_TIMEOUT_MS
         )
         self._health.record_answer()
         candidate = await self._should_own(membership)
@@ -163,7 +172,7 @@
             await self._leave()
         if candidate != self.candidate:
             self.candidate = candidate
-            self._trace.info(
+            self._logger.info(
                 "candidate" if candidate else "not_candidate",
                 generation=membership.generation,
             )
@@ -172,17 +181,18 @@
     async def _should_own(self, membership: ports.Membership) -> bool:
         """Returns whether this VM should own the pool.
 
-        An owner stays as long as it is in the group, whatever it was dealt:
-        a change of owner costs a take-over and saves nothing.
+        An owner remains owner while it is in the group, even if the partition
+        is assigned to another member: a change of owner costs a take-over and
+        gains nothing.
         """
         if self._clock.seconds() < self._yielded_until_s:
             return False
         member = self._log.member
-        if self._owns() and self._owner_member() == member:
+        if self._owns_pool() and self._owner_member() == member:
             return True
         if not membership.candidate and self._owner_member() != member:
             return False
-        await self._refresh()
+        await self._refresh_owner()
         owner = self._owner_member()
         if owner == member:
             return True
--- a/citronmount/fleet_service/owner_loop.py
+++ b/citronmount/fleet_service/owner_loop.py
@@ -1,4 +1,4 @@
-"""Runs the owner: takes over, carries out its orders, appends its records."""
+"""Runs the pool owner: takes over, sends its commands, appends its records."""
 
 from collections.abc import Callable
 import time
@@ -24,22 +24,22 @@
 
 __all__ = ["OwnerLoop"]
 
-TICK_MS = 50
+STEP_INTERVAL_MS = 50
 EPOCH_TIMEOUT_MS = 800
 APPEND_TIMEOUT_MS = 800
 APPEND_RETRY_MS = 100
 MAX_APPEND_RECORDS = 1_000
 START_TIMEOUTS_MS = (200, 400)
 STOP_TIMEOUT_MS = 600
-HOLD_MARGIN_MS = 600
+RENEWAL_TIMEOUT_MARGIN_MS = 600
 ADVICE_TIMEOUT_MS = 3_000
 TAKE_OVER_RETRY_MS = 200
-FOLLOWER_PACE_MS = 1_000
+FOLLOWER_READ_INTERVAL_MS = 1_000
 OWNER_READ_WAIT_MS = 200
 
 _MS_PER_S = 1_000
 
-Wall = Callable[[], int]
+WallClock = Callable[[], int]
 
 
 def wall_ms() -> int:
@@ -48,10 +48,10 @@
 
 
 class OwnerLoop:
-    """One VM's part as owner, while it is the candidate.
+    """Owns the pool while this VM is the candidate.
 
     Attributes:
-        active: Whether this VM owns the pool at present.
+        active: Whether this VM currently owns the pool.
     """
 
     def __init__(
@@ -61,41 +61,42 @@
         log: ports.Log,
         worker_commands: ports.WorkerCommands,
         job_view: job_views.JobView,
-        jobs: log_tail.LogTail,
-        workers: log_tail.LogTail,
+        job_tail: log_tail.LogTail,
+        worker_tail: log_tail.LogTail,
         directory: worker_directory.WorkerDirectory,
         bounds: fleet_configuration.Bounds,
         policy: lease_sessions.LeasePolicy,
-        on_fenced: Callable[[], None],
-        wall: Wall = wall_ms,
+        on_step_down: Callable[[], None],
+        wall_clock: WallClock = wall_ms,
     ) -> None:
         """Initializes a VM that does not own the pool.
 
         Args:
             clock: The reactor.
             log: The log.
-            worker_commands: The workers.
+            worker_commands: Sends commands to the workers.
             job_view: The fold of the job topic.
-            jobs: The tail that feeds the book.
-            workers: The tail that feeds the directory.
+            job_tail: The reader that feeds the job view.
+            worker_tail: The reader that feeds the directory.
             directory: The workers' entries.
-            bounds: Times that the site sets.
-            policy: How leases are renewed.
-            on_fenced: Called when the pool is left to a newer owner.
-            wall: Tells the Unix time in milliseconds.
+            bounds: Time limits that the site sets.
+            policy: The durations of leases.
+            on_step_down: Called when this VM leaves the pool to a newer owner
+                or releases it after an internal error.
+            wall_clock: Returns the Unix time in milliseconds.
         """
         self.active = False
         self._clock = clock
         self._log = log
         self._worker_commands = worker_commands
         self._job_view = job_view
-        self._jobs = jobs
-        self._workers = workers
+        self._job_tail = job_tail
+        self._worker_tail = worker_tail
         self._directory = directory
         self._bounds = bounds
         self._policy = policy
-        self._on_fenced = on_fenced
-        self._wall = wall
+        self._on_step_down = on_step_down
+        self._wall_clock = wall_clock
         self._accounts: tuple[fleet_configuration.Account, ...] = ()
         self._candidate = False
         self._taking_over = False
@@ -103,49 +104,54 @@
         self._owner: pool_owner.PoolOwner | None = None
         self._sequence = 0
         self._appending = False
-        self._kick: interfaces.IDelayedCall | None = None
-        self._ticker = task.LoopingCall(self._step)
-        self._ticker.clock = clock
-        self._trace = structlog.get_logger()
+        self._scheduled_step: interfaces.IDelayedCall | None = None
+        self._step_loop = task.LoopingCall(self._step)
+        self._step_loop.clock = clock
+        self._logger = structlog.get_logger()
 
     def set_candidate(self, candidate: bool) -> None:
-        """Takes over the pool, or gives it up.
+        """Takes over the pool, or releases it.
 
         Args:
-            candidate: Whether the group names this VM.
+            candidate: Whether this VM should own the pool.
         """
         self._candidate = candidate
         if candidate and not self.active and not self._taking_over:
             self._taking_over = True
-            defer.ensureDeferred(self._take_over()).addErrback(self._broken)
+            defer.ensureDeferred(self._take_over()).addErrback(self._on_fault)
         elif not candidate:
-            self._resign("no_longer_candidate")
+            self._release_pool("no_longer_candidate")
 
-    def configure(
+    def set_accounts(
         self, accounts: tuple[fleet_configuration.Account, ...]
     ) -> None:
-        """Takes in the client accounts of the configuration in force."""
+        """Sets the client accounts of the configuration in force."""
         self._accounts = accounts
         if self._owner is not None:
             self._owner.set_accounts(accounts)
-            self.kick()
+            self.schedule_step()
 
-    def notice(self) -> None:
-        """Takes in that the book or the directory changed."""
+    def mark_changed(self) -> None:
+        """Makes the owner plan again after a change of its inputs.
+
+        To be called after a change of the job view or the directory.
+        """
         if self._owner is not None:
             self._owner.mark_changed()
-            self.kick()
+            self.schedule_step()
 
     def check_epoch(self) -> None:
-        """Gives the pool up if another process took it over."""
-        owned = self._job_view.ownership
-        if self.active and owned and owned.epoch > self._last_epoch:
-            self._yield("taken_over")
-
-    def kick(self) -> None:
-        """Lets the owner decide in the next turn of the reactor."""
-        if self._kick is None:
-            self._kick = self._clock.callLater(0, self._kicked)
+        """Releases the pool if another process has taken it over."""
+        ownership = self._job_view.ownership
+        if self.active and ownership and ownership.epoch > self._last_epoch:
+            self._step_down("taken_over")
+
+    def schedule_step(self) -> None:
+        """Schedules a step of the owner for the next reactor iteration."""
+        if self._scheduled_step is None:
+            self._scheduled_step = self._clock.callLater(
+                0, self._run_scheduled_step
+            )
 
     async def _take_over(self) -> None:
         try:
@@ -153,7 +159,7 @@
                 try:
                     await self._take_over_once()
                 except errors.CitronmountError as error:
-                    self._trace.warning("take_over_failed", error=str(error))
+                    self._logger.warning("take_over_failed", error=str(error))
                     await task.deferLater(
                         self._clock, TAKE_OVER_RETRY_MS / _MS_PER_S
                     )
@@ -161,16 +167,16 @@
             self._taking_over = False
 
     async def _take_over_once(self) -> None:
-        epoch, offset = await self._raise_epoch()
-        await self._jobs.catch_up(offset + 1)
-        if self._job_view.ownership != epoch:
+        ownership, offset = await self._raise_epoch()
+        await self._job_tail.catch_up(offset + 1)
+        if self._job_view.ownership != ownership:
             raise ports.FencedError(None)
-        await self._workers.catch_up()
+        await self._worker_tail.catch_up()
         if not self._candidate:
             return
         now_ms = self._now_ms()
         state = owner_state.OwnerState(
-            token=ids.FenceToken(epoch.epoch),
+            token=ids.FenceToken(ownership.epoch),
             job_view=self._job_view,
             directory=self._directory,
             bounds=self._bounds,
@@ -182,64 +188,73 @@
         self._sequence = 0
         self._appending = False
         self.active = True
-        self._workers.start()
-        self._jobs.hurry(OWNER_READ_WAIT_MS)
-        self._trace.info(
+        self._worker_tail.start()
+        self._job_tail.read_continuously(OWNER_READ_WAIT_MS)
+        self._logger.info(
             "ownership_taken",
-            token=epoch.epoch,
+            token=ownership.epoch,
             offset=offset,
             jobs=len(self._job_view.jobs),
         )
-        self._ticker.start(TICK_MS / _MS_PER_S)
+        self._step_loop.start(STEP_INTERVAL_MS / _MS_PER_S)
 
     async def _raise_epoch(self) -> tuple[records.OwnershipTaken, int]:
-        """Appends a record that makes lower epochs be refused.
+        """Appends a record that makes the log reject lower epochs.
+
+        Another process may try the same epoch at the same time. The record
+        that is found at the returned offset shows which of them got it.
 
-        Another process may have tried the same epoch; whose record lies at
-        the offset tells which of them has it.
+        Returns:
+            The record of this process and its offset.
         """
-        last = self._job_view.ownership.epoch if self._job_view.ownership else 0
-        wanted = max(last, self._last_epoch) + 1
+        known_epoch = (
+            self._job_view.ownership.epoch if self._job_view.ownership else 0
+        )
+        epoch = max(known_epoch, self._last_epoch) + 1
         while True:
-            owned = records.OwnershipTaken(
-                epoch=wanted, member=self._log.member
+            ownership = records.OwnershipTaken(
+                epoch=epoch, member=self._log.member
             )
-            entry = (records.key_of(owned), records.encode(owned))
+            entry = (records.key_of(ownership), records.encode(ownership))
             try:
                 offset = await self._log.append_as_owner(
-                    [entry], wanted, 0, EPOCH_TIMEOUT_MS
+                    [entry], epoch, 0, EPOCH_TIMEOUT_MS
                 )
             except ports.FencedError as error:
                 if error.epoch is None:
                     raise
-                wanted = error.epoch + 1
+                epoch = error.epoch + 1
                 continue
-            self._last_epoch = wanted
-            return owned, offset
+            self._last_epoch = epoch
+            return ownership, offset
 
-    def _resign(self, reason: str) -> None:
+    def _release_pool(self, reason: str) -> None:
         if not self.active:
             return
         self.active = False
         self._owner = None
-        if self._ticker.running:
-            self._ticker.stop()
-        self._workers.stop()
-        self._workers.position = None
-        self._jobs.pace_ms = FOLLOWER_PACE_MS
-        self._jobs.wait_ms = log_tail.READ_WAIT_MS
-        self._trace.info(
+        if self._step_loop.running:
+            self._step_loop.stop()
+        self._worker_tail.stop()
+        self._worker_tail.position = None
+        self._job_tail.read_interval_ms = FOLLOWER_READ_INTERVAL_MS
+        self._job_tail.read_wait_ms = log_tail.READ_WAIT_MS
+        self._logger.info(
             "ownership_left", token=self._last_epoch, reason=reason
         )
 
-    def _yield(self, reason: str) -> None:
-        """Leaves the pool to the newer owner that a fence tells of."""
+    def _step_down(self, reason: str) -> None:
+        """Releases the pool until this VM becomes candidate again.
+
+        Called when a newer owner has fenced this one, or after an internal
+        error.
+        """
         self._candidate = False
-        self._resign(reason)
-        self._on_fenced()
+        self._release_pool(reason)
+        self._on_step_down()
 
-    def _kicked(self) -> None:
-        self._kick = None
+    def _run_scheduled_step(self) -> None:
+        self._scheduled_step = None
         self._step()
 
     def _step(self) -> None:
@@ -247,9 +262,9 @@
         if owner is None:
             return
         if owner.fenced:
-            self._yield("fenced_by_worker")
+            self._step_down("fenced_by_worker")
             return
-        for command in owner.step(self._now_ms(), self._wall()):
+        for command in owner.step(self._now_ms(), self._wall_clock()):
             self._send(owner, command)
         self._append(owner)
 
@@ -261,13 +276,16 @@
             return
         self._appending = True
         self._sequence += 1
-        sent = defer.ensureDeferred(self._append_entries(owner, entries))
-        sent.addErrback(self._broken)
+        append = defer.ensureDeferred(self._append_entries(owner, entries))
+        append.addErrback(self._on_fault)
 
     async def _append_entries(
         self, owner: pool_owner.PoolOwner, entries: list[owner_state.LogEntry]
     ) -> None:
-        """Appends until the log answers; a repeat has no second effect."""
+        """Retries an append until the log answers.
+
+        Appends are idempotent, so a retry has no second effect.
+        """
         encoded = [
             (
                 entry.key,
@@ -276,7 +294,7 @@
             for entry in entries
         ]
         sequence = self._sequence
-        began_ms = self._now_ms()
+        started_ms = self._now_ms()
         failed = False
         while owner is self._owner:
             try:
@@ -284,19 +302,19 @@
                     encoded, int(owner.token), sequence, APPEND_TIMEOUT_MS
                 )
             except ports.FencedError as error:
-                self._trace.warning("append_fenced", epoch=error.epoch)
+                self._logger.warning("append_fenced", epoch=error.epoch)
                 if owner is self._owner:
-                    self._yield("fenced_by_log")
+                    self._step_down("fenced_by_log")
                 return
             except errors.UnreachableError as error:
                 if not failed:
-                    self._trace.warning("append_failed", error=str(error))
+                    self._logger.warning("append_failed", error=str(error))
                 failed = True
                 await task.deferLater(self._clock, APPEND_RETRY_MS / _MS_PER_S)
                 continue
             if failed:
-                took_ms = self._now_ms() - began_ms
-                self._trace.info("append_done_at_last", took_ms=took_ms)
+                took_ms = self._now_ms() - started_ms
+                self._logger.info("append_done_at_last", took_ms=took_ms)
             if owner is self._owner:
                 self._appending = False
                 owner.records_appended(entries, offset, self._now_ms())
@@ -308,14 +326,14 @@
     ) -> None:
         match command:
             case commands.Start():
-                sent = self._start(owner, command)
+                call = self._start(owner, command)
             case commands.Stop():
-                sent = self._stop(owner, command)
+                call = self._stop(owner, command)
             case commands.RenewLeases():
-                sent = self._hold(owner, command)
+                call = self._renew_leases(owner, command)
             case commands.RequestAdvice():
-                sent = self._ask(owner, command)
-        defer.ensureDeferred(sent).addErrback(self._broken)
+                call = self._request_advice(owner, command)
+        defer.ensureDeferred(call).addErrback(self._on_fault)
 
     async def _start(
         self, owner: pool_owner.PoolOwner, command: commands.Start
@@ -325,7 +343,7 @@
             command, START_TIMEOUTS_MS[number - 1]
         )
         owner.reports.start_answered(command, outcome, clock_ms, self._now_ms())
-        self.kick()
+        self.schedule_step()
 
     async def _stop(
         self, owner: pool_owner.PoolOwner, command: commands.Stop
@@ -334,23 +352,23 @@
             command, STOP_TIMEOUT_MS
         )
         owner.reports.stop_answered(command, outcome, clock_ms, self._now_ms())
-        self.kick()
+        self.schedule_step()
 
-    async def _ask(
+    async def _request_advice(
         self, owner: pool_owner.PoolOwner, command: commands.RequestAdvice
     ) -> None:
         answer = await self._worker_commands.request_advice(
             command, ADVICE_TIMEOUT_MS
         )
         owner.reports.advice_answered(command, answer, self._now_ms())
-        self.kick()
+        self.schedule_step()
 
-    async def _hold(
+    async def _renew_leases(
         self, owner: pool_owner.PoolOwner, command: commands.RenewLeases
     ) -> None:
         sent_ms = self._now_ms()
         answer = await self._worker_commands.renew_leases(
-            command, command.wait_ms + HOLD_MARGIN_MS
+            command, command.wait_ms + RENEWAL_TIMEOUT_MARGIN_MS
         )
         if isinstance(answer, commands.LeaseReport):
             owner.reports.renewal_answered(
@@ -359,12 +377,12 @@
         else:
             fenced = answer is commands.StopOutcome.FENCED
             owner.reports.renewal_failed(command, fenced, self._now_ms())
-        self.kick()
+        self.schedule_step()
 
     def _now_ms(self) -> int:
         return int(self._clock.seconds() * _MS_PER_S)
 
-    def _broken(self, reason: failure.Failure) -> None:
-        """Logs a fault of the program and gives up what it was about."""
-        self._trace.error("owner_fault", error=reason.getTraceback())
-        self._yield("fault")
+    def _on_fault(self, reason: failure.Failure) -> None:
+        """Logs an internal error and releases the pool."""
+        self._logger.error("owner_fault", error=reason.getTraceback())
+        self._step_down("fault")
--- a/citronmount/fleet_service/pool_vm.py
+++ b/citronmount/fleet_service/pool_vm.py
@@ -1,4 +1,4 @@
-"""One VM of a pool: tails, front and owner, connected with each other."""
+"""One VM of a pool: connects the log readers, the job service and the owner."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -24,16 +24,16 @@
 __all__ = ["PoolVm"]
 
 LOG_SILENCE_LIMIT_MS = 1_000
-WORKERS_PACE_MS = 400
+WORKERS_READ_INTERVAL_MS = 400
 
-Decode = Callable[[ports.Topic, ports.LogRecord], ports.LogEvent | None]
+Decoder = Callable[[ports.Topic, ports.LogRecord], ports.LogEvent | None]
 
 
 class PoolVm:
-    """The parts of one VM.
+    """One VM of a pool, with all its parts.
 
     Attributes:
-        job_service: Handles the calls about jobs.
+        job_service: Handles the calls of clients.
     """
 
     def __init__(
@@ -42,221 +42,231 @@
         clock: interfaces.IReactorTime,
         log: ports.Log,
         worker_commands: ports.WorkerCommands,
-        decode: Decode,
+        decode: Decoder,
         bounds: fleet_configuration.Bounds,
         policy: lease_sessions.LeasePolicy,
-        capable: bool = True,
-        wall: Callable[[], int] = owner_loop.wall_ms,
+        sized_for_ownership: bool = True,
+        wall_clock: Callable[[], int] = owner_loop.wall_ms,
     ) -> None:
-        """Connects the parts; nothing runs yet.
+        """Connects the parts without starting them.
 
         Args:
             clock: The reactor.
             log: The log.
-            worker_commands: The workers.
-            decode: Makes an event of a record of the site.
-            bounds: Times that the site sets.
-            policy: How leases are renewed.
-            capable: Whether the VM has the processor time to own the pool.
-            wall: Tells the Unix time in milliseconds.
+            worker_commands: Sends commands to the workers.
+            decode: Decodes a record in the site's format to an event, or to
+                None if there is none.
+            bounds: Time limits that the site sets.
+            policy: The durations of leases.
+            sized_for_ownership: Whether the VM has enough processor time to
+                own the pool.
+            wall_clock: Returns the Unix time in milliseconds.
         """
         self._decode = decode
-        self._trace = structlog.get_logger()
+        self._logger = structlog.get_logger()
         self._job_view = job_views.JobView()
         self._directory = worker_directory.WorkerDirectory()
         self._draining = False
         self._job_log_health = log_health.LogHealth(clock=clock)
         other_log_health = log_health.LogHealth(clock=clock)
-        self._jobs = log_tail.LogTail(
+        self._job_tail = log_tail.LogTail(
             clock=clock,
             log=log,
             health=self._job_log_health,
             topic=ports.Topic.JOBS,
             on_snapshot=self._fold_snapshot,
             on_records=self._fold,
-            pace_ms=owner_loop.FOLLOWER_PACE_MS,
+            read_interval_ms=owner_loop.FOLLOWER_READ_INTERVAL_MS,
         )
-        self._configuration = log_tail.LogTail(
+        self._configuration_tail = log_tail.LogTail(
             clock=clock,
             log=log,
             health=other_log_health,
             topic=ports.Topic.CONFIGURATION,
-            on_snapshot=self._reconfigure,
-            on_records=self._configure,
+            on_snapshot=self._replace_configuration,
+            on_records=self._apply_configuration,
         )
-        self._workers = log_tail.LogTail(
+        self._worker_tail = log_tail.LogTail(
             clock=clock,
             log=log,
             health=other_log_health,
             topic=ports.Topic.WORKERS,
             on_snapshot=self._replace_workers,
-            on_records=self._change_workers,
-            pace_ms=WORKERS_PACE_MS,
+            on_records=self._apply_worker_changes,
+            read_interval_ms=WORKERS_READ_INTERVAL_MS,
         )
         self.job_service = job_service.JobService(
             clock=clock,
             log=log,
             job_view=self._job_view,
-            jobs=self._jobs,
+            job_tail=self._job_tail,
             health=self._job_log_health,
-            on_change=self._notice,
-            wall=wall,
+            on_change=self._on_job_change,
+            wall_clock=wall_clock,
         )
         self._owner = owner_loop.OwnerLoop(
             clock=clock,
             log=log,
             worker_commands=worker_commands,
             job_view=self._job_view,
-            jobs=self._jobs,
-            workers=self._workers,
+            job_tail=self._job_tail,
+            worker_tail=self._worker_tail,
             directory=self._directory,
             bounds=bounds,
             policy=policy,
-            on_fenced=self._yield_pool,
-            wall=wall,
+            on_step_down=self._on_step_down,
+            wall_clock=wall_clock,
         )
         self._election = owner_election.OwnerElection(
             clock=clock,
             log=log,
             health=other_log_health,
-            owns=lambda: self._owner.active,
+            owns_pool=lambda: self._owner.active,
             owner_member=self._owner_member,
-            refresh=self._jobs.catch_up,
+            refresh_owner=self._job_tail.catch_up,
             on_change=self._owner.set_candidate,
-            capable=capable,
+            sized_for_ownership=sized_for_ownership,
         )
 
     def _owner_member(self) -> str | None:
-        owned = self._job_view.ownership
-        return owned.member if owned else None
+        ownership = self._job_view.ownership
+        return ownership.member if ownership else None
 
     @property
     def ready(self) -> bool:
         """Whether the VM should get new connections."""
-        silent_ms = self._job_log_health.since_answer_ms()
-        in_touch = (
-            silent_ms < LOG_SILENCE_LIMIT_MS
+        since_answer_ms = self._job_log_health.since_answer_ms()
+        log_reachable = (
+            since_answer_ms < LOG_SILENCE_LIMIT_MS
             or not self._job_log_health.last_call_failed
         )
-        return self.job_service.ready and in_touch and not self._draining
+        return self.job_service.ready and log_reachable and not self._draining
 
     @property
     def owns_pool(self) -> bool:
-        """Whether this VM decides for the whole pool at present."""
+        """Whether this VM currently decides for the whole pool."""
         return self._owner.active
 
     def start(self) -> None:
-        """Starts the tails and joins the group."""
-        self._configuration.start()
-        self._jobs.start()
+        """Starts to read the log and to take part in the election."""
+        self._configuration_tail.start()
+        self._job_tail.start()
         self._election.start()
 
     def start_draining(self) -> None:
-        """Asks for no new connections."""
+        """Makes the VM not ready, so that it gets no new connections."""
         self._draining = True
 
-    async def give_up(self) -> None:
-        """Lets another VM become the owner."""
+    async def release_ownership(self) -> None:
+        """Releases the pool and leaves the group, so another VM takes over."""
         self._owner.set_candidate(False)
         await self._election.stop()
 
     def stop(self) -> None:
-        """Stops the tails."""
-        self._jobs.stop()
-        self._configuration.stop()
+        """Stops reading the log."""
+        self._job_tail.stop()
+        self._configuration_tail.stop()
 
-    def _yield_pool(self) -> None:
+    def _on_step_down(self) -> None:
         self._election.yield_ownership()
 
-    def _notice(self) -> None:
-        self._owner.notice()
+    def _on_job_change(self) -> None:
+        self._owner.mark_changed()
 
-    def _fold_snapshot(self, taken: Sequence[ports.LogRecord]) -> None:
-        self._fold(taken)
+    def _fold_snapshot(self, log_records: Sequence[ports.LogRecord]) -> None:
+        self._fold(log_records)
 
-    def _fold(self, taken: Sequence[ports.LogRecord]) -> None:
-        changed = [self._fold_one(record) for record in taken]
+    def _fold(self, log_records: Sequence[ports.LogRecord]) -> None:
+        changed = [self._fold_one(log_record) for log_record in log_records]
         if any(changed):
-            self._owner.notice()
+            self._owner.mark_changed()
         self._owner.check_epoch()
 
-    def _fold_one(self, taken: ports.LogRecord) -> bool:
-        if taken.value is None:
-            self._job_view.apply_removal(taken.offset, taken.key)
+    def _fold_one(self, log_record: ports.LogRecord) -> bool:
+        if log_record.value is None:
+            self._job_view.apply_removal(log_record.offset, log_record.key)
             return False
         try:
-            record = records.decode(taken.key, taken.value)
+            record = records.decode(log_record.key, log_record.value)
         except errors.InvalidInputError as error:
-            self._trace.warning(
-                "record_ignored", offset=taken.offset, error=str(error)
+            self._logger.warning(
+                "record_ignored", offset=log_record.offset, error=str(error)
             )
             return False
-        return self._job_view.apply(taken.offset, record)
+        return self._job_view.apply(log_record.offset, record)
 
     def _events(
-        self, topic: ports.Topic, taken: Iterable[ports.LogRecord]
+        self, topic: ports.Topic, log_records: Iterable[ports.LogRecord]
     ) -> Iterable[ports.LogEvent]:
-        events = (self._decode(topic, record) for record in taken)
+        events = (self._decode(topic, log_record) for log_record in log_records)
         return [event for event in events if event is not None]
 
-    def _reconfigure(self, taken: Sequence[ports.LogRecord]) -> None:
+    def _replace_configuration(
+        self, log_records: Sequence[ports.LogRecord]
+    ) -> None:
         self._directory.clear_domains_out_of_service()
-        self._configure(taken)
+        self._apply_configuration(log_records)
 
-    def _configure(self, taken: Sequence[ports.LogRecord]) -> None:
-        for event in self._events(ports.Topic.CONFIGURATION, taken):
+    def _apply_configuration(
+        self, log_records: Sequence[ports.LogRecord]
+    ) -> None:
+        for event in self._events(ports.Topic.CONFIGURATION, log_records):
             match event:
-                case ports.ConfigurationChanged(configuration=fresh):
-                    self._put_in_force(fresh)
+                case ports.ConfigurationChanged(configuration=configuration):
+                    self._activate_configuration(configuration)
                 case ports.DomainServiceChanged(domain=domain, out=out):
                     self._directory.set_domain_out_of_service(domain, out)
-                    self._trace.info("domain_switched", domain=domain, out=out)
-        self._owner.notice()
+                    self._logger.info("domain_switched", domain=domain, out=out)
+        self._owner.mark_changed()
 
-    def _put_in_force(
-        self, fresh: fleet_configuration.FleetConfiguration
+    def _activate_configuration(
+        self, configuration: fleet_configuration.FleetConfiguration
     ) -> None:
-        before = self.job_service.configuration
-        if before is not None and before.version > fresh.version:
-            self._trace.warning(
+        previous = self.job_service.configuration
+        if previous is not None and previous.version > configuration.version:
+            self._logger.warning(
                 "older_configuration_ignored",
-                version=fresh.version,
-                in_force=before.version,
+                version=configuration.version,
+                in_force=previous.version,
             )
             return
-        self.job_service.configuration = fresh
-        self._owner.configure(fresh.accounts)
-        self._trace.info("configuration_in_force", version=fresh.version)
+        self.job_service.configuration = configuration
+        self._owner.set_accounts(configuration.accounts)
+        self._logger.info(
+            "configuration_in_force", version=configuration.version
+        )
 
-    def _replace_workers(self, taken: Sequence[ports.LogRecord]) -> None:
+    def _replace_workers(self, log_records: Sequence[ports.LogRecord]) -> None:
         entries = [
             event.entry
-            for event in self._events(ports.Topic.WORKERS, taken)
+            for event in self._events(ports.Topic.WORKERS, log_records)
             if isinstance(event, ports.WorkerChanged)
             and event.entry is not None
         ]
         self._directory.replace(tuple(entries))
-        self._owner.notice()
+        self._owner.mark_changed()
 
-    def _change_workers(self, taken: Sequence[ports.LogRecord]) -> None:
-        for event in self._events(ports.Topic.WORKERS, taken):
+    def _apply_worker_changes(
+        self, log_records: Sequence[ports.LogRecord]
+    ) -> None:
+        for event in self._events(ports.Topic.WORKERS, log_records):
             if isinstance(event, ports.WorkerChanged):
-                self._change_worker(event.worker, event.entry)
+                self._apply_worker_change(event.worker, event.entry)
 
-    def _change_worker(
-        self, name: ids.WorkerId, entry: worker_directory.Worker | None
+    def _apply_worker_change(
+        self, worker: ids.WorkerId, entry: worker_directory.Worker | None
     ) -> None:
-        before = self._directory.get(name)
+        previous = self._directory.get(worker)
         if entry is None:
-            self._directory.remove(name)
+            self._directory.remove(worker)
         else:
             self._directory.put(entry)
-        if entry is None or before is None or before.state != entry.state:
-            self._trace.info(
+        if entry is None or previous is None or previous.state != entry.state:
+            self._logger.info(
                 "worker_changed",
-                worker=name,
+                worker=worker,
                 state=entry.state.value if entry else "gone",
                 failure_domain=entry.failure_domain if entry else None,
                 rack=entry.rack if entry else None,
             )
-            self._owner.notice()
+            self._owner.mark_changed()
--- a/citronmount/fleet_service/ports.py
+++ b/citronmount/fleet_service/ports.py
@@ -1,4 +1,4 @@
-"""What the front and the owner need of a site: its log and its workers."""
+"""The interfaces that a site implements: its log and its workers."""
 
 from collections.abc import Sequence
 import enum
@@ -34,7 +34,7 @@
 
 
 class Topic(enum.Enum):
-    """The topics that are read."""
+    """The topics of the log that a VM reads."""
 
     JOBS = "jobs"
     CONFIGURATION = "configuration"
@@ -42,32 +42,32 @@
 
 
 class CallRefusedError(errors.UnreachableError):
-    """The log refused a call, which therefore had no effect."""
+    """The log rejected a call, which therefore had no effect."""
 
 
 class UnknownOutcomeError(errors.UnreachableError):
-    """A call got no answer and may have had its effect."""
+    """A call got no answer, so it may or may not have had its effect."""
 
 
 class FencedError(errors.CitronmountError):
-    """The log has seen a newer owner.
+    """The log has seen an epoch newer than the caller's.
 
     Attributes:
-        epoch: The newest epoch that the log has seen, or None if not told.
+        epoch: The newest epoch that the log has seen, or None if unknown.
     """
 
     def __init__(self, epoch: int | None) -> None:
         """Initializes the error.
 
         Args:
-            epoch: The newest epoch that the log has seen, if told.
+            epoch: The newest epoch that the log has seen, or None if unknown.
         """
         super().__init__(f"fenced by epoch {epoch}")
         self.epoch = epoch
 
 
 class LogTruncatedError(errors.CitronmountError):
-    """The log no longer has the records that a reader wants."""
+    """The log has already expired the records at the reader's offset."""
 
     def __init__(self) -> None:
         """Initializes the error."""
@@ -78,12 +78,12 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A record as it lies in a topic.
+    """A record of a topic.
 
     Attributes:
-        key: Its key.
-        value: Its bytes, or None if it removes the key.
-        offset: Where it lies.
+        key: The key.
+        value: The encoded value, or None if the record deletes the key.
+        offset: The offset in the topic.
     """
 
     key: str
@@ -92,12 +92,12 @@
 
 
 class LogPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Records from one offset on.
+    """Consecutive records of a topic.
 
     Attributes:
-        records: The records.
-        next_offset: Where to read on.
-        end_offset: Where the topic ended.
+        records: The records, by offset.
+        next_offset: The offset at which the next read starts.
+        end_offset: The end of the topic at the time of the read.
     """
 
     records: tuple[LogRecord, ...]
@@ -106,12 +106,12 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest record of each key.
+    """The newest record of each key of a topic.
 
     Attributes:
         records: The records, by offset.
-        end_offset: Where the topic ended before the first was read; reading on
-            from here misses nothing.
+        end_offset: The end of the topic before the first record was read, so
+            that a reader that continues from here misses no record.
     """
 
     records: tuple[LogRecord, ...]
@@ -119,12 +119,13 @@
 
 
 class Membership(msgspec.Struct, frozen=True, kw_only=True):
-    """What a group member was dealt.
+    """The assignment of one member of the owners' group.
 
     Attributes:
-        generation: Rises with each change of the group.
-        candidate: Whether the member is next to own the pool.
-        dealt: Whether the member was dealt anything.
+        generation: The generation of the group; increases with each change of
+            the group.
+        candidate: Whether the member is the next owner of the pool.
+        dealt: Whether the member was assigned any partition.
     """
 
     generation: int
@@ -133,17 +134,17 @@
 
 
 class ConfigurationChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """Operators published a version.
+    """Operators published a version of the configuration.
 
     Attributes:
-        configuration: The version.
+        configuration: The published version.
     """
 
     configuration: fleet_configuration.FleetConfiguration
 
 
 class DomainServiceChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """Operators took a failure domain out of service or back.
+    """Operators took a failure domain out of service or put it back.
 
     Attributes:
         domain: The failure domain.
@@ -155,11 +156,11 @@
 
 
 class WorkerChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's entry changed.
+    """The directory entry of a worker changed.
 
     Attributes:
         worker: The worker.
-        entry: Its entry, or None if it has no usable one any more.
+        entry: The new entry, or None if the worker no longer has a valid one.
     """
 
     worker: ids.WorkerId
@@ -179,12 +180,12 @@
     member: str
 
     def use_address(self, address: str) -> None:
-        """Makes further calls go to another address."""
+        """Sends all later calls to another address."""
 
     def append(
         self, records: Sequence[tuple[str, bytes | None]], timeout_ms: int
     ) -> defer.Deferred[int]:
-        """Appends to the job topic; fires with the first offset."""
+        """Appends to the job topic; fires with the first record's offset."""
 
     def append_as_owner(
         self,
@@ -193,17 +194,18 @@
         sequence: int,
         timeout_ms: int,
     ) -> defer.Deferred[int]:
-        """Appends to the job topic unless a newer epoch was seen.
+        """Appends to the job topic unless the log has seen a newer epoch.
 
-        The first append of an epoch, with sequence number 0, raises it. A
-        repeat of an epoch and sequence number appends nothing and fires with
-        the offset of the first append.
+        The first append of an epoch, with sequence number 0, raises the epoch
+        of the log. Appends are idempotent: a retry with the same epoch and
+        sequence number appends nothing and fires with the offset of the
+        original append.
         """
 
     def read(
         self, topic: Topic, offset: int, wait_ms: int, timeout_ms: int
     ) -> defer.Deferred[LogPage]:
-        """Reads records, waiting for the first if there is none yet."""
+        """Reads records, waiting up to `wait_ms` if there is none yet."""
 
     def snapshot(
         self, topic: Topic, timeout_ms: int
@@ -213,34 +215,52 @@
     def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> defer.Deferred[Membership]:
-        """Joins the owners' group or stays in it."""
+        """Joins the owners' group, or renews the membership in it.
+
+        A member that has not called this for `ttl_ms` leaves the group.
+        """
 
     def members(self, timeout_ms: int) -> defer.Deferred[frozenset[str]]:
-        """Tells which members of the owners' group were dealt anything."""
+        """Returns the members of the owners' group that have a partition."""
 
     def leave(self, timeout_ms: int) -> defer.Deferred[None]:
         """Leaves the owners' group."""
 
 
 class WorkerCommands(typing.Protocol):
-    """The orders that workers take. No call fails; silence is a verdict."""
+    """The commands that workers accept.
+
+    No call fails: a worker that does not answer gives an outcome, too.
+    """
 
     def start(
         self, command: commands.Start, timeout_ms: int
     ) -> defer.Deferred[tuple[commands.StartOutcome, int | None]]:
-        """Starts a task; fires with the verdict and the worker's clock."""
+        """Starts a task; fires with the outcome and the worker's clock in ms.
+
+        The clock is None if the worker did not report it.
+        """
 
     def stop(
         self, command: commands.Stop, timeout_ms: int
     ) -> defer.Deferred[tuple[commands.StopOutcome, int | None]]:
-        """Stops a run; fires with the verdict and the worker's clock."""
+        """Stops a run; fires with the outcome and the worker's clock in ms.
+
+        The clock is None if the worker did not report it.
+        """
 
     def request_advice(
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> defer.Deferred[commands.AdviceAnswer | None]:
-        """Asks a queue's policy; fires with None if it does not answer."""
+        """Asks a queue's policy which workers may run a step.
+
+        Fires with None if the policy gives no answer.
+        """
 
     def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> defer.Deferred[commands.LeaseReport | commands.StopOutcome]:
-        """Renews leases; fires with the report or why there is none."""
+        """Renews the leases of a worker's tasks.
+
+        Fires with the worker's report, or with the reason why there is none.
+        """
--- a/citronmount/fleet_service/settings_reloader.py
+++ b/citronmount/fleet_service/settings_reloader.py
@@ -1,4 +1,4 @@
-"""Takes in changes of the settings file while the process runs."""
+"""Applies changes of the settings file while the process runs."""
 
 from collections.abc import Callable
 import os
@@ -11,10 +11,11 @@
 
 
 class SettingsReloader:
-    """Reads the settings file again, on a signal or when it has changed.
+    """Reloads the settings file on a signal or when it has changed.
 
-    The address of the log service is taken over at once; other changes are in
-    force after the next start of the process, and the log line names them.
+    A new address of the log service takes effect at once. Other changes need a
+    restart of the process; the log line lists the names of all changed
+    settings.
     """
 
     def __init__(
@@ -29,9 +30,9 @@
 
         Args:
             path: The settings file.
-            load: Reads such a file.
-            settings: What it said at the start.
-            on_address: Gets a new address of the log service.
+            load: Reads a settings file.
+            settings: The settings with which the process started.
+            on_address: Called with a new address of the log service.
         """
         self._path = path
         self._load = load
@@ -40,33 +41,33 @@
         self._stamp = self._file_stamp()
 
     def check(self) -> None:
-        """Reads the file if it has changed."""
+        """Reloads the file if its time stamp or size has changed."""
         stamp = self._file_stamp()
         if stamp != self._stamp:
             self._stamp = stamp
             self.reload()
 
     def reload(self) -> None:
-        """Reads the file; one that cannot be read changes nothing."""
-        trace = structlog.get_logger()
+        """Reloads the file; an invalid file leaves the settings as they are."""
+        logger = structlog.get_logger()
         try:
-            fresh = self._load(self._path)
+            new_settings = self._load(self._path)
         except vm_settings.SettingsError as error:
-            trace.warning("reload_failed", error=str(error))
+            logger.warning("reload_failed", error=str(error))
             return
         changed = [
             name
-            for name in fresh.__struct_fields__
-            if getattr(fresh, name) != getattr(self._settings, name)
+            for name in new_settings.__struct_fields__
+            if getattr(new_settings, name) != getattr(self._settings, name)
         ]
-        if fresh.log_address != self._settings.log_address:
-            self._on_address(fresh.log_address)
-        self._settings = fresh
-        trace.info("settings_reloaded", changed=changed)
+        if new_settings.log_address != self._settings.log_address:
+            self._on_address(new_settings.log_address)
+        self._settings = new_settings
+        logger.info("settings_reloaded", changed=changed)
 
     def _file_stamp(self) -> tuple[int, int] | None:
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size
+        return status.st_mtime_ns, status.st_size
--- a/citronmount/fleet_service/status_resources.py
+++ b/citronmount/fleet_service/status_resources.py
@@ -1,4 +1,4 @@
-"""Pages about the process itself: whether it is ready, and its metrics."""
+"""HTTP resources on the state of the process: readiness and metrics."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from twisted.web import server
 
 from citronmount.telemetry import exposition
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics
 
 __all__ = ["MetricsResource", "ReadinessResource"]
 
@@ -17,23 +17,23 @@
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, *, metrics: metrics_lib.Metrics) -> None:
-        """Initializes the page.
+    def __init__(self, *, registry: metrics.Metrics) -> None:
+        """Initializes the resource.
 
         Args:
-            metrics: What the process measures.
+            registry: The metrics of the process.
         """
         super().__init__()
-        self._metrics = metrics
+        self._registry = registry
 
     def render_GET(self, request: server.Request) -> bytes:  # noqa: N802
-        """Returns the metrics of this moment."""
+        """Returns the current metrics in the exposition format."""
         request.setHeader("content-type", exposition.CONTENT_TYPE)
-        return exposition.render(self._metrics.snapshot()).encode("utf-8")
+        return exposition.render(self._registry.snapshot()).encode("utf-8")
 
 
 class ReadinessResource(resource.Resource):
-    """Tells whether the VM should get new connections."""
+    """Answers whether the VM should get new connections."""
 
     isLeaf = True  # noqa: N815
 
@@ -41,13 +41,13 @@
         """Initializes the resource.
 
         Args:
-            ready: Called for each question; returns whether the VM is ready.
+            ready: Called for each request; returns whether the VM is ready.
         """
         super().__init__()
         self._ready = ready
 
     def render_GET(self, request: server.Request) -> bytes:  # noqa: N802
-        """Answers 200 or 503."""
+        """Answers 200 if the VM is ready, otherwise 503."""
         if not self._ready():
             request.setResponseCode(http.SERVICE_UNAVAILABLE)
         return b""
--- a/citronmount/fleet_service/tests/pool_fixture.py
+++ b/citronmount/fleet_service/tests/pool_fixture.py
@@ -99,7 +99,9 @@
     def tearDown(self) -> None:
         self.assertEqual([], self.pool_workers.broken)
 
-    def make_vm(self, number: int, capable: bool = True) -> pool_vm.PoolVm:
+    def make_vm(
+        self, number: int, sized_for_ownership: bool = True
+    ) -> pool_vm.PoolVm:
         vm = ids.VmId(f"vm{number}")
         node = pool_vm.PoolVm(
             clock=self.clock,
@@ -110,13 +112,13 @@
             policy=lease_sessions.LeasePolicy(
                 lease_ms=5_000, max_lease_ms=6_000
             ),
-            capable=capable,
-            wall=self.wall,
+            sized_for_ownership=sized_for_ownership,
+            wall_clock=self.wall_ms,
         )
         node.start()
         return node
 
-    def wall(self) -> int:
+    def wall_ms(self) -> int:
         return int(self.clock.seconds() * 1_000) + self.wall_ahead_ms
 
     def add_worker(
--- a/citronmount/fleet_service/tests/test_big_pool.py
+++ b/citronmount/fleet_service/tests/test_big_pool.py
@@ -31,7 +31,7 @@
         for worker in cut:
             worker.fault = pool_workers.WorkerFault.SILENT
         number = self.owner()
-        defer.ensureDeferred(self.pool_vms[number].give_up())
+        defer.ensureDeferred(self.pool_vms[number].release_ownership())
         self.run_for(0.8)
         gang = pool_fixture.make_step(tasks=100, accelerators=8, gang=True)
         self.submit("rest", gang, at=(number + 1) % self.vm_count)
--- a/citronmount/fleet_service/tests/test_faults.py
+++ b/citronmount/fleet_service/tests/test_faults.py
@@ -29,7 +29,7 @@
     def kill_owner(self) -> None:
         number = self.owner()
         self.log.faults[ids.VmId(f"vm{number}")] = SILENT
-        defer.ensureDeferred(self.pool_vms[number].give_up())
+        defer.ensureDeferred(self.pool_vms[number].release_ownership())
         self.pool_vms[number].stop()
 
     def test_running_work_outlives_its_owner(self) -> None:
@@ -78,7 +78,7 @@
         self.run_for(1.0)
         for number, node in enumerate(self.pool_vms):
             self.log.faults[ids.VmId(f"vm{number}")] = SILENT
-            defer.ensureDeferred(node.give_up())
+            defer.ensureDeferred(node.release_ownership())
             node.stop()
         self.run_for(1.0)
         self.log.faults.clear()
@@ -92,7 +92,9 @@
 
     def test_owner_hands_over_when_it_is_told_to_stop(self) -> None:
         number = self.owner()
-        self.wait_for(defer.ensureDeferred(self.pool_vms[number].give_up()))
+        self.wait_for(
+            defer.ensureDeferred(self.pool_vms[number].release_ownership())
+        )
         self.run_for(1.0)
         self.assertNotEqual(number, self.owner())
 
@@ -142,7 +144,7 @@
     ) -> None:
         for number, node in enumerate(self.pool_vms):
             self.log.faults[ids.VmId(f"vm{number}")] = SILENT
-            defer.ensureDeferred(node.give_up())
+            defer.ensureDeferred(node.release_ownership())
             node.stop()
         self.run_for(0.5)
         self.log.faults.clear()
@@ -178,12 +180,12 @@
     def test_vm_with_little_processor_time_owns_only_if_none_else_does(
         self,
     ) -> None:
-        small = self.make_vm(self.vm_count, capable=False)
+        small = self.make_vm(self.vm_count, sized_for_ownership=False)
         self.run_for(4.0)
         self.assertFalse(small.owns_pool)
         for number, node in enumerate(self.pool_vms):
             self.log.faults[ids.VmId(f"vm{number}")] = SILENT
-            defer.ensureDeferred(node.give_up())
+            defer.ensureDeferred(node.release_ownership())
             node.stop()
         self.run_for(6.0)
         self.assertTrue(small.owns_pool)
--- a/citronmount/fleet_service/tests/test_hand_over.py
+++ b/citronmount/fleet_service/tests/test_hand_over.py
@@ -14,7 +14,7 @@
     def time_without_owner_s(self, settle_s: float = 3.0) -> float:
         """Makes the owner stop as planned; the next one takes over."""
         number = self.owner()
-        defer.ensureDeferred(self.pool_vms[number].give_up())
+        defer.ensureDeferred(self.pool_vms[number].release_ownership())
         began_s = self.clock.seconds()
         while not self.owners() and self.clock.seconds() < began_s + 10:
             self.clock.advance(pool_fixture.STEP_S)
--- a/citronmount/fleet_service/tests/test_jobs.py
+++ b/citronmount/fleet_service/tests/test_jobs.py
@@ -92,7 +92,7 @@
         self.assertIsNone(self.state("j", to=1))
 
     def test_occurrences_start_at_their_times(self) -> None:
-        due_ms = self.wall() + 1_000
+        due_ms = self.wall_ms() + 1_000
         self.submit(
             "j",
             pool_fixture.make_step(),
--- a/citronmount/fleet_service/tests/test_worker_speeds.py
+++ b/citronmount/fleet_service/tests/test_worker_speeds.py
@@ -9,7 +9,9 @@
 
     def replace_owner(self) -> None:
         number = self.owner()
-        stopped = defer.ensureDeferred(self.pool_vms[number].give_up())
+        stopped = defer.ensureDeferred(
+            self.pool_vms[number].release_ownership()
+        )
         self.wait_for(stopped)
         self.run_for(1.0)
         self.assertNotEqual(number, self.owner())
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -32,7 +32,7 @@
 from citronmount.telemetry import bounded_sink
 from citronmount.telemetry import event_metrics
 from citronmount.telemetry import logs
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics
 from citronmount.telemetry import process
 
 __all__ = ["Adapter", "Api", "check", "run"]
@@ -102,7 +102,7 @@
     adapter: Adapter,
     path: str,
     settings: vm_settings.VmSettings,
-    metrics: metrics_lib.Metrics,
+    registry: metrics.Metrics,
 ) -> None:
     """Runs the parts of one VM until SIGTERM.
 
@@ -111,7 +111,7 @@
         adapter: What differs from site to site.
         path: The settings file.
         settings: The settings.
-        metrics: What the process measures.
+        registry: The metrics of the process.
 
     Raises:
         ExceptionGroup: Parts could not be closed.
@@ -126,8 +126,8 @@
         settings=settings,
         on_address=log.use_address,
     )
-    metrics.gauge("owns_pool", lambda: node.owns_pool)
-    metrics.gauge("ready", lambda: node.ready)
+    registry.gauge("owns_pool", lambda: node.owns_pool)
+    registry.gauge("ready", lambda: node.ready)
     api = adapter.api(node.job_service)
     terminated: defer.Deferred[None] = defer.Deferred()
     _on_signals(reactor, terminated, reloader)
@@ -143,7 +143,7 @@
             status_resources.ReadinessResource(ready=lambda: node.ready)
         )
         await _listen(reactor, settings.ready_address, ready)
-        await _listen_for_metrics(reactor, settings, metrics)
+        await _listen_for_metrics(reactor, settings, registry)
         node.start()
         stack.push("node", node.stop)
         watcher = task.LoopingCall(reloader.check)
@@ -156,7 +156,7 @@
         await terminated
         structlog.get_logger().info("stopping")
         node.start_draining()
-        await node.give_up()
+        await node.release_ownership()
         await task.deferLater(
             reactor, settings.stop_grace_s - CLOSE_BEFORE_KILL_S
         )
@@ -185,17 +185,17 @@
         decode=adapter.decode,
         bounds=settings.bounds,
         policy=policy,
-        capable=settings.processor_share >= OWNER_PROCESSOR_SHARE,
+        sized_for_ownership=settings.processor_share >= OWNER_PROCESSOR_SHARE,
     )
 
 
 async def _listen_for_metrics(
     reactor: interfaces.IReactorTCP,
     settings: vm_settings.VmSettings,
-    metrics: metrics_lib.Metrics,
+    registry: metrics.Metrics,
 ) -> None:
     """Serves metrics; a port that is taken costs only the metrics."""
-    page = server.Site(status_resources.MetricsResource(metrics=metrics))
+    page = server.Site(status_resources.MetricsResource(registry=registry))
     try:
         await _listen(reactor, settings.metrics_address, page)
     except error.CannotListenError as reason:
@@ -297,18 +297,18 @@
     except vm_settings.SettingsError as error:
         click.echo(f"{path}: {error}", err=True)
         return EXIT_BAD_SETTINGS
-    metrics = metrics_lib.Metrics()
+    registry = metrics.Metrics()
     sink = bounded_sink.BoundedSink(descriptor=sys.stdout.fileno())
-    metrics.gauge("log_lines_dropped", lambda: sink.dropped)
-    metrics.gauge("resident_bytes", process.resident_bytes)
-    metrics.gauge("processor_s", process.processor_s)
+    registry.gauge("log_lines_dropped", lambda: sink.dropped)
+    registry.gauge("resident_bytes", process.resident_bytes)
+    registry.gauge("processor_s", process.processor_s)
     with logs.configure(
         vm=settings.vm,
         level="INFO",
         file_path=None,
         stream=sink,
-        count=event_metrics.EventCounter(metrics=metrics),
+        count=event_metrics.EventCounter(metrics=registry),
     ):
         return _run(
-            lambda reactor: serve(reactor, adapter, path, settings, metrics)
+            lambda reactor: serve(reactor, adapter, path, settings, registry)
         )
--- a/citronmount/fleet_service/vm_settings.py
+++ b/citronmount/fleet_service/vm_settings.py
@@ -1,4 +1,4 @@
-"""What the process of one VM of a pool needs to know."""
+"""The settings of the process of one VM of a pool."""
 
 import msgspec
 
@@ -10,23 +10,23 @@
 
 
 class SettingsError(errors.InvalidInputError):
-    """A settings file that does not say what is needed."""
+    """A settings file cannot be read or lacks a required setting."""
 
 
 class VmSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What a process needs to know of its VM and site.
+    """The settings of a VM and its site.
 
     Attributes:
         vm: The VM.
-        failure_domain: Where it is.
-        caller_address: ``ip:port`` for the calls of clients.
-        ready_address: ``ip:port`` that is asked whether the VM is ready.
-        metrics_address: ``ip:port`` for metrics.
+        failure_domain: The failure domain of the VM.
+        caller_address: ``ip:port`` on which to serve clients.
+        ready_address: ``ip:port`` on which to serve readiness probes.
+        metrics_address: ``ip:port`` on which to serve metrics.
         log_address: ``ip:port`` of the log service.
         advice_address: ``ip:port`` of the policies' service, or empty.
-        processor_share: Processor time that the VM has, in cores.
-        stop_grace_s: Time between SIGTERM and SIGKILL.
-        bounds: Times that the site sets.
+        processor_share: Processor time of the VM in cores.
+        stop_grace_s: Seconds between SIGTERM and SIGKILL.
+        bounds: Time limits that the site sets.
     """
 
     vm: ids.VmId
