--- a/citronmount/fleet_service/job_service.py
+++ b/citronmount/fleet_service/job_service.py
@@ -215,7 +215,7 @@
         """
         if allow_stale and self._health.last_call_failed:
             return
-        probe_ms = self._health.timeout_ms(PROBE_TIMEOUT_MS)
+        probe_ms = self._health.call_timeout_ms(PROBE_TIMEOUT_MS)
         timeout_ms = probe_ms if allow_stale else log_tail.CATCH_UP_TIMEOUT_MS
         try:
             await self._job_tail.catch_up(timeout_ms=timeout_ms)
@@ -240,7 +240,7 @@
         if self._health.since_answer_ms() < RECENT_ANSWER_MS:
             return True
         try:
-            timeout_ms = self._health.timeout_ms(PROBE_TIMEOUT_MS)
+            timeout_ms = self._health.call_timeout_ms(PROBE_TIMEOUT_MS)
             await self._job_tail.catch_up(timeout_ms=timeout_ms)
         except errors.CitronmountError as error:
             self._health.record_failure()
--- a/citronmount/fleet_service/log_health.py
+++ b/citronmount/fleet_service/log_health.py
@@ -54,7 +54,7 @@
         """Records a call that got no answer or was refused."""
         self._last_call_failed = True
 
-    def timeout_ms(self, default_ms: int) -> int:
+    def call_timeout_ms(self, default_ms: int) -> int:
         """Returns the timeout of the next call.
 
         A slow log is not an unreachable one: the next answer may take as long
--- a/citronmount/fleet_service/ports.py
+++ b/citronmount/fleet_service/ports.py
@@ -15,16 +15,16 @@
 from citronmount.fleet import worker_directory
 
 __all__ = [
+    "CallRefusedError",
     "ConfigurationChanged",
     "DomainServiceChanged",
     "FencedError",
-    "LogTruncatedError",
     "Log",
     "LogEvent",
+    "LogPage",
     "LogRecord",
+    "LogTruncatedError",
     "Membership",
-    "CallRefusedError",
-    "LogPage",
     "Snapshot",
     "Topic",
     "UnknownOutcomeError",
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -1,4 +1,4 @@
-"""The process of one VM of a pool: listens, serves and stops as planned."""
+"""The process of one VM of a pool: serves clients and shuts down gracefully."""
 
 from collections.abc import Callable
 import secrets
@@ -44,17 +44,17 @@
 LEASE_MS = 7_000
 LEASE_MARGIN_MS = 200
 CLOSE_BEFORE_KILL_S = 2.0
-CLOSE_IDLE_S = 0.7
+CONNECTION_CLOSE_S = 0.7
 RELOAD_PERIOD_S = 5.0
 PROCESS_NONCE_BYTES = 4
 OWNER_PROCESSOR_SHARE = 1.0
 
 
 class Api(typing.Protocol):
-    """The interface for callers that an adapter makes.
+    """The interface for clients that an adapter provides.
 
     Attributes:
-        closing: Whether each connection is closed after its answer.
+        closing: Whether to close each connection after its response.
     """
 
     closing: bool
@@ -64,13 +64,13 @@
 
 
 class Adapter(typing.Protocol):
-    """What differs from site to site: formats, names and calls."""
+    """The parts that are specific to a site: formats, names and protocols."""
 
     def load(self, path: str) -> vm_settings.VmSettings:
         """Reads a settings file.
 
         Raises:
-            SettingsError: It cannot be read or says too little.
+            SettingsError: The file cannot be read or is incomplete.
         """
 
     def log(
@@ -86,15 +86,19 @@
         settings: vm_settings.VmSettings,
         connections: exchange.Exchange,
     ) -> ports.WorkerCommands:
-        """Returns the orders that the site's workers take."""
+        """Returns a client that sends commands to the site's workers."""
 
     def decode(
         self, topic: ports.Topic, record: ports.LogRecord
     ) -> ports.LogEvent | None:
-        """Decodes a record of the operators or the workers."""
+        """Decodes a record that operators or workers have written.
+
+        Returns:
+            The event, or None if the record means nothing to the pool.
+        """
 
     def api(self, service: job_service.JobService) -> Api:
-        """Returns the interface for callers."""
+        """Returns the interface for clients."""
 
 
 async def serve(
@@ -104,48 +108,48 @@
     settings: vm_settings.VmSettings,
     registry: metrics.Metrics,
 ) -> None:
-    """Runs the parts of one VM until SIGTERM.
+    """Runs one VM until SIGTERM, then shuts it down gracefully.
 
     Args:
         reactor: The reactor of the process.
-        adapter: What differs from site to site.
+        adapter: The parts that are specific to the site.
         path: The settings file.
         settings: The settings.
         registry: The metrics of the process.
 
     Raises:
-        ExceptionGroup: Parts could not be closed.
+        ExceptionGroup: Some resources could not be closed.
     """
-    http = exchange.Exchange(reactor=reactor)
+    connections = exchange.Exchange(reactor=reactor)
     member = f"{settings.vm}/{secrets.token_hex(PROCESS_NONCE_BYTES)}"
-    log = adapter.log(settings, http, member)
-    node = _node(reactor, adapter, settings, http, log)
+    log = adapter.log(settings, connections, member)
+    vm = _make_pool_vm(reactor, adapter, settings, connections, log)
     reloader = settings_reloader.SettingsReloader(
         path=path,
         load=adapter.load,
         settings=settings,
         on_address=log.use_address,
     )
-    registry.gauge("owns_pool", lambda: node.owns_pool)
-    registry.gauge("ready", lambda: node.ready)
-    api = adapter.api(node.job_service)
+    registry.gauge("owns_pool", lambda: vm.owns_pool)
+    registry.gauge("ready", lambda: vm.ready)
+    api = adapter.api(vm.job_service)
     terminated: defer.Deferred[None] = defer.Deferred()
-    _on_signals(reactor, terminated, reloader)
+    _install_signal_handlers(reactor, terminated, reloader)
     async with closing.ClosingStack() as stack:
-        stack.push("platform connections", http.close)
+        stack.push("platform connections", connections.close)
         factory = site.make_factory(api.resource(), MAX_BODY_BYTES)
         port = await _listen(reactor, settings.caller_address, factory)
         stack.push(
             "caller connections", lambda: factory.close_connections(reactor)
         )
         stack.push("caller port", port.stopListening)
-        ready = server.Site(
-            status_resources.ReadinessResource(ready=lambda: node.ready)
+        ready_factory = server.Site(
+            status_resources.ReadinessResource(ready=lambda: vm.ready)
         )
-        await _listen(reactor, settings.ready_address, ready)
+        await _listen(reactor, settings.ready_address, ready_factory)
         await _listen_for_metrics(reactor, settings, registry)
-        node.start()
-        stack.push("node", node.stop)
+        vm.start()
+        stack.push("node", vm.stop)
         watcher = task.LoopingCall(reloader.check)
         watcher.clock = reactor
         watcher.start(RELOAD_PERIOD_S, now=False)
@@ -155,21 +159,21 @@
         )
         await terminated
         structlog.get_logger().info("stopping")
-        node.start_draining()
-        await node.release_ownership()
+        vm.start_draining()
+        await vm.release_ownership()
         await task.deferLater(
             reactor, settings.stop_grace_s - CLOSE_BEFORE_KILL_S
         )
         api.closing = True
-        await task.deferLater(reactor, CLOSE_IDLE_S)
+        await task.deferLater(reactor, CONNECTION_CLOSE_S)
     structlog.get_logger().info("stopped")
 
 
-def _node(
+def _make_pool_vm(
     reactor: interfaces.IReactorCore,
     adapter: Adapter,
     settings: vm_settings.VmSettings,
-    http: exchange.Exchange,
+    connections: exchange.Exchange,
     log: ports.Log,
 ) -> pool_vm.PoolVm:
     lease_ms = min(LEASE_MS, settings.bounds.max_lease_ms - LEASE_MARGIN_MS)
@@ -181,7 +185,7 @@
     return pool_vm.PoolVm(
         clock=reactor,
         log=log,
-        worker_commands=adapter.worker_commands(settings, http),
+        worker_commands=adapter.worker_commands(settings, connections),
         decode=adapter.decode,
         bounds=settings.bounds,
         policy=policy,
@@ -194,10 +198,15 @@
     settings: vm_settings.VmSettings,
     registry: metrics.Metrics,
 ) -> None:
-    """Serves metrics; a port that is taken costs only the metrics."""
-    page = server.Site(status_resources.MetricsResource(registry=registry))
+    """Serves metrics.
+
+    If the port cannot be bound, the VM runs without serving metrics.
+    """
+    site_factory = server.Site(
+        status_resources.MetricsResource(registry=registry)
+    )
     try:
-        await _listen(reactor, settings.metrics_address, page)
+        await _listen(reactor, settings.metrics_address, site_factory)
     except error.CannotListenError as reason:
         structlog.get_logger().warning("metrics_off", error=str(reason))
 
@@ -212,65 +221,74 @@
     return endpoint.listen(factory)
 
 
-def _on_signals(
+def _install_signal_handlers(
     reactor: interfaces.IReactorCore,
     terminated: defer.Deferred[None],
     reloader: settings_reloader.SettingsReloader,
 ) -> None:
-    def fire() -> None:
+    def set_terminated() -> None:
         if not terminated.called:
             terminated.callback(None)
 
-    def terminate(number: int, frame: object) -> None:
-        reactor.callFromThread(fire)
+    def terminate(signum: int, frame: object) -> None:
+        reactor.callFromThread(set_terminated)
 
-    def reload(number: int, frame: object) -> None:
+    def reload(signum: int, frame: object) -> None:
         reactor.callFromThread(reloader.reload)
 
     signal.signal(signal.SIGTERM, terminate)
     signal.signal(signal.SIGHUP, reload)
 
 
-def _run(serving: Callable[..., typing.Awaitable[None]]) -> int:
-    """Runs the reactor on the steady clock until the process has ended.
+def _run_reactor(
+    serve_until_stopped: Callable[..., typing.Awaitable[None]],
+) -> int:
+    """Runs the reactor until the coroutine has finished.
 
-    Twisted times its calls by the time of day, which jumps.
+    The reactor uses the monotonic clock: by default Twisted schedules its
+    calls by the time of day, which can jump.
+
+    Args:
+        serve_until_stopped: Called with the reactor; returns the coroutine.
+
+    Returns:
+        The exit status of the process.
     """
     from twisted.internet import reactor
 
     reactor.seconds = time.monotonic
-    statuses: list[int] = []
+    exit_statuses: list[int] = []
 
-    def end(result: object) -> None:
+    def on_finished(result: object) -> None:
         if isinstance(result, failure.Failure):
             structlog.get_logger().error(
                 "process_failed", error=result.getTraceback()
             )
-            statuses.append(EXIT_FAILED)
+            exit_statuses.append(EXIT_FAILED)
         else:
-            statuses.append(EXIT_OK)
+            exit_statuses.append(EXIT_OK)
         reactor.stop()
 
     def start() -> None:
-        defer.ensureDeferred(serving(reactor)).addBoth(end)
+        defer.ensureDeferred(serve_until_stopped(reactor)).addBoth(on_finished)
 
     logger.globalLogBeginner.beginLoggingTo(
         [], discardBuffer=True, redirectStandardIO=False
     )
     reactor.callWhenRunning(start)
     reactor.run(installSignalHandlers=False)
-    return statuses[0] if statuses else EXIT_FAILED
+    return exit_statuses[0] if exit_statuses else EXIT_FAILED
 
 
 def check(adapter: Adapter, path: str) -> int:
-    """Checks a settings file and prints what is wrong with it.
+    """Checks a settings file and prints whether it is valid.
 
     Args:
-        adapter: What differs from site to site.
+        adapter: The parts that are specific to the site.
         path: The file.
 
     Returns:
-        The exit status: 0, or 2 if the file is faulty.
+        The exit status: 0, or 2 if the file is invalid.
     """
     try:
         adapter.load(path)
@@ -285,12 +303,12 @@
     """Runs the process of one VM until it is stopped.
 
     Args:
-        adapter: What differs from site to site.
+        adapter: The parts that are specific to the site.
         path: The settings file.
 
     Returns:
-        The exit status: 0 after a planned stop, 1 after a fault and 2 if the
-        settings are faulty.
+        The exit status: 0 after SIGTERM, 1 after an internal error and 2 if
+        the settings are invalid.
     """
     try:
         settings = adapter.load(path)
@@ -309,6 +327,6 @@
         stream=sink,
         count=event_metrics.EventCounter(metrics=registry),
     ):
-        return _run(
+        return _run_reactor(
             lambda reactor: serve(reactor, adapter, path, settings, registry)
         )
