--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -6,13 +6,13 @@
 from citronmount.agent import job_completion
 from citronmount.agent import job_table
 from citronmount.agent import outbox
+from citronmount.clients import messages
 from citronmount.core import codes
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.leases import gang
-from citronmount.services import messages
 from citronmount.state import records
 from citronmount.telemetry import events as timeline
 
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -19,6 +19,7 @@
 from twisted.web import resource
 from twisted.web import server
 
+from citronmount.clients import http_client
 from citronmount.fleet import lease_sessions
 from citronmount.fleet_service import job_service
 from citronmount.fleet_service import pool_vm
@@ -26,9 +27,8 @@
 from citronmount.fleet_service import settings_reloader
 from citronmount.fleet_service import status_resources
 from citronmount.fleet_service import vm_settings
-from citronmount.service import closing
-from citronmount.service import site
-from citronmount.services import exchange
+from citronmount.service import cleanup
+from citronmount.service import http_server
 from citronmount.telemetry import bounded_sink
 from citronmount.telemetry import event_metrics
 from citronmount.telemetry import logs
@@ -76,7 +76,7 @@
     def log(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
         member: str,
     ) -> ports.Log:
         """Returns the site's log."""
@@ -84,7 +84,7 @@
     def worker_commands(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
     ) -> ports.WorkerCommands:
         """Returns a client that sends commands to the site's workers."""
 
@@ -120,7 +120,7 @@
     Raises:
         ExceptionGroup: Some resources could not be closed.
     """
-    connections = exchange.Exchange(reactor=reactor)
+    connections = http_client.HttpClient(reactor=reactor)
     member = f"{settings.vm}/{secrets.token_hex(PROCESS_NONCE_BYTES)}"
     log = adapter.log(settings, connections, member)
     vm = _make_pool_vm(reactor, adapter, settings, connections, log)
@@ -135,9 +135,9 @@
     api = adapter.api(vm.job_service)
     terminated: defer.Deferred[None] = defer.Deferred()
     _install_signal_handlers(reactor, terminated, reloader)
-    async with closing.ClosingStack() as stack:
+    async with cleanup.CleanupStack() as stack:
         stack.push("platform connections", connections.close)
-        factory = site.make_factory(api.resource(), MAX_BODY_BYTES)
+        factory = http_server.make_http_factory(api.resource(), MAX_BODY_BYTES)
         port = await _listen(reactor, settings.caller_address, factory)
         stack.push(
             "caller connections", lambda: factory.close_connections(reactor)
@@ -173,7 +173,7 @@
     reactor: interfaces.IReactorCore,
     adapter: Adapter,
     settings: vm_settings.VmSettings,
-    connections: exchange.Exchange,
+    connections: http_client.HttpClient,
     log: ports.Log,
 ) -> pool_vm.PoolVm:
     lease_ms = min(LEASE_MS, settings.bounds.max_lease_ms - LEASE_MARGIN_MS)
--- a/citronmount/membership/tests/test_membership_view.py
+++ b/citronmount/membership/tests/test_membership_view.py
@@ -1,9 +1,9 @@
 import unittest
 
+from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
-from citronmount.services import messages
 
 LOCAL_DOMAIN = ids.FailureDomainId("fd-a")
 REMOTE_DOMAIN = ids.FailureDomainId("fd-b")
--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -5,6 +5,7 @@
 
 import click
 
+from citronmount.clients import http_client
 from citronmount.fleet_service import job_service
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import vm_process
@@ -14,7 +15,6 @@
 from citronmount.platform import log as log_lib
 from citronmount.platform import runners
 from citronmount.platform import settings as settings_lib
-from citronmount.services import exchange
 
 __all__ = ["UsersPlatform", "check", "main", "run"]
 
@@ -29,7 +29,7 @@
     def log(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
         member: str,
     ) -> ports.Log:
         """Returns the platform's store as the log."""
@@ -42,7 +42,7 @@
     def worker_commands(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
     ) -> ports.WorkerCommands:
         """Returns the orders that the platform's runners take."""
         return runners.RunnerOrders(
