--- a/citronmount/fleet_service/log_tail.py
+++ b/citronmount/fleet_service/log_tail.py
@@ -80,7 +80,7 @@
         """Starts reading."""
         self._stopped = False
         self._running = defer.ensureDeferred(self._run())
-        self._running.addErrback(self._on_loop_end)
+        self._running.addErrback(self._on_loop_failure)
 
     def stop(self) -> None:
         """Stops reading and cancels a read in flight."""
@@ -203,6 +203,6 @@
             self._log_failing = False
             self._logger.info("log_regained", position=self.position)
 
-    def _on_loop_end(self, reason: failure.Failure) -> None:
+    def _on_loop_failure(self, reason: failure.Failure) -> None:
         if not self._stopped:
             self._logger.error("tail_failed", error=reason.getTraceback())
--- a/citronmount/fleet_service/tests/test_log_outages.py
+++ b/citronmount/fleet_service/tests/test_log_outages.py
@@ -50,7 +50,7 @@
                 self.run_for(outage_s)
                 self.log.faults.clear()
                 self.run_for(0.85)
-                self.assertTrue(all(vm.ready for vm in self.pool_vms))
+                self.assertTrue(all(pool_vm.ready for pool_vm in self.pool_vms))
                 for outcome, _ in self.submit_everywhere(
                     f"j{int(outage_s * 10)}x"
                 ):
