--- a/citronmount/core/jobs.py
+++ b/citronmount/core/jobs.py
@@ -135,7 +135,8 @@
         account: Client account that sent the request.
         payload: Request body, opaque to the scheduler.
         timeout_ms: Time that the caller waits, counted from arrival.
-        idempotent: Whether the request may be sent to a second runner.
+        idempotent: Whether the request may be sent again although an earlier
+            attempt may have run it.
         idempotency_key: Idempotency key set by the caller, or empty.
     """
 
--- a/citronmount/core/request_peers.py
+++ b/citronmount/core/request_peers.py
@@ -12,6 +12,16 @@
 
 
 class _Peer(msgspec.Struct, kw_only=True):
+    """State of a peer.
+
+    Attributes:
+        free: Estimated number of free slots; negative after speculative
+            offers.
+        heard_ms: Monotonic time of its last report.
+        pending: Number of offers that it has not answered.
+        paused_until_ms: Monotonic time before which it gets no offers.
+    """
+
     free: int
     heard_ms: int
     pending: int = 0
--- a/citronmount/core/request_queue.py
+++ b/citronmount/core/request_queue.py
@@ -23,7 +23,7 @@
 
 
 class _AccountQueue(msgspec.Struct, kw_only=True):
-    """Waiting requests of an account.
+    """Queued requests of an account.
 
     Removed requests stay in `waiting` until they are skipped or compacted;
     `live` counts the others. `entry` is the number of the heap entry that is
@@ -40,15 +40,15 @@
 
 
 class FairQueue:
-    """Waiting requests, limited in number for each account."""
+    """Queued requests, limited in number for each account."""
 
-    def __init__(self, *, max_waiting: int) -> None:
+    def __init__(self, *, max_queued: int) -> None:
         """Initializes an empty queue.
 
         Args:
-            max_waiting: Maximum number of waiting requests of an account.
+            max_queued: Maximum number of queued requests of an account.
         """
-        self._max_waiting = max_waiting
+        self._max_queued = max_queued
         self._queues: dict[ids.AccountId, _AccountQueue] = {}
         self._account_of: dict[ids.RequestId, ids.AccountId] = {}
         self._heap: list[tuple[bool, float, int, ids.AccountId]] = []
@@ -56,7 +56,7 @@
         self._virtual_time_ms = {False: 0.0, True: 0.0}
 
     def __len__(self) -> int:
-        """Returns the number of waiting requests."""
+        """Returns the number of queued requests."""
         return len(self._account_of)
 
     def set_account_class(
@@ -77,14 +77,14 @@
         if queue.live:
             self._push_heap_entry(queue)
 
-    def waiting_count(self, account: ids.AccountId) -> int:
-        """Counts the waiting requests of an account.
+    def queued_count(self, account: ids.AccountId) -> int:
+        """Counts the queued requests of an account.
 
         Args:
             account: Client account.
 
         Returns:
-            The number of its waiting requests.
+            The number of its queued requests.
         """
         queue = self._queues.get(account)
         return queue.live if queue else 0
@@ -120,11 +120,11 @@
             account: Client account of the request.
 
         Returns:
-            False if the account already has the maximum number of waiting
+            False if the account already has the maximum number of queued
             requests, otherwise True.
         """
         queue = self._account_queue(account)
-        if queue.live >= self._max_waiting:
+        if queue.live >= self._max_queued:
             return False
         queue.waiting.append(request)
         self._record_added(queue, request)
@@ -151,7 +151,7 @@
             request: Request id.
 
         Returns:
-            Whether the request was waiting.
+            Whether the request was queued.
         """
         account = self._account_of.pop(request, None)
         if account is None:
@@ -168,7 +168,7 @@
         """Returns the next request without removing it.
 
         Returns:
-            The request id, or None if no request waits.
+            The request id, or None if no request is queued.
         """
         queue = self._next_queue()
         return queue.waiting[0] if queue else None
@@ -177,7 +177,7 @@
         """Removes the next request.
 
         Returns:
-            The request id, or None if no request waits.
+            The request id, or None if no request is queued.
         """
         queue = self._next_queue()
         if queue is None:
--- a/citronmount/core/request_router.py
+++ b/citronmount/core/request_router.py
@@ -51,7 +51,22 @@
 
 
 class _LiveRequest(msgspec.Struct, kw_only=True):
-    """Request whose caller still waits for an answer."""
+    """Request whose caller still waits for an answer.
+
+    Attributes:
+        spec: Request.
+        arrived_ms: Monotonic time of arrival.
+        deadline_ms: Monotonic time of the caller's timeout.
+        from_peer: Whether a peer offered the request.
+        sends: Number of attempts made.
+        failed_runs: Number of attempts and offers that may have run and did
+            not succeed.
+        may_have_run: Whether an ended attempt or offer may have run it.
+        runners: Runners to which the request was sent.
+        active: Number of attempts in flight.
+        offers: Number of offers made to peers.
+        offered_to: Peer that has not answered the last offer yet.
+    """
 
     spec: jobs.RequestSpec
     arrived_ms: int
@@ -85,9 +100,7 @@
                 hedging.
         """
         self._slots = request_slots.RunnerSlots(seed=zlib.crc32(vm.encode()))
-        self._queue = request_queue.FairQueue(
-            max_waiting=MAX_QUEUED_PER_ACCOUNT
-        )
+        self._queue = request_queue.FairQueue(max_queued=MAX_QUEUED_PER_ACCOUNT)
         self._peers = request_peers.PeerSlotTable()
         self._live: dict[ids.RequestId, _LiveRequest] = {}
         self._attempts: dict[ids.RequestId, list[_Attempt]] = {}
@@ -240,13 +253,14 @@
             answer: Answer of the runner, or None if there was none.
             sent: Whether the request may have reached the runner.
             now_ms: Monotonic time.
-            attempt: Number of the attempt. If None, the oldest open attempt
-                of the request at the runner is meant.
+            attempt: Number of the attempt. If None, the oldest attempt of the
+                request in flight at the runner is meant.
         """
         self._now_ms = now_ms
         ended = self._end_attempt(request, runner, attempt)
         if ended is None:
             return
+        # An answer to another request proves nothing about this one.
         if answer is not None and answer.request != request:
             answer = None
             sent = True
@@ -313,7 +327,7 @@
         if live is None:
             return False
         self._queue.remove(request)
-        return not self._may_have_executed(live)
+        return not self._may_run_or_have_run(live)
 
     def free_slots(self) -> int:
         """Returns the number of requests that could be sent now."""
@@ -322,7 +336,7 @@
         return self._slots.free_slots(self._now_ms)
 
     def queued_count(self) -> int:
-        """Returns the number of requests that wait for a slot."""
+        """Returns the number of requests that are queued for a slot."""
         return len(self._queue)
 
     def outstanding_count(self) -> int:
@@ -366,7 +380,7 @@
                 code=codes.ResultCode.FAILURE_DOMAIN_OUT,
                 retry_after_ms=RETRY_AFTER_MAX_MS,
             )
-        if self._queue.waiting_count(spec.account) >= MAX_QUEUED_PER_ACCOUNT:
+        if self._queue.queued_count(spec.account) >= MAX_QUEUED_PER_ACCOUNT:
             return jobs.RequestResult(
                 request=spec.request,
                 code=codes.ResultCode.QUEUE_FULL,
@@ -398,7 +412,7 @@
         return self._hedge_delays[account]
 
     def _queue_drain_ms(self, account: ids.AccountId) -> int:
-        work_ms = self._queue.waiting_count(account) * self._queue.cost_ms(
+        work_ms = self._queue.queued_count(account) * self._queue.cost_ms(
             account
         )
         drain_ms = math.ceil(work_ms / max(1, self._outstanding))
@@ -416,7 +430,7 @@
         while (request := self._queue.pop()) is not None:
             live = self._live[request]
             code = codes.ResultCode.FAILURE_DOMAIN_OUT
-            if self._may_have_executed(live):
+            if self._may_run_or_have_run(live):
                 code = self._timeout_code(live)
             self._finish(live, code)
 
@@ -429,13 +443,14 @@
         heapq.heapify(self._deadlines)
 
     def _timeout_code(self, live: _LiveRequest) -> codes.ResultCode:
-        if not self._may_have_executed(live):
+        if not self._may_run_or_have_run(live):
             return codes.ResultCode.NO_SLOT
         if live.spec.idempotent:
             return codes.ResultCode.TIMED_OUT
         return codes.ResultCode.OUTCOME_UNKNOWN
 
-    def _may_have_executed(self, live: _LiveRequest) -> bool:
+    def _may_run_or_have_run(self, live: _LiveRequest) -> bool:
+        """Returns whether the request may have run or may be running now."""
         return bool(
             live.may_have_run or live.active or live.offered_to is not None
         )
@@ -552,19 +567,19 @@
         runner: ids.RunnerId,
         number: int | None,
     ) -> _Attempt | None:
-        open_attempts = self._attempts.get(request, [])
+        in_flight = self._attempts.get(request, [])
         ended = next(
             (
                 attempt
-                for attempt in open_attempts
+                for attempt in in_flight
                 if attempt.runner == runner and number in (None, attempt.number)
             ),
             None,
         )
         if ended is None:
             return None
-        open_attempts.remove(ended)
-        if not open_attempts:
+        in_flight.remove(ended)
+        if not in_flight:
             del self._attempts[request]
         self._outstanding -= 1
         self._slots.release(runner)
--- a/citronmount/core/shares.py
+++ b/citronmount/core/shares.py
@@ -151,10 +151,10 @@
         allowed = domain_share.allowances.get(spec.account, 0)
         return allowed if allowed >= spec.accelerators else None
     return sum(
-        shared.copies * shared.shape.accelerators
-        for shared in domain_share.guarantees
-        if shared.account == spec.account
-        and shared.copies * shared.shape.accelerators >= spec.accelerators
+        part.copies * part.shape.accelerators
+        for part in domain_share.guarantees
+        if part.account == spec.account
+        and part.copies * part.shape.accelerators >= spec.accelerators
     )
 
 
