--- a/citronmount/core/admission.py
+++ b/citronmount/core/admission.py
@@ -134,6 +134,7 @@
         )
 
     def _could_ever_fit(self, shape: shapes.Shape) -> bool:
+        # No job is refused for its size before the first list of workers.
         if not any(True for _ in self._total_capacity):
             return True
         if shape not in self._fits_when_empty:
--- a/citronmount/core/attempt_outcomes.py
+++ b/citronmount/core/attempt_outcomes.py
@@ -29,7 +29,7 @@
     domain: domain_state.DomainState,
     placed: domain_state.PlacedJob,
     end: decisions.AttemptEnd,
-    failed_workers: tuple[ids.WorkerId, ...],
+    culprits: tuple[ids.WorkerId, ...],
     now_ms: int,
 ) -> None:
     """Updates the state of the scheduler after the end of an attempt.
@@ -38,7 +38,7 @@
         domain: Failure domain.
         placed: Attempt, whose capacity has been released.
         end: Outcome of the attempt.
-        failed_workers: Workers at which the attempt failed.
+        culprits: Workers at which the attempt failed.
         now_ms: Monotonic time.
     """
     entry = placed.entry
@@ -55,12 +55,12 @@
                 spec.job, spec.account, group.worker
             )
         }
-    elif end in _FAILURES and failed_workers:
+    elif end in _FAILURES and culprits:
         has_run = end is decisions.AttemptEnd.FAILED_BY_JOB
-        _record_failure(domain, entry, failed_workers, now_ms, has_run=has_run)
+        _record_failure(domain, entry, culprits, now_ms, has_run=has_run)
         workers_to_refresh |= {
             worker
-            for worker in failed_workers
+            for worker in culprits
             if domain.quarantine.record_failure(
                 spec.job, spec.account, worker, now_ms
             )
@@ -72,29 +72,30 @@
 def _record_failure(
     domain: domain_state.DomainState,
     entry: job_queue.JobEntry,
-    failed_workers: tuple[ids.WorkerId, ...],
+    culprits: tuple[ids.WorkerId, ...],
     now_ms: int,
     *,
     has_run: bool,
 ) -> None:
     """Counts a failed attempt of a job and delays its retry.
 
-    A failure to start (`has_run` is False) is attributed to the workers, not
-    to the job.
+    An attempt that failed to start (`has_run` is False) does not count as a
+    failed run.
     """
     backoff_ms = min(RETRY_BASE_MS << entry.failed_attempts, RETRY_MAX_MS)
     entry.failed_attempts += 1
     entry.failed_runs += has_run
-    entry.failed_workers |= set(failed_workers)
+    entry.failed_workers |= set(culprits)
     entry.retry_at_ms = now_ms + backoff_ms
     heapq.heappush(domain.wake_up_times_ms, entry.retry_at_ms)
 
 
 def failed_everywhere(entry: job_queue.JobEntry) -> bool:
-    """Returns whether a job has failed too widely to run again.
+    """Returns whether a job has failed too often to run again.
 
-    A job that keeps failing on too few workers to attribute the failures to
-    it is abandoned after a number of runs, with a growing delay between them.
+    Failures on several workers are attributed to the job. With fewer workers
+    the fault may be theirs, so the job is retried, with a growing delay, until
+    `MAX_FAILED_RUNS`.
 
     Args:
         entry: Entry of the job.
@@ -111,8 +112,8 @@
     """Returns the result of a queued job whose deadline has passed.
 
     Args:
-        entry: Entry of the job. If the job has started before, the result
-            does not claim that it did not run.
+        entry: Entry of the job. If the job has started before, the code is
+            INTERRUPTED, since DEADLINE_PASSED proves that it did not run.
     """
     if entry.has_started:
         return jobs.JobResult(
--- a/citronmount/core/backfill.py
+++ b/citronmount/core/backfill.py
@@ -168,7 +168,7 @@
         for group in placed.groups:
             freed = resources.scaled(placed.entry.spec.per_task, group.tasks)
             future.free(group.worker, freed)
-        tasks_by_worker = future.find_groups(
+        tasks_by_worker = future.find_tasks_by_worker(
             group.worker for group in placed.groups
         )
         if tasks_by_worker is not None:
@@ -204,7 +204,7 @@
         if self._total_tasks is not None:
             self._total_tasks += self._tasks_on(worker) - before
 
-    def find_groups(
+    def find_tasks_by_worker(
         self, workers: Iterable[ids.WorkerId]
     ) -> dict[ids.WorkerId, int] | None:
         """Returns the gang's tasks by worker, or None if it does not fit.
@@ -223,9 +223,9 @@
             scope = [worker]
             if self._shape.adjacency is states.Adjacency.RACK:
                 scope = self._index.workers_of_rack(self._index.rack(worker))
-            groups = self._fill_workers(scope)
-            if groups is not None:
-                return groups
+            tasks_by_worker = self._fill_workers(scope)
+            if tasks_by_worker is not None:
+                return tasks_by_worker
         return None
 
     def _find_anywhere(self) -> dict[ids.WorkerId, int] | None:
@@ -241,14 +241,14 @@
         self, workers: Iterable[ids.WorkerId]
     ) -> dict[ids.WorkerId, int] | None:
         remaining = self._shape.tasks
-        groups: dict[ids.WorkerId, int] = {}
+        tasks_by_worker: dict[ids.WorkerId, int] = {}
         for worker in workers:
             tasks = min(self._tasks_on(worker), remaining)
-            if tasks and worker not in groups:
-                groups[worker] = tasks
+            if tasks and worker not in tasks_by_worker:
+                tasks_by_worker[worker] = tasks
                 remaining -= tasks
             if not remaining:
-                return groups
+                return tasks_by_worker
         return None
 
     def _tasks_on(self, worker: ids.WorkerId) -> int:
--- a/citronmount/core/cell_selection.py
+++ b/citronmount/core/cell_selection.py
@@ -45,13 +45,13 @@
     free = domain.pool.free
     uses = plan.find_uses(account, entry.shape, free, avoid)
     key = domain.worker_key(entry, now_ms)
-    opened_cells = dict.fromkeys(
+    free_cells_used = dict.fromkeys(
         use.cell for use in uses or () if not use.cell.occupied
     )
-    for cell in opened_cells:
+    for cell in free_cells_used:
         part = _needed_part(cell, entry.shape)
         if part is not None and (
-            plan.relocate(cell, part, free, key, avoid)
+            plan.move_to_free_capacity(cell, part, free, key, avoid)
             or _move_to_least_cost(domain, cell, part, avoid, now_ms)
         ):
             uses = plan.find_uses(account, entry.shape, free, avoid)
@@ -162,7 +162,7 @@
         group.worker: resources.scaled(per_task, group.tasks)
         for group in groups
     }
-    shortage = preemption.shortfall(domain, need)
+    shortage = preemption.find_shortage(domain, need)
     victims = preemption.choose_victims(domain, shortage, now_ms)
     return (
         None
--- a/citronmount/core/cells.py
+++ b/citronmount/core/cells.py
@@ -59,7 +59,7 @@
         return bool(self.jobs)
 
     @property
-    def spare_accelerators(self) -> int:
+    def unused_accelerators(self) -> int:
         """Number of accelerators that no job in the cell uses."""
         return sum(unused.accelerators for unused in self.unused.values())
 
@@ -199,7 +199,7 @@
         """Finds capacity for a job in the cells of its account.
 
         Minimizes, in this order: the number of free cells used, the number of
-        free cells of another shape, the spare accelerators of the cells used,
+        free cells of another shape, the unused accelerators of the cells used,
         and the uses that must wait for capacity to be freed.
 
         Args:
@@ -213,9 +213,9 @@
         """
         candidates = self._candidate_uses(account, shape, free, avoid)
         found = []
-        for scope in candidates.values():
+        for ranked_uses in candidates.values():
             uses = _select_uses(
-                sorted(scope, key=lambda candidate: candidate[0]), shape
+                sorted(ranked_uses, key=lambda candidate: candidate[0]), shape
             )
             if uses:
                 found.append(uses)
@@ -236,7 +236,7 @@
             use.cell.unused[use.worker] = resources.minus(unused, need)
         self._uses[job] = uses
 
-    def release(self, job: ids.JobId) -> None:
+    def unbind(self, job: ids.JobId) -> None:
         """Unbinds a job from its cells, if it runs in any.
 
         A cell that becomes free loses its slots if they are no longer usable.
@@ -333,7 +333,7 @@
                 used_by_remaining[location] = resources.plus(
                     used_by_remaining.get(location, resources.ZERO), need
                 )
-        fits: dict[object, int] = {}
+        tasks_by_scope: dict[object, int] = {}
         for cell in self.cells(account):
             for worker, slots in cell.slots.items():
                 unused = resources.minus(
@@ -342,10 +342,10 @@
                 )
                 scope = self._scope(worker, shape.adjacency)
                 tasks = resources.task_capacity(unused, shape.per_task)
-                fits[scope] = fits.get(scope, 0) + tasks
-        return any(tasks >= shape.tasks for tasks in fits.values())
+                tasks_by_scope[scope] = tasks_by_scope.get(scope, 0) + tasks
+        return any(tasks >= shape.tasks for tasks in tasks_by_scope.values())
 
-    def relocate(
+    def move_to_free_capacity(
         self,
         cell: Cell,
         shape: shapes.Shape,
@@ -399,10 +399,14 @@
         free: pool.CapacityIndex,
         avoid: Collection[ids.WorkerId],
     ) -> dict[object, list[tuple[tuple, CellUse]]]:
-        """Returns ranked cell uses by scope, and by cell and scope."""
+        """Returns cell uses with their ranks.
+
+        The keys are scopes and (cell, scope) pairs, so that the use of one
+        cell alone can be compared with that of several cells in a scope.
+        """
         candidates: dict[object, list[tuple[tuple, CellUse]]] = {}
         for cell in self.cells(account):
-            spare = cell.spare_accelerators
+            unused_accelerators = cell.unused_accelerators
             for worker, unused in cell.unused.items():
                 tasks = resources.task_capacity(unused, shape.per_task)
                 if (
@@ -423,7 +427,7 @@
                 rank = (
                     not cell.occupied,
                     cell.shape != shape,
-                    spare,
+                    unused_accelerators,
                     free_tasks < use.tasks,
                     unused.accelerators,
                     worker,
@@ -477,14 +481,19 @@
         chosen: set[Cell],
         uses: list[CellUse],
     ) -> None:
+        """Assigns tasks in `remaining` to unused capacity of cells.
+
+        Moves the tasks from `remaining` to `uses` and adds the cells to
+        `chosen`.
+        """
         seen = {(use.cell, use.worker) for use in uses}
         for cell in cells:
             for worker in [w for w in remaining if w in cell.unused]:
                 if (cell, worker) in seen:
                     continue
                 unused = cell.unused[worker]
-                fits = resources.task_capacity(unused, shape.per_task)
-                tasks = min(remaining[worker], fits)
+                max_tasks = resources.task_capacity(unused, shape.per_task)
+                tasks = min(remaining[worker], max_tasks)
                 if not tasks:
                     continue
                 chosen.add(cell)
@@ -543,23 +552,28 @@
         shape: shapes.Shape,
         remaining: Mapping[ids.WorkerId, int],
     ) -> tuple[jobs.TaskGroup, ...]:
+        """Returns slots of a cell for tasks that remain, in one scope.
+
+        They may hold only part of the tasks, and may be fewer than the cell
+        has.
+        """
         tasks_per_slot = resources.task_capacity(
             cell.shape.per_task, shape.per_task
         )
         if not tasks_per_slot:
             return ()
         groups = []
-        spare = cell.shape.tasks
+        unassigned = cell.shape.tasks
         scope: object = None
         for worker, tasks in remaining.items():
             worker_scope = self._scope(worker, cell.shape.adjacency)
             if groups and worker_scope != scope:
                 continue
-            slots = min(-(-tasks // tasks_per_slot), spare)
+            slots = min(-(-tasks // tasks_per_slot), unassigned)
             if slots:
                 scope = worker_scope
                 groups.append(jobs.TaskGroup(worker=worker, tasks=slots))
-                spare -= slots
+                unassigned -= slots
         return tuple(groups)
 
     def _complete_slots(
@@ -722,7 +736,7 @@
     def _delete_cell(self, cell: Cell) -> list[ids.JobId]:
         unbound = list(cell.jobs)
         for job in unbound:
-            self.release(job)
+            self.unbind(job)
         self._clear_slots(cell)
         del self._unplanned[cell]
         self._cells[cell.account].remove(cell)
@@ -777,13 +791,13 @@
         < use.tasks
         for use in uses
     )
-    opened = len({use.cell for use in uses if not use.cell.occupied})
+    free_cells_used = len({use.cell for use in uses if not use.cell.occupied})
     used = {use.cell for use in uses}
     other_shapes = sum(
         not cell.occupied and cell.shape != shape for cell in used
     )
-    spare = sum(cell.spare_accelerators for cell in used)
-    return (opened, other_shapes, spare, not_free)
+    unused = sum(cell.unused_accelerators for cell in used)
+    return (free_cells_used, other_shapes, unused, not_free)
 
 
 def _hardest_first(cells: Iterable[Cell]) -> list[Cell]:
--- a/citronmount/core/delay_scheduling.py
+++ b/citronmount/core/delay_scheduling.py
@@ -43,7 +43,8 @@
 ) -> bool:
     """Returns whether a job should wait although it could start now.
 
-    The first call that says so sets the time at which the wait ends.
+    The maximum wait counts from the first call that finds the placement too
+    fragmented.
 
     Args:
         domain: State of the failure domain.
--- a/citronmount/core/domain_state.py
+++ b/citronmount/core/domain_state.py
@@ -35,7 +35,8 @@
     Attributes:
         entry: The job.
         groups: Its tasks on each worker.
-        since_ms: Monotonic time at which it was placed or, later, started.
+        since_ms: Monotonic time at which it was placed or, once it has
+            started, at which it started.
         evicting: Whether its eviction was requested.
         preemptible: Whether paying work outside guarantees may preempt it.
     """
@@ -133,7 +134,7 @@
         return self._account_classes.get(account)
 
     def is_trial(self, account: ids.AccountId) -> bool:
-        """Returns whether an account does not pay."""
+        """Returns whether an account is a trial account or unknown."""
         return (
             self._account_classes.get(account) is not states.AccountClass.PAYING
         )
@@ -149,7 +150,11 @@
         return used <= self.allowance(account)
 
     def revocable(self, job: ids.JobId) -> bool:
-        """Returns whether a job is placed and may be evicted for another."""
+        """Returns whether a job is placed and may be evicted for another.
+
+        Only jobs outside cells may be evicted, and only under a policy with
+        guarantees.
+        """
         return (
             self.policy.guarantees
             and job in self.placed
@@ -298,7 +303,13 @@
         now_ms: int,
         promote_at_ms: int | None = None,
     ) -> None:
-        """Adds an entry to the queue."""
+        """Adds an entry to the queue.
+
+        Args:
+            entry: Entry of the job.
+            now_ms: Monotonic time.
+            promote_at_ms: Unix time; see `JobQueue.add`.
+        """
         account = entry.spec.account
         entry.queued_ms = now_ms
         entry.delay_until_ms = None
@@ -408,7 +419,7 @@
             self._trial_accelerators[spec.account] -= entry.shape.accelerators
             entry.counts_against_allowance = False
         if self.plan.runs_in_cells(spec.job):
-            self.plan.release(spec.job)
+            self.plan.unbind(spec.job)
             self.accounts_to_bind.add(spec.account)
             self.cells_planned = (
                 self.cells_planned and not self.plan.unplanned()
--- a/citronmount/core/fragmentation.py
+++ b/citronmount/core/fragmentation.py
@@ -26,8 +26,9 @@
 class GangMix:
     """The typical gangs of the workload, from guarantees and submissions.
 
-    Submitted gangs are weighted by accelerator hours. The weights are halved
-    when their sum exceeds a threshold, so that the mix follows the workload.
+    Guaranteed gangs are weighted by accelerators, submitted ones by accelerator
+    hours. The weights of submitted gangs are halved when their sum exceeds a
+    threshold, so that the mix follows the workload.
     """
 
     def __init__(self) -> None:
@@ -139,21 +140,22 @@
 
 
 def unusable_share(
-    index: pool.CapacityIndex, pending: Mapping[shapes.Shape, int]
+    index: pool.CapacityIndex, queued_gangs: Mapping[shapes.Shape, int]
 ) -> float:
-    """Returns the share of free accelerators that pending gangs cannot use.
+    """Returns the share of free accelerators that queued gangs cannot use.
 
     Args:
         index: Free capacity of the workers.
-        pending: Number of pending gangs of each shape.
+        queued_gangs: Number of queued gangs of each shape.
 
     Returns:
-        Mean over the shapes, weighted by their pending accelerators, between
-        0 and 1; 0 if no accelerator is free or pending.
+        Mean over the shapes, weighted by the accelerators that their queued
+        gangs request, between 0 and 1; 0 if no accelerator is free or
+        requested.
     """
     weights = {
-        shape: copies * shape.accelerators
-        for shape, copies in pending.items()
+        shape: count * shape.accelerators
+        for shape, count in queued_gangs.items()
         if shape.accelerators
     }
     total_weight = sum(weights.values())
@@ -168,18 +170,18 @@
 
 def _usable_accelerators(index: pool.CapacityIndex, shape: shapes.Shape) -> int:
     if shape.adjacency is states.Adjacency.WORKER:
-        groups = [[worker] for worker in index]
+        scopes = [[worker] for worker in index]
     elif shape.adjacency is states.Adjacency.RACK:
         racks = {index.rack(worker) for worker in index}
-        groups = [index.workers_of_rack(rack) for rack in racks]
+        scopes = [index.workers_of_rack(rack) for rack in racks]
     else:
-        groups = [list(index)]
+        scopes = [list(index)]
     gangs = sum(
         sum(
             resources.task_capacity(index.available(w), shape.per_task)
-            for w in group
+            for w in scope
         )
         // shape.tasks
-        for group in groups
+        for scope in scopes
     )
     return gangs * shape.accelerators
--- a/citronmount/core/guaranteed_placement.py
+++ b/citronmount/core/guaranteed_placement.py
@@ -20,8 +20,8 @@
 __all__ = ["SCAN_LIMIT_JOBS", "bind_placed_jobs", "place", "place_pending"]
 
 SCAN_LIMIT_JOBS = 256
-_MAX_DEMOTIONS = 8
-_MAX_DEMOTED_SIZE_FACTOR = 2
+_MAX_UNBOUND_JOBS = 8
+_MAX_UNBOUND_SIZE_FACTOR = 2
 
 
 def bind_placed_jobs(domain: domain_state.DomainState) -> None:
@@ -144,7 +144,7 @@
 def _place_account(
     domain: domain_state.DomainState, account: ids.AccountId, now_ms: int
 ) -> list[decisions.Decision]:
-    made: list[decisions.Decision] = []
+    made_decisions: list[decisions.Decision] = []
     failed_shapes: set[shapes.Shape] = set()
     cell_backfill = backfill.CellBackfill(domain, account, now_ms)
     entries = itertools.islice(
@@ -155,14 +155,14 @@
             continue
         entry_decisions = _place_entry(domain, entry, now_ms)
         if entry_decisions is not None:
-            made.extend(entry_decisions)
+            made_decisions.extend(entry_decisions)
             continue
         failed_shapes.add(entry.shape)
         if domain.plan.could_fit(account, entry.shape):
             cell_backfill.set_blocked(entry)
             if domain.policy.backfill is policies.Backfill.NONE:
                 break
-    return made
+    return made_decisions
 
 
 def _place_entry(
@@ -170,13 +170,16 @@
 ) -> list[decisions.Decision] | None:
     """Places a job, evicting other work if needed.
 
+    A job that would use a free cell larger than needed is placed outside cells
+    if it fits there, so that the cell stays free for a larger gang.
+
     Returns:
         The decisions, or None if the job does not fit into its account's
         cells.
     """
     uses = _find_uses(domain, entry, now_ms)
     if uses is None and entry.spec.urgent:
-        uses = _find_by_demotion(domain, entry, now_ms)
+        uses = _find_by_unbinding(domain, entry, now_ms)
     if uses is None:
         return None
     if _uses_larger_free_cell(uses):
@@ -202,17 +205,19 @@
     return next((uses for uses in tries if uses is not None), None)
 
 
-def _find_by_demotion(
+def _find_by_unbinding(
     domain: domain_state.DomainState, entry: job_queue.JobEntry, now_ms: int
 ) -> tuple[cells.CellUse, ...] | None:
-    """Finds cells for an urgent job by unbinding later jobs of its account.
+    """Finds cells for an urgent job by unbinding other jobs of its account.
 
-    The unbound jobs keep running but become revocable.
+    The jobs submitted last are unbound first. They keep running but become
+    revocable. If no cells are found, those whose slots still exist are bound
+    again.
     """
     unbound: list[tuple[ids.JobId, tuple[cells.CellUse, ...]]] = []
-    for job in _demotable(domain, entry)[:_MAX_DEMOTIONS]:
+    for job in _unbindable_jobs(domain, entry)[:_MAX_UNBOUND_JOBS]:
         unbound.append((job, domain.plan.uses(job)))
-        domain.plan.release(job)
+        domain.plan.unbind(job)
         uses = _find_uses(domain, entry, now_ms)
         if uses is not None:
             return uses
@@ -222,15 +227,15 @@
     return None
 
 
-def _demotable(
+def _unbindable_jobs(
     domain: domain_state.DomainState, entry: job_queue.JobEntry
 ) -> list[ids.JobId]:
-    """Returns jobs that may lose their cells to an urgent one, latest first.
+    """Returns jobs that may lose their cells to an urgent one.
 
     They are idempotent, not urgent and at most twice as large as the urgent
-    job.
+    job. The job submitted last comes first.
     """
-    max_accelerators = _MAX_DEMOTED_SIZE_FACTOR * entry.shape.accelerators
+    max_accelerators = _MAX_UNBOUND_SIZE_FACTOR * entry.shape.accelerators
     entries = {
         job: domain.placed[job].entry
         for cell in domain.plan.cells(entry.spec.account)
@@ -301,7 +306,7 @@
     uses: tuple[cells.CellUse, ...],
     now_ms: int,
 ) -> list[decisions.Decision] | None:
-    """Evicts work from the cells of a job, which becomes pending.
+    """Evicts other work from cells that a job will use; the job is pending.
 
     If some victims belong to other paying accounts, the jobs of those accounts
     are first bound to free cells of their own, larger ones included; if any
@@ -335,7 +340,7 @@
     uses: tuple[cells.CellUse, ...],
     now_ms: int,
 ) -> list[ids.JobId] | None:
-    shortage = preemption.shortfall(domain, _need_by_worker(uses))
+    shortage = preemption.find_shortage(domain, _need_by_worker(uses))
     return preemption.choose_victims(domain, shortage, now_ms)
 
 
--- a/citronmount/core/job_queue.py
+++ b/citronmount/core/job_queue.py
@@ -12,7 +12,7 @@
 
 __all__ = ["JobEntry", "JobQueue", "Priority"]
 
-_ATTAINED_SERVICE_LIMITS_MS = (8 * 3_600_000, 128 * 3_600_000)
+_ATTAINED_SERVICE_LIMITS_ACCELERATOR_MS = (8 * 3_600_000, 128 * 3_600_000)
 _COMPACT_MIN_ITEMS = 1_024
 
 
@@ -41,7 +41,7 @@
         priority: Priority level among the jobs of the account.
         next_check_ms: Time of the next placement attempt while the job is
             delayed.
-        delay_until_ms: Time until which the job waits for a less scattered
+        delay_until_ms: Time until which the job waits for a less fragmented
             placement, or None if it is not delayed.
         progress: Fraction of the work that is checkpointed.
         attained_ms: Attained service in accelerator milliseconds.
@@ -53,8 +53,7 @@
             `failed_workers`.
         queued_ms: Time at which the job was last queued.
         has_started: Whether any task of the job has ever started.
-        reclaim_from_ms: Time from which the job may reclaim capacity from
-            trial accounts.
+        preempt_from_ms: Time from which the job may preempt trial jobs.
         placed_before: Whether the job has been placed before.
         counts_against_allowance: Whether the job is now counted against the
             allowance of a trial account.
@@ -70,10 +69,10 @@
         "has_started",
         "next_check_ms",
         "placed_before",
+        "preempt_from_ms",
         "priority",
         "progress",
         "queued_ms",
-        "reclaim_from_ms",
         "retry_at_ms",
         "sequence",
         "shape",
@@ -101,7 +100,7 @@
         self.failed_attempts = 0
         self.retry_at_ms = 0
         self.queued_ms = 0
-        self.reclaim_from_ms = 0
+        self.preempt_from_ms = 0
         self.has_started = progress > 0
         self.placed_before = self.has_started
         self.counts_against_allowance = False
@@ -298,6 +297,7 @@
     if entry.spec.urgent:
         return Priority.URGENT
     limits_reached = sum(
-        entry.attained_ms >= limit for limit in _ATTAINED_SERVICE_LIMITS_MS
+        entry.attained_ms >= limit
+        for limit in _ATTAINED_SERVICE_LIMITS_ACCELERATOR_MS
     )
     return Priority(Priority.NEW + limits_reached)
--- a/citronmount/core/opportunistic_placement.py
+++ b/citronmount/core/opportunistic_placement.py
@@ -37,12 +37,12 @@
         Placements, and evictions for paying jobs that preempt other work.
     """
     queue_pass = _QueuePass(domain, now_ms)
-    made: list[decisions.Decision] = []
+    made_decisions: list[decisions.Decision] = []
     for entry in _queue_order(domain, now_ms):
-        made.extend(queue_pass.process(entry))
+        made_decisions.extend(queue_pass.process(entry))
         if queue_pass.finished:
             break
-    return made
+    return made_decisions
 
 
 def would_place(
@@ -51,7 +51,8 @@
     """Returns whether `place` would start a job that is not queued yet.
 
     Args:
-        domain: State of the failure domain, after a call of `place`.
+        domain: State of the failure domain. `place` must have been called, so
+            that the queue holds only jobs that cannot start now.
         entry: The job.
         now_ms: Monotonic time.
 
@@ -78,8 +79,8 @@
         self.finished = False
         self._domain = domain
         self._now_ms = now_ms
-        self._failed: set[tuple[shapes.Shape, bool]] = set()
-        self._not_preemptible: set[shapes.Shape] = set()
+        self._failed_shapes: set[tuple[shapes.Shape, bool]] = set()
+        self._shapes_without_victims: set[shapes.Shape] = set()
         self._own_jobs: dict[
             ids.AccountId, list[tuple[ids.JobId, domain_state.PlacedJob]]
         ] = {}
@@ -156,11 +157,11 @@
         self, entry: job_queue.JobEntry
     ) -> tuple[jobs.TaskGroup, ...] | None:
         limited = self._may_delay_reservation(entry)
-        if {(entry.shape, False), (entry.shape, limited)} & self._failed:
+        if {(entry.shape, False), (entry.shape, limited)} & self._failed_shapes:
             return None
         groups = self._search(entry, limited)
         if groups is None:
-            self._failed.add((entry.shape, limited))
+            self._failed_shapes.add((entry.shape, limited))
         return groups
 
     def _may_delay_reservation(self, entry: job_queue.JobEntry) -> bool:
@@ -205,8 +206,8 @@
     ) -> list[decisions.EvictJob] | None:
         """Evicts work for a paying job, which becomes pending.
 
-        Victims are idempotent trial jobs or, for an urgent job, one later job
-        of its own account.
+        Victims are idempotent trial jobs or, for an urgent job, the most
+        recently placed suitable job of its own account.
 
         Returns:
             The evictions, or None if the job may not preempt other work or
@@ -230,7 +231,7 @@
     def _choose_trial_victims(
         self, entry: job_queue.JobEntry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
-        if entry.shape in self._not_preemptible:
+        if entry.shape in self._shapes_without_victims:
             return (), None
         groups = placement.find(
             self._domain.pool.free_or_preemptible,
@@ -241,20 +242,23 @@
         )
         victims = None
         if groups:
-            shortage = preemption.shortfall(
+            shortage = preemption.find_shortage(
                 self._domain, _need_by_worker(entry, groups)
             )
             victims = preemption.choose_victims(
                 self._domain, shortage, self._now_ms, preemptible_only=True
             )
         if victims is None:
-            self._not_preemptible.add(entry.shape)
+            self._shapes_without_victims.add(entry.shape)
         return groups or (), victims
 
     def _choose_own_victim(
         self, entry: job_queue.JobEntry
     ) -> tuple[tuple[jobs.TaskGroup, ...], list[ids.JobId] | None]:
-        """Finds a later job of the account whose worker can hold the job."""
+        """Finds a job of the same account whose worker can hold the job.
+
+        Jobs placed last are tried first.
+        """
         total = entry.shape.total
         for job, placed in self._own_revocable_jobs(entry.spec.account):
             worker = placed.groups[0].worker
@@ -293,8 +297,8 @@
         if entry.spec.urgent:
             return True
         due_ms = entry.queued_ms + PREEMPT_TRIALS_AFTER_MS
-        if self._now_ms < due_ms and entry.reclaim_from_ms != due_ms:
-            entry.reclaim_from_ms = due_ms
+        if self._now_ms < due_ms and entry.preempt_from_ms != due_ms:
+            entry.preempt_from_ms = due_ms
             heapq.heappush(self._domain.wake_up_times_ms, due_ms)
         return self._now_ms >= due_ms
 
--- a/citronmount/core/placement.py
+++ b/citronmount/core/placement.py
@@ -28,6 +28,7 @@
 WorkerKey = Callable[
     [pool.CapacityIndex, ids.WorkerId, jobs.Resources, int], tuple
 ]
+# Returns the upper bound on the capacity that may be used of a worker.
 CapacityLimit = Callable[[ids.WorkerId], jobs.Resources]
 
 _CANDIDATES_PER_LEVEL = 16
--- a/citronmount/core/pool.py
+++ b/citronmount/core/pool.py
@@ -119,7 +119,7 @@
         return [rack for _, rack in self._racks[-limit:]][::-1]
 
     def racks_with(self, accelerators: int) -> list[ids.RackId]:
-        """Returns the racks with at least as many accelerators available.
+        """Returns the racks with at least that many available accelerators.
 
         They are in ascending order of available accelerators.
         """
--- a/citronmount/core/preemption.py
+++ b/citronmount/core/preemption.py
@@ -1,7 +1,7 @@
 """Preemption: chooses which jobs to evict.
 
-Paying jobs are spared first, then jobs that are not idempotent; after that the
-victims should be few and lose little work.
+Trial jobs are evicted before paying ones, then idempotent jobs before others.
+Among equals, few victims that lose little work are preferred.
 """
 
 from collections.abc import Mapping
@@ -19,8 +19,8 @@
     "choose_victims",
     "evict",
     "eviction_cost",
-    "shortfall",
-    "stopping_jobs",
+    "find_shortage",
+    "jobs_being_evicted",
 ]
 
 GRACE_MS = 5_000
@@ -29,7 +29,7 @@
 _Shortage = dict[ids.WorkerId, jobs.Resources]
 
 
-def stopping_jobs(
+def jobs_being_evicted(
     domain: domain_state.DomainState, worker: ids.WorkerId
 ) -> dict[ids.JobId, int]:
     """Returns the number of tasks on a worker of each job being evicted."""
@@ -40,7 +40,7 @@
     }
 
 
-def shortfall(
+def find_shortage(
     domain: domain_state.DomainState,
     need: Mapping[ids.WorkerId, jobs.Resources],
 ) -> _Shortage:
@@ -58,7 +58,7 @@
     shortage = {}
     for worker, needed in need.items():
         available = domain.pool.free.available(worker)
-        for job, tasks in stopping_jobs(domain, worker).items():
+        for job, tasks in jobs_being_evicted(domain, worker).items():
             per_task = domain.placed[job].entry.spec.per_task
             available = resources.plus(
                 available, resources.scaled(per_task, tasks)
@@ -93,7 +93,7 @@
         job
         for worker, needed in need.items()
         if not resources.covers(free.available(worker), needed)
-        for job in stopping_jobs(domain, worker)
+        for job in jobs_being_evicted(domain, worker)
     }
     grace_ms = URGENT_GRACE_MS if entry.spec.urgent else GRACE_MS
     evictions = [
@@ -148,7 +148,7 @@
         best = min(candidates, key=ranks.get)
         victims.append(best)
         remaining = _shortage_after(domain, remaining, [best])
-    return _drop_needless(domain, shortage, victims)
+    return _drop_unnecessary(domain, shortage, victims)
 
 
 def eviction_cost(
@@ -185,7 +185,7 @@
     return ran_ms * max(placed.entry.shape.accelerators, 1)
 
 
-def _drop_needless(
+def _drop_unnecessary(
     domain: domain_state.DomainState,
     shortage: _Shortage,
     victims: list[ids.JobId],
--- a/citronmount/core/resources.py
+++ b/citronmount/core/resources.py
@@ -13,6 +13,7 @@
 ]
 
 ZERO = jobs.Resources()
+# Task capacity for tasks that require no resources.
 _MAX_TASKS = 1 << 30
 
 
--- a/citronmount/core/scheduler.py
+++ b/citronmount/core/scheduler.py
@@ -147,7 +147,7 @@
         Args:
             spec: The job.
             now_ms: Monotonic time.
-            progress: Checkpointed share of its work, between 0 and 1.
+            progress: Fraction of the work that is checkpointed, 0 to 1.
         """
         self._advance_clock(now_ms)
         if not self._is_known(spec.job):
@@ -209,11 +209,12 @@
             now_ms: Monotonic time.
             culprits: Workers on which it failed or could not start.
             requeue: Whether to put the job back into the queue.
-            progress: Checkpointed share of its work, between 0 and 1.
+            progress: Fraction of the work that is checkpointed, 0 to 1.
 
         Returns:
             A final result if the job was to be requeued but must not run again
-            because it failed on several distinct workers; otherwise None.
+            because it has failed on several workers or too many times;
+            otherwise None.
         """
         self._advance_clock(now_ms)
         self._changed = True
