--- a/citronmount/core/domain_state.py
+++ b/citronmount/core/domain_state.py
@@ -482,7 +482,7 @@
             for (
                 account,
                 shape,
-            ), copies in guarantee_feasibility.cell_copies(share).items()
+            ), copies in guarantee_feasibility.required_cells(share).items()
             if not self.is_trial(account)
         }
         guaranteed_copies: collections.Counter[shapes.Shape] = (
--- a/citronmount/core/estimates.py
+++ b/citronmount/core/estimates.py
@@ -25,7 +25,7 @@
         self._log2_ratio: dict[ids.AccountId, float] = {}
 
     def expected_run_ms(self, spec: jobs.JobSpec, progress: float = 0.0) -> int:
-        """Estimates the run time of a job from its last checkpoint.
+        """Estimates how long a job runs after its last checkpoint.
 
         Args:
             spec: Job.
--- a/citronmount/core/guarantee_feasibility.py
+++ b/citronmount/core/guarantee_feasibility.py
@@ -9,10 +9,10 @@
 from citronmount.core import shares
 from citronmount.services import messages
 
-__all__ = ["cell_copies", "infeasible_guarantees"]
+__all__ = ["infeasible_guarantees", "required_cells"]
 
 
-def cell_copies(
+def required_cells(
     share: shares.DomainShare,
 ) -> dict[tuple[ids.AccountId, shapes.Shape], int]:
     """Counts the cells that a failure domain must provide.
@@ -57,7 +57,7 @@
                 plan.set_worker(
                     ids.WorkerId(worker.name), worker.rack, worker.capacity
                 )
-        plan.set_required(cell_copies(share))
+        plan.set_required(required_cells(share))
         plan.plan_cells()
         unplanned = {(cell.account, cell.shape) for cell in plan.unplanned()}
         infeasible.update(
