--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -28,7 +28,7 @@
 from citronmount.services import messages
 from citronmount.state import job_views
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Agent"]
 
@@ -196,7 +196,7 @@
         gap_ms = now_ms - last_event_ms
         if gap_ms <= self.settings.pause_limit_ms:
             return
-        self._ctx.trace(timeline.EventKind.VM_RESUMED_LATE, count=gap_ms)
+        self._ctx.trace(timeline_events.EventKind.VM_RESUMED_LATE, count=gap_ms)
         self.view.restart_suspicion_timers(now_ms)
         self.drain.record_pause()
         self.ownership.step_down("paused")
@@ -234,7 +234,7 @@
                 self._ctx.resolve(call, answer)
 
     def _on_started(self) -> None:
-        self._ctx.trace(timeline.EventKind.VM_STARTED)
+        self._ctx.trace(timeline_events.EventKind.VM_STARTED)
         self.ownership.delay_take_over(
             self._ctx.now_ms + self.settings.heartbeat_ms * 2
         )
--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -14,7 +14,7 @@
 from citronmount.leases import gang
 from citronmount.services import messages
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["AttemptManager"]
 
@@ -67,7 +67,7 @@
         entry.state = states.JobState.STARTING
         entry.workers = attempt.workers
         self._domain.ctx.trace(
-            timeline.EventKind.JOB_PLACED,
+            timeline_events.EventKind.JOB_PLACED,
             job=decision.job,
             attempt=attempt.attempt,
             account=entry.spec.account,
@@ -89,7 +89,7 @@
         limit_ms = self._domain.ctx.settings.reclaim_grace_ms
         grace_ms = min(decision.grace_ms, limit_ms)
         self._domain.ctx.trace(
-            timeline.EventKind.JOB_EVICTING,
+            timeline_events.EventKind.JOB_EVICTING,
             job=decision.job,
             attempt=attempt.attempt,
             detail=decision.beneficiary,
@@ -237,7 +237,7 @@
             attempt.spec.job, self._domain.ctx.now_ms
         )
         self._domain.ctx.trace(
-            timeline.EventKind.JOB_STARTED,
+            timeline_events.EventKind.JOB_STARTED,
             job=attempt.spec.job,
             attempt=attempt.attempt,
             account=attempt.spec.account,
--- a/citronmount/agent/configuration_manager.py
+++ b/citronmount/agent/configuration_manager.py
@@ -17,7 +17,7 @@
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["ConfigurationManager"]
 
@@ -169,7 +169,7 @@
             if domain.state is states.FailureDomainState.OUT
         )
         self._ctx.trace(
-            timeline.EventKind.CONFIGURATION_IN_FORCE,
+            timeline_events.EventKind.CONFIGURATION_IN_FORCE,
             version=current.version,
             detail=out_of_service,
         )
@@ -221,7 +221,7 @@
         self._publications.pop(publication.change.record, None)
         version = self.fold.current.version
         self._ctx.trace(
-            timeline.EventKind.CONFIGURATION_ANSWERED,
+            timeline_events.EventKind.CONFIGURATION_ANSWERED,
             version=version,
             code=int(code),
             detail=publication.change.record,
--- a/citronmount/agent/context.py
+++ b/citronmount/agent/context.py
@@ -12,8 +12,8 @@
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
-from citronmount.telemetry import hlc
+from citronmount.telemetry import hybrid_logical_clock
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Context"]
 
@@ -42,7 +42,7 @@
         self.now_ms = 0
         self.wall_ms = 0
         self.effects: list[effects.Effect] = []
-        self.clock = hlc.HybridClock()
+        self.clock = hybrid_logical_clock.HybridLogicalClock()
         self._counter = 0
         self._shell_handlers: dict[ids.CallId, Callable[[Any], None]] = {}
         self._peer_calls: dict[ids.CallId, _PendingPeerCall] = {}
@@ -70,7 +70,7 @@
         """
         self.emit(effects.SendPeer(to=to, message=message))
 
-    def trace(self, kind: timeline.EventKind, **fields: Any) -> None:
+    def trace(self, kind: timeline_events.EventKind, **fields: Any) -> None:
         """Adds an event to the VM's timeline.
 
         Args:
@@ -78,7 +78,7 @@
             **fields: Further fields of `TimelineEvent`.
         """
         physical_ms, logical = self.clock.tick(self.wall_ms)
-        event = timeline.TimelineEvent(
+        event = timeline_events.TimelineEvent(
             physical_ms=physical_ms,
             logical=logical,
             process=self.settings.vm,
--- a/citronmount/agent/domain_context.py
+++ b/citronmount/agent/domain_context.py
@@ -15,7 +15,7 @@
 from citronmount.services import messages
 from citronmount.state import job_views
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["DomainContext"]
 
@@ -135,7 +135,7 @@
         spec = entry.spec
         durability = entry.durability or states.Durability.LOG
         self.ctx.trace(
-            timeline.EventKind.JOB_ACCEPTED,
+            timeline_events.EventKind.JOB_ACCEPTED,
             job=spec.job,
             account=spec.account,
             count=spec.tasks,
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -9,7 +9,7 @@
 from citronmount.core import ids
 from citronmount.membership import membership_view
 from citronmount.peers import messages as peer_messages
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Drain"]
 
@@ -69,7 +69,7 @@
             return
         self._started_ms = self._ctx.now_ms
         self._view.draining = True
-        self._ctx.trace(timeline.EventKind.VM_DRAINING)
+        self._ctx.trace(timeline_events.EventKind.VM_DRAINING)
 
     def record_pause(self) -> None:
         """Records a pause of the process.
@@ -174,5 +174,5 @@
             return
         self._exited = True
         self._ownership.step_down("drained")
-        self._ctx.trace(timeline.EventKind.VM_STOPPED)
+        self._ctx.trace(timeline_events.EventKind.VM_STOPPED)
         self._ctx.emit(effects.Exit())
--- a/citronmount/agent/effects.py
+++ b/citronmount/agent/effects.py
@@ -10,7 +10,7 @@
 from citronmount.core import jobs
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages as platform_messages
-from citronmount.telemetry import events as timeline_events
+from citronmount.telemetry import timeline_events
 
 __all__ = [
     "AppendLog",
--- a/citronmount/agent/job_call_handler.py
+++ b/citronmount/agent/job_call_handler.py
@@ -13,7 +13,7 @@
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["JobCallHandler"]
 
@@ -217,7 +217,7 @@
         respond: job_table.Responder,
     ) -> None:
         self._domain.ctx.trace(
-            timeline.EventKind.JOB_REFUSED,
+            timeline_events.EventKind.JOB_REFUSED,
             job=spec.job,
             account=spec.account,
             code=int(result.code),
--- a/citronmount/agent/job_completion.py
+++ b/citronmount/agent/job_completion.py
@@ -8,7 +8,7 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["JobCompletion", "cancel_result"]
 
@@ -90,7 +90,7 @@
         self._domain.job_view.fold(ended)
         ended = self._domain.job_view.ended[ended.job]
         self._domain.ctx.trace(
-            timeline.EventKind.JOB_ENDED,
+            timeline_events.EventKind.JOB_ENDED,
             job=ended.job,
             account=ended.account,
             code=int(ended.result.code),
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -17,7 +17,7 @@
 from citronmount.services import messages
 from citronmount.state import job_views
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Ownership", "OwnershipPhase"]
 
@@ -132,7 +132,7 @@
         self.domain = None
         self._higher_token = None
         self._ctx.trace(
-            timeline.EventKind.OWNERSHIP_LEFT,
+            timeline_events.EventKind.OWNERSHIP_LEFT,
             failure_domain=self._ctx.settings.failure_domain,
             count=self.token,
             detail=reason,
@@ -198,7 +198,7 @@
         self._reports = {}
         self._due_ms = self._ctx.now_ms + FENCE_TIMEOUT_MS
         self._ctx.trace(
-            timeline.EventKind.OWNERSHIP_TAKEN,
+            timeline_events.EventKind.OWNERSHIP_TAKEN,
             failure_domain=self._ctx.settings.failure_domain,
             count=self.token,
         )
@@ -342,7 +342,7 @@
         domain.rebuilder.rebuild(tuple(self._reports.values()), silent)
         self._reports = {}
         self._ctx.trace(
-            timeline.EventKind.REBUILD_DONE,
+            timeline_events.EventKind.REBUILD_DONE,
             failure_domain=self._ctx.settings.failure_domain,
             count=self.token,
             detail=f"{len(silent)} silent workers",
--- a/citronmount/agent/request_handler.py
+++ b/citronmount/agent/request_handler.py
@@ -23,7 +23,7 @@
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["RequestHandler"]
 
@@ -256,7 +256,7 @@
 
         if outcome.granted:
             self._ctx.trace(
-                timeline.EventKind.KEY_CLAIMED,
+                timeline_events.EventKind.KEY_CLAIMED,
                 request=spec.request,
                 account=spec.account,
                 detail=spec.idempotency_key,
@@ -396,7 +396,7 @@
             )
             return
         self._ctx.trace(
-            timeline.EventKind.REQUEST_SENT,
+            timeline_events.EventKind.REQUEST_SENT,
             request=decision.request,
             account=open_request.spec.account,
             target=decision.runner,
@@ -461,7 +461,7 @@
                 open_request.claim, _for_caller(result, open_request.caller_id)
             )
         self._ctx.trace(
-            timeline.EventKind.REQUEST_ANSWERED,
+            timeline_events.EventKind.REQUEST_ANSWERED,
             request=result.request,
             account=open_request.spec.account,
             code=int(result.code),
--- a/citronmount/agent/tests/test_agent.py
+++ b/citronmount/agent/tests/test_agent.py
@@ -15,7 +15,7 @@
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
 from citronmount.state import records
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 START_MS = 8_000
 ALL_ACCELERATORS = jobs.Resources(accelerators=8)
@@ -100,7 +100,9 @@
     def result_codes(self):
         return {
             event.job: event.code
-            for _, event in self.events_of_kind(events.EventKind.JOB_ENDED)
+            for _, event in self.events_of_kind(
+                timeline_events.EventKind.JOB_ENDED
+            )
         }
 
     def test_gangs_submitted_together_preempt_trial_jobs(self):
@@ -117,7 +119,9 @@
         self.clock.run_until_ms(16_600)
         started = [
             event.job
-            for _, event in self.events_of_kind(events.EventKind.JOB_STARTED)
+            for _, event in self.events_of_kind(
+                timeline_events.EventKind.JOB_STARTED
+            )
             if event.account == harness_site.PAYING
         ]
         self.assertEqual(len(started), 3)
@@ -136,7 +140,7 @@
         late_targets = [
             event.target
             for at_ms, event in self.events_of_kind(
-                events.EventKind.TASK_STARTED
+                timeline_events.EventKind.TASK_STARTED
             )
             if at_ms > 12_000 and event.failure_domain == "fd-a"
         ]
@@ -185,7 +189,7 @@
         self.clock.run_until_ms(12_000)
         payloads = {answer.result.payload for answer in self.answers}
         self.assertEqual((len(self.answers), len(payloads)), (6, 1))
-        runs = self.events_of_kind(events.EventKind.RUNNER_STARTED)
+        runs = self.events_of_kind(timeline_events.EventKind.RUNNER_STARTED)
         self.assertEqual(len(runs), 1)
 
     def test_another_body_under_a_used_key_is_refused(self):
--- a/citronmount/agent/worker_reports.py
+++ b/citronmount/agent/worker_reports.py
@@ -7,7 +7,7 @@
 from citronmount.core import ids
 from citronmount.core import states
 from citronmount.services import messages
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["WorkerReports"]
 
@@ -216,7 +216,7 @@
         self, worker: ids.WorkerId, state: states.TargetState
     ) -> None:
         self._domain.ctx.trace(
-            timeline.EventKind.TARGET_STATE,
+            timeline_events.EventKind.TARGET_STATE,
             target=worker,
             failure_domain=self._domain.failure_domain,
             detail=state.value,
--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -24,7 +24,7 @@
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import records
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["main", "measure"]
 
@@ -170,11 +170,11 @@
 
 def _event_bytes() -> float:
     sample = [
-        events.TimelineEvent(
+        timeline_events.TimelineEvent(
             physical_ms=1_800_000_000_000 + number,
             logical=0,
             process="kr-a-1",
-            kind=events.EventKind.JOB_PLACED,
+            kind=timeline_events.EventKind.JOB_PLACED,
             job=f"kr-a/kr-a-1-19a0b1c2d3e-{number:x}",
             attempt=f"kr-a/kr-a-1-19a0b1c2d3e-{number:x}#1.5",
             account="team-0001",
--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -12,13 +12,13 @@
 from citronmount.config import pool_file
 from citronmount.config import sheet
 from citronmount.core import ids
-from citronmount.peers import keys
+from citronmount.peers import curve_keys
 from citronmount.peers import messages as peer_messages
-from citronmount.peers import transport
+from citronmount.peers import peer_transport
 from citronmount.services import clients
 from citronmount.services import exchange
 from citronmount.services import messages
-from citronmount.testing import loop
+from citronmount.testing import reactor_loop
 
 __all__ = [
     "ExchangeCost",
@@ -136,7 +136,7 @@
     )
     pool = pool_file.Pool(workers=site.view.workers, runners=())
     with loopback_cluster.open_cluster(pool, 0) as cluster:
-        return loop.run(_renew_often(cluster.pool.workers[0].address))
+        return reactor_loop.run(_renew_often(cluster.pool.workers[0].address))
 
 
 async def _renew_often(address: str) -> ExchangeCost:
@@ -171,10 +171,10 @@
     Returns:
         Processor time of sending and receiving one, in us.
     """
-    shared = keys.new_keys()
+    shared = curve_keys.generate_keys()
     received: list[ids.VmId] = []
     nodes = [
-        transport.Transport(
+        peer_transport.PeerTransport(
             reactor=reactor,
             vm=ids.VmId(name),
             bind_address="127.0.0.1:0",
@@ -186,15 +186,17 @@
     for node in nodes:
         node.open()
     try:
-        return loop.run(_send_often(nodes[0], nodes[1], message, received))
+        return reactor_loop.run(
+            _send_often(nodes[0], nodes[1], message, received)
+        )
     finally:
         for node in nodes:
             node.close()
 
 
 async def _send_often(
-    source: transport.Transport,
-    target: transport.Transport,
+    source: peer_transport.PeerTransport,
+    target: peer_transport.PeerTransport,
     message: peer_messages.PeerMessage,
     received: list[ids.VmId],
 ) -> float:
@@ -203,13 +205,15 @@
     def connected() -> bool:
         return source.send(target.vm, message)
 
-    await loop.until(connected)
-    await loop.until(lambda: bool(received))
+    await reactor_loop.wait_until(connected)
+    await reactor_loop.wait_until(lambda: bool(received))
     begin_s = time.process_time()
     for _ in range(MESSAGES // BURST_MESSAGES):
         wanted = len(received) + BURST_MESSAGES
         for _ in range(BURST_MESSAGES):
             source.send(target.vm, message)
-        await loop.until(lambda wanted=wanted: len(received) >= wanted)
+        await reactor_loop.wait_until(
+            lambda wanted=wanted: len(received) >= wanted
+        )
     spent_s = time.process_time() - begin_s
     return round(spent_s * _US_PER_S / MESSAGES, 1)
--- a/citronmount/bench/faults/__main__.py
+++ b/citronmount/bench/faults/__main__.py
@@ -12,7 +12,7 @@
 from citronmount.bench.faults import cell as cell_lib
 from citronmount.bench.faults import matrix
 from citronmount.bench.faults import registry
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["main"]
 
@@ -155,7 +155,7 @@
     return 0 if result.held else 1
 
 
-def _line(event: events.TimelineEvent) -> str:
+def _line(event: timeline_events.TimelineEvent) -> str:
     fields = (
         f"{name}={getattr(event, name)}"
         for name in _TIMELINE_COLUMNS
--- a/citronmount/bench/faults/promises.py
+++ b/citronmount/bench/faults/promises.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from citronmount.bench.faults import evidence as evidence_lib
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = [
     "PROMISES",
@@ -85,8 +85,8 @@
 
 
 def of_kind(
-    evidence: evidence_lib.Evidence, *kinds: events.EventKind
-) -> Iterator[tuple[int, events.TimelineEvent]]:
+    evidence: evidence_lib.Evidence, *kinds: timeline_events.EventKind
+) -> Iterator[tuple[int, timeline_events.TimelineEvent]]:
     """Returns the events of some kinds with their true times.
 
     Args:
@@ -112,10 +112,13 @@
     runs: dict[str, dict[str, list[tuple[int, int, str]]]] = (
         collections.defaultdict(lambda: collections.defaultdict(list))
     )
-    kinds = (events.EventKind.TASK_STARTED, events.EventKind.TASK_ENDED)
+    kinds = (
+        timeline_events.EventKind.TASK_STARTED,
+        timeline_events.EventKind.TASK_ENDED,
+    )
     for at_ms, event in of_kind(evidence, *kinds):
         at_worker = runs[event.attempt][event.target]
-        if event.kind is events.EventKind.TASK_STARTED:
+        if event.kind is timeline_events.EventKind.TASK_STARTED:
             at_worker.append((at_ms, evidence.ended_ms + 1, "running"))
         elif at_worker:
             at_worker[-1] = (at_worker[-1][0], at_ms, event.detail)
--- a/citronmount/bench/faults/promises_of_answers.py
+++ b/citronmount/bench/faults/promises_of_answers.py
@@ -10,7 +10,7 @@
 from citronmount.core import codes
 from citronmount.peers import messages as peer_messages
 from citronmount.standins import runner
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__: list[str] = []
 
@@ -66,7 +66,7 @@
     ran = {
         event.request.partition("~")[0]: at_ms
         for at_ms, event in promises.of_kind(
-            evidence, events.EventKind.RUNNER_STARTED
+            evidence, timeline_events.EventKind.RUNNER_STARTED
         )
     }
     for case in evidence.callers.requests.values():
@@ -84,7 +84,7 @@
     by_name: dict[str, list[int]] = collections.defaultdict(list)
     by_job: dict[str, list[int]] = collections.defaultdict(list)
     for at_ms, event in promises.of_kind(
-        evidence, events.EventKind.TASK_STARTED
+        evidence, timeline_events.EventKind.TASK_STARTED
     ):
         by_name[promises.job_name(evidence, event.attempt)].append(at_ms)
         by_job[event.job].append(at_ms)
--- a/citronmount/bench/faults/promises_of_operation.py
+++ b/citronmount/bench/faults/promises_of_operation.py
@@ -10,7 +10,7 @@
 from citronmount.core import codes
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__: list[str] = []
 
@@ -35,12 +35,12 @@
     in_force: dict[str, tuple[int, int]] = {}
     since: dict[tuple[str, int], int] = {}
     kinds = (
-        events.EventKind.CONFIGURATION_IN_FORCE,
-        events.EventKind.TASK_STARTED,
-        events.EventKind.RUNNER_STARTED,
+        timeline_events.EventKind.CONFIGURATION_IN_FORCE,
+        timeline_events.EventKind.TASK_STARTED,
+        timeline_events.EventKind.RUNNER_STARTED,
     )
     for at_ms, event in promises.of_kind(evidence, *kinds):
-        if event.kind is events.EventKind.CONFIGURATION_IN_FORCE:
+        if event.kind is timeline_events.EventKind.CONFIGURATION_IN_FORCE:
             in_force[event.process] = (event.version, at_ms)
             for place in (places[event.process], event.process):
                 since.setdefault((place, event.version), at_ms)
@@ -142,7 +142,7 @@
     version: int,
     due_ms: int,
 ) -> bool:
-    kind = events.EventKind.CONFIGURATION_IN_FORCE
+    kind = timeline_events.EventKind.CONFIGURATION_IN_FORCE
     return any(
         event.process == vm
         and event.version >= version
@@ -153,7 +153,7 @@
 
 def _reverts(evidence: evidence_lib.Evidence) -> Iterator[tuple[int, str]]:
     highest: dict[str, int] = collections.defaultdict(int)
-    kind = events.EventKind.CONFIGURATION_IN_FORCE
+    kind = timeline_events.EventKind.CONFIGURATION_IN_FORCE
     for at_ms, event in promises.of_kind(evidence, kind):
         if event.version < highest[event.process]:
             yield (
--- a/citronmount/bench/faults/promises_of_work.py
+++ b/citronmount/bench/faults/promises_of_work.py
@@ -10,7 +10,7 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.peers import messages as peer_messages
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__: list[str] = []
 
@@ -94,7 +94,7 @@
     """What must not be repeated starts at most once."""
     seen: dict[str, str] = {}
     for at_ms, event in promises.of_kind(
-        evidence, events.EventKind.RUNNER_STARTED
+        evidence, timeline_events.EventKind.RUNNER_STARTED
     ):
         if not event.job:
             continue
@@ -106,7 +106,7 @@
         seen[event.job] = f"{event.request} at {event.target}"
     first: dict[str, str] = {}
     for at_ms, event in promises.of_kind(
-        evidence, events.EventKind.TASK_STARTED
+        evidence, timeline_events.EventKind.TASK_STARTED
     ):
         spec = evidence.attempts[event.attempt].spec
         name = promises.job_name(evidence, event.attempt)
--- a/citronmount/bench/faults/tests/test_matrix.py
+++ b/citronmount/bench/faults/tests/test_matrix.py
@@ -7,7 +7,7 @@
 from citronmount.bench.faults import matrix
 from citronmount.bench.faults import promises
 from citronmount.bench.faults import registry
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 _SEED = 1
 _EVERY = 5
@@ -93,7 +93,7 @@
             rebuilt = [
                 at_ms - killed_ms
                 for at_ms, event in cell.harness.timeline
-                if event.kind is events.EventKind.REBUILD_DONE
+                if event.kind is timeline_events.EventKind.REBUILD_DONE
                 and event.failure_domain == cell.focus
                 and at_ms > killed_ms
             ]
--- a/citronmount/bench/faults/timeline_check.py
+++ b/citronmount/bench/faults/timeline_check.py
@@ -7,19 +7,20 @@
 
 from citronmount.core import codes
 from citronmount.core import states
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["check"]
 
 PARTIAL_GANG_MS = 12_000
 
-_Kind = events.EventKind
+_Kind = timeline_events.EventKind
 _Checker = Callable[
-    [list[events.TimelineEvent]], Iterator[tuple[events.TimelineEvent, str]]
+    [list[timeline_events.TimelineEvent]],
+    Iterator[tuple[timeline_events.TimelineEvent, str]],
 ]
 
 
-def check(timeline: Iterable[events.TimelineEvent]) -> list[str]:
+def check(timeline: Iterable[timeline_events.TimelineEvent]) -> list[str]:
     """Checks what a merged time line alone can tell.
 
     Args:
@@ -48,8 +49,8 @@
 
 
 def _keys_run_once(
-    timeline: list[events.TimelineEvent],
-) -> Iterator[tuple[events.TimelineEvent, str]]:
+    timeline: list[timeline_events.TimelineEvent],
+) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     seen: set[str] = set()
     for event in timeline:
         if event.kind is _Kind.RUNNER_STARTED and event.job:
@@ -59,8 +60,8 @@
 
 
 def _members_start_once(
-    timeline: list[events.TimelineEvent],
-) -> Iterator[tuple[events.TimelineEvent, str]]:
+    timeline: list[timeline_events.TimelineEvent],
+) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     seen: set[tuple[str, str]] = set()
     for event in timeline:
         if event.kind is _Kind.TASK_STARTED:
@@ -71,8 +72,8 @@
 
 
 def _gangs_are_whole(
-    timeline: list[events.TimelineEvent],
-) -> Iterator[tuple[events.TimelineEvent, str]]:
+    timeline: list[timeline_events.TimelineEvent],
+) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     """Follows how many tasks of each attempt run or have finished."""
     tasks = _tasks_of_jobs(timeline)
     active: collections.Counter = collections.Counter()
@@ -96,7 +97,9 @@
             partial_since[event.attempt] = since
 
 
-def _tasks_of_jobs(timeline: list[events.TimelineEvent]) -> dict[str, int]:
+def _tasks_of_jobs(
+    timeline: list[timeline_events.TimelineEvent],
+) -> dict[str, int]:
     """Returns the gang sizes, from acceptances or else from reservations."""
     reserved: dict[tuple[str, str], dict[str, int]] = collections.defaultdict(
         dict
@@ -114,8 +117,8 @@
 
 
 def _done_is_done(
-    timeline: list[events.TimelineEvent],
-) -> Iterator[tuple[events.TimelineEvent, str]]:
+    timeline: list[timeline_events.TimelineEvent],
+) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     tasks = _tasks_of_jobs(timeline)
     finished: collections.Counter = collections.Counter()
     best: dict[str, int] = {}
@@ -132,9 +135,9 @@
 
 
 def _refused_never_ran(
-    timeline: list[events.TimelineEvent],
-) -> Iterator[tuple[events.TimelineEvent, str]]:
-    proven: dict[str, events.TimelineEvent] = {}
+    timeline: list[timeline_events.TimelineEvent],
+) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
+    proven: dict[str, timeline_events.TimelineEvent] = {}
     started: set[str] = set()
     for event in timeline:
         match event.kind:
@@ -151,8 +154,8 @@
 
 
 def _one_result(
-    timeline: list[events.TimelineEvent],
-) -> Iterator[tuple[events.TimelineEvent, str]]:
+    timeline: list[timeline_events.TimelineEvent],
+) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     results: dict[str, int] = {}
     for event in timeline:
         if event.kind is _Kind.JOB_ENDED:
@@ -162,8 +165,8 @@
 
 
 def _versions_rise(
-    timeline: list[events.TimelineEvent],
-) -> Iterator[tuple[events.TimelineEvent, str]]:
+    timeline: list[timeline_events.TimelineEvent],
+) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     highest: dict[str, int] = {}
     for event in timeline:
         if event.kind is _Kind.CONFIGURATION_IN_FORCE:
@@ -174,8 +177,8 @@
 
 
 def _domains_out_are_quiet(
-    timeline: list[events.TimelineEvent],
-) -> Iterator[tuple[events.TimelineEvent, str]]:
+    timeline: list[timeline_events.TimelineEvent],
+) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     """No start in a failure domain that every VM of it knows to be out.
 
     The detail of a version in force names the failure domains that are out.
--- a/citronmount/bench/harness.py
+++ b/citronmount/bench/harness.py
@@ -22,7 +22,7 @@
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 from citronmount.state import records
-from citronmount.telemetry import events as timeline_events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Harness"]
 
--- a/citronmount/bench/harness_services.py
+++ b/citronmount/bench/harness_services.py
@@ -12,7 +12,7 @@
 from citronmount.standins import platform
 from citronmount.standins import runner
 from citronmount.standins import worker
-from citronmount.telemetry import events as timeline_events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["EPOCH_MS", "LOG", "Services", "VM_LIST", "no_answer", "target_of"]
 
--- a/citronmount/bench/loopback.py
+++ b/citronmount/bench/loopback.py
@@ -24,8 +24,8 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.services import messages
-from citronmount.telemetry import events
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Report", "main", "run"]
 
@@ -90,7 +90,7 @@
     """
 
     tally: loopback_load.Tally
-    latencies: tuple[metrics_lib.HistogramSummary, ...]
+    latencies: tuple[metrics_registry.HistogramSummary, ...]
     doubled: int
     killed: str
     drained: str
@@ -231,7 +231,7 @@
     started = collections.Counter(
         event["job"]
         for event in data
-        if event["kind"] == events.EventKind.RUNNER_STARTED.value
+        if event["kind"] == timeline_events.EventKind.RUNNER_STARTED.value
         and event.get("job")
     )
     return sum(count > 1 for count in started.values())
--- a/citronmount/bench/loopback_cluster.py
+++ b/citronmount/bench/loopback_cluster.py
@@ -22,7 +22,7 @@
 
 from citronmount.config import pool_file
 from citronmount.core import ids
-from citronmount.peers import keys as keys_lib
+from citronmount.peers import curve_keys
 from citronmount.services import messages
 
 __all__ = ["Answer", "Cluster", "Vm", "call", "open_cluster"]
@@ -111,7 +111,7 @@
         self.log_address = log_address
         self.list_address = list_address
         self.pool = pool
-        self._keys = keys_lib.new_keys()
+        self._keys = curve_keys.generate_keys()
 
     def start_standins(self) -> subprocess.Popen[bytes]:
         """Starts the platform and all targets in one process.
--- a/citronmount/bench/loopback_load.py
+++ b/citronmount/bench/loopback_load.py
@@ -19,7 +19,7 @@
 from citronmount.core import states
 from citronmount.services import counted
 from citronmount.services import exchange
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
 
 __all__ = ["Load", "Tally"]
 
@@ -83,7 +83,7 @@
             accounts: Client accounts to call for.
         """
         self.tally = Tally()
-        self.metrics = metrics_lib.Metrics()
+        self.metrics = metrics_registry.MetricsRegistry()
         self.ready = list(vms)
         self._vms = vms
         self._accounts = accounts
@@ -164,7 +164,9 @@
             await self._sleep(RETRY_S)
             return
         duration_ms = (time.monotonic() - begin_s) * _MS_PER_S
-        self.metrics.record("request", "once" if once else "any", duration_ms)
+        self.metrics.record_duration(
+            "request", "once" if once else "any", duration_ms
+        )
         self._judge(found, body)
 
     def _judge(
@@ -209,7 +211,7 @@
         counts = self.tally.jobs_by_state
         counts[state] = counts.get(state, 0) + 1
         duration_ms = (time.monotonic() - begin_s) * _MS_PER_S
-        self.metrics.record("job", "beyond_run", duration_ms - run_ms)
+        self.metrics.record_duration("job", "beyond_run", duration_ms - run_ms)
 
     async def _final_state(self, job: str, number: int) -> str:
         limit_s = time.monotonic() + 2 * JOB_WAIT_MS / _MS_PER_S
--- a/citronmount/cli/explain_command.py
+++ b/citronmount/cli/explain_command.py
@@ -8,7 +8,7 @@
 
 from citronmount.cli import options
 from citronmount.cli import output
-from citronmount.telemetry import job_story
+from citronmount.telemetry import job_history
 
 __all__ = ["explain"]
 
@@ -46,7 +46,7 @@
     LOGS are files with the lines of any VMs; - is standard input. Without
     --job, count the late jobs by what they lost most of their time on.
     """
-    found = job_story.stories(line for log in logs for line in log)
+    found = job_history.job_histories(line for log in logs for line in log)
     if job:
         if job not in found:
             raise click.BadParameter(f"no line names the job {job}")
@@ -54,15 +54,15 @@
         return
     late = [
         story
-        for story in job_story.late_jobs(found)
+        for story in job_history.late_jobs(found)
         if priority is None or story.priority == priority
     ]
     _count(late, as_json)
 
 
-def _tell(story: job_story.JobStory, as_json: bool) -> None:
+def _tell(story: job_history.JobHistory, as_json: bool) -> None:
     lines = [dict(line.fields) for line in story.lines]
-    spent = {p.value: round(ms) for p, ms in story.spent_ms().items()}
+    spent = {p.value: round(ms) for p, ms in story.phase_durations_ms().items()}
     value = {"job": story.job, "lines": lines, "spent_ms": spent}
     first_s = story.lines[0].time_s
     text = [
@@ -73,15 +73,17 @@
     output.emit_lines(value, text, as_json=as_json)
 
 
-def _facts(line: job_story.LogLine) -> str:
+def _facts(line: job_history.LogLine) -> str:
     known = ((name, line.fields.get(name)) for name in _SHOWN)
     return " ".join(f"{name}={value}" for name, value in known if value)
 
 
-def _count(late: Iterable[job_story.JobStory], as_json: bool) -> None:
-    groups: dict[str, list[job_story.JobStory]] = collections.defaultdict(list)
+def _count(late: Iterable[job_history.JobHistory], as_json: bool) -> None:
+    groups: dict[str, list[job_history.JobHistory]] = collections.defaultdict(
+        list
+    )
     for story in late:
-        phase = story.main_loss()
+        phase = story.longest_delay()
         groups[phase.value if phase else "unknown"].append(story)
     value = {name: [s.job for s in each] for name, each in groups.items()}
     text = [
@@ -91,12 +93,12 @@
     output.emit_lines(value, text or ["no late job"], as_json=as_json)
 
 
-def _causes(found: Iterable[job_story.JobStory]) -> str:
+def _causes(found: Iterable[job_history.JobHistory]) -> str:
     counts: collections.Counter[str] = collections.Counter()
     for story in found:
-        counts.update(set(story.causes()))
+        counts.update(set(story.count_failure_causes()))
     return ", ".join(f"{cause} {n}" for cause, n in counts.most_common())
 
 
-def _some(found: list[job_story.JobStory]) -> str:
+def _some(found: list[job_history.JobHistory]) -> str:
     return " ".join(story.job for story in found[:4])
--- a/citronmount/cli/tests/test_explain.py
+++ b/citronmount/cli/tests/test_explain.py
@@ -6,7 +6,7 @@
 from click import testing
 
 from citronmount.cli import main
-from citronmount.telemetry.tests import test_job_story
+from citronmount.telemetry.tests import test_job_history
 
 
 class ExplainTest(unittest.TestCase):
@@ -14,7 +14,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = pathlib.Path(folder.name) / "vm.log"
-        lines = test_job_story.gang(0.6, 0.7, 2.7, 4.8)
+        lines = test_job_history.gang_log_lines(0.6, 0.7, 2.7, 4.8)
         self.path.write_text("\n".join(["noise", *lines]), encoding="utf-8")
 
     def run_command(self, *arguments: str) -> testing.Result:
@@ -25,10 +25,10 @@
         done = self.run_command("--priority", "0")
         self.assertEqual(0, done.exit_code)
         self.assertIn("1  from the last end to the final state", done.output)
-        self.assertIn(test_job_story.JOB, done.output)
+        self.assertIn(test_job_history.JOB, done.output)
 
     def test_one_job_is_told_line_by_line(self) -> None:
-        done = self.run_command("--job", test_job_story.JOB, "--json")
+        done = self.run_command("--job", test_job_history.JOB, "--json")
         told = json.loads(done.output)
         self.assertEqual(5, len(told["lines"]))
         self.assertEqual(2_000, told["spent_ms"]["the last run at work"])
--- a/citronmount/cli/tests/test_timeline_text.py
+++ b/citronmount/cli/tests/test_timeline_text.py
@@ -4,14 +4,14 @@
 from hypothesis import strategies
 
 from citronmount.cli import timeline_text
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
-_KIND = events.EventKind
+_KIND = timeline_events.EventKind
 _JOB = "kr-a/7"
 
 
 def _event(physical_ms, kind, **fields):
-    return events.TimelineEvent(
+    return timeline_events.TimelineEvent(
         physical_ms=physical_ms,
         logical=fields.pop("logical", 0),
         process=fields.pop("process", "kr-a-1"),
--- a/citronmount/cli/timeline_command.py
+++ b/citronmount/cli/timeline_command.py
@@ -11,7 +11,7 @@
 from citronmount.cli import timeline_text
 from citronmount.core import errors
 from citronmount.service import bodies
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["timeline"]
 
@@ -25,7 +25,7 @@
         unanswered: Servers that did not answer, and why.
     """
 
-    events: tuple[events.TimelineEvent, ...]
+    events: tuple[timeline_events.TimelineEvent, ...]
     dropped: int
     unanswered: dict[str, str]
 
--- a/citronmount/cli/timeline_text.py
+++ b/citronmount/cli/timeline_text.py
@@ -9,13 +9,13 @@
 import msgspec
 
 from citronmount.core import codes
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Phase", "draw_job", "draw_list", "merged", "phases"]
 
 BAR_WIDTH = 60
 
-_Kind = events.EventKind
+_Kind = timeline_events.EventKind
 _PHASE_STARTS = {
     _Kind.JOB_ACCEPTED: "queued",
     _Kind.JOB_PLACED: "starting",
@@ -40,8 +40,8 @@
 
 
 def merged(
-    parts: Iterable[Sequence[events.TimelineEvent]],
-) -> list[events.TimelineEvent]:
+    parts: Iterable[Sequence[timeline_events.TimelineEvent]],
+) -> list[timeline_events.TimelineEvent]:
     """Merges the parts of several processes by hybrid logical time.
 
     Args:
@@ -54,7 +54,7 @@
     return sorted(distinct, key=lambda e: (e.physical_ms, e.logical, e.process))
 
 
-def draw_list(listed: Sequence[events.TimelineEvent]) -> Iterator[str]:
+def draw_list(listed: Sequence[timeline_events.TimelineEvent]) -> Iterator[str]:
     """Yields one line an event with its wall-clock time.
 
     Args:
@@ -70,7 +70,9 @@
         yield _line(when, event, width, subject)
 
 
-def draw_job(job: str, listed: Sequence[events.TimelineEvent]) -> Iterator[str]:
+def draw_job(
+    job: str, listed: Sequence[timeline_events.TimelineEvent]
+) -> Iterator[str]:
     """Yields the life of one job.
 
     Args:
@@ -96,7 +98,7 @@
     yield from _bar(phases(listed))
 
 
-def phases(listed: Sequence[events.TimelineEvent]) -> list[Phase]:
+def phases(listed: Sequence[timeline_events.TimelineEvent]) -> list[Phase]:
     """Returns the phases of a job's life.
 
     Args:
@@ -140,13 +142,13 @@
 
 
 def _line(
-    when: str, event: events.TimelineEvent, width: int, subject: str
+    when: str, event: timeline_events.TimelineEvent, width: int, subject: str
 ) -> str:
     process = event.process.ljust(width)
     return f"{when}  {process}  {event.kind.value:<23} {subject}".rstrip()
 
 
-def _subject(event: events.TimelineEvent, *, with_job: bool) -> str:
+def _subject(event: timeline_events.TimelineEvent, *, with_job: bool) -> str:
     """Returns what an event is about."""
     attempt = event.attempt.rpartition("#")[2]
     named = (
--- a/citronmount/fleet_service/pages.py
+++ b/citronmount/fleet_service/pages.py
@@ -7,7 +7,7 @@
 from twisted.web import server
 
 from citronmount.telemetry import exposition
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
 
 __all__ = ["MetricsPage", "ReadyPage"]
 
@@ -17,7 +17,7 @@
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, *, metrics: metrics_lib.Metrics) -> None:
+    def __init__(self, *, metrics: metrics_registry.MetricsRegistry) -> None:
         """Initializes the page.
 
         Args:
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -32,8 +32,8 @@
 from citronmount.telemetry import bounded_sink
 from citronmount.telemetry import event_metrics
 from citronmount.telemetry import logs
-from citronmount.telemetry import metrics as metrics_lib
-from citronmount.telemetry import process
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import process_usage
 
 __all__ = ["Adapter", "Api", "check", "run"]
 
@@ -102,7 +102,7 @@
     adapter: Adapter,
     path: str,
     settings: vm_settings.VmSettings,
-    metrics: metrics_lib.Metrics,
+    metrics: metrics_registry.MetricsRegistry,
 ) -> None:
     """Runs the parts of one VM until SIGTERM.
 
@@ -126,8 +126,8 @@
         settings=settings,
         on_address=log.use_address,
     )
-    metrics.gauge("owns_pool", lambda: node.owns_pool)
-    metrics.gauge("ready", lambda: node.ready)
+    metrics.register_gauge("owns_pool", lambda: node.owns_pool)
+    metrics.register_gauge("ready", lambda: node.ready)
     api = adapter.api(node.front)
     terminated: defer.Deferred[None] = defer.Deferred()
     _on_signals(reactor, terminated, reloader)
@@ -190,7 +190,7 @@
 async def _listen_for_metrics(
     reactor: interfaces.IReactorTCP,
     settings: vm_settings.VmSettings,
-    metrics: metrics_lib.Metrics,
+    metrics: metrics_registry.MetricsRegistry,
 ) -> None:
     """Serves metrics; a port that is taken costs only the metrics."""
     page = server.Site(pages.MetricsPage(metrics=metrics))
@@ -295,17 +295,17 @@
     except vm_settings.SettingsError as error:
         click.echo(f"{path}: {error}", err=True)
         return EXIT_BAD_SETTINGS
-    metrics = metrics_lib.Metrics()
+    metrics = metrics_registry.MetricsRegistry()
     sink = bounded_sink.BoundedSink(descriptor=sys.stdout.fileno())
-    metrics.gauge("log_lines_dropped", lambda: sink.dropped)
-    metrics.gauge("resident_bytes", process.resident_bytes)
-    metrics.gauge("processor_s", process.processor_s)
+    metrics.register_gauge("log_lines_dropped", lambda: sink.dropped_lines)
+    metrics.register_gauge("resident_bytes", process_usage.resident_bytes)
+    metrics.register_gauge("processor_s", process_usage.processor_s)
     with logs.configure(
         vm=settings.vm,
         level="INFO",
         file_path=None,
         stream=sink,
-        count=event_metrics.EventCounter(metrics=metrics),
+        event_processor=event_metrics.EventMetrics(metrics=metrics),
     ):
         return _run(
             lambda reactor: serve(reactor, adapter, path, settings, metrics)
--- a/citronmount/peers/keys.py
+++ b/citronmount/peers/curve_keys.py
@@ -5,7 +5,7 @@
 import zmq
 from zmq.auth import base
 
-__all__ = ["KeyGate", "PeerKeys", "new_keys"]
+__all__ = ["CurveAuthenticator", "PeerKeys", "generate_keys"]
 
 
 class PeerKeys(msgspec.Struct, frozen=True, kw_only=True):
@@ -23,12 +23,12 @@
     accepted_keys: tuple[str, ...] = ()
 
     @property
-    def trusted(self) -> tuple[str, ...]:
+    def trusted_keys(self) -> tuple[str, ...]:
         """Every public key that a peer may present, this one's first."""
         others = (key for key in self.accepted_keys if key != self.public_key)
         return (self.public_key, *others)
 
-    def present(self, socket: zmq.Socket) -> None:
+    def apply_to(self, socket: zmq.Socket) -> None:
         """Makes a socket use the own key pair.
 
         Args:
@@ -38,7 +38,7 @@
         socket.curve_secretkey = self.secret_key.encode("ascii")
 
 
-def new_keys() -> PeerKeys:
+def generate_keys() -> PeerKeys:
     """Returns a new random key pair.
 
     Returns:
@@ -50,7 +50,7 @@
     )
 
 
-class KeyGate:
+class CurveAuthenticator:
     """Answers ZeroMQ's authentication requests on the reactor's loop.
 
     It speaks ZAP (ZeroMQ RFC 27) through `zmq.auth`. A connection whose key
--- a/citronmount/peers/messages.py
+++ b/citronmount/peers/messages.py
@@ -6,7 +6,7 @@
 from citronmount.core import jobs
 from citronmount.services import messages as platform_messages
 from citronmount.state import records
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = [
     "Acknowledge",
@@ -227,7 +227,7 @@
         dropped: How many older events the bounded memory has let go.
     """
 
-    events: tuple[events.TimelineEvent, ...]
+    events: tuple[timeline_events.TimelineEvent, ...]
     dropped: int = 0
 
 
--- a/citronmount/peers/link.py
+++ b/citronmount/peers/peer_link.py
@@ -5,10 +5,10 @@
 from twisted.internet import interfaces
 import zmq
 
-from citronmount.peers import keys as keys_lib
-from citronmount.peers import reader
+from citronmount.peers import curve_keys
+from citronmount.peers import socket_reader
 
-__all__ = ["Link"]
+__all__ = ["PeerLink"]
 
 HIGH_WATER_MARK_MESSAGES = 1_000
 LINGER_MS = 500
@@ -25,7 +25,7 @@
 )
 
 
-class Link:
+class PeerLink:
     """A PUSH socket to one peer.
 
     The list of VMs names addresses but no keys, so the link expects each
@@ -42,7 +42,7 @@
         reactor: interfaces.IReactorCore,
         context: zmq.Context,
         address: str,
-        keys: keys_lib.PeerKeys | None,
+        keys: curve_keys.PeerKeys | None,
     ) -> None:
         """Initializes the link and starts to connect.
 
@@ -98,12 +98,12 @@
         socket.connect(f"tcp://{self.address}")
         self._socket = socket
 
-    def _use_keys(self, socket: zmq.Socket, keys: keys_lib.PeerKeys) -> None:
-        keys.present(socket)
-        expected = keys.trusted[self._key_index]
+    def _use_keys(self, socket: zmq.Socket, keys: curve_keys.PeerKeys) -> None:
+        keys.apply_to(socket)
+        expected = keys.trusted_keys[self._key_index]
         socket.curve_serverkey = expected.encode("ascii")
-        if len(keys.trusted) > 1:
-            reader.monitor(
+        if len(keys.trusted_keys) > 1:
+            socket_reader.monitor_connections(
                 self._reactor,
                 socket,
                 _HANDSHAKE_FAILED,
@@ -114,7 +114,7 @@
     def _expect_next_key(self) -> None:
         self.close()
         self._opened = contextlib.ExitStack()
-        self._key_index = (self._key_index + 1) % len(self._keys.trusted)
+        self._key_index = (self._key_index + 1) % len(self._keys.trusted_keys)
         wait_ms = 0 if self._key_index else RECONNECT_MAX_MS
         retry = self._reactor.callLater(wait_ms / _MS_PER_S, self._open)
         self._opened.callback(_cancel, retry)
--- a/citronmount/peers/transport.py
+++ b/citronmount/peers/peer_transport.py
@@ -8,12 +8,12 @@
 import zmq
 
 from citronmount.core import ids
-from citronmount.peers import keys as keys_lib
-from citronmount.peers import link as link_lib
+from citronmount.peers import curve_keys
 from citronmount.peers import messages
-from citronmount.peers import reader
+from citronmount.peers import peer_link
+from citronmount.peers import socket_reader
 
-__all__ = ["Counters", "Transport"]
+__all__ = ["PeerTransport", "TransportCounters"]
 
 HIGH_WATER_MARK_MESSAGES = 1_000
 MAX_MESSAGE_BYTES = 32 << 20
@@ -22,7 +22,7 @@
 _MAX_NAME_BYTES = 255
 
 
-class Counters(msgspec.Struct, kw_only=True):
+class TransportCounters(msgspec.Struct, kw_only=True):
     """What the transport has done since it was opened.
 
     Attributes:
@@ -46,7 +46,7 @@
     keys_refused: int = 0
 
 
-class Transport:
+class PeerTransport:
     """The peer socket of one VM and its links to all others.
 
     Each VM binds one PULL socket and connects one PUSH socket to each peer.
@@ -61,7 +61,7 @@
         reactor: interfaces.IReactorCore,
         vm: ids.VmId,
         bind_address: str,
-        keys: keys_lib.PeerKeys | None,
+        keys: curve_keys.PeerKeys | None,
         on_message: Callable[[ids.VmId, messages.PeerMessage], None],
     ) -> None:
         """Initializes a transport that is not open.
@@ -80,14 +80,14 @@
         self._keys = keys
         self._on_message = on_message
         self._header = _header(vm)
-        self._counters = Counters()
-        self._links: dict[ids.VmId, link_lib.Link] = {}
+        self._counters = TransportCounters()
+        self._links: dict[ids.VmId, peer_link.PeerLink] = {}
         self._stack = contextlib.ExitStack()
         self._context: zmq.Context | None = None
-        self._gate: keys_lib.KeyGate | None = None
+        self._gate: curve_keys.CurveAuthenticator | None = None
 
     @property
-    def counters(self) -> Counters:
+    def counters(self) -> TransportCounters:
         """The counters of this moment."""
         refused = self._gate.refused if self._gate else 0
         return msgspec.structs.replace(
@@ -129,7 +129,7 @@
         for vm in stale:
             self._links.pop(vm).close()
         for vm in wanted.keys() - self._links.keys():
-            self._links[vm] = link_lib.Link(
+            self._links[vm] = peer_link.PeerLink(
                 reactor=self._reactor,
                 context=self._context,
                 address=wanted[vm],
@@ -158,11 +158,13 @@
     def _open_gate(self, stack: contextlib.ExitStack) -> None:
         if self._keys is None:
             return
-        gate = keys_lib.KeyGate(
-            context=self._context, trusted=self._keys.trusted
+        gate = curve_keys.CurveAuthenticator(
+            context=self._context, trusted=self._keys.trusted_keys
         )
         stack.callback(gate.close)
-        reader.read_from(self._reactor, gate.socket, gate.handle, stack)
+        socket_reader.start_reading(
+            self._reactor, gate.socket, gate.handle, stack
+        )
         self._gate = gate
 
     def _open_inbox(self, stack: contextlib.ExitStack) -> None:
@@ -174,8 +176,8 @@
         inbox.handshake_ivl = HANDSHAKE_MS
         if self._keys is not None:
             inbox.curve_server = True
-            self._keys.present(inbox)
-        reader.monitor(
+            self._keys.apply_to(inbox)
+        socket_reader.monitor_connections(
             self._reactor,
             inbox,
             zmq.EVENT_HANDSHAKE_FAILED_PROTOCOL,
@@ -185,7 +187,7 @@
         inbox.bind(f"tcp://{self.address}")
         bound = inbox.getsockopt(zmq.LAST_ENDPOINT).rstrip(b"\0")
         self.address = bound.decode("ascii").removeprefix("tcp://")
-        reader.read_from(self._reactor, inbox, self._receive, stack)
+        socket_reader.start_reading(self._reactor, inbox, self._receive, stack)
 
     def _count_failure(self, frames: list[bytes]) -> None:
         self._counters.keys_refused += 1
--- a/citronmount/peers/reader.py
+++ b/citronmount/peers/socket_reader.py
@@ -8,7 +8,12 @@
 import zmq
 from zope.interface import implementer
 
-__all__ = ["BATCH_MESSAGES", "SocketReader", "monitor", "read_from"]
+__all__ = [
+    "BATCH_MESSAGES",
+    "SocketReader",
+    "monitor_connections",
+    "start_reading",
+]
 
 BATCH_MESSAGES = 64
 
@@ -95,7 +100,7 @@
         self.doRead()
 
 
-def read_from(
+def start_reading(
     reactor: interfaces.IReactorCore,
     socket: zmq.Socket,
     on_message: Callable[[list[bytes]], None],
@@ -116,7 +121,7 @@
     stack.callback(socket_reader.stop)
 
 
-def monitor(
+def monitor_connections(
     reactor: interfaces.IReactorCore,
     socket: zmq.Socket,
     events: int,
@@ -135,4 +140,4 @@
     source = socket.get_monitor_socket(events)
     stack.callback(source.close)
     stack.callback(socket.disable_monitor)
-    read_from(reactor, source, on_event, stack)
+    start_reading(reactor, source, on_event, stack)
--- a/citronmount/peers/tests/test_transport.py
+++ b/citronmount/peers/tests/test_peer_transport.py
@@ -6,11 +6,11 @@
 import zmq
 
 from citronmount.core import ids
-from citronmount.peers import keys
+from citronmount.peers import curve_keys
 from citronmount.peers import messages
-from citronmount.peers import reader
-from citronmount.peers import transport
-from citronmount.testing import loop
+from citronmount.peers import peer_transport
+from citronmount.peers import socket_reader
+from citronmount.testing import reactor_loop
 
 _ANY_PORT = "127.0.0.1:0"
 
@@ -26,11 +26,11 @@
         self,
         case: unittest.TestCase,
         name: str,
-        peer_keys: keys.PeerKeys | None,
+        peer_keys: curve_keys.PeerKeys | None,
         address: str = _ANY_PORT,
     ) -> None:
         self.received: list[tuple[str, messages.PeerMessage]] = []
-        self.transport = transport.Transport(
+        self.transport = peer_transport.PeerTransport(
             reactor=reactor,
             vm=ids.VmId(name),
             bind_address=address,
@@ -55,41 +55,43 @@
                 self.transport.send(other.transport.vm, _ack(number))
             return len(other.received) > got
 
-        await loop.until(arrived)
+        await reactor_loop.wait_until(arrived)
 
 
 class TransportTest(unittest.TestCase):
     """Messages between transports of one process."""
 
     def test_exchange(self) -> None:
-        for shared in (keys.new_keys(), None):
+        for shared in (curve_keys.generate_keys(), None):
             with self.subTest(encrypted=shared is not None):
                 a, b = (_Node(self, name, shared) for name in "ab")
                 a.link(a, b)
                 b.link(a)
-                loop.run(a.send_one(b, 7))
-                loop.run(b.send_one(a, 8))
+                reactor_loop.run(a.send_one(b, 7))
+                reactor_loop.run(b.send_one(a, 8))
                 self.assertEqual(("a", _ack(7)), b.received[0])
                 self.assertEqual(("b", _ack(8)), a.received[0])
 
     def test_backlog_larger_than_a_batch_arrives_in_order(self) -> None:
-        shared = keys.new_keys()
+        shared = curve_keys.generate_keys()
         a, b = (_Node(self, name, shared) for name in "ab")
         a.link(b)
-        loop.run(a.send_one(b))
+        reactor_loop.run(a.send_one(b))
         del b.received[:]
-        count = reader.BATCH_MESSAGES * 3 + 1
+        count = socket_reader.BATCH_MESSAGES * 3 + 1
         sent = [a.transport.send("b", _ack(n)) for n in range(count)]
         self.assertTrue(all(sent))
-        loop.run(loop.until(lambda: len(b.received) >= count))
+        reactor_loop.run(
+            reactor_loop.wait_until(lambda: len(b.received) >= count)
+        )
         last = [body for _, body in b.received][-count:]
         self.assertEqual([_ack(n) for n in range(count)], last)
 
     def test_wrong_key_is_refused_and_counted(self) -> None:
-        right, wrong = keys.new_keys(), keys.new_keys()
+        right, wrong = curve_keys.generate_keys(), curve_keys.generate_keys()
         strangers = {
             "knows no key here": wrong,
-            "knows the key here": keys.PeerKeys(
+            "knows the key here": curve_keys.PeerKeys(
                 public_key=wrong.public_key,
                 secret_key=wrong.secret_key,
                 accepted_keys=(right.public_key,),
@@ -105,17 +107,17 @@
                     intruder.transport.send("a", _ack(1))
                     return node.transport.counters.keys_refused > 1
 
-                loop.run(loop.until(refused))
+                reactor_loop.run(reactor_loop.wait_until(refused))
                 self.assertEqual([], node.received)
 
     def test_other_accepted_key_is_found(self) -> None:
-        old, new = keys.new_keys(), keys.new_keys()
+        old, new = curve_keys.generate_keys(), curve_keys.generate_keys()
         a = _Node(self, "a", _accepting(old, new))
         b = _Node(self, "b", _accepting(new, old))
         a.link(b)
         b.link(a)
-        loop.run(a.send_one(b))
-        loop.run(b.send_one(a))
+        reactor_loop.run(a.send_one(b))
+        reactor_loop.run(b.send_one(a))
 
     def test_malformed_messages_are_dropped_and_counted(self) -> None:
         node = _Node(self, "a", None)
@@ -132,25 +134,25 @@
             socket.connect(f"tcp://{node.transport.address}")
             for frames in bodies:
                 socket.send_multipart(frames)
-            loop.run(
-                loop.until(
+            reactor_loop.run(
+                reactor_loop.wait_until(
                     lambda: node.transport.counters.malformed == len(bodies)
                 )
             )
         self.assertEqual([], node.received)
 
     def test_reconnects_to_a_peer_that_came_back(self) -> None:
-        shared = keys.new_keys()
+        shared = curve_keys.generate_keys()
         a, b = (_Node(self, name, shared) for name in "ab")
         a.link(b)
-        loop.run(a.send_one(b))
+        reactor_loop.run(a.send_one(b))
         address = b.transport.address
         b.transport.close()
         again = _Node(self, "b", shared, address)
-        loop.run(a.send_one(again))
+        reactor_loop.run(a.send_one(again))
 
     def test_unknown_or_unconnected_peer_costs_a_drop_only(self) -> None:
-        node = _Node(self, "a", keys.new_keys())
+        node = _Node(self, "a", curve_keys.generate_keys())
         self.assertFalse(node.transport.send("b", _ack(1)))
         node.transport.set_peers({"b": "127.0.0.1:9"})
         self.assertFalse(node.transport.send("b", _ack(1)))
@@ -159,8 +161,10 @@
         self.assertFalse(node.transport.send("b", _ack(1)))
 
 
-def _accepting(own: keys.PeerKeys, other: keys.PeerKeys) -> keys.PeerKeys:
-    return keys.PeerKeys(
+def _accepting(
+    own: curve_keys.PeerKeys, other: curve_keys.PeerKeys
+) -> curve_keys.PeerKeys:
+    return curve_keys.PeerKeys(
         public_key=own.public_key,
         secret_key=own.secret_key,
         accepted_keys=(other.public_key,),
--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -25,8 +25,8 @@
 from citronmount.service import rate_limit
 from citronmount.service import runtime as runtime_lib
 from citronmount.state import records
-from citronmount.telemetry import metrics as metrics_lib
-from citronmount.telemetry import store
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import timeline_store
 
 __all__ = ["Api"]
 
@@ -68,8 +68,8 @@
         failure_domain: ids.FailureDomainId,
         runtime: runtime_lib.Runtime,
         brain: brain_lib.Brain,
-        timeline: store.TimelineStore,
-        metrics: metrics_lib.Metrics,
+        timeline: timeline_store.TimelineStore,
+        metrics: metrics_registry.MetricsRegistry,
         limit: rate_limit.RateLimit,
         now_ms: Callable[[], int],
         wall_ms: Callable[[], int],
@@ -168,7 +168,9 @@
         self._take_token(body.account)
         spec = body.spec(self._new_id())
         answer = await self._call(peer_messages.RunRequest(spec=spec))
-        self._metrics.record("request", "http", self._now_ms() - begin_ms)
+        self._metrics.record_duration(
+            "request", "http", self._now_ms() - begin_ms
+        )
         return self._answer(request, answer)
 
     @app.route("/v1/configuration", methods=["GET"])
@@ -202,7 +204,7 @@
     @app.route("/v1/timeline", methods=["GET"])
     def get_timeline(self, request: http.Request) -> bytes:
         """Returns this VM's part of the time line."""
-        wanted = store.Filter(
+        wanted = timeline_store.TimelineFilter(
             job=_text(request, "job"),
             account=_text(request, "account"),
             target=_text(request, "target"),
@@ -256,7 +258,7 @@
     def _call(
         self, body: peer_messages.CallerCall
     ) -> defer.Deferred[peer_messages.Answer]:
-        self._metrics.count(f"calls.{type(body).__name__}")
+        self._metrics.increment(f"calls.{type(body).__name__}")
         return self._runtime.call(body)
 
     def _take_token(self, account: str) -> None:
--- a/citronmount/service/bodies.py
+++ b/citronmount/service/bodies.py
@@ -9,7 +9,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = [
     "ConfigurationBody",
@@ -222,7 +222,7 @@
     """
 
     vm: ids.VmId
-    events: tuple[events.TimelineEvent, ...]
+    events: tuple[timeline_events.TimelineEvent, ...]
     dropped: int
 
 
--- a/citronmount/service/runtime.py
+++ b/citronmount/service/runtime.py
@@ -19,13 +19,13 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.peers import messages as peer_messages
-from citronmount.peers import transport as transport_lib
+from citronmount.peers import peer_transport
 from citronmount.service import brain as brain_lib
 from citronmount.services import clients
 from citronmount.services import exchange
 from citronmount.services import messages as platform_messages
-from citronmount.telemetry import events as timeline_events
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Addresses", "Runtime"]
 
@@ -74,11 +74,11 @@
         *,
         reactor: interfaces.IReactorTime,
         brain: brain_lib.Brain,
-        peers: transport_lib.Transport,
+        peers: peer_transport.PeerTransport,
         http: exchange.Exchange,
         addresses: Addresses,
         on_trace: Callable[[timeline_events.TimelineEvent], None],
-        metrics: metrics_lib.Metrics,
+        metrics: metrics_registry.MetricsRegistry,
         now_ns: Callable[[], int] = time.monotonic_ns,
         wall_ns: Callable[[], int] = time.time_ns,
     ) -> None:
@@ -187,12 +187,12 @@
                 event, begin_ns // _NS_PER_MS, self._wall_ns() // _NS_PER_MS
             )
         except Exception:
-            self._metrics.count("events_failed")
+            self._metrics.increment("events_failed")
             self._logger.exception("event_failed", kind=kind)
             self._answer_failed(event)
             return
         duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
-        self._metrics.record("event", kind, duration_ms)
+        self._metrics.record_duration("event", kind, duration_ms)
         for effect in wanted:
             self._perform(effect)
 
@@ -200,7 +200,7 @@
         try:
             _PERFORMERS[type(effect)](self, effect)
         except Exception:
-            self._metrics.count("effects_failed")
+            self._metrics.increment("effects_failed")
             kind = type(effect).__name__
             self._logger.exception("effect_failed", kind=kind)
 
@@ -232,7 +232,7 @@
 
         def finish(result: typing.Any) -> None:
             duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
-            self._metrics.record("exchange", kind, duration_ms)
+            self._metrics.record_duration("exchange", kind, duration_ms)
             if isinstance(result, failure.Failure):
                 self._count_no_answer(kind, result)
             self.feed(to_event(result))
@@ -240,7 +240,7 @@
         answer.addBoth(finish)
 
     def _count_no_answer(self, kind: str, reason: failure.Failure) -> None:
-        self._metrics.count(f"exchange_failed.{kind}")
+        self._metrics.increment(f"exchange_failed.{kind}")
         self._logger.debug(
             "no_answer", kind=kind, reason=reason.getErrorMessage()
         )
--- a/citronmount/service/tests/test_api.py
+++ b/citronmount/service/tests/test_api.py
@@ -19,9 +19,9 @@
 from citronmount.service import rate_limit
 from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
-from citronmount.telemetry import events as timeline_events
-from citronmount.telemetry import metrics as metrics_lib
-from citronmount.telemetry import store
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import timeline_events
+from citronmount.telemetry import timeline_store
 
 _STATUS = jobs.JobStatus(
     job=ids.JobId("kr-a/7f"),
@@ -47,8 +47,8 @@
 
     def setUp(self) -> None:
         self.brain = fakes.FakeBrain()
-        self.metrics = metrics_lib.Metrics()
-        self.timeline = store.TimelineStore(max_events=2)
+        self.metrics = metrics_registry.MetricsRegistry()
+        self.timeline = timeline_store.TimelineStore(max_events=2)
         self.now_ms = 0
         runtime = runtime_lib.Runtime(
             reactor=task.Clock(),
@@ -250,7 +250,7 @@
         self.assertEqual(2, body["dropped"])
 
     def test_health_readiness_and_metrics(self) -> None:
-        self.metrics.record("job.paying", "queued", 5)
+        self.metrics.record_duration("job.paying", "queued", 5)
         self.assertEqual(200, self._send("GET", "/v1/health")[0])
         self.assertEqual(200, self._send("GET", "/v1/ready")[0])
         self.assertEqual(200, self._send("GET", "/v1/membership")[0])
--- a/citronmount/service/tests/test_api_inputs.py
+++ b/citronmount/service/tests/test_api_inputs.py
@@ -17,8 +17,8 @@
 from citronmount.service import rate_limit
 from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
-from citronmount.telemetry import metrics as metrics_lib
-from citronmount.telemetry import store
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import timeline_store
 
 _VALUES = strategies.recursive(
     strategies.none()
@@ -80,8 +80,8 @@
 
 def _client() -> testing.StubTreq:
     brain = fakes.FakeBrain(_answer)
-    metrics = metrics_lib.Metrics()
-    timeline = store.TimelineStore(max_events=1)
+    metrics = metrics_registry.MetricsRegistry()
+    timeline = timeline_store.TimelineStore(max_events=1)
     runtime = runtime_lib.Runtime(
         reactor=task.Clock(),
         brain=brain,
--- a/citronmount/service/tests/test_listening.py
+++ b/citronmount/service/tests/test_listening.py
@@ -19,7 +19,7 @@
 
 from citronmount.service import listening
 from citronmount.service import settings as settings_lib
-from citronmount.testing import loop
+from citronmount.testing import reactor_loop
 
 _HOST = "127.0.0.1"
 _GREETING = b"hello"
@@ -58,14 +58,16 @@
         settings = settings_lib.ListenSettings(
             caller_address=f"{_HOST}:0", peer_address=f"{_HOST}:0"
         )
-        self.assertEqual(_GREETING, loop.run(_greeting(settings, None)))
+        self.assertEqual(_GREETING, reactor_loop.run(_greeting(settings, None)))
 
     def test_tls_by_the_certificate_of_the_settings(self) -> None:
         certificate, settings = self._tls()
         trust = ssl.optionsForClientTLS(
             _HOST, trustRoot=ssl.Certificate.loadPEM(certificate)
         )
-        self.assertEqual(_GREETING, loop.run(_greeting(settings, trust)))
+        self.assertEqual(
+            _GREETING, reactor_loop.run(_greeting(settings, trust))
+        )
 
     def test_client_that_trusts_another_certificate_gets_nothing(self) -> None:
         other, _ = self._tls()
@@ -73,7 +75,7 @@
         trust = ssl.optionsForClientTLS(
             _HOST, trustRoot=ssl.Certificate.loadPEM(other)
         )
-        self.assertEqual(b"", loop.run(_greeting(settings, trust)))
+        self.assertEqual(b"", reactor_loop.run(_greeting(settings, trust)))
 
     def _tls(self) -> tuple[bytes, settings_lib.ListenSettings]:
         certificate, key = _self_signed()
--- a/citronmount/service/tests/test_runtime.py
+++ b/citronmount/service/tests/test_runtime.py
@@ -17,7 +17,7 @@
 from citronmount.services import exchange
 from citronmount.services import messages
 from citronmount.services import wire
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
 
 _CALL = ids.CallId("c1")
 _ADDRESS = "127.0.0.1:1"
@@ -57,7 +57,7 @@
         self.peers = fakes.FakePeers()
         self.http = fakes.FakeHttp()
         self.traced = []
-        self.metrics = metrics_lib.Metrics()
+        self.metrics = metrics_registry.MetricsRegistry()
         self.runtime = runtime_lib.Runtime(
             reactor=self.clock,
             brain=self.brain,
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -8,8 +8,8 @@
 from citronmount.agent import agent as agent_lib
 from citronmount.agent import settings as agent_settings
 from citronmount.core import ids
-from citronmount.peers import keys
-from citronmount.peers import transport
+from citronmount.peers import curve_keys
+from citronmount.peers import peer_transport
 from citronmount.service import agent_brain
 from citronmount.service import api as api_lib
 from citronmount.service import brain as brain_lib
@@ -18,12 +18,12 @@
 from citronmount.service import settings as settings_lib
 from citronmount.services import counted
 from citronmount.services import exchange
-from citronmount.telemetry import events
 from citronmount.telemetry import logs
-from citronmount.telemetry import metrics as metrics_lib
-from citronmount.telemetry import process
-from citronmount.telemetry import stages
-from citronmount.telemetry import store
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import process_usage
+from citronmount.telemetry import stage_timer
+from citronmount.telemetry import timeline_events
+from citronmount.telemetry import timeline_store
 
 __all__ = ["Parts", "make_brain"]
 
@@ -57,9 +57,9 @@
             brain: The state machine.
         """
         self.brain = brain
-        self.metrics = metrics_lib.Metrics()
+        self.metrics = metrics_registry.MetricsRegistry()
         self.http = exchange.Exchange(reactor=reactor)
-        self.peers = transport.Transport(
+        self.peers = peer_transport.PeerTransport(
             reactor=reactor,
             vm=settings.vm.vm_id,
             bind_address=settings.listen.peer_address,
@@ -67,11 +67,11 @@
             on_message=self._peer_arrived,
         )
         self._logger = structlog.get_logger()
-        self._timeline = store.TimelineStore(
+        self._timeline = timeline_store.TimelineStore(
             max_events=settings.limits.max_timeline_events
         )
-        self._stages = stages.StageTimer(
-            metrics=self.metrics, class_of=self._class_of
+        self._stages = stage_timer.StageTimer(
+            metrics=self.metrics, account_class=self._account_class
         )
         self.runtime = runtime_lib.Runtime(
             reactor=reactor,
@@ -101,12 +101,12 @@
     def _peer_arrived(self, sender: ids.VmId, message: object) -> None:
         self.runtime.peer_arrived(sender, message)
 
-    def _traced(self, event: events.TimelineEvent) -> None:
+    def _traced(self, event: timeline_events.TimelineEvent) -> None:
         self._timeline.add(event)
         self._stages.observe(event)
         logs.log_event(self._logger, event)
 
-    def _class_of(self, account: str) -> str:
+    def _account_class(self, account: str) -> str:
         content = self.brain.configuration
         known = () if content is None else content.accounts
         return next(
@@ -115,19 +115,29 @@
         )
 
     def _register_gauges(self) -> None:
-        self.metrics.gauge("fragmentation", self.brain.fragmentation)
-        self.metrics.gauge("process.processor_s", process.processor_s)
-        self.metrics.gauge("process.resident_bytes", process.resident_bytes)
-        for name in transport.Counters.__struct_fields__:
-            self.metrics.gauge(f"peers.{name}", self._peer_counter(name))
+        self.metrics.register_gauge("fragmentation", self.brain.fragmentation)
+        self.metrics.register_gauge(
+            "process.processor_s", process_usage.processor_s
+        )
+        self.metrics.register_gauge(
+            "process.resident_bytes", process_usage.resident_bytes
+        )
+        for name in peer_transport.TransportCounters.__struct_fields__:
+            self.metrics.register_gauge(
+                f"peers.{name}", self._peer_counter(name)
+            )
         for name in counted.Traffic.__struct_fields__:
-            self.metrics.gauge(f"http.{name}", self._http_counter(name))
-        self.metrics.gauge("open_calls", lambda: self.runtime.open_calls)
+            self.metrics.register_gauge(
+                f"http.{name}", self._http_counter(name)
+            )
+        self.metrics.register_gauge(
+            "open_calls", lambda: self.runtime.open_calls
+        )
 
-    def _http_counter(self, name: str) -> metrics_lib.Gauge:
+    def _http_counter(self, name: str) -> metrics_registry.Gauge:
         return lambda: getattr(self.http.traffic, name)
 
-    def _peer_counter(self, name: str) -> metrics_lib.Gauge:
+    def _peer_counter(self, name: str) -> metrics_registry.Gauge:
         return lambda: getattr(self.peers.counters, name)
 
 
@@ -161,10 +171,12 @@
     return agent_brain.AgentBrain(agent=agent)
 
 
-def _peer_keys(settings: settings_lib.CurveSettings) -> keys.PeerKeys | None:
+def _peer_keys(
+    settings: settings_lib.CurveSettings,
+) -> curve_keys.PeerKeys | None:
     if not settings.enabled:
         return None
-    return keys.PeerKeys(
+    return curve_keys.PeerKeys(
         public_key=settings.public_key,
         secret_key=settings.secret_key,
         accepted_keys=settings.allowed_public_keys,
--- a/citronmount/services/tests/test_clients.py
+++ b/citronmount/services/tests/test_clients.py
@@ -20,7 +20,7 @@
 from citronmount.services import messages
 from citronmount.standins import http
 from citronmount.standins import http_faults
-from citronmount.testing import loop
+from citronmount.testing import reactor_loop
 
 _TIMEOUT_MS = 30_000
 _STREAM = ids.StreamName("jobs.kr-a")
@@ -75,13 +75,13 @@
         stack = http.serve_all(self.settings, reactor, self.events)
         self.addCleanup(_close, stack)
         self.http = exchange.Exchange(reactor=reactor)
-        self.addCleanup(lambda: loop.run(_wait(self.http.close())))
+        self.addCleanup(lambda: reactor_loop.run(_wait(self.http.close())))
 
     def test_log_keeps_bytes_and_order(self) -> None:
         records = ((ids.RecordId("r1"), b"\xff\x00"), (ids.RecordId("r2"), b""))
-        answer = loop.run(_wait(self._append(records)))
+        answer = reactor_loop.run(_wait(self._append(records)))
         self.assertEqual(0, answer.offset)
-        page = loop.run(_wait(self._read()))
+        page = reactor_loop.run(_wait(self._read()))
         found = tuple((r.record, r.data) for r in page.records)
         self.assertEqual(records, found)
         self.assertEqual((0, 2), (page.oldest, page.end))
@@ -94,16 +94,16 @@
         )
         records = ((ids.RecordId("r1"), b"x"),)
         with self.assertRaises(exchange.NoAnswerError) as caught:
-            loop.run(_wait(self._append(records)))
+            reactor_loop.run(_wait(self._append(records)))
         self.assertTrue(caught.exception.sent)
-        self.assertEqual(1, loop.run(_wait(self._read())).end)
+        self.assertEqual(1, reactor_loop.run(_wait(self._read())).end)
 
     def test_log_outage_is_no_answer(self) -> None:
         self._put_faults(
             self.settings.log_address, http_faults.Faults(down=True)
         )
         with self.assertRaises(exchange.NoAnswerError) as caught:
-            loop.run(_wait(self._read()))
+            reactor_loop.run(_wait(self._read()))
         self.assertIs(codes.ResultCode.UNREACHABLE, caught.exception.code)
 
     def test_slow_answer_times_out(self) -> None:
@@ -111,7 +111,7 @@
             self.settings.log_address, http_faults.Faults(delay_ms=500)
         )
         with self.assertRaises(exchange.NoAnswerError) as caught:
-            loop.run(_wait(self._read(timeout_ms=50)))
+            reactor_loop.run(_wait(self._read(timeout_ms=50)))
         self.assertIs(codes.ResultCode.TIMED_OUT, caught.exception.code)
         self.assertTrue(caught.exception.sent)
 
@@ -119,7 +119,7 @@
         self._put(
             self.settings.vm_list_address, "/targets/r1/state", b"leaving"
         )
-        view = loop.run(
+        view = reactor_loop.run(
             _wait(
                 clients.list_all(
                     self.http, self.settings.vm_list_address, _TIMEOUT_MS
@@ -128,18 +128,20 @@
         )
         self.assertEqual(self.settings.workers, view.workers)
         self.assertIs(states.TargetState.LEAVING, view.runners[0].state)
-        answer = loop.run(_wait(self._run(_request("q1"))))
+        answer = reactor_loop.run(_wait(self._run(_request("q1"))))
         self.assertIs(messages.RunnerOutcome.LEAVING, answer.outcome)
 
     def test_unchanged_list_costs_little(self) -> None:
         address = self.settings.vm_list_address
         first, second = (
-            loop.run(_wait(clients.list_all(self.http, address, _TIMEOUT_MS)))
+            reactor_loop.run(
+                _wait(clients.list_all(self.http, address, _TIMEOUT_MS))
+            )
             for _ in range(2)
         )
         self.assertIs(first, second)
         self._put(address, "/targets/w1/state", b"leaving")
-        third = loop.run(
+        third = reactor_loop.run(
             _wait(clients.list_all(self.http, address, _TIMEOUT_MS))
         )
         self.assertIs(states.TargetState.LEAVING, third.workers[0].state)
@@ -157,16 +159,16 @@
             number=1,
             ttl_ms=2_000,
         )
-        answer = loop.run(_wait(self._act(2, reserve)))
+        answer = reactor_loop.run(_wait(self._act(2, reserve)))
         self.assertIs(messages.ActOutcome.DONE, answer.results[0].outcome)
         self.assertEqual(spec, answer.report.leases[0].spec)
-        answer = loop.run(_wait(self._act(1, reserve)))
+        answer = reactor_loop.run(_wait(self._act(1, reserve)))
         outcome = answer.results[0].outcome
         self.assertIs(messages.ActOutcome.STALE_TOKEN, outcome)
 
     def test_runner_answers_each_request_and_refuses_when_busy(self) -> None:
         both = [self._run(_request("q1", 200)), self._run(_request("q2"))]
-        answers = loop.run(_wait(defer.gatherResults(both)))
+        answers = reactor_loop.run(_wait(defer.gatherResults(both)))
         outcomes = {answer.request: answer.outcome for answer in answers}
         self.assertEqual(
             {messages.RunnerOutcome.DONE, messages.RunnerOutcome.BUSY},
@@ -178,7 +180,7 @@
         address = self.settings.runners[0].address
         self._put_faults(address, http_faults.Faults(lost_answers=1))
         with self.assertRaises(exchange.NoAnswerError) as caught:
-            loop.run(_wait(self._run(_request("q1"))))
+            reactor_loop.run(_wait(self._run(_request("q1"))))
         self.assertTrue(caught.exception.sent)
         self.assertEqual(2, len(self.events))
 
@@ -187,7 +189,7 @@
             self.http, _free_address(), _request("q1"), _TIMEOUT_MS
         )
         with self.assertRaises(exchange.NoAnswerError) as caught:
-            loop.run(_wait(answer))
+            reactor_loop.run(_wait(answer))
         self.assertFalse(caught.exception.sent)
 
     def test_foreign_body_is_no_answer(self) -> None:
@@ -196,7 +198,7 @@
             address, "/timeline", messages.PlatformView, _TIMEOUT_MS
         )
         with self.assertRaises(exchange.NoAnswerError):
-            loop.run(_wait(answer))
+            reactor_loop.run(_wait(answer))
 
     def _append(self, records: tuple) -> defer.Deferred:
         return clients.append_log(
@@ -228,7 +230,7 @@
             exchange.make_agent(reactor, pool, counted.Traffic())
         )
         url = f"http://{address}{path}"
-        response = loop.run(_wait(http_client.put(url, body)))
+        response = reactor_loop.run(_wait(http_client.put(url, body)))
         self.assertEqual(200, response.code)
 
 
@@ -238,4 +240,4 @@
 
 def _close(stack: contextlib.ExitStack) -> None:
     stack.close()
-    loop.run(_wait(defer.succeed(None)))
+    reactor_loop.run(_wait(defer.succeed(None)))
--- a/citronmount/standins/http.py
+++ b/citronmount/standins/http.py
@@ -24,7 +24,7 @@
 from citronmount.standins import platform
 from citronmount.standins import runner
 from citronmount.standins import worker
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = [
     "LogServer",
@@ -40,7 +40,7 @@
 _MAX_PAGE_RECORDS = 10_000
 _ETAG_BYTES = 16
 
-Emit = Callable[[events.TimelineEvent], None]
+Emit = Callable[[timeline_events.TimelineEvent], None]
 
 
 class StandinSettings(
@@ -155,7 +155,7 @@
         *,
         reactor: interfaces.IReactorTime,
         model: platform.PlatformModel,
-        timeline: typing.Sequence[events.TimelineEvent] = (),
+        timeline: typing.Sequence[timeline_events.TimelineEvent] = (),
         on_target_state: Callable[[str, states.TargetState], None],
     ) -> None:
         """Initializes the server.
@@ -317,7 +317,7 @@
 def serve_all(
     settings: StandinSettings,
     reactor: interfaces.IReactorTCP,
-    emit: list[events.TimelineEvent],
+    emit: list[timeline_events.TimelineEvent],
 ) -> contextlib.ExitStack:
     """Serves the log, the list and every target.
 
--- a/citronmount/standins/runner.py
+++ b/citronmount/standins/runner.py
@@ -8,7 +8,7 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.services import messages
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["RunnerModel", "answer_payload", "service_ms"]
 
@@ -46,7 +46,9 @@
         self,
         *,
         target: messages.ListedTarget,
-        emit: Callable[[events.TimelineEvent], None] = lambda event: None,
+        emit: Callable[[timeline_events.TimelineEvent], None] = lambda event: (
+            None
+        ),
         epoch_ms: int = 0,
     ) -> None:
         """Initializes an idle runner.
@@ -91,7 +93,7 @@
         if self.busy_slots >= self.target.slots:
             return self._answer(spec, messages.RunnerOutcome.BUSY)
         self._serving[spec.request].append(spec)
-        self._trace(events.EventKind.RUNNER_STARTED, spec, now_ms)
+        self._trace(timeline_events.EventKind.RUNNER_STARTED, spec, now_ms)
         return None
 
     def finish(
@@ -114,7 +116,10 @@
             else messages.RunnerOutcome.DONE
         )
         self._trace(
-            events.EventKind.RUNNER_ENDED, spec, now_ms, detail=outcome.value
+            timeline_events.EventKind.RUNNER_ENDED,
+            spec,
+            now_ms,
+            detail=outcome.value,
         )
         return self._answer(spec, outcome, payload=answer_payload(spec))
 
@@ -126,7 +131,10 @@
         """
         for spec in [s for specs in self._serving.values() for s in specs]:
             self._trace(
-                events.EventKind.RUNNER_ENDED, spec, now_ms, detail="crashed"
+                timeline_events.EventKind.RUNNER_ENDED,
+                spec,
+                now_ms,
+                detail="crashed",
             )
         self._serving.clear()
 
@@ -145,13 +153,13 @@
 
     def _trace(
         self,
-        kind: events.EventKind,
+        kind: timeline_events.EventKind,
         spec: jobs.RequestSpec,
         now_ms: int,
         detail: str = "",
     ) -> None:
         self._emit(
-            events.TimelineEvent(
+            timeline_events.TimelineEvent(
                 physical_ms=self._epoch_ms + now_ms,
                 logical=0,
                 process=self.target.name,
--- a/citronmount/standins/tests/test_models.py
+++ b/citronmount/standins/tests/test_models.py
@@ -8,7 +8,7 @@
 from citronmount.standins import platform
 from citronmount.standins import runner
 from citronmount.standins import worker
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 _ONE = jobs.Resources(accelerators=1, cores=1, memory_gb=1)
 
@@ -179,7 +179,10 @@
             model.begin(one, 8).outcome, messages.RunnerOutcome.LEAVING
         )
         self.assertEqual(
-            [events.EventKind.RUNNER_STARTED, events.EventKind.RUNNER_ENDED],
+            [
+                timeline_events.EventKind.RUNNER_STARTED,
+                timeline_events.EventKind.RUNNER_ENDED,
+            ],
             [event.kind for event in seen],
         )
 
--- a/citronmount/standins/worker.py
+++ b/citronmount/standins/worker.py
@@ -8,7 +8,7 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.services import messages
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["Behaviour", "WorkerModel", "behaviour"]
 
@@ -72,7 +72,9 @@
         self,
         *,
         target: messages.ListedTarget,
-        emit: Callable[[events.TimelineEvent], None] = lambda event: None,
+        emit: Callable[[timeline_events.TimelineEvent], None] = lambda event: (
+            None
+        ),
         epoch_ms: int = 0,
         saved: dict[ids.JobId, float] | None = None,
     ) -> None:
@@ -211,7 +213,7 @@
             expires_ms=self._now_ms + act.ttl_ms,
         )
         self.sequence += 1
-        self._trace(events.EventKind.TASK_RESERVED, act)
+        self._trace(timeline_events.EventKind.TASK_RESERVED, act)
         return messages.ActOutcome.DONE
 
     def _start(self, act: messages.Start) -> messages.ActOutcome:
@@ -234,7 +236,7 @@
         lease.progress = self._saved.get(lease.reserve.spec.job, 0.0)
         lease.work_ms = lease.progress * _run_ms(lease)
         self.sequence += 1
-        self._trace(events.EventKind.TASK_STARTED, lease.reserve)
+        self._trace(timeline_events.EventKind.TASK_STARTED, lease.reserve)
         return messages.ActOutcome.DONE
 
     def _renew(self, act: messages.Renew) -> messages.ActResult:
@@ -334,7 +336,7 @@
         lease.ended_ms = self._now_ms
         self.sequence += 1
         self._trace(
-            events.EventKind.TASK_ENDED,
+            timeline_events.EventKind.TASK_ENDED,
             lease.reserve,
             code=lease.exit_code or 0,
             detail=state.value,
@@ -369,14 +371,14 @@
 
     def _trace(
         self,
-        kind: events.EventKind,
+        kind: timeline_events.EventKind,
         act: messages.Reserve,
         *,
         code: int = 0,
         detail: str = "",
     ) -> None:
         self._emit(
-            events.TimelineEvent(
+            timeline_events.TimelineEvent(
                 physical_ms=self._epoch_ms + self._now_ms,
                 logical=0,
                 process=self.target.name,
--- a/citronmount/telemetry/bounded_sink.py
+++ b/citronmount/telemetry/bounded_sink.py
@@ -8,7 +8,7 @@
 import os
 import time
 
-__all__ = ["BoundedSink", "Bucket"]
+__all__ = ["BoundedSink", "TokenBucket"]
 
 LINES_PER_S = 300
 BURST_LINES = 3_000
@@ -19,7 +19,7 @@
 _ROUTINE_MARKS = ('"level":"info"', '"level":"debug"')
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket."""
 
     def __init__(
@@ -70,13 +70,13 @@
             clock: Tells a steady time in seconds.
         """
         os.set_blocking(descriptor, False)
-        self.dropped = 0
+        self.dropped_lines = 0
         self._descriptor = descriptor
         self._told = 0
-        self._routine = Bucket(
+        self._routine = TokenBucket(
             per_s=LINES_PER_S, burst=BURST_LINES, clock=clock
         )
-        self._urgent = Bucket(
+        self._urgent = TokenBucket(
             per_s=URGENT_LINES_PER_S, burst=URGENT_BURST_LINES, clock=clock
         )
 
@@ -89,18 +89,18 @@
         routine = any(mark in text for mark in _ROUTINE_MARKS)
         bucket = self._routine if routine else self._urgent
         if not bucket.take():
-            self.dropped += 1
+            self.dropped_lines += 1
             return
-        if self.dropped > self._told:
+        if self.dropped_lines > self._told:
             self._tell_dropped()
         if not self._put(text):
-            self.dropped += 1
+            self.dropped_lines += 1
 
     def flush(self) -> None:
         """Does nothing, as each line is written at once."""
 
     def _tell_dropped(self) -> None:
-        count = self.dropped
+        count = self.dropped_lines
         line = f'{{"event":"log_lines_dropped","total":{count}}}\n'
         if self._put(line):
             self._told = count
--- a/citronmount/telemetry/event_metrics.py
+++ b/citronmount/telemetry/event_metrics.py
@@ -7,9 +7,9 @@
 from collections.abc import MutableMapping
 import typing
 
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
 
-__all__ = ["EventCounter"]
+__all__ = ["EventMetrics"]
 
 LABEL_FIELDS = ("verdict", "kind", "state", "status", "reason", "cause")
 DURATION_FIELDS = ("waited_ms", "took_ms", "age_ms")
@@ -17,10 +17,10 @@
 _Event = MutableMapping[str, typing.Any]
 
 
-class EventCounter:
+class EventMetrics:
     """A processor of structlog that counts and times events."""
 
-    def __init__(self, *, metrics: metrics_lib.Metrics) -> None:
+    def __init__(self, *, metrics: metrics_registry.MetricsRegistry) -> None:
         """Initializes the processor.
 
         Args:
@@ -32,12 +32,12 @@
         """Counts one event and passes it on."""
         del logger, method
         name = str(event.get("event", ""))
-        self._metrics.count(f"events.{name}")
+        self._metrics.increment(f"events.{name}")
         for field in LABEL_FIELDS:
             if field in event:
-                self._metrics.count(f"events.{name}.{field}.{event[field]}")
+                self._metrics.increment(f"events.{name}.{field}.{event[field]}")
         for field in DURATION_FIELDS:
             if field in event:
                 stage = field.removesuffix("_ms")
-                self._metrics.record(name, stage, event[field])
+                self._metrics.record_duration(name, stage, event[field])
         return event
--- a/citronmount/telemetry/exposition.py
+++ b/citronmount/telemetry/exposition.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Iterator
 
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
 
 __all__ = ["CONTENT_TYPE", "render"]
 
@@ -15,7 +15,7 @@
 _PERCENT = 100
 
 
-def render(snapshot: metrics_lib.MetricsSnapshot) -> str:
+def render(snapshot: metrics_registry.MetricsSnapshot) -> str:
     """Returns all metrics as text.
 
     Args:
@@ -27,7 +27,7 @@
     return "".join(f"{line}\n" for line in _lines(snapshot))
 
 
-def _lines(snapshot: metrics_lib.MetricsSnapshot) -> Iterator[str]:
+def _lines(snapshot: metrics_registry.MetricsSnapshot) -> Iterator[str]:
     for name, value in snapshot.counters.items():
         yield f'{_PREFIX}_count_total{{name="{_escaped(name)}"}} {value}'
     for name, value in snapshot.gauges.items():
@@ -37,7 +37,7 @@
 
 
 def _histogram_lines(
-    summary: metrics_lib.HistogramSummary,
+    summary: metrics_registry.HistogramSummary,
 ) -> Iterator[str]:
     labels = (
         f'event="{_escaped(summary.work_class)}"'
--- a/citronmount/telemetry/hlc.py
+++ b/citronmount/telemetry/hybrid_logical_clock.py
@@ -1,9 +1,9 @@
 """Hybrid logical clock, which orders events over all processes."""
 
-__all__ = ["HybridClock"]
+__all__ = ["HybridLogicalClock"]
 
 
-class HybridClock:
+class HybridLogicalClock:
     """A clock that never goes back and follows every message received.
 
     Notes:
@@ -26,7 +26,7 @@
             Physical and logical part, greater than any returned before.
 
         Example:
-            >>> clock = HybridClock()
+            >>> clock = HybridLogicalClock()
             >>> clock.tick(5), clock.tick(4)
             ((5, 0), (5, 1))
         """
--- a/citronmount/telemetry/job_story.py
+++ b/citronmount/telemetry/job_history.py
@@ -9,7 +9,14 @@
 
 import msgspec
 
-__all__ = ["JobStory", "LogLine", "Phase", "late_jobs", "parse", "stories"]
+__all__ = [
+    "JobHistory",
+    "LogLine",
+    "Phase",
+    "job_histories",
+    "late_jobs",
+    "parse",
+]
 
 _SUBMISSION = "job_submitted"
 _PLACED = "unit_placed"
@@ -60,7 +67,7 @@
         return None
 
 
-class JobStory(msgspec.Struct, kw_only=True):
+class JobHistory(msgspec.Struct, kw_only=True):
     """The lines about one job and what they say.
 
     Attributes:
@@ -82,7 +89,7 @@
         placed = [x for x in self.lines if x.event == _PLACED]
         return int(placed[0].fields["priority"]) if placed else None
 
-    def spent_ms(self) -> dict[Phase, float]:
+    def phase_durations_ms(self) -> dict[Phase, float]:
         """Returns the time spent in each phase, in milliseconds.
 
         Of a job of several units the one that ended last counts.
@@ -111,12 +118,16 @@
             marks[Phase.RECORDING] = finish.time_s - ended[-1].time_s
         return {phase: s * _MS_PER_S for phase, s in marks.items()}
 
-    def main_loss(self) -> Phase | None:
+    def longest_delay(self) -> Phase | None:
         """Returns the phase in which most time was lost, or None."""
-        lost = {p: ms for p, ms in self.spent_ms().items() if p not in _WORK}
+        lost = {
+            p: ms
+            for p, ms in self.phase_durations_ms().items()
+            if p not in _WORK
+        }
         return max(lost, key=lost.__getitem__, default=None)
 
-    def causes(self) -> collections.Counter[str]:
+    def count_failure_causes(self) -> collections.Counter[str]:
         """Counts why runs of the job came to nothing."""
         return collections.Counter(
             str(line.fields.get("cause"))
@@ -160,7 +171,7 @@
     return LogLine(time_s=stamp.timestamp(), event=event, fields=fields)
 
 
-def stories(texts: Iterable[str]) -> dict[str, JobStory]:
+def job_histories(texts: Iterable[str]) -> dict[str, JobHistory]:
     """Groups log lines by job.
 
     Args:
@@ -169,11 +180,11 @@
     Returns:
         A story for each job that is named.
     """
-    found: dict[str, JobStory] = {}
+    found: dict[str, JobHistory] = {}
     for line in filter(None, map(parse, texts)):
         job = line.job
         if job is not None:
-            found.setdefault(job, JobStory(job=job, lines=[])).lines.append(
+            found.setdefault(job, JobHistory(job=job, lines=[])).lines.append(
                 line
             )
     for story in found.values():
@@ -181,7 +192,7 @@
     return found
 
 
-def late_jobs(found: Mapping[str, JobStory]) -> list[JobStory]:
+def late_jobs(found: Mapping[str, JobHistory]) -> list[JobHistory]:
     """Returns the jobs that lost more time than their objective allows.
 
     The objective is a multiple of the work and a margin. What the work takes
@@ -202,12 +213,12 @@
     return [story for _, story in late]
 
 
-def _excess_ms(story: JobStory) -> float:
+def _excess_ms(story: JobHistory) -> float:
     """Returns the time lost beyond the slack of the objective.
 
     Lines of an older version do not tell the slack; their objective counts.
     """
-    spent = story.spent_ms()
+    spent = story.phase_durations_ms()
     if Phase.WORKING not in spent or story.finish is None:
         return 0.0
     fields = story.finish.fields
--- a/citronmount/telemetry/logs.py
+++ b/citronmount/telemetry/logs.py
@@ -13,7 +13,7 @@
 
 from citronmount.core import codes
 from citronmount.telemetry import bounded_sink
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["configure", "log_event"]
 
@@ -26,7 +26,7 @@
     level: str,
     file_path: str | None,
     stream: typing.TextIO | bounded_sink.BoundedSink | None = None,
-    count: structlog.typing.Processor | None = None,
+    event_processor: structlog.typing.Processor | None = None,
 ) -> contextlib.ExitStack:
     """Sends every log line of the process to one place as JSON.
 
@@ -35,7 +35,7 @@
         level: The least important level that is written.
         file_path: The log file, or None for the stream.
         stream: Where lines go without a file, or None for standard output.
-        count: Gets every event before its line is made, if given.
+        event_processor: Gets every event before its line is made, if given.
 
     Returns:
         Closes the log file when it is closed.
@@ -47,7 +47,7 @@
         stream = stack.enter_context(path.open("a", encoding="utf-8"))
     structlog.configure(
         processors=[
-            *([] if count is None else [count]),
+            *([] if event_processor is None else [event_processor]),
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -83,7 +83,8 @@
 
 
 def log_event(
-    log: structlog.typing.FilteringBoundLogger, event: events.TimelineEvent
+    log: structlog.typing.FilteringBoundLogger,
+    event: timeline_events.TimelineEvent,
 ) -> None:
     """Writes an event of the time line as one line.
 
--- a/citronmount/telemetry/metrics.py
+++ b/citronmount/telemetry/metrics_registry.py
@@ -6,7 +6,7 @@
 from hdrh import histogram
 import msgspec
 
-__all__ = ["Gauge", "HistogramSummary", "Metrics", "MetricsSnapshot"]
+__all__ = ["Gauge", "HistogramSummary", "MetricsRegistry", "MetricsSnapshot"]
 
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
@@ -75,7 +75,7 @@
         self.sum_us += bounded_us
 
 
-class Metrics:
+class MetricsRegistry:
     """Records what one process does.
 
     Memory is bounded, as classes, stages and names come from the code and
@@ -88,7 +88,9 @@
         self._counters: collections.Counter[str] = collections.Counter()
         self._gauges: dict[str, Gauge] = {}
 
-    def record(self, work_class: str, stage: str, duration_ms: float) -> None:
+    def record_duration(
+        self, work_class: str, stage: str, duration_ms: float
+    ) -> None:
         """Records how long a stage took.
 
         Args:
@@ -102,7 +104,7 @@
             recorder = self._histograms[key] = _Recorder()
         recorder.record(int(duration_ms * _US_PER_MS))
 
-    def count(self, name: str, amount: int = 1) -> None:
+    def increment(self, name: str, amount: int = 1) -> None:
         """Adds to a counter.
 
         Args:
@@ -111,7 +113,7 @@
         """
         self._counters[name] += amount
 
-    def gauge(self, name: str, read: Gauge) -> None:
+    def register_gauge(self, name: str, read: Gauge) -> None:
         """Registers a gauge.
 
         Args:
--- a/citronmount/telemetry/stages.py
+++ b/citronmount/telemetry/stage_timer.py
@@ -5,18 +5,18 @@
 
 import msgspec
 
-from citronmount.telemetry import events
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import timeline_events
 
 __all__ = ["StageTimer"]
 
 MAX_OPEN = 50_000
 
-_Handler = Callable[["StageTimer", events.TimelineEvent], None]
-_HANDLERS: dict[events.EventKind, _Handler] = {}
+_Handler = Callable[["StageTimer", timeline_events.TimelineEvent], None]
+_HANDLERS: dict[timeline_events.EventKind, _Handler] = {}
 
 
-def _on(kind: events.EventKind) -> Callable[[_Handler], _Handler]:
+def _on(kind: timeline_events.EventKind) -> Callable[[_Handler], _Handler]:
     """Registers the method that takes in one kind of event."""
 
     def register(handler: _Handler) -> _Handler:
@@ -48,22 +48,22 @@
     def __init__(
         self,
         *,
-        metrics: metrics_lib.Metrics,
-        class_of: Callable[[str], str],
+        metrics: metrics_registry.MetricsRegistry,
+        account_class: Callable[[str], str],
     ) -> None:
         """Initializes a timer without open work.
 
         Args:
             metrics: Gets the durations.
-            class_of: Returns the class of an account, for example paying.
+            account_class: Returns the class of an account, for example paying.
         """
         self._metrics = metrics
-        self._class_of = class_of
+        self._account_class = account_class
         self._open: collections.OrderedDict[str, _Work] = (
             collections.OrderedDict()
         )
 
-    def observe(self, event: events.TimelineEvent) -> None:
+    def observe(self, event: timeline_events.TimelineEvent) -> None:
         """Takes in an event of this VM.
 
         Args:
@@ -73,16 +73,16 @@
         if handler is not None:
             handler(self, event)
 
-    @_on(events.EventKind.JOB_ACCEPTED)
-    def _accepted(self, event: events.TimelineEvent) -> None:
+    @_on(timeline_events.EventKind.JOB_ACCEPTED)
+    def _accepted(self, event: timeline_events.TimelineEvent) -> None:
         self._work(event.job).accepted_ms = event.physical_ms
 
-    @_on(events.EventKind.JOB_EVICTING)
-    def _evicting(self, event: events.TimelineEvent) -> None:
+    @_on(timeline_events.EventKind.JOB_EVICTING)
+    def _evicting(self, event: timeline_events.TimelineEvent) -> None:
         self._work(event.job).evicting_ms = event.physical_ms
 
-    @_on(events.EventKind.JOB_PLACED)
-    def _placed(self, event: events.TimelineEvent) -> None:
+    @_on(timeline_events.EventKind.JOB_PLACED)
+    def _placed(self, event: timeline_events.TimelineEvent) -> None:
         work = self._work(event.job)
         if work.evicting_ms is not None:
             self._record(event, "reclaim", work.evicting_ms)
@@ -91,26 +91,26 @@
         work.evicting_ms = None
         work.placed_ms = event.physical_ms
 
-    @_on(events.EventKind.JOB_STARTED)
-    def _started(self, event: events.TimelineEvent) -> None:
+    @_on(timeline_events.EventKind.JOB_STARTED)
+    def _started(self, event: timeline_events.TimelineEvent) -> None:
         work = self._work(event.job)
         self._record(event, "starting", work.placed_ms)
         work.started_ms = event.physical_ms
 
-    @_on(events.EventKind.JOB_ENDED)
-    def _ended(self, event: events.TimelineEvent) -> None:
+    @_on(timeline_events.EventKind.JOB_ENDED)
+    def _ended(self, event: timeline_events.TimelineEvent) -> None:
         work = self._open.pop(event.job, _Work())
         self._record(event, "running", work.started_ms)
         self._record(event, "total", work.accepted_ms)
 
-    @_on(events.EventKind.REQUEST_SENT)
-    def _sent(self, event: events.TimelineEvent) -> None:
+    @_on(timeline_events.EventKind.REQUEST_SENT)
+    def _sent(self, event: timeline_events.TimelineEvent) -> None:
         work = self._work(event.request.partition("~")[0])
         if work.started_ms is None:
             work.started_ms = event.physical_ms
 
-    @_on(events.EventKind.REQUEST_ANSWERED)
-    def _answered(self, event: events.TimelineEvent) -> None:
+    @_on(timeline_events.EventKind.REQUEST_ANSWERED)
+    def _answered(self, event: timeline_events.TimelineEvent) -> None:
         name = event.request.partition("~")[0]
         work = self._open.pop(name, _Work())
         self._record(event, "served", work.started_ms, kind="request")
@@ -125,13 +125,13 @@
 
     def _record(
         self,
-        event: events.TimelineEvent,
+        event: timeline_events.TimelineEvent,
         stage: str,
         since_ms: int | None,
         *,
         kind: str = "job",
     ) -> None:
         if since_ms is not None:
-            work_class = f"{kind}.{self._class_of(event.account)}"
+            work_class = f"{kind}.{self._account_class(event.account)}"
             duration_ms = event.physical_ms - since_ms
-            self._metrics.record(work_class, stage, duration_ms)
+            self._metrics.record_duration(work_class, stage, duration_ms)
--- a/citronmount/telemetry/tests/test_bounded_logs.py
+++ b/citronmount/telemetry/tests/test_bounded_logs.py
@@ -6,7 +6,7 @@
 from citronmount.telemetry import bounded_sink
 from citronmount.telemetry import event_metrics
 from citronmount.telemetry import exposition
-from citronmount.telemetry import metrics
+from citronmount.telemetry import metrics_registry
 
 INFO = '{"level":"info","event":"x"}\n'
 WARNING = '{"level":"warning","event":"y"}\n'
@@ -33,12 +33,12 @@
                 self.sink.write(INFO)
                 os.set_blocking(self.reader, False)
             self.read()
-        written = 10 * bounded_sink.LINES_PER_S - self.sink.dropped
+        written = 10 * bounded_sink.LINES_PER_S - self.sink.dropped_lines
         most = bounded_sink.BURST_LINES + bounded_sink.LINES_PER_S
         self.assertLessEqual(written, most)
 
     def test_warnings_pass_while_routine_lines_are_dropped(self) -> None:
-        while not self.sink.dropped:
+        while not self.sink.dropped_lines:
             self.sink.write('{"level":"info"}\n')
         self.read()
         self.sink.write(WARNING)
@@ -51,7 +51,7 @@
             self.now_s = float(step)
             for _ in range(20):
                 self.sink.write("x" * 200 + WARNING)
-        self.assertGreater(self.sink.dropped, 0)
+        self.assertGreater(self.sink.dropped_lines, 0)
 
     def test_long_line_is_cut(self) -> None:
         self.sink.write("z" * 10_000 + "\n")
@@ -61,8 +61,8 @@
 
 class EventMetricsTest(unittest.TestCase):
     def test_events_become_counters_and_histograms(self) -> None:
-        kept = metrics.Metrics()
-        count = event_metrics.EventCounter(metrics=kept)
+        kept = metrics_registry.MetricsRegistry()
+        count = event_metrics.EventMetrics(metrics=kept)
         for waited_ms in (5, 7):
             event = {"event": "placed", "waited_ms": waited_ms, "kind": "a"}
             self.assertIs(event, count(None, "info", event))
@@ -74,8 +74,8 @@
         )
 
     def test_text_is_made_of_single_values(self) -> None:
-        kept = metrics.Metrics()
-        kept.gauge('odd"name', lambda: 1.5)
+        kept = metrics_registry.MetricsRegistry()
+        kept.register_gauge('odd"name', lambda: 1.5)
         text = exposition.render(kept.snapshot())
         self.assertEqual('citronmount_gauge{name="odd\\"name"} 1.5\n', text)
         self.assertTrue(msgspec.json.encode(text))
--- a/citronmount/telemetry/tests/test_job_story.py
+++ b/citronmount/telemetry/tests/test_job_history.py
@@ -1,7 +1,7 @@
 import json
 import unittest
 
-from citronmount.telemetry import job_story
+from citronmount.telemetry import job_history
 
 START = "2026-12-04T10:00:0"
 JOB = "5c0e7a21d94b36f8"
@@ -13,7 +13,7 @@
     return json.dumps({**fields, "event": event, "timestamp": stamp})
 
 
-def gang(
+def gang_log_lines(
     placed_s: float, started_s: float, ended_s: float, finished_s: float
 ) -> list[str]:
     unit = f"{JOB}.0.0"
@@ -27,70 +27,72 @@
 
 
 class JobStoryTest(unittest.TestCase):
-    def story(self, lines: list[str]) -> job_story.JobStory:
-        return job_story.stories(lines)[JOB]
+    def story(self, lines: list[str]) -> job_history.JobHistory:
+        return job_history.job_histories(lines)[JOB]
 
     def test_lines_that_are_no_log_lines_are_skipped(self) -> None:
         for text in ("", "{", "Traceback", '{"event": "x"}', "[]"):
-            self.assertIsNone(job_story.parse(text))
+            self.assertIsNone(job_history.parse(text))
 
     def test_what_comes_before_the_line_is_skipped(self) -> None:
         text = "  1.5 vm-1 " + line(1, "job_submitted", job=JOB)
-        self.assertEqual(JOB, job_story.parse(text).job)
+        self.assertEqual(JOB, job_history.parse(text).job)
 
     def test_time_is_split_by_phase(self) -> None:
-        spent = self.story(gang(0.6, 0.9, 2.9, 4.0)).spent_ms()
-        self.assertAlmostEqual(300, spent[job_story.Phase.STARTING], 3)
-        self.assertAlmostEqual(2_000, spent[job_story.Phase.WORKING], 3)
-        self.assertAlmostEqual(1_100, spent[job_story.Phase.RECORDING], 3)
+        spent = self.story(
+            gang_log_lines(0.6, 0.9, 2.9, 4.0)
+        ).phase_durations_ms()
+        self.assertAlmostEqual(300, spent[job_history.Phase.STARTING], 3)
+        self.assertAlmostEqual(2_000, spent[job_history.Phase.WORKING], 3)
+        self.assertAlmostEqual(1_100, spent[job_history.Phase.RECORDING], 3)
 
     def test_job_in_time_is_not_late(self) -> None:
-        found = job_story.stories(gang(0.6, 0.7, 2.7, 2.8))
-        self.assertEqual([], job_story.late_jobs(found))
+        found = job_history.job_histories(gang_log_lines(0.6, 0.7, 2.7, 2.8))
+        self.assertEqual([], job_history.late_jobs(found))
 
     def test_late_job_names_its_main_loss(self) -> None:
-        found = job_story.stories(gang(0.6, 0.7, 2.7, 4.8))
-        late = job_story.late_jobs(found)
-        self.assertIs(job_story.Phase.RECORDING, late[0].main_loss())
+        found = job_history.job_histories(gang_log_lines(0.6, 0.7, 2.7, 4.8))
+        late = job_history.late_jobs(found)
+        self.assertIs(job_history.Phase.RECORDING, late[0].longest_delay())
 
     def test_runs_that_came_to_nothing_are_told_with_their_cause(self) -> None:
         unit = f"{JOB}.0.0"
         lines = [
-            *gang(0.6, 0.7, 4.7, 4.8),
+            *gang_log_lines(0.6, 0.7, 4.7, 4.8),
             line(1.5, "run_ending", unit=unit, cause="preempted"),
             line(3.0, "unit_placed", unit=unit, priority=0, waited_ms=100),
             line(3.1, "run_started", unit=unit),
         ]
         story = self.story(lines)
-        self.assertIs(job_story.Phase.REPEATING, story.main_loss())
-        self.assertEqual({"preempted": 1}, dict(story.causes()))
+        self.assertIs(job_history.Phase.REPEATING, story.longest_delay())
+        self.assertEqual({"preempted": 1}, dict(story.count_failure_causes()))
 
     def test_run_that_a_new_owner_tells_again_began_when_first_told(
         self,
     ) -> None:
-        lines = gang(0.6, 0.7, 2.7, 2.8)
+        lines = gang_log_lines(0.6, 0.7, 2.7, 2.8)
         again = line(2.2, "run_started", unit=f"{JOB}.0.0")
         story = self.story([*lines, again])
-        spent = story.spent_ms()
-        self.assertAlmostEqual(2_000, spent[job_story.Phase.WORKING], 3)
-        self.assertEqual([], job_story.late_jobs({JOB: story}))
+        spent = story.phase_durations_ms()
+        self.assertAlmostEqual(2_000, spent[job_history.Phase.WORKING], 3)
+        self.assertEqual([], job_history.late_jobs({JOB: story}))
 
     def test_job_that_nobody_decided_on_lost_that_time(self) -> None:
-        found = job_story.stories(gang(3.5, 3.6, 5.6, 5.7))
-        late = job_story.late_jobs(found)
-        self.assertIs(job_story.Phase.UNDECIDED, late[0].main_loss())
+        found = job_history.job_histories(gang_log_lines(3.5, 3.6, 5.6, 5.7))
+        late = job_history.late_jobs(found)
+        self.assertIs(job_history.Phase.UNDECIDED, late[0].longest_delay())
 
     def test_line_without_slack_is_judged_by_its_objective(self) -> None:
         old = {"age_ms": 3_000, "objective_ms": 2_500}
-        lines = gang(0.6, 0.7, 2.7, 2.8)[:-1]
+        lines = gang_log_lines(0.6, 0.7, 2.7, 2.8)[:-1]
         lines.append(line(2.8, "job_finished", job=JOB, **old))
-        late = job_story.late_jobs(job_story.stories(lines))
+        late = job_history.late_jobs(job_history.job_histories(lines))
         self.assertEqual([JOB], [story.job for story in late])
 
     def test_refused_submissions_count_from_the_first(self) -> None:
         lines = [
             line(0.0, "job_submitted", job=JOB, verdict="not_done"),
-            *gang(0.6, 0.7, 2.7, 2.8),
+            *gang_log_lines(0.6, 0.7, 2.7, 2.8),
         ]
-        spent = self.story(lines).spent_ms()
-        self.assertAlmostEqual(500, spent[job_story.Phase.INTAKE], 3)
+        spent = self.story(lines).phase_durations_ms()
+        self.assertAlmostEqual(500, spent[job_history.Phase.INTAKE], 3)
--- a/citronmount/telemetry/tests/test_logs.py
+++ b/citronmount/telemetry/tests/test_logs.py
@@ -10,8 +10,8 @@
 from twisted import logger
 
 from citronmount.core import codes
-from citronmount.telemetry import events
 from citronmount.telemetry import logs
+from citronmount.telemetry import timeline_events
 
 
 class LogsTest(unittest.TestCase):
@@ -29,11 +29,11 @@
         return list(map(json.loads, self.path.read_text("utf-8").splitlines()))
 
     def test_event_becomes_one_line_with_its_ids(self) -> None:
-        event = events.TimelineEvent(
+        event = timeline_events.TimelineEvent(
             physical_ms=5,
             logical=0,
             process="v1",
-            kind=events.EventKind.JOB_ENDED,
+            kind=timeline_events.EventKind.JOB_ENDED,
             job="kr-a/1",
             code=1002,
             account="é",
--- a/citronmount/telemetry/tests/test_metrics.py
+++ b/citronmount/telemetry/tests/test_metrics_registry.py
@@ -4,18 +4,18 @@
 
 from hdrh import histogram
 
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
 
 
 class MetricsTest(unittest.TestCase):
     """Histograms, counters and gauges."""
 
     def test_snapshot(self) -> None:
-        metrics = metrics_lib.Metrics()
+        metrics = metrics_registry.MetricsRegistry()
         for value_ms in range(1, 101):
-            metrics.record("job.paying", "queued", value_ms)
-        metrics.count("calls", 2)
-        metrics.gauge("open", lambda: 7)
+            metrics.record_duration("job.paying", "queued", value_ms)
+        metrics.increment("calls", 2)
+        metrics.register_gauge("open", lambda: 7)
         found = metrics.snapshot()
         summary = found.histograms[0]
         self.assertEqual(100, summary.count)
@@ -26,15 +26,15 @@
         self.assertEqual({"open": 7}, found.gauges)
 
     def test_exported_histograms_can_be_merged(self) -> None:
-        metrics = metrics_lib.Metrics()
-        metrics.record("a", "b", 3)
+        metrics = metrics_registry.MetricsRegistry()
+        metrics.record_duration("a", "b", 3)
         encoded = metrics.snapshot().histograms[0].encoded
         merged = histogram.HdrHistogram.decode(encoded)
         merged.add(histogram.HdrHistogram.decode(encoded))
         self.assertEqual(2, merged.get_total_count())
 
     def test_values_out_of_range_are_clamped(self) -> None:
-        metrics = metrics_lib.Metrics()
-        metrics.record("a", "b", -1)
-        metrics.record("a", "b", 1e12)
+        metrics = metrics_registry.MetricsRegistry()
+        metrics.record_duration("a", "b", -1)
+        metrics.record_duration("a", "b", 1e12)
         self.assertEqual(2, metrics.snapshot().histograms[0].count)
--- a/citronmount/telemetry/tests/test_stages.py
+++ b/citronmount/telemetry/tests/test_stage_timer.py
@@ -2,17 +2,17 @@
 
 import unittest
 
-from citronmount.telemetry import events
-from citronmount.telemetry import metrics as metrics_lib
-from citronmount.telemetry import stages
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import stage_timer
+from citronmount.telemetry import timeline_events
 
-_KIND = events.EventKind
+_KIND = timeline_events.EventKind
 
 
 def _event(
-    kind: events.EventKind, at_ms: int, **fields: object
-) -> events.TimelineEvent:
-    return events.TimelineEvent(
+    kind: timeline_events.EventKind, at_ms: int, **fields: object
+) -> timeline_events.TimelineEvent:
+    return timeline_events.TimelineEvent(
         physical_ms=at_ms, logical=0, process="v1", kind=kind, **fields
     )
 
@@ -21,12 +21,14 @@
     """From events to durations."""
 
     def setUp(self) -> None:
-        self.metrics = metrics_lib.Metrics()
-        self.timer = stages.StageTimer(
-            metrics=self.metrics, class_of=lambda account: "trial"
+        self.metrics = metrics_registry.MetricsRegistry()
+        self.timer = stage_timer.StageTimer(
+            metrics=self.metrics, account_class=lambda account: "trial"
         )
 
-    def _observe(self, *found: events.TimelineEvent) -> dict[str, float]:
+    def _observe(
+        self, *found: timeline_events.TimelineEvent
+    ) -> dict[str, float]:
         for event in found:
             self.timer.observe(event)
         return {
--- a/citronmount/telemetry/store.py
+++ b/citronmount/telemetry/timeline_store.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
-__all__ = ["Filter", "Found", "TimelineStore"]
+__all__ = ["TimelineExcerpt", "TimelineFilter", "TimelineStore"]
 
 
-class Filter(msgspec.Struct, frozen=True, kw_only=True):
+class TimelineFilter(msgspec.Struct, frozen=True, kw_only=True):
     """Which events to return; empty fields match all.
 
     Attributes:
@@ -26,7 +26,7 @@
     target: str = ""
     limit: int = 1_000
 
-    def matches(self, event: events.TimelineEvent) -> bool:
+    def matches(self, event: timeline_events.TimelineEvent) -> bool:
         """Returns whether an event passes.
 
         Args:
@@ -42,7 +42,7 @@
         )
 
 
-class Found(msgspec.Struct, frozen=True, kw_only=True):
+class TimelineExcerpt(msgspec.Struct, frozen=True, kw_only=True):
     """What a search brought.
 
     Attributes:
@@ -50,7 +50,7 @@
         dropped: How many older events the store has let go.
     """
 
-    events: tuple[events.TimelineEvent, ...]
+    events: tuple[timeline_events.TimelineEvent, ...]
     dropped: int
 
 
@@ -63,12 +63,12 @@
         Args:
             max_events: How many events are kept.
         """
-        self._events: collections.deque[events.TimelineEvent] = (
+        self._events: collections.deque[timeline_events.TimelineEvent] = (
             collections.deque(maxlen=max_events)
         )
         self._added = 0
 
-    def add(self, event: events.TimelineEvent) -> None:
+    def add(self, event: timeline_events.TimelineEvent) -> None:
         """Keeps an event and drops the oldest one if the store is full.
 
         Args:
@@ -77,7 +77,7 @@
         self._events.append(event)
         self._added += 1
 
-    def find(self, wanted: Filter) -> Found:
+    def find(self, wanted: TimelineFilter) -> TimelineExcerpt:
         """Returns the newest events that pass a filter.
 
         Args:
@@ -88,7 +88,11 @@
         """
         newest = itertools.islice(self._newest(wanted), wanted.limit)
         found = tuple(newest)[::-1]
-        return Found(events=found, dropped=self._added - len(self._events))
+        return TimelineExcerpt(
+            events=found, dropped=self._added - len(self._events)
+        )
 
-    def _newest(self, wanted: Filter) -> Iterator[events.TimelineEvent]:
+    def _newest(
+        self, wanted: TimelineFilter
+    ) -> Iterator[timeline_events.TimelineEvent]:
         return filter(wanted.matches, reversed(self._events))
--- a/citronmount/testing/code_table.py
+++ b/citronmount/testing/code_table.py
@@ -9,9 +9,9 @@
 
 from citronmount.core import codes
 
-__all__ = ["PAGE", "page"]
+__all__ = ["PAGE_PATH", "render_page"]
 
-PAGE = pathlib.Path("docs/CODES.md")
+PAGE_PATH = pathlib.Path("docs/CODES.md")
 
 _FAMILY = 1_000
 _FAMILIES = {
@@ -36,7 +36,7 @@
 """
 
 
-def page() -> str:
+def render_page() -> str:
     """Returns the whole page of result codes."""
     return "\n".join(itertools.chain([_HEAD], _tables()))
 
@@ -66,4 +66,4 @@
 
 
 if __name__ == "__main__":
-    PAGE.write_text(page(), encoding="utf-8")
+    PAGE_PATH.write_text(render_page(), encoding="utf-8")
--- a/citronmount/testing/documents.py
+++ b/citronmount/testing/documents.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-__all__ = ["CurlExample", "broken_links", "curl_examples", "documents"]
+__all__ = ["CurlExample", "broken_links", "curl_examples", "markdown_files"]
 
 _LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
 _EXTERNAL = ("http://", "https://", "mailto:")
@@ -33,7 +33,7 @@
     body: str
 
 
-def documents(root: pathlib.Path) -> Iterator[pathlib.Path]:
+def markdown_files(root: pathlib.Path) -> Iterator[pathlib.Path]:
     """Yields every document of the project.
 
     Args:
--- a/citronmount/testing/loop.py
+++ b/citronmount/testing/reactor_loop.py
@@ -10,7 +10,7 @@
 from twisted.internet import task
 from twisted.python import failure
 
-__all__ = ["run", "until"]
+__all__ = ["run", "wait_until"]
 
 HANG_LIMIT_S = 120
 POLL_S = 0.01
@@ -42,7 +42,7 @@
     return results[0]
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Waits until a condition holds.
 
     Args:
--- a/citronmount/testing/tests/test_documents.py
+++ b/citronmount/testing/tests/test_documents.py
@@ -8,7 +8,7 @@
 
 class DocumentsTest(unittest.TestCase):
     def test_relative_links_lead_somewhere(self):
-        found = list(documents.documents(_ROOT))
+        found = list(documents.markdown_files(_ROOT))
         self.assertTrue(found)
         for path in found:
             with self.subTest(path=path):
