--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -25,7 +25,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import job_views
 from citronmount.state import records
 from citronmount.telemetry import timeline_events
--- a/citronmount/agent/call_answers.py
+++ b/citronmount/agent/call_answers.py
@@ -3,7 +3,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = [
     "cannot_start_now",
--- a/citronmount/agent/capacity_tracker.py
+++ b/citronmount/agent/capacity_tracker.py
@@ -7,7 +7,7 @@
 from citronmount.agent import ownership as ownership_lib
 from citronmount.core import ids
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = ["CapacityTracker"]
 
--- a/citronmount/agent/context.py
+++ b/citronmount/agent/context.py
@@ -10,7 +10,7 @@
 from citronmount.agent import settings as settings_lib
 from citronmount.clients import messages
 from citronmount.core import ids
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 from citronmount.telemetry import hybrid_logical_clock
 from citronmount.telemetry import timeline_events
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -8,7 +8,7 @@
 from citronmount.agent import request_handler
 from citronmount.core import ids
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.telemetry import timeline_events
 
 __all__ = ["Drain"]
--- a/citronmount/agent/effects.py
+++ b/citronmount/agent/effects.py
@@ -9,7 +9,7 @@
 from citronmount.clients import messages as platform_messages
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.telemetry import timeline_events
 
 __all__ = [
--- a/citronmount/agent/events.py
+++ b/citronmount/agent/events.py
@@ -8,7 +8,7 @@
 
 from citronmount.clients import messages as platform_messages
 from citronmount.core import ids
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = [
     "CallArrived",
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -13,7 +13,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import shares
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = ["JobSubmission"]
 
--- a/citronmount/agent/joining.py
+++ b/citronmount/agent/joining.py
@@ -6,7 +6,7 @@
 from citronmount.agent import stream_reader
 from citronmount.core import ids
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 
 __all__ = ["Joining"]
--- a/citronmount/agent/lease_renewer.py
+++ b/citronmount/agent/lease_renewer.py
@@ -9,7 +9,7 @@
 from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = ["LeaseRenewer"]
 
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -14,7 +14,7 @@
 from citronmount.core import jobs
 from citronmount.core import shares
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 
 __all__ = ["Mover"]
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -11,7 +11,7 @@
 from citronmount.core import ids
 from citronmount.core import states
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 
 __all__ = ["Outbox", "WriteOutcome"]
--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -14,7 +14,7 @@
 from citronmount.core import ids
 from citronmount.core import states
 from citronmount.leases import gang
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = ["OwnedDomain"]
 
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -14,7 +14,7 @@
 from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import job_views
 from citronmount.state import records
 from citronmount.telemetry import timeline_events
--- a/citronmount/agent/request_forwarding.py
+++ b/citronmount/agent/request_forwarding.py
@@ -10,7 +10,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = ["RequestForwarding", "refusal", "outcome_unknown"]
 
--- a/citronmount/agent/request_handler.py
+++ b/citronmount/agent/request_handler.py
@@ -21,7 +21,7 @@
 from citronmount.core import request_router
 from citronmount.membership import membership_view
 from citronmount.membership import rendezvous
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 from citronmount.telemetry import timeline_events
 
--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -22,7 +22,7 @@
 from citronmount.core import jobs
 from citronmount.core import scheduler
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 from citronmount.telemetry import timeline_events
 
--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -19,7 +19,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = [
     "EventCost",
--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -16,7 +16,7 @@
 from citronmount.config import sheet
 from citronmount.core import ids
 from citronmount.peers import curve_keys
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.peers import peer_transport
 from citronmount.testing import reactor_loop
 
--- a/citronmount/bench/faults/availability.py
+++ b/citronmount/bench/faults/availability.py
@@ -12,7 +12,7 @@
 from citronmount.bench.faults import evidence as evidence_lib
 from citronmount.bench.faults import matrix
 from citronmount.bench.faults import registry
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = ["Availability", "measure"]
 
--- a/citronmount/bench/faults/callers.py
+++ b/citronmount/bench/faults/callers.py
@@ -13,7 +13,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 
 __all__ = ["Callers"]
--- a/citronmount/bench/faults/cases.py
+++ b/citronmount/bench/faults/cases.py
@@ -4,7 +4,7 @@
 
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 
 __all__ = [
--- a/citronmount/bench/faults/cell.py
+++ b/citronmount/bench/faults/cell.py
@@ -21,7 +21,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = ["Cell", "Hit"]
 
--- a/citronmount/bench/faults/promises_of_answers.py
+++ b/citronmount/bench/faults/promises_of_answers.py
@@ -8,7 +8,7 @@
 from citronmount.bench.faults import evidence as evidence_lib
 from citronmount.bench.faults import promises
 from citronmount.core import codes
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.standins import runner
 from citronmount.telemetry import timeline_events
 
--- a/citronmount/bench/faults/promises_of_work.py
+++ b/citronmount/bench/faults/promises_of_work.py
@@ -9,7 +9,7 @@
 from citronmount.core import codes
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.telemetry import timeline_events
 
 __all__: list[str] = []
--- a/citronmount/bench/faults/steps.py
+++ b/citronmount/bench/faults/steps.py
@@ -7,7 +7,7 @@
 from citronmount.bench.faults import registry
 from citronmount.clients import messages
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 from citronmount.telemetry import timeline_events
 
--- a/citronmount/bench/harness.py
+++ b/citronmount/bench/harness.py
@@ -20,7 +20,7 @@
 from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
 from citronmount.telemetry import timeline_events
 
--- a/citronmount/bench/tests/test_harness.py
+++ b/citronmount/bench/tests/test_harness.py
@@ -10,7 +10,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 _VM = ids.VmId("fd-a.vm0")
 _OTHER = ids.VmId("fd-b.vm0")
--- a/citronmount/membership/membership_view.py
+++ b/citronmount/membership/membership_view.py
@@ -6,7 +6,7 @@
 from citronmount.core import ids
 from citronmount.core import states
 from citronmount.membership import rendezvous
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 __all__ = ["MembershipView", "Peer"]
 
--- a/citronmount/membership/tests/test_membership_view.py
+++ b/citronmount/membership/tests/test_membership_view.py
@@ -3,7 +3,7 @@
 from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.membership import membership_view
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 
 LOCAL_DOMAIN = ids.FailureDomainId("fd-a")
 REMOTE_DOMAIN = ids.FailureDomainId("fd-b")
--- a/citronmount/peers/peer_transport.py
+++ b/citronmount/peers/peer_transport.py
@@ -9,8 +9,8 @@
 
 from citronmount.core import ids
 from citronmount.peers import curve_keys
-from citronmount.peers import messages
 from citronmount.peers import peer_link
+from citronmount.peers import peer_messages
 from citronmount.peers import socket_reader
 
 __all__ = ["PeerTransport", "TransportCounters"]
@@ -62,7 +62,7 @@
         vm: ids.VmId,
         bind_address: str,
         keys: curve_keys.PeerKeys | None,
-        on_message: Callable[[ids.VmId, messages.PeerMessage], None],
+        on_message: Callable[[ids.VmId, peer_messages.PeerMessage], None],
     ) -> None:
         """Initializes a transport that is not open.
 
@@ -136,7 +136,7 @@
                 keys=self._keys,
             )
 
-    def send(self, to: ids.VmId, message: messages.PeerMessage) -> bool:
+    def send(self, to: ids.VmId, message: peer_messages.PeerMessage) -> bool:
         """Sends a message without blocking.
 
         Args:
@@ -147,7 +147,7 @@
             Whether ZeroMQ took the message; it may still be lost.
         """
         link = self._links.get(to)
-        data = self._header + messages.encode(message)
+        data = self._header + peer_messages.encode(message)
         if link is None or not link.send(data):
             self._counters.dropped_sends += 1
             return False
@@ -216,14 +216,14 @@
 
 def _read(
     frames: list[bytes],
-) -> tuple[ids.VmId, messages.PeerMessage] | None:
+) -> tuple[ids.VmId, peer_messages.PeerMessage] | None:
     """Returns the sender and message of one frame, None if malformed."""
     if len(frames) != 1 or not frames[0]:
         return None
     length = frames[0][0]
     name, body = frames[0][1 : length + 1], frames[0][length + 1 :]
     try:
-        message = messages.decode(body)
+        message = peer_messages.decode(body)
         sender = ids.VmId(name.decode("utf-8"))
     except (RecursionError, UnicodeDecodeError):
         return None
--- a/citronmount/peers/tests/test_peer_transport.py
+++ b/citronmount/peers/tests/test_peer_transport.py
@@ -7,7 +7,7 @@
 
 from citronmount.core import ids
 from citronmount.peers import curve_keys
-from citronmount.peers import messages
+from citronmount.peers import peer_messages
 from citronmount.peers import peer_transport
 from citronmount.peers import socket_reader
 from citronmount.testing import reactor_loop
@@ -15,8 +15,8 @@
 _ANY_PORT = "127.0.0.1:0"
 
 
-def _ack(number: int) -> messages.Acknowledge:
-    return messages.Acknowledge(call=ids.CallId(str(number)))
+def _ack(number: int) -> peer_messages.Acknowledge:
+    return peer_messages.Acknowledge(call=ids.CallId(str(number)))
 
 
 class _Node:
@@ -29,7 +29,7 @@
         peer_keys: curve_keys.PeerKeys | None,
         address: str = _ANY_PORT,
     ) -> None:
-        self.received: list[tuple[str, messages.PeerMessage]] = []
+        self.received: list[tuple[str, peer_messages.PeerMessage]] = []
         self.transport = peer_transport.PeerTransport(
             reactor=reactor,
             vm=ids.VmId(name),
@@ -125,9 +125,9 @@
             [b""],
             [b"\x01b"],
             [b"\x01b\xc1"],
-            [b"\x00" + messages.encode(_ack(1))],
-            [b"\x01\xff" + messages.encode(_ack(1))],
-            [b"\x01b", messages.encode(_ack(1))],
+            [b"\x00" + peer_messages.encode(_ack(1))],
+            [b"\x01\xff" + peer_messages.encode(_ack(1))],
+            [b"\x01b", peer_messages.encode(_ack(1))],
             [b"\x01b\x93\xabAcknowledge\xa1x" + b"\x91" * 100_000],
         )
         with zmq.Context() as context, context.socket(zmq.PUSH) as socket:
--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -18,7 +18,7 @@
 from citronmount.core import errors
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.service import bodies
 from citronmount.service import http_status
 from citronmount.service import rate_limiter
--- a/citronmount/service/runtime.py
+++ b/citronmount/service/runtime.py
@@ -21,7 +21,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.peers import peer_transport
 from citronmount.service import vm_state_machine
 from citronmount.telemetry import metrics_registry
--- a/citronmount/service/tests/fakes.py
+++ b/citronmount/service/tests/fakes.py
@@ -9,7 +9,7 @@
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.service import bodies
 
 Answers = Callable[[peer_messages.CallerCall], peer_messages.Answer | None]
--- a/citronmount/service/tests/test_api_inputs.py
+++ b/citronmount/service/tests/test_api_inputs.py
@@ -12,7 +12,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.service import api as api_lib
 from citronmount.service import rate_limiter
 from citronmount.service import runtime as runtime_lib
--- a/citronmount/service/tests/test_runtime.py
+++ b/citronmount/service/tests/test_runtime.py
@@ -14,7 +14,7 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
 from citronmount.telemetry import metrics_registry
