--- a/citronmount/bench/faults/steps.py
+++ b/citronmount/bench/faults/steps.py
@@ -7,9 +7,9 @@
 from citronmount.bench.faults import registry
 from citronmount.clients import messages
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
-from citronmount.telemetry import events as timeline_events
+from citronmount.telemetry import timeline_events
 
 __all__: list[str] = []
 
--- a/citronmount/fleet_service/status_resources.py
+++ b/citronmount/fleet_service/status_resources.py
@@ -7,7 +7,7 @@
 from twisted.web import server
 
 from citronmount.telemetry import exposition
-from citronmount.telemetry import metrics
+from citronmount.telemetry import metrics_registry
 
 __all__ = ["MetricsResource", "ReadinessResource"]
 
@@ -17,7 +17,7 @@
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, *, registry: metrics.Metrics) -> None:
+    def __init__(self, *, registry: metrics_registry.MetricsRegistry) -> None:
         """Initializes the resource.
 
         Args:
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -32,8 +32,8 @@
 from citronmount.telemetry import bounded_sink
 from citronmount.telemetry import event_metrics
 from citronmount.telemetry import logs
-from citronmount.telemetry import metrics
-from citronmount.telemetry import process
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import process_usage
 
 __all__ = ["Adapter", "Api", "check", "run"]
 
@@ -106,7 +106,7 @@
     adapter: Adapter,
     path: str,
     settings: vm_settings.VmSettings,
-    registry: metrics.Metrics,
+    registry: metrics_registry.MetricsRegistry,
 ) -> None:
     """Runs one VM until SIGTERM, then shuts it down gracefully.
 
@@ -130,8 +130,8 @@
         settings=settings,
         on_address=log.use_address,
     )
-    registry.gauge("owns_pool", lambda: vm.owns_pool)
-    registry.gauge("ready", lambda: vm.ready)
+    registry.register_gauge("owns_pool", lambda: vm.owns_pool)
+    registry.register_gauge("ready", lambda: vm.ready)
     api = adapter.api(vm.job_service)
     terminated: defer.Deferred[None] = defer.Deferred()
     _install_signal_handlers(reactor, terminated, reloader)
@@ -196,7 +196,7 @@
 async def _listen_for_metrics(
     reactor: interfaces.IReactorTCP,
     settings: vm_settings.VmSettings,
-    registry: metrics.Metrics,
+    registry: metrics_registry.MetricsRegistry,
 ) -> None:
     """Serves metrics.
 
@@ -315,17 +315,17 @@
     except vm_settings.SettingsError as error:
         click.echo(f"{path}: {error}", err=True)
         return EXIT_BAD_SETTINGS
-    registry = metrics.Metrics()
+    registry = metrics_registry.MetricsRegistry()
     sink = bounded_sink.BoundedSink(descriptor=sys.stdout.fileno())
-    registry.gauge("log_lines_dropped", lambda: sink.dropped)
-    registry.gauge("resident_bytes", process.resident_bytes)
-    registry.gauge("processor_s", process.processor_s)
+    registry.register_gauge("log_lines_dropped", lambda: sink.dropped_lines)
+    registry.register_gauge("resident_bytes", process_usage.resident_bytes)
+    registry.register_gauge("processor_s", process_usage.processor_s)
     with logs.configure(
         vm=settings.vm,
         level="INFO",
         file_path=None,
         stream=sink,
-        count=event_metrics.EventCounter(metrics=registry),
+        event_processor=event_metrics.EventMetrics(metrics=registry),
     ):
         return _run_reactor(
             lambda reactor: serve(reactor, adapter, path, settings, registry)
--- a/citronmount/service/tests/test_runtime.py
+++ b/citronmount/service/tests/test_runtime.py
@@ -14,10 +14,10 @@
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
-from citronmount.telemetry import metrics as metrics_lib
+from citronmount.telemetry import metrics_registry
 
 _CALL = ids.CallId("c1")
 _ADDRESS = "127.0.0.1:1"
@@ -57,7 +57,7 @@
         self.peers = fakes.FakePeers()
         self.http = fakes.FakeHttp()
         self.traced = []
-        self.metrics = metrics_lib.Metrics()
+        self.metrics = metrics_registry.MetricsRegistry()
         self.runtime = runtime_lib.Runtime(
             reactor=self.clock,
             state_machine=self.state_machine,
