--- a/citronmount/agent/configuration_manager.py
+++ b/citronmount/agent/configuration_manager.py
@@ -8,7 +8,7 @@
 from citronmount.agent import outbox as outbox_lib
 from citronmount.clients import messages
 from citronmount.config import configuration
-from citronmount.config import fold
+from citronmount.config import configuration_fold
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -62,7 +62,7 @@
             outbox: Receives whether the log answers.
             on_change: Called with every new version in force.
         """
-        self.fold = fold.ConfigurationFold()
+        self.fold = configuration_fold.ConfigurationFold()
         self._ctx = ctx
         self._view = view
         self._outbox = outbox
@@ -206,7 +206,7 @@
         outcome = self.fold.outcome(publication.change.record)
         if outcome is None:
             return False
-        accepted = outcome is fold.ChangeOutcome.ACCEPTED
+        accepted = outcome is configuration_fold.ChangeOutcome.ACCEPTED
         self._answer(
             publication,
             codes.ResultCode.CONFIGURATION_ACCEPTED
--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -17,7 +17,7 @@
 from citronmount.bench import harness_traffic
 from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
-from citronmount.config import fold as fold_lib
+from citronmount.config import configuration_fold
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import scheduler
@@ -160,7 +160,7 @@
         oldest=ids.Offset(0),
         end=ids.Offset(1),
     )
-    fold = fold_lib.ConfigurationFold()
+    fold = configuration_fold.ConfigurationFold()
     begin_ns = time.process_time_ns()
     fold.fold_page(page)
     decider.set_configuration(fold.current)
--- a/citronmount/cli/sheet_commands.py
+++ b/citronmount/cli/sheet_commands.py
@@ -13,7 +13,7 @@
 from citronmount.config import sheet as sheet_lib
 from citronmount.config import sheet_diff
 from citronmount.config import sheet_faults
-from citronmount.config import sheet_fit
+from citronmount.config import sheet_feasibility
 from citronmount.config import sheet_warnings
 from citronmount.service import bodies
 
@@ -176,7 +176,7 @@
         found = sheet_lib.read_stream(stream, file=file)
     if pool_path is None:
         return found
-    return sheet_fit.check(found, pool_file.load(pool_path))
+    return sheet_feasibility.check(found, pool_file.load(pool_path))
 
 
 def _configuration_of(
--- a/citronmount/testing/tests/test_tutorial.py
+++ b/citronmount/testing/tests/test_tutorial.py
@@ -9,7 +9,7 @@
 from citronmount.cli import main
 from citronmount.config import pool_file
 from citronmount.config import sheet
-from citronmount.config import sheet_fit
+from citronmount.config import sheet_feasibility
 from citronmount.service import settings
 from citronmount.standins import http
 
@@ -44,7 +44,9 @@
             [(worker.rack, worker.capacity) for worker in pool.workers],
             [(worker.rack, worker.capacity) for worker in standins.workers],
         )
-        found = sheet_fit.check(sheet.read(_EXAMPLES / "sheet.csv"), pool)
+        found = sheet_feasibility.check(
+            sheet.read(_EXAMPLES / "sheet.csv"), pool
+        )
         self.assertEqual(found.faults, ())
 
     def test_commands_of_the_pages_are_known(self):
