--- a/citronmount/agent/configuration_manager.py
+++ b/citronmount/agent/configuration_manager.py
@@ -8,16 +8,16 @@
 from citronmount.agent import outbox as outbox_lib
 from citronmount.clients import messages
 from citronmount.config import configuration
-from citronmount.config import fold
+from citronmount.config import configuration_fold
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.membership import membership_view
 from citronmount.membership import rendezvous
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
-from citronmount.telemetry import events as timeline
+from citronmount.telemetry import timeline_events
 
 __all__ = ["ConfigurationManager"]
 
@@ -62,7 +62,7 @@
             outbox: Receives whether the log answers.
             on_change: Called with every new version in force.
         """
-        self.fold = fold.ConfigurationFold()
+        self.fold = configuration_fold.ConfigurationFold()
         self._ctx = ctx
         self._view = view
         self._outbox = outbox
@@ -169,7 +169,7 @@
             if domain.state is states.FailureDomainState.OUT
         )
         self._ctx.trace(
-            timeline.EventKind.CONFIGURATION_IN_FORCE,
+            timeline_events.EventKind.CONFIGURATION_IN_FORCE,
             version=current.version,
             detail=out_of_service,
         )
@@ -206,7 +206,7 @@
         outcome = self.fold.outcome(publication.change.record)
         if outcome is None:
             return False
-        accepted = outcome is fold.ChangeOutcome.ACCEPTED
+        accepted = outcome is configuration_fold.ChangeOutcome.ACCEPTED
         self._answer(
             publication,
             codes.ResultCode.CONFIGURATION_ACCEPTED
@@ -221,7 +221,7 @@
         self._publications.pop(publication.change.record, None)
         version = self.fold.current.version
         self._ctx.trace(
-            timeline.EventKind.CONFIGURATION_ANSWERED,
+            timeline_events.EventKind.CONFIGURATION_ANSWERED,
             version=version,
             code=int(code),
             detail=publication.change.record,
--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -17,14 +17,14 @@
 from citronmount.bench import harness_traffic
 from citronmount.clients import messages
 from citronmount.config import configuration as configuration_lib
-from citronmount.config import fold as fold_lib
+from citronmount.config import configuration_fold
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import scheduler
 from citronmount.core import states
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.state import records
-from citronmount.telemetry import events
+from citronmount.telemetry import timeline_events
 
 __all__ = ["main", "measure"]
 
@@ -160,7 +160,7 @@
         oldest=ids.Offset(0),
         end=ids.Offset(1),
     )
-    fold = fold_lib.ConfigurationFold()
+    fold = configuration_fold.ConfigurationFold()
     begin_ns = time.process_time_ns()
     fold.fold_page(page)
     decider.set_configuration(fold.current)
@@ -170,11 +170,11 @@
 
 def _event_bytes() -> float:
     sample = [
-        events.TimelineEvent(
+        timeline_events.TimelineEvent(
             physical_ms=1_800_000_000_000 + number,
             logical=0,
             process="kr-a-1",
-            kind=events.EventKind.JOB_PLACED,
+            kind=timeline_events.EventKind.JOB_PLACED,
             job=f"kr-a/kr-a-1-19a0b1c2d3e-{number:x}",
             attempt=f"kr-a/kr-a-1-19a0b1c2d3e-{number:x}#1.5",
             account="team-0001",
--- /dev/null
+++ b/citronmount/fleet_service/owner_election.py
@@ -0,0 +1,199 @@
+"""Leader election: decides whether this VM should own the pool."""
+
+from collections.abc import Awaitable
+from collections.abc import Callable
+import random
+
+import structlog
+from twisted.internet import defer
+from twisted.internet import interfaces
+from twisted.internet import task
+
+from citronmount.core import errors
+from citronmount.fleet_service import log_health
+from citronmount.fleet_service import ports
+
+__all__ = ["OwnerElection"]
+
+MEMBER_TTL_MS = 1_100
+JOIN_PERIOD_MS = 300
+JOIN_TIMEOUT_MS = 600
+YIELD_DURATION_MS = 1_000
+TARGET_MEMBERS = 5
+MEMBER_CHECK_PERIOD_S = 1.5
+FIRST_CHECK_JITTER_S = 0.6
+SMALL_VM_DELAY_S = 1.5
+
+_MS_PER_S = 1_000
+
+
+class OwnerElection:
+    """Keeps the VM in the owners' group while the group needs it.
+
+    The log assigns the partition of the jobs to one member of the group, which
+    is the next owner. It takes over once the current owner has left the group
+    or has not renewed its membership for `MEMBER_TTL_MS`.
+
+    Attributes:
+        candidate: Whether this VM should own the pool.
+    """
+
+    def __init__(
+        self,
+        *,
+        clock: interfaces.IReactorTime,
+        log: ports.Log,
+        health: log_health.LogHealth,
+        owns_pool: Callable[[], bool],
+        owner_member: Callable[[], str | None],
+        refresh_owner: Callable[[], Awaitable[None]],
+        on_change: Callable[[bool], None],
+        sized_for_ownership: bool = True,
+        jitter: Callable[[], float] = random.random,
+    ) -> None:
+        """Initializes an election that this VM has not joined.
+
+        Args:
+            clock: The reactor.
+            log: The log.
+            health: The health of the log, which this class updates.
+            owns_pool: Returns whether this VM currently owns the pool.
+            owner_member: Returns the member that took over the pool last, as
+                far as is known here.
+            refresh_owner: Reads the log to its end, which updates the answer
+                of `owner_member`.
+            on_change: Called when the VM becomes or stops being candidate.
+            sized_for_ownership: Whether the VM has enough processor time to
+                own a pool. A VM that has not joins only a group without
+                members.
+            jitter: Returns a random fraction, by which the first checks of VMs
+                that start together are spread out.
+        """
+        self.candidate = False
+        self._clock = clock
+        self._log = log
+        self._health = health
+        self._yielded_until_s = 0.0
+        self._owns_pool = owns_pool
+        self._owner_member = owner_member
+        self._refresh_owner = refresh_owner
+        self._on_change = on_change
+        self._sized_for_ownership = sized_for_ownership
+        self._jitter = jitter
+        self._generation = 0
+        self._joined = False
+        self._next_check_s = 0.0
+        self._turn_lock = defer.DeferredLock()
+        self._loop = task.LoopingCall(self._run_turn)
+        self._loop.clock = clock
+        self._logger = structlog.get_logger()
+
+    def start(self) -> None:
+        """Starts to check the group periodically."""
+        delay_s = self._jitter() * FIRST_CHECK_JITTER_S
+        if not self._sized_for_ownership:
+            delay_s += SMALL_VM_DELAY_S
+        self._next_check_s = self._clock.seconds() + delay_s
+        self._loop.start(JOIN_PERIOD_MS / _MS_PER_S)
+
+    def yield_ownership(self) -> None:
+        """Leaves the pool to a newer owner that has fenced this VM.
+
+        The VM is no candidate for `YIELD_DURATION_MS`; by then the record that
+        names the newer owner has been folded.
+        """
+        self.candidate = False
+        self._yielded_until_s = (
+            self._clock.seconds() + YIELD_DURATION_MS / _MS_PER_S
+        )
+
+    async def stop(self) -> None:
+        """Leaves the group, so that another VM becomes candidate at once.
+
+        A join in flight would put this VM back into the group if it reached
+        the log after the call to leave, so its answer is awaited first.
+        """
+        if not self._loop.running:
+            return
+        self._loop.stop()
+        await self._turn_lock.acquire()
+        try:
+            if self._joined:
+                await self._leave()
+        finally:
+            self._turn_lock.release()
+
+    async def _leave(self) -> None:
+        self._joined = False
+        try:
+            await self._log.leave(JOIN_TIMEOUT_MS)
+        except errors.UnreachableError as error:
+            self._logger.warning("group_leave_failed", error=str(error))
+
+    def _run_turn(self) -> defer.Deferred[None]:
+        return self._turn_lock.run(
+            lambda: defer.ensureDeferred(self._update_membership())
+        )
+
+    async def _update_membership(self) -> None:
+        try:
+            if self._joined or await self._group_needs_member():
+                self._joined = True
+                await self._join()
+        except errors.CitronmountError as error:
+            self._health.record_failure()
+            self._logger.debug("group_call_failed", error=str(error))
+
+    async def _group_needs_member(self) -> bool:
+        """Returns whether the group has too few members.
+
+        The log assigns a fixed number of partitions, and a member without a
+        partition is invisible to the others; so only a few VMs are members.
+        """
+        if self._clock.seconds() < self._next_check_s:
+            return False
+        self._next_check_s = self._clock.seconds() + MEMBER_CHECK_PERIOD_S
+        members = await self._log.members(JOIN_TIMEOUT_MS)
+        self._health.record_answer()
+        return len(members) < (
+            TARGET_MEMBERS if self._sized_for_ownership else 1
+        )
+
+    async def _join(self) -> None:
+        membership = await self._log.join(
+            self._generation, MEMBER_TTL_MS, JOIN_TIMEOUT_MS
+        )
+        self._health.record_answer()
+        candidate = await self._should_own(membership)
+        self._generation = membership.generation
+        if not self._loop.running:
+            return
+        if not membership.dealt and not candidate:
+            await self._leave()
+        if candidate != self.candidate:
+            self.candidate = candidate
+            self._logger.info(
+                "candidate" if candidate else "not_candidate",
+                generation=membership.generation,
+            )
+            self._on_change(candidate)
+
+    async def _should_own(self, membership: ports.Membership) -> bool:
+        """Returns whether this VM should own the pool.
+
+        An owner remains owner while it is in the group, even if the partition
+        is assigned to another member: a change of owner costs a take-over and
+        gains nothing.
+        """
+        if self._clock.seconds() < self._yielded_until_s:
+            return False
+        member = self._log.member
+        if self._owns_pool() and self._owner_member() == member:
+            return True
+        if not membership.candidate and self._owner_member() != member:
+            return False
+        await self._refresh_owner()
+        owner = self._owner_member()
+        if owner == member:
+            return True
+        return owner not in await self._log.members(JOIN_TIMEOUT_MS)
--- /dev/null
+++ b/citronmount/fleet_service/pool_vm.py
@@ -0,0 +1,272 @@
+"""One VM of a pool: connects the log readers, the job service and the owner."""
+
+from collections.abc import Callable
+from collections.abc import Iterable
+from collections.abc import Sequence
+
+import structlog
+from twisted.internet import interfaces
+
+from citronmount.core import errors
+from citronmount.core import ids
+from citronmount.fleet import fleet_configuration
+from citronmount.fleet import lease_sessions
+from citronmount.fleet import worker_directory
+from citronmount.fleet_service import job_service
+from citronmount.fleet_service import log_health
+from citronmount.fleet_service import log_tail
+from citronmount.fleet_service import owner_election
+from citronmount.fleet_service import owner_loop
+from citronmount.fleet_service import ports
+from citronmount.workflow import job_views
+from citronmount.workflow import records
+
+__all__ = ["PoolVm"]
+
+LOG_SILENCE_LIMIT_MS = 1_000
+WORKERS_READ_INTERVAL_MS = 400
+
+Decoder = Callable[[ports.Topic, ports.LogRecord], ports.LogEvent | None]
+
+
+class PoolVm:
+    """One VM of a pool, with all its parts.
+
+    Attributes:
+        job_service: Handles the calls of clients.
+    """
+
+    def __init__(
+        self,
+        *,
+        clock: interfaces.IReactorTime,
+        log: ports.Log,
+        worker_commands: ports.WorkerCommands,
+        decode: Decoder,
+        bounds: fleet_configuration.Bounds,
+        policy: lease_sessions.LeasePolicy,
+        sized_for_ownership: bool = True,
+        wall_clock: Callable[[], int] = owner_loop.wall_ms,
+    ) -> None:
+        """Connects the parts without starting them.
+
+        Args:
+            clock: The reactor.
+            log: The log.
+            worker_commands: Sends commands to the workers.
+            decode: Decodes a record in the site's format to an event, or to
+                None if there is none.
+            bounds: Time limits that the site sets.
+            policy: The durations of leases.
+            sized_for_ownership: Whether the VM has enough processor time to
+                own the pool.
+            wall_clock: Returns the Unix time in milliseconds.
+        """
+        self._decode = decode
+        self._logger = structlog.get_logger()
+        self._job_view = job_views.JobView()
+        self._directory = worker_directory.WorkerDirectory()
+        self._draining = False
+        self._job_log_health = log_health.LogHealth(clock=clock)
+        other_log_health = log_health.LogHealth(clock=clock)
+        self._job_tail = log_tail.LogTail(
+            clock=clock,
+            log=log,
+            health=self._job_log_health,
+            topic=ports.Topic.JOBS,
+            on_snapshot=self._fold_snapshot,
+            on_records=self._fold,
+            read_interval_ms=owner_loop.FOLLOWER_READ_INTERVAL_MS,
+        )
+        self._configuration_tail = log_tail.LogTail(
+            clock=clock,
+            log=log,
+            health=other_log_health,
+            topic=ports.Topic.CONFIGURATION,
+            on_snapshot=self._replace_configuration,
+            on_records=self._apply_configuration,
+        )
+        self._worker_tail = log_tail.LogTail(
+            clock=clock,
+            log=log,
+            health=other_log_health,
+            topic=ports.Topic.WORKERS,
+            on_snapshot=self._replace_workers,
+            on_records=self._apply_worker_changes,
+            read_interval_ms=WORKERS_READ_INTERVAL_MS,
+        )
+        self.job_service = job_service.JobService(
+            clock=clock,
+            log=log,
+            job_view=self._job_view,
+            job_tail=self._job_tail,
+            health=self._job_log_health,
+            on_change=self._on_job_change,
+            wall_clock=wall_clock,
+        )
+        self._owner = owner_loop.OwnerLoop(
+            clock=clock,
+            log=log,
+            worker_commands=worker_commands,
+            job_view=self._job_view,
+            job_tail=self._job_tail,
+            worker_tail=self._worker_tail,
+            directory=self._directory,
+            bounds=bounds,
+            policy=policy,
+            on_step_down=self._on_step_down,
+            wall_clock=wall_clock,
+        )
+        self._election = owner_election.OwnerElection(
+            clock=clock,
+            log=log,
+            health=other_log_health,
+            owns_pool=lambda: self._owner.active,
+            owner_member=self._owner_member,
+            refresh_owner=self._job_tail.catch_up,
+            on_change=self._owner.set_candidate,
+            sized_for_ownership=sized_for_ownership,
+        )
+
+    def _owner_member(self) -> str | None:
+        ownership = self._job_view.ownership
+        return ownership.member if ownership else None
+
+    @property
+    def ready(self) -> bool:
+        """Whether the VM should get new connections."""
+        since_answer_ms = self._job_log_health.since_answer_ms()
+        log_reachable = (
+            since_answer_ms < LOG_SILENCE_LIMIT_MS
+            or not self._job_log_health.last_call_failed
+        )
+        return self.job_service.ready and log_reachable and not self._draining
+
+    @property
+    def owns_pool(self) -> bool:
+        """Whether this VM currently decides for the whole pool."""
+        return self._owner.active
+
+    def start(self) -> None:
+        """Starts to read the log and to take part in the election."""
+        self._configuration_tail.start()
+        self._job_tail.start()
+        self._election.start()
+
+    def start_draining(self) -> None:
+        """Makes the VM not ready, so that it gets no new connections."""
+        self._draining = True
+
+    async def release_ownership(self) -> None:
+        """Releases the pool and leaves the group, so another VM takes over."""
+        self._owner.set_candidate(False)
+        await self._election.stop()
+
+    def stop(self) -> None:
+        """Stops reading the log."""
+        self._job_tail.stop()
+        self._configuration_tail.stop()
+
+    def _on_step_down(self) -> None:
+        self._election.yield_ownership()
+
+    def _on_job_change(self) -> None:
+        self._owner.mark_changed()
+
+    def _fold_snapshot(self, log_records: Sequence[ports.LogRecord]) -> None:
+        self._fold(log_records)
+
+    def _fold(self, log_records: Sequence[ports.LogRecord]) -> None:
+        changed = [self._fold_one(log_record) for log_record in log_records]
+        if any(changed):
+            self._owner.mark_changed()
+        self._owner.check_epoch()
+
+    def _fold_one(self, log_record: ports.LogRecord) -> bool:
+        if log_record.value is None:
+            self._job_view.apply_removal(log_record.offset, log_record.key)
+            return False
+        try:
+            record = records.decode(log_record.key, log_record.value)
+        except errors.InvalidInputError as error:
+            self._logger.warning(
+                "record_ignored", offset=log_record.offset, error=str(error)
+            )
+            return False
+        return self._job_view.apply(log_record.offset, record)
+
+    def _events(
+        self, topic: ports.Topic, log_records: Iterable[ports.LogRecord]
+    ) -> Iterable[ports.LogEvent]:
+        events = (self._decode(topic, log_record) for log_record in log_records)
+        return [event for event in events if event is not None]
+
+    def _replace_configuration(
+        self, log_records: Sequence[ports.LogRecord]
+    ) -> None:
+        self._directory.clear_domains_out_of_service()
+        self._apply_configuration(log_records)
+
+    def _apply_configuration(
+        self, log_records: Sequence[ports.LogRecord]
+    ) -> None:
+        for event in self._events(ports.Topic.CONFIGURATION, log_records):
+            match event:
+                case ports.ConfigurationChanged(configuration=configuration):
+                    self._activate_configuration(configuration)
+                case ports.DomainServiceChanged(domain=domain, out=out):
+                    self._directory.set_domain_out_of_service(domain, out)
+                    self._logger.info("domain_switched", domain=domain, out=out)
+        self._owner.mark_changed()
+
+    def _activate_configuration(
+        self, configuration: fleet_configuration.FleetConfiguration
+    ) -> None:
+        previous = self.job_service.configuration
+        if previous is not None and previous.version > configuration.version:
+            self._logger.warning(
+                "older_configuration_ignored",
+                version=configuration.version,
+                in_force=previous.version,
+            )
+            return
+        self.job_service.configuration = configuration
+        self._owner.set_accounts(configuration.accounts)
+        self._logger.info(
+            "configuration_in_force", version=configuration.version
+        )
+
+    def _replace_workers(self, log_records: Sequence[ports.LogRecord]) -> None:
+        entries = [
+            event.entry
+            for event in self._events(ports.Topic.WORKERS, log_records)
+            if isinstance(event, ports.WorkerChanged)
+            and event.entry is not None
+        ]
+        self._directory.replace(tuple(entries))
+        self._owner.mark_changed()
+
+    def _apply_worker_changes(
+        self, log_records: Sequence[ports.LogRecord]
+    ) -> None:
+        for event in self._events(ports.Topic.WORKERS, log_records):
+            if isinstance(event, ports.WorkerChanged):
+                self._apply_worker_change(event.worker, event.entry)
+
+    def _apply_worker_change(
+        self, worker: ids.WorkerId, entry: worker_directory.Worker | None
+    ) -> None:
+        previous = self._directory.get(worker)
+        if entry is None:
+            self._directory.remove(worker)
+        else:
+            self._directory.put(entry)
+        if entry is None or previous is None or previous.state != entry.state:
+            self._logger.info(
+                "worker_changed",
+                worker=worker,
+                state=entry.state.value if entry else "gone",
+                failure_domain=entry.failure_domain if entry else None,
+                rack=entry.rack if entry else None,
+            )
+            self._owner.mark_changed()
--- a/citronmount/service/api.py
+++ b/citronmount/service/api.py
@@ -18,15 +18,15 @@
 from citronmount.core import errors
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.peers import messages as peer_messages
+from citronmount.peers import peer_messages
 from citronmount.service import bodies
 from citronmount.service import http_status
 from citronmount.service import rate_limiter
 from citronmount.service import runtime as runtime_lib
 from citronmount.service import vm_state_machine
 from citronmount.state import records
-from citronmount.telemetry import metrics as metrics_lib
-from citronmount.telemetry import store
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import timeline_store
 
 __all__ = ["Api"]
 
@@ -68,8 +68,8 @@
         failure_domain: ids.FailureDomainId,
         runtime: runtime_lib.Runtime,
         state_machine: vm_state_machine.VmStateMachine,
-        timeline: store.TimelineStore,
-        metrics: metrics_lib.Metrics,
+        timeline: timeline_store.TimelineStore,
+        metrics: metrics_registry.MetricsRegistry,
         account_limiter: rate_limiter.RateLimiter,
         now_ms: Callable[[], int],
         wall_ms: Callable[[], int],
@@ -177,7 +177,9 @@
         self._check_rate_limit(body.account)
         spec = body.to_spec(self._new_id())
         answer = await self._call(peer_messages.RunRequest(spec=spec))
-        self._metrics.record("request", "http", self._now_ms() - start_ms)
+        self._metrics.record_duration(
+            "request", "http", self._now_ms() - start_ms
+        )
         return self._send_answer(request, answer)
 
     @app.route("/v1/configuration", methods=["GET"])
@@ -211,7 +213,7 @@
     @app.route("/v1/timeline", methods=["GET"])
     def get_timeline(self, request: http.Request) -> bytes:
         """Returns the timeline events recorded on this VM."""
-        event_filter = store.Filter(
+        event_filter = timeline_store.TimelineFilter(
             job=_query_text(request, "job"),
             account=_query_text(request, "account"),
             target=_query_text(request, "target"),
@@ -267,7 +269,7 @@
     def _call(
         self, body: peer_messages.CallerCall
     ) -> defer.Deferred[peer_messages.Answer]:
-        self._metrics.count(f"calls.{type(body).__name__}")
+        self._metrics.increment(f"calls.{type(body).__name__}")
         return self._runtime.call(body)
 
     def _check_rate_limit(self, account: str) -> None:
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -10,20 +10,20 @@
 from citronmount.clients import byte_counting
 from citronmount.clients import http_client
 from citronmount.core import ids
-from citronmount.peers import keys
-from citronmount.peers import transport
+from citronmount.peers import curve_keys
+from citronmount.peers import peer_transport
 from citronmount.service import agent_state_machine
 from citronmount.service import api as api_lib
 from citronmount.service import rate_limiter
 from citronmount.service import runtime as runtime_lib
 from citronmount.service import settings as settings_lib
 from citronmount.service import vm_state_machine
-from citronmount.telemetry import events
 from citronmount.telemetry import logs
-from citronmount.telemetry import metrics as metrics_lib
-from citronmount.telemetry import process
-from citronmount.telemetry import stages
-from citronmount.telemetry import store
+from citronmount.telemetry import metrics_registry
+from citronmount.telemetry import process_usage
+from citronmount.telemetry import stage_timer
+from citronmount.telemetry import timeline_events
+from citronmount.telemetry import timeline_store
 
 __all__ = ["Components", "make_state_machine"]
 
@@ -57,9 +57,9 @@
             state_machine: The state machine of the VM.
         """
         self.state_machine = state_machine
-        self.metrics = metrics_lib.Metrics()
+        self.metrics = metrics_registry.MetricsRegistry()
         self.http = http_client.HttpClient(reactor=reactor)
-        self.peers = transport.Transport(
+        self.peers = peer_transport.PeerTransport(
             reactor=reactor,
             vm=settings.vm.vm_id,
             bind_address=settings.listen.peer_address,
@@ -67,11 +67,11 @@
             on_message=self._receive_peer_message,
         )
         self._logger = structlog.get_logger()
-        self._timeline = store.TimelineStore(
+        self._timeline = timeline_store.TimelineStore(
             max_events=settings.limits.max_timeline_events
         )
-        self._stages = stages.StageTimer(
-            metrics=self.metrics, class_of=self._class_of
+        self._stages = stage_timer.StageTimer(
+            metrics=self.metrics, account_class=self._account_class
         )
         self.runtime = runtime_lib.Runtime(
             reactor=reactor,
@@ -101,12 +101,12 @@
     def _receive_peer_message(self, sender: ids.VmId, message: object) -> None:
         self.runtime.receive_peer_message(sender, message)
 
-    def _record_event(self, event: events.TimelineEvent) -> None:
+    def _record_event(self, event: timeline_events.TimelineEvent) -> None:
         self._timeline.add(event)
         self._stages.observe(event)
         logs.log_event(self._logger, event)
 
-    def _class_of(self, account: str) -> str:
+    def _account_class(self, account: str) -> str:
         content = self.state_machine.configuration
         accounts = () if content is None else content.accounts
         return next(
@@ -115,19 +115,31 @@
         )
 
     def _register_gauges(self) -> None:
-        self.metrics.gauge("fragmentation", self.state_machine.fragmentation)
-        self.metrics.gauge("process.processor_s", process.processor_s)
-        self.metrics.gauge("process.resident_bytes", process.resident_bytes)
-        for name in transport.Counters.__struct_fields__:
-            self.metrics.gauge(f"peers.{name}", self._peer_counter(name))
+        self.metrics.register_gauge(
+            "fragmentation", self.state_machine.fragmentation
+        )
+        self.metrics.register_gauge(
+            "process.processor_s", process_usage.processor_s
+        )
+        self.metrics.register_gauge(
+            "process.resident_bytes", process_usage.resident_bytes
+        )
+        for name in peer_transport.TransportCounters.__struct_fields__:
+            self.metrics.register_gauge(
+                f"peers.{name}", self._peer_counter(name)
+            )
         for name in byte_counting.Traffic.__struct_fields__:
-            self.metrics.gauge(f"http.{name}", self._http_counter(name))
-        self.metrics.gauge("open_calls", lambda: self.runtime.open_calls)
+            self.metrics.register_gauge(
+                f"http.{name}", self._http_counter(name)
+            )
+        self.metrics.register_gauge(
+            "open_calls", lambda: self.runtime.open_calls
+        )
 
-    def _http_counter(self, name: str) -> metrics_lib.Gauge:
+    def _http_counter(self, name: str) -> metrics_registry.Gauge:
         return lambda: getattr(self.http.traffic, name)
 
-    def _peer_counter(self, name: str) -> metrics_lib.Gauge:
+    def _peer_counter(self, name: str) -> metrics_registry.Gauge:
         return lambda: getattr(self.peers.counters, name)
 
 
@@ -163,10 +175,12 @@
     return agent_state_machine.AgentStateMachine(agent=agent)
 
 
-def _peer_keys(settings: settings_lib.CurveSettings) -> keys.PeerKeys | None:
+def _peer_keys(
+    settings: settings_lib.CurveSettings,
+) -> curve_keys.PeerKeys | None:
     if not settings.enabled:
         return None
-    return keys.PeerKeys(
+    return curve_keys.PeerKeys(
         public_key=settings.public_key,
         secret_key=settings.secret_key,
         accepted_keys=settings.allowed_public_keys,
