--- a/citronmount/service/runtime.py
+++ b/citronmount/service/event_loop.py
@@ -16,7 +16,7 @@
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.clients import http_client
-from citronmount.clients import messages as platform_messages
+from citronmount.clients import messages
 from citronmount.clients import platform_api
 from citronmount.core import codes
 from citronmount.core import ids
@@ -302,7 +302,7 @@
 
         self._dispatch_result("list_platform", answer, to_event)
 
-    def _update_peers(self, view: platform_messages.PlatformView) -> None:
+    def _update_peers(self, view: messages.PlatformView) -> None:
         self._peers.set_peers({vm.vm: vm.peer_address for vm in view.vms})
 
     @_executes(effects.CallWorker)
--- a/citronmount/service/api.py
+++ b/citronmount/service/http_api.py
@@ -20,9 +20,9 @@
 from citronmount.core import jobs
 from citronmount.peers import peer_messages
 from citronmount.service import bodies
+from citronmount.service import event_loop
 from citronmount.service import http_status
 from citronmount.service import rate_limiter
-from citronmount.service import runtime as runtime_lib
 from citronmount.service import vm_state_machine
 from citronmount.state import records
 from citronmount.telemetry import metrics_registry
@@ -66,7 +66,7 @@
         *,
         vm: ids.VmId,
         failure_domain: ids.FailureDomainId,
-        runtime: runtime_lib.Runtime,
+        runtime: event_loop.Runtime,
         state_machine: vm_state_machine.VmStateMachine,
         timeline: timeline_store.TimelineStore,
         metrics: metrics_registry.MetricsRegistry,
--- a/citronmount/service/tests/test_runtime.py
+++ b/citronmount/service/tests/test_event_loop.py
@@ -15,7 +15,7 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.peers import peer_messages
-from citronmount.service import runtime as runtime_lib
+from citronmount.service import event_loop
 from citronmount.service.tests import fakes
 from citronmount.telemetry import metrics_registry
 
@@ -58,12 +58,12 @@
         self.http = fakes.FakeHttp()
         self.traced = []
         self.metrics = metrics_registry.MetricsRegistry()
-        self.runtime = runtime_lib.Runtime(
+        self.runtime = event_loop.Runtime(
             reactor=self.clock,
             state_machine=self.state_machine,
             peers=self.peers,
             http=self.http,
-            addresses=runtime_lib.Addresses(log=_ADDRESS, vm_list=_ADDRESS),
+            addresses=event_loop.Addresses(log=_ADDRESS, vm_list=_ADDRESS),
             on_trace=self.traced.append,
             metrics=self.metrics,
         )
--- a/citronmount/service/tests/test_api.py
+++ b/citronmount/service/tests/test_http_api.py
@@ -15,9 +15,9 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.peers import peer_messages
-from citronmount.service import api as api_lib
+from citronmount.service import event_loop
+from citronmount.service import http_api
 from citronmount.service import rate_limiter
-from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
 from citronmount.telemetry import metrics_registry
 from citronmount.telemetry import timeline_events
@@ -42,7 +42,7 @@
     )
 
 
-class ApiTest(unittest.TestCase):
+class HttpApiTest(unittest.TestCase):
     """Every route, with a fake state machine behind it."""
 
     def setUp(self) -> None:
@@ -50,16 +50,16 @@
         self.metrics = metrics_registry.MetricsRegistry()
         self.timeline = timeline_store.TimelineStore(max_events=2)
         self.now_ms = 0
-        runtime = runtime_lib.Runtime(
+        runtime = event_loop.Runtime(
             reactor=task.Clock(),
             state_machine=self.state_machine,
             peers=fakes.FakePeers(),
             http=fakes.FakeHttp(),
-            addresses=runtime_lib.Addresses(log="", vm_list=""),
+            addresses=event_loop.Addresses(log="", vm_list=""),
             on_trace=self.timeline.add,
             metrics=self.metrics,
         )
-        self.api = api_lib.Api(
+        self.api = http_api.Api(
             vm=ids.VmId("v1"),
             failure_domain=ids.FailureDomainId("kr-a"),
             runtime=runtime,
@@ -133,7 +133,7 @@
         self.assertEqual(
             [
                 peer_messages.GetJob(
-                    job="kr-a/7f", wait_ms=api_lib.MAX_WAIT_MS
+                    job="kr-a/7f", wait_ms=http_api.MAX_WAIT_MS
                 ),
                 peer_messages.CancelJob(job="kr-a/7f"),
             ],
@@ -217,7 +217,7 @@
 
     def test_sheet_that_would_block_the_event_loop_is_refused(self) -> None:
         row = "client_account,a,paying,,,,,,,,\n"
-        data = _HEADER + row * (api_lib.MAX_SHEET_BYTES // len(row) + 1)
+        data = _HEADER + row * (http_api.MAX_SHEET_BYTES // len(row) + 1)
         status, body = self._publish("base_version=3", data)
         self.assertEqual((413, 2006), (status, body["code"]))
 
--- a/citronmount/service/tests/test_api_inputs.py
+++ b/citronmount/service/tests/test_http_api_inputs.py
@@ -13,9 +13,9 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.peers import peer_messages
-from citronmount.service import api as api_lib
+from citronmount.service import event_loop
+from citronmount.service import http_api
 from citronmount.service import rate_limiter
-from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
 from citronmount.telemetry import metrics_registry
 from citronmount.telemetry import timeline_store
@@ -82,16 +82,16 @@
     state_machine = fakes.FakeStateMachine(_answer)
     metrics = metrics_registry.MetricsRegistry()
     timeline = timeline_store.TimelineStore(max_events=1)
-    runtime = runtime_lib.Runtime(
+    runtime = event_loop.Runtime(
         reactor=task.Clock(),
         state_machine=state_machine,
         peers=fakes.FakePeers(),
         http=fakes.FakeHttp(),
-        addresses=runtime_lib.Addresses(log="", vm_list=""),
+        addresses=event_loop.Addresses(log="", vm_list=""),
         on_trace=timeline.add,
         metrics=metrics,
     )
-    api = api_lib.Api(
+    api = http_api.Api(
         vm=ids.VmId("v1"),
         failure_domain=ids.FailureDomainId("kr-a"),
         runtime=runtime,
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -13,9 +13,9 @@
 from citronmount.peers import curve_keys
 from citronmount.peers import peer_transport
 from citronmount.service import agent_state_machine
-from citronmount.service import api as api_lib
+from citronmount.service import event_loop
+from citronmount.service import http_api
 from citronmount.service import rate_limiter
-from citronmount.service import runtime as runtime_lib
 from citronmount.service import settings as settings_lib
 from citronmount.service import vm_state_machine
 from citronmount.telemetry import logs
@@ -73,19 +73,19 @@
         self._stages = stage_timer.StageTimer(
             metrics=self.metrics, account_class=self._account_class
         )
-        self.runtime = runtime_lib.Runtime(
+        self.runtime = event_loop.Runtime(
             reactor=reactor,
             state_machine=state_machine,
             peers=self.peers,
             http=self.http,
-            addresses=runtime_lib.Addresses(
+            addresses=event_loop.Addresses(
                 log=settings.platform.log_address,
                 vm_list=settings.platform.vm_list_address,
             ),
             on_trace=self._record_event,
             metrics=self.metrics,
         )
-        self.api = api_lib.Api(
+        self.api = http_api.Api(
             vm=settings.vm.vm_id,
             failure_domain=settings.vm.failure_domain_id,
             runtime=self.runtime,
