--- a/citronmount/service/tests/test_settings.py
+++ b/citronmount/service/tests/test_settings.py
@@ -18,6 +18,8 @@
 
 
 class SettingsTest(unittest.TestCase):
+    """Loading of settings files and the faults that are found in them."""
+
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
