--- a/citronmount/workflow/job_views.py
+++ b/citronmount/workflow/job_views.py
@@ -1,4 +1,4 @@
-"""State of all jobs that callers can query, folded from the job topic."""
+"""State of the jobs, folded from the records of the job topic."""
 
 from collections.abc import Iterable
 import itertools
@@ -24,7 +24,7 @@
 
     Attributes:
         submission: The job and the queue terms that apply to it.
-        offset: Log offset of the job's first submission record.
+        offset: Log offset of the submission record that was folded first.
         cancelled: Whether a caller cancelled the job.
         progress: State of the job's units.
     """
@@ -34,7 +34,7 @@
 
         Args:
             submission: The job and the queue terms that apply to it.
-            offset: Log offset of the job's first submission record.
+            offset: Log offset of the submission record.
         """
         self.submission = submission
         self.offset = offset
@@ -56,7 +56,7 @@
 
 
 class JobView:
-    """Folds the records of the job topic; folding is idempotent.
+    """State of the jobs; folding the records of the job topic is idempotent.
 
     Records may arrive in any mix from the tail of the topic, from the compacted
     topic (the newest record of each key) and from appends of this VM that the
@@ -113,6 +113,9 @@
     def apply_removal(self, offset: int, key: str) -> None:
         """Folds a tombstone, the record that removes a key.
 
+        Only final states are dropped: a job's other keys are removed after its
+        final state was recorded, so the job is not listed any more.
+
         Args:
             offset: Log offset of the tombstone.
             key: The removed key.
@@ -177,6 +180,8 @@
         self, deferred: Iterable[tuple[int, records.Record]]
     ) -> None:
         for offset, record in deferred:
+            # The offset was stored when the record was deferred; `apply` would
+            # ignore the record.
             self._offsets.pop(records.key_of(record), None)
             self.apply(offset, record)
 
--- a/citronmount/workflow/progress.py
+++ b/citronmount/workflow/progress.py
@@ -9,7 +9,7 @@
 __all__ = ["JobProgress"]
 
 _FAILED = records.UnitStatus.FAILED
-_ENDED = (records.UnitStatus.DONE, records.UnitStatus.FAILED)
+_FINISHED_STATUSES = (records.UnitStatus.DONE, records.UnitStatus.FAILED)
 
 
 class JobProgress:
@@ -27,8 +27,8 @@
         """
         self._workflow = workflow
         self.unit_records: dict[units.UnitId, records.UnitChanged] = {}
-        self._done: dict[tuple[int, int], int] = {}
-        self._failed = 0
+        self._done_counts: dict[tuple[int, int], int] = {}
+        self._failed_count = 0
         self._open_units: list[units.UnitKey] = []
         self._next_due_ms = -math.inf
         self._unit_counts = [
@@ -44,12 +44,12 @@
     def complete(self) -> bool:
         """Whether all units of all occurrences are done."""
         expected = self._workflow.occurrence_count * sum(self._unit_counts)
-        return sum(self._done.values()) == expected
+        return sum(self._done_counts.values()) == expected
 
     @property
     def failed(self) -> bool:
         """Whether any unit has failed permanently."""
-        return self._failed > 0
+        return self._failed_count > 0
 
     def apply(self, change: records.UnitChanged) -> None:
         """Replaces the record of a unit.
@@ -62,9 +62,9 @@
         self._next_due_ms = -math.inf
         step = self._step_of(change.unit)
         had_failed = previous is not None and previous.status is _FAILED
-        self._failed += (change.status is _FAILED) - had_failed
-        self._done[step] = (
-            self._done.get(step, 0)
+        self._failed_count += (change.status is _FAILED) - had_failed
+        self._done_counts[step] = (
+            self._done_counts.get(step, 0)
             + (change.status is records.UnitStatus.DONE)
             - (
                 previous is not None
@@ -110,7 +110,7 @@
         )
 
     def _step_done(self, occurrence: int, step_index: int) -> bool:
-        done = self._done.get((occurrence, step_index), 0)
+        done = self._done_counts.get((occurrence, step_index), 0)
         return done >= self._unit_counts[step_index]
 
     def _unfinished_units(
@@ -119,11 +119,11 @@
         keys = units.units_of_step(
             self._workflow.job, occurrence, step_index, step
         )
-        return [key for key in keys if not self._is_final(key.unit)]
+        return [key for key in keys if not self._is_finished(key.unit)]
 
-    def _is_final(self, unit: units.UnitId) -> bool:
+    def _is_finished(self, unit: units.UnitId) -> bool:
         change = self.unit_records.get(unit)
-        return change is not None and change.status in _ENDED
+        return change is not None and change.status in _FINISHED_STATUSES
 
     @staticmethod
     def _step_of(unit: units.UnitId) -> tuple[int, int]:
--- a/citronmount/workflow/records.py
+++ b/citronmount/workflow/records.py
@@ -134,11 +134,12 @@
 
 
 class OwnershipTaken(msgspec.Struct, frozen=True, kw_only=True, tag="o"):
-    """A process became the owner of the pool.
+    """A VM became the owner of the pool.
 
     Attributes:
         epoch: Producer epoch of the new owner; also its fencing token.
-        member: The process's name in the group of owners, unique per process.
+        member: Name of the VM's process in the log's group of owner
+            candidates, unique per process.
     """
 
     epoch: int
--- a/citronmount/workflow/spec.py
+++ b/citronmount/workflow/spec.py
@@ -56,7 +56,7 @@
             the task does not serve requests.
         fills: Whether the tasks use only processor time that others leave idle.
         max_unavailable: Maximum number of lasting tasks of the step that the
-            scheduler may keep unavailable at the same time.
+            scheduler may keep unavailable at the same time, or 0 for no limit.
     """
 
     tasks: int
@@ -87,7 +87,7 @@
         occurrences: Number of scheduled occurrences of all steps, or 0 to run
             them once and immediately.
         first_due_ms: Unix time of the first occurrence in milliseconds.
-        interval_ms: Time between occurrences.
+        interval_ms: Time between occurrences in milliseconds.
     """
 
     job: ids.JobId
@@ -123,11 +123,12 @@
         queue: The queue.
         service: Service whose workers run the tasks.
         priority: Priority class; 0 is the highest and may preempt others.
-        max_attempts: Number of failed runs after which a task has failed
-            permanently.
+        max_attempts: Number of failed runs after which a unit (a gang or a
+            single task) has failed permanently; lasting units never do.
         slack_factor: Completion time objective as a multiple of the job's
             critical path.
-        objective_ms: Time that the objective allows beyond that multiple.
+        objective_ms: Fixed allowance of the objective in milliseconds, added
+            to that multiple.
         needs_advice: Whether a worker needs a ticket from the queue's policy
             before it may run a step.
     """
