--- a/citronmount/fleet/advice_cache.py
+++ b/citronmount/fleet/advice_cache.py
@@ -62,7 +62,7 @@
 
         Args:
             step: Id of the step in one occurrence.
-            candidates: Workers that could run the step, the best first.
+            candidates: Workers that could run the step.
             now_ms: Monotonic time in milliseconds.
 
         Returns:
--- a/citronmount/fleet/commands.py
+++ b/citronmount/fleet/commands.py
@@ -27,8 +27,8 @@
 class EndKind(enum.Enum):
     """How a run of a task ended, as reported by its worker.
 
-    MEMBER_LOST: another member of the gang failed. MEMBER_MISSING: the gang
-    was not running as a whole.
+    MEMBER_LOST: another member of the gang failed. MEMBER_MISSING: not all
+    members of the gang were running.
     """
 
     DONE = "done"
@@ -42,8 +42,13 @@
 class StartOutcome(enum.Enum):
     """Outcome of a `Start` command.
 
-    UNREACHABLE means that the worker accepted no connection, so no byte of the
-    command was sent. After UNKNOWN the worker may still execute the command.
+    FENCED: the worker has seen a newer fencing token. STALE_RUN: the run is
+    over or was stopped before. LEASE_EXPIRED: the command arrived after the end
+    of its lease. NO_TICKET: the ticket was not accepted. NOT_STARTED: any other
+    refusal. OTHER_INCARNATION: another incarnation of the worker answered.
+    UNREACHABLE: the worker accepted no connection, so no byte of the command
+    was sent. UNKNOWN: the command was sent but not answered, so the worker may
+    still execute it.
     """
 
     STARTED = "started"
@@ -121,7 +126,7 @@
         worker: The worker that receives the command.
         until_ms: New end of the leases on the worker's clock, in
             milliseconds, or None to request a report only.
-        last_seen: Number of the newest end that the worker may delete.
+        last_seen: The worker may delete its ends up to this sequence number.
         wait_ms: Maximum time that the worker may delay its answer.
         token: Fencing token of the owner.
         look: Whether the command is a status poll, which is sent although
@@ -152,7 +157,7 @@
     """Answer to `RequestAdvice`.
 
     Attributes:
-        tickets: Ticket of each allowed worker.
+        tickets: Ticket of each allowed worker; the others are refused.
         valid_ms: Validity of the tickets in milliseconds.
     """
 
--- a/citronmount/fleet/fitting.py
+++ b/citronmount/fleet/fitting.py
@@ -170,6 +170,7 @@
     workers: Iterable[worker_directory.Worker],
     free: FreeCapacity,
 ) -> list[tuple[worker_directory.Worker, int]]:
+    """Returns each usable worker with the number of tasks that fit on it."""
     demand = worker_allocations.allocated_demand(requirements.step)
     slots = [
         (worker, _task_limit(requirements, worker, free(worker), demand))
@@ -211,13 +212,14 @@
         return _fill(requirements, in_rack, free)
     if requirements.tasks == 1 or not requirements.step.one_rack:
         return _fill(requirements, slots, free)
-    racks = collections.defaultdict(list)
+    slots_by_rack = collections.defaultdict(list)
     for worker, count in slots:
-        racks[worker.rack].append((worker, count))
+        slots_by_rack[worker.rack].append((worker, count))
     ranked = sorted(
-        racks.items(), key=lambda item: (sum(n for _, n in item[1]), item[0])
+        slots_by_rack.items(),
+        key=lambda item: (sum(n for _, n in item[1]), item[0]),
     )
-    found = (_fill(requirements, members, free) for _, members in ranked)
+    found = (_fill(requirements, rack_slots, free) for _, rack_slots in ranked)
     return next((chosen for chosen in found if chosen is not None), None)
 
 
@@ -239,7 +241,7 @@
     slots: Sequence[tuple[worker_directory.Worker, int]],
     free: FreeCapacity,
 ) -> list[tuple[worker_directory.Worker, int]]:
-    """Sorts slots by free capacity; workers of last resort come at the end."""
+    """Sorts slots by ascending free capacity, workers of last resort last."""
     return sorted(
         slots,
         key=lambda pair: (
--- a/citronmount/fleet/guarantees.py
+++ b/citronmount/fleet/guarantees.py
@@ -44,14 +44,20 @@
                 self._count_run(run)
 
     def covers(self, unit: waiting_units.WaitingUnit) -> bool:
-        """Returns whether a unit fits into its account's unused guarantee."""
+        """Returns whether a unit fits into its account's unused guarantee.
+
+        A guarantee does not cover units without accelerators.
+        """
         if unit.submission.terms.priority != HIGHEST_PRIORITY:
             return False
         unused = self._unused.get(unit.submission.account, 0)
         return 0 < unit.accelerators <= unused
 
     def consume(self, unit: waiting_units.WaitingUnit) -> None:
-        """Deducts a unit that starts from the guarantee that covers it."""
+        """Deducts a starting unit from its account's unused guarantee.
+
+        Does nothing for a unit that the guarantee does not cover.
+        """
         if self.covers(unit):
             self._unused[unit.submission.account] -= unit.accelerators
 
--- a/citronmount/fleet/lease_sessions.py
+++ b/citronmount/fleet/lease_sessions.py
@@ -17,7 +17,7 @@
     """Whether a lease renewal awaits its answer."""
 
     IDLE = "idle"
-    OPEN = "open"
+    PENDING = "open"
 
 
 class LeasePolicy(msgspec.Struct, frozen=True, kw_only=True):
@@ -28,8 +28,8 @@
         max_lease_ms: Longest lease that any owner may have granted.
         wait_ms: Maximum time that a worker delays its answer to a renewal
             while it waits for a run to end.
-        retry_ms: Interval between renewals that get no answer or that only
-            repeat ends which are not durable yet.
+        retry_ms: Delay before the next renewal if the last one got no answer,
+            or if its answer repeated ends whose records are not durable yet.
         trust_ms: Silence after which the leases of a worker are no longer
             renewed, so that they are certain to expire.
         stop_ms: Time that a worker needs to kill tasks after their lease
@@ -56,7 +56,7 @@
         worker: Newest directory entry of the worker.
         answered_ms: Monotonic time of the last answer, or None before the
             first one.
-        runs: Number of tasks of this owner that the worker may hold.
+        task_count: Number of tasks of this owner that the worker may hold.
         unanswered_renewals: Number of consecutive renewals without an answer.
     """
 
@@ -78,7 +78,7 @@
         """
         self.worker = worker
         self.answered_ms: int | None = None
-        self.runs = 0
+        self.task_count = 0
         self.unanswered_renewals = 0
         self._policy = policy
         self._token = token
@@ -86,6 +86,8 @@
         self._next_renewal_ms = now_ms
         self._clock_ms = 0
         self._lease_end_ms = now_ms + self._max_owner_ms(policy.max_lease_ms)
+        # Sequence numbers: the worker may delete its ends up to the first one;
+        # the others are its values in the last sent and last answered renewal.
         self._deletable_end = 0
         self._sent_end = 0
         self._acknowledged_end = 0
@@ -101,7 +103,7 @@
     @property
     def renewal_pending(self) -> bool:
         """Whether a lease renewal awaits its answer."""
-        return self._renewal is RenewalState.OPEN
+        return self._renewal is RenewalState.PENDING
 
     def clock_ms(self, now_ms: int) -> int:
         """Returns a lower bound of the worker's clock, 0 before any answer."""
@@ -153,9 +155,9 @@
 
         At most one renewal is pending at a time; a status poll may be sent
         while a renewal is pending. Leases are renewed only for a worker that
-        holds runs and answered within `LeasePolicy.trust_ms`. The worker must
-        answer immediately if ends are unresolved, if it has not answered
-        before or if it holds no runs.
+        may hold tasks and answered within `LeasePolicy.trust_ms`. The worker
+        must answer immediately if ends are unresolved, if it has not answered
+        before or if it holds no tasks.
 
         Args:
             now_ms: Monotonic time in milliseconds.
@@ -165,16 +167,21 @@
         """
         if self._poll_requested:
             return self._next_poll()
-        if self._renewal is RenewalState.OPEN or now_ms < self._next_renewal_ms:
+        if (
+            self._renewal is RenewalState.PENDING
+            or now_ms < self._next_renewal_ms
+        ):
             return None
         if not self._has_reason_to_renew:
             return None
-        self._renewal = RenewalState.OPEN
+        self._renewal = RenewalState.PENDING
         self._sent_end = self._deletable_end
         trusted = self.silent_ms(now_ms) < self._policy.trust_ms
-        renews = self.has_answered and self.runs and trusted
+        renews = self.has_answered and self.task_count and trusted
         no_wait = (
-            self._unresolved_ends or not self.has_answered or not self.runs
+            self._unresolved_ends
+            or not self.has_answered
+            or not self.task_count
         )
         return commands.RenewLeases(
             worker=self.worker,
@@ -275,7 +282,7 @@
         unanswered = not self.has_answered or self.unanswered_renewals > 0
         return (
             unanswered
-            or bool(self.runs or self._unresolved_ends)
+            or bool(self.task_count or self._unresolved_ends)
             or unacknowledged
         )
 
--- a/citronmount/fleet/owner_state.py
+++ b/citronmount/fleet/owner_state.py
@@ -21,6 +21,7 @@
 
 __all__ = ["LogEntry", "OwnerState"]
 
+# Leases expire by the workers' clocks, which may be slower than the owner's.
 CLOCK_DRIFT_FACTOR = 1.03
 
 
@@ -52,7 +53,8 @@
         policy: Timing of leases and their renewal.
         table: The runs.
         sessions: Session of each worker's current incarnation.
-        unknown_runs: Number of tasks on each worker that are not in the table.
+        unknown_task_counts: Number of tasks that each worker runs although
+            they are not in the table.
         changed_workers: Workers whose session may have changed since the last
             step.
         suspended_until_ms: Monotonic time until which each worker receives no
@@ -65,9 +67,10 @@
             durable yet.
         deferred_ends: Ends of each unit that can be resolved once its pending
             records are durable.
-        last_runs: Last run of each unit that is over.
-        failed_workers: Workers that each unit should avoid.
-        stall_counts: Number of stalls of each unit.
+        last_runs: Newest run of each unit among the runs that are over.
+        avoided_workers: Workers on which each unit failed, stalled or was slow.
+        stall_counts: Number of runs of each unit that were ended because they
+            stalled, were overdue or had a slow member.
         health: Assessment of the workers.
         speeds: Speed estimates of the machines.
         advice: Cached advice of the queues' policies.
@@ -107,7 +110,7 @@
         self.policy = policy
         self.table = run_table.RunTable()
         self.sessions: dict[ids.WorkerId, lease_sessions.LeaseSession] = {}
-        self.unknown_runs: dict[ids.WorkerId, int] = {}
+        self.unknown_task_counts: dict[ids.WorkerId, int] = {}
         self.changed_workers: set[ids.WorkerId] = set()
         self.suspended_until_ms: dict[ids.WorkerId, int] = {}
         self.ready_since_ms: dict[units.UnitId, int] = {}
@@ -120,7 +123,7 @@
             units.UnitId, list[tuple[records.Place, int]]
         ] = collections.defaultdict(list)
         self.last_runs: dict[units.UnitId, unit_runs.Run] = {}
-        self.failed_workers: dict[units.UnitId, set[ids.WorkerId]] = {}
+        self.avoided_workers: dict[units.UnitId, set[ids.WorkerId]] = {}
         self.stall_counts: collections.Counter[units.UnitId] = (
             collections.Counter()
         )
@@ -177,7 +180,10 @@
     def mark_member_missing(
         self, run: unit_runs.Run, member: unit_runs.Member
     ) -> None:
-        """Marks a task as gone that its worker no longer holds."""
+        """Marks a task as gone and ends its run unless the run is done.
+
+        Called if the task's worker no longer holds the task.
+        """
         self.log.info(
             "run_missing",
             task=member.task,
@@ -215,7 +221,7 @@
         for by_unit in (
             self.ready_since_ms,
             self.last_runs,
-            self.failed_workers,
+            self.avoided_workers,
             self.stall_counts,
             self.pending_unit_records,
         ):
--- a/citronmount/fleet/planning.py
+++ b/citronmount/fleet/planning.py
@@ -98,6 +98,8 @@
             if assessments[each.worker].slowness < worker_health.SLOW_FACTOR
             and slowdowns[each.worker] < worker_health.SLOW_FACTOR
         ]
+        # `SLOW_FACTOR` keeps units off a worker for some time, the smaller
+        # `SLOWER_FACTOR` only decides which workers are used last.
         self._slower_ids = frozenset(
             name
             for name, factor in slowdowns.items()
@@ -126,7 +128,7 @@
             idle_pool=self._used_fraction() < _IDLE_POOL_MAX_USE,
         )
         self._slots_of_shape: tuple[_Shape, fitting.TaskSlots] | None = None
-        self._one_rack_fits: dict[tuple, bool] = {}
+        self._preferred_rack_fits: dict[tuple, bool] = {}
         self._objective_ends_ms: dict[ids.JobId, int] = {}
 
     def decide(
@@ -145,7 +147,7 @@
         for unit in ranked:
             decision = self._decide_one(unit)
             if decision is not None:
-                self._reserve(decision)
+                self._allocate(decision)
                 decisions.append(decision)
         return decisions
 
@@ -267,10 +269,10 @@
     ) -> waiting_units.Decision | None:
         """Finds runs to preempt for a unit of the highest priority.
 
-        Inside its guarantee, a unit may preempt any run outside a guarantee.
-        Beyond it, only runs of lower priority, and only if they lose at most
-        `MAX_LOSS_FACTOR` times the work of the unit: a burst of urgent jobs is
-        then served at the cost of young runs.
+        Inside its guarantee, a unit may preempt runs outside a guarantee.
+        Beyond it, a unit may preempt only runs of lower priority, and only if
+        they lose at most `MAX_LOSS_FACTOR` times the work of the unit: a burst
+        of urgent jobs is then served at the cost of young runs.
         """
         if unit.submission.terms.priority != guarantees.HIGHEST_PRIORITY:
             return None
@@ -302,7 +304,7 @@
         )
 
     def _revocable(self, guaranteed: bool) -> list[unit_runs.Run]:
-        """Returns the runs that may be preempted."""
+        """Returns the runs to preempt, lasting ones only for a guarantee."""
         highest = guarantees.HIGHEST_PRIORITY
         revocable = [
             run
@@ -319,21 +321,21 @@
 
     def _stoppable_lasting_runs(self) -> list[unit_runs.Run]:
         """Returns the lasting runs that their steps can spare now."""
-        steps = collections.defaultdict(list)
+        runs_by_step = collections.defaultdict(list)
         for run in self._table:
             if (
                 run.step.lasting
                 and run.unit not in self._guarantees.guaranteed_units
             ):
-                steps[_step_key(run.key)].append(run)
+                runs_by_step[_step_key(run.key)].append(run)
         return [
-            run for members in steps.values() for run in _stoppable(members)
+            run for runs in runs_by_step.values() for run in _stoppable(runs)
         ]
 
     def _cost(self, run: unit_runs.Run) -> float:
         return preemption.lost_work(run, self._now_ms, self._bounds.save_s)
 
-    def _reserve(self, decision: waiting_units.Decision) -> None:
+    def _allocate(self, decision: waiting_units.Decision) -> None:
         unit = decision.waiting
         if decision.victims or unit.tasks > 1:
             self._slots_of_shape = None
@@ -388,11 +390,11 @@
         """Returns the workers to avoid, or none if no others are suitable."""
         if not unit.avoid:
             return unit.avoid
-        anywhere = _unplaced_requirements(unit)
+        requirements = _basic_requirements(unit)
         suitable = {
             worker.worker
             for worker in self._all_workers
-            if fitting.suits(anywhere, worker)
+            if fitting.suits(requirements, worker)
         }
         return unit.avoid if suitable - unit.avoid else frozenset()
 
@@ -415,23 +417,23 @@
         if not unit.step.one_rack and not unit.step.data_rack:
             return fitting.Spread.PREFERRED
         other_racks = self._delay_policy.accepts_other_racks(unit, guaranteed)
-        if other_racks or not self._fits_one_rack(unit):
+        if other_racks or not self._fits_preferred_rack(unit):
             return fitting.Spread.ANYWHERE
         return fitting.Spread.PREFERRED
 
-    def _fits_one_rack(self, unit: waiting_units.WaitingUnit) -> bool:
-        """Returns whether a unit fits into one rack without other runs."""
+    def _fits_preferred_rack(self, unit: waiting_units.WaitingUnit) -> bool:
+        """Returns whether a unit fits into its preferred rack if it is empty."""
         shape = (unit.submission.terms.service, unit.step, unit.tasks)
-        cached = self._one_rack_fits.get(shape)
+        cached = self._preferred_rack_fits.get(shape)
         if cached is None:
             chosen = fitting.choose_workers(
-                _unplaced_requirements(unit),
+                _basic_requirements(unit),
                 self._trusted_workers,
                 lambda worker: worker.capacity,
                 fitting.Spread.PREFERRED,
             )
             cached = chosen is not None
-            self._one_rack_fits[shape] = cached
+            self._preferred_rack_fits[shape] = cached
         return cached
 
     def _used_fraction(self) -> float:
@@ -449,10 +451,10 @@
         )
 
 
-def _unplaced_requirements(
+def _basic_requirements(
     unit: waiting_units.WaitingUnit,
 ) -> fitting.Requirements:
-    """Returns the requirements of a unit regardless of other runs."""
+    """Returns a unit's requirements without workers to avoid or use last."""
     return fitting.Requirements(
         tasks=unit.tasks,
         step=unit.step,
@@ -461,7 +463,7 @@
 
 
 def _has_step_limits(unit: waiting_units.WaitingUnit) -> bool:
-    """Returns whether placement depends on the unit's particular step."""
+    """Returns whether tickets or a limit of tasks per worker apply."""
     advised = unit.submission.terms.needs_advice
     return advised or unit.step.max_tasks_per_worker > 0
 
@@ -476,7 +478,7 @@
     return {member.place.worker for run in runs for member in run.live_members}
 
 
-def _stoppable(members: list[unit_runs.Run]) -> list[unit_runs.Run]:
+def _stoppable(runs: list[unit_runs.Run]) -> list[unit_runs.Run]:
     """Returns the runs of one lasting step that may be stopped.
 
     All running ones may be stopped if the step does not limit the number of
@@ -484,10 +486,10 @@
     """
     active = [
         run
-        for run in members
+        for run in runs
         if run.started_ms is not None and run.phase is unit_runs.RunPhase.ACTIVE
     ]
-    step = members[0].step
+    step = runs[0].step
     if not step.max_unavailable:
         return active
     unavailable = step.tasks - len(active)
--- a/citronmount/fleet/pool_owner.py
+++ b/citronmount/fleet/pool_owner.py
@@ -21,7 +21,7 @@
 
 FULL_SCAN_PERIOD_MS = 100
 SPEEDS_RECORD_PERIOD_MS = 5_000
-MIN_SPEED_CHANGE = 0.05
+MIN_LOG_SPEED_CHANGE = 0.05
 
 
 class PoolOwner:
@@ -148,8 +148,8 @@
         previous = self._recorded_speeds
         changed = any(
             machine not in previous
-            or abs(log - previous[machine]) >= MIN_SPEED_CHANGE
-            for machine, log in speeds.items()
+            or abs(log_speed - previous[machine]) >= MIN_LOG_SPEED_CHANGE
+            for machine, log_speed in speeds.items()
         )
         if changed:
             self._recorded_speeds = speeds
@@ -184,9 +184,9 @@
         usable_workers: list[worker_directory.Worker],
         now_ms: int,
     ) -> None:
-        """Requests advice for the first waiting unit that needs some.
+        """Requests advice for the first unit with undecided workers.
 
-        Covers only workers with free capacity for a task of the unit.
+        Only workers with free capacity for a task of the unit count.
         """
         for unit in waiting:
             if not unit.submission.terms.needs_advice:
@@ -236,7 +236,7 @@
                 previous.run if previous else 0,
                 last_run.number if last_run else 0,
             ),
-            avoid=frozenset(self._state.failed_workers.get(key.unit, ())),
+            avoid=frozenset(self._state.avoided_workers.get(key.unit, ())),
             failures=max(
                 previous.failures if previous else 0,
                 last_run.failures if last_run else 0,
--- a/citronmount/fleet/preemption.py
+++ b/citronmount/fleet/preemption.py
@@ -1,8 +1,9 @@
 """Chooses the runs to preempt so that a unit of the highest priority fits.
 
 A job inside its guarantee may arrive while runs of other jobs use the capacity.
-The chosen runs lose the least work, which is the time since the last checkpoint
-weighted by the resources of the whole gang.
+The chosen runs lose little work. The lost work of a run is its run time (with
+checkpoints at most the time between two of them), weighted by the resources of
+the whole gang.
 """
 
 from collections.abc import Callable
@@ -111,8 +112,8 @@
         spread: Whether the unit may leave its preferred rack.
 
     Returns:
-        The plan, or None if the unit does not fit even without any revocable
-        run.
+        The plan, or None if the unit would not fit even if all revocable runs
+        were preempted.
     """
     ranked = sorted(revocable, key=cost)
     worker_groups: list[Sequence[worker_directory.Worker]] = [workers]
@@ -177,6 +178,7 @@
     victims: Iterable[unit_runs.Run],
     spread: fitting.Spread,
 ) -> list[worker_directory.Worker] | None:
+    """Chooses workers as if the victims had been stopped."""
     freed: dict[ids.WorkerId, worker_allocations.spec.Demand] = {}
     for run in victims:
         demand = worker_allocations.allocated_demand(run.step)
--- a/citronmount/fleet/run_driver.py
+++ b/citronmount/fleet/run_driver.py
@@ -15,14 +15,14 @@
 
 MAX_START_ATTEMPTS = 4
 OVERDUE_FACTOR = 4
-MIN_OVERDUE_MS = 20_000
+MIN_OVERDUE_ELAPSED_MS = 20_000
 MIN_STALL_MS = 2_000
 STALL_ESTIMATE_SHARE = 0.25
 MAX_MOVES = 2
 
 
 class RunDriver:
-    """Records runs, sends their commands, drops tasks with expired leases."""
+    """Records runs, sends their commands and ends slow or lost ones."""
 
     def __init__(self, *, state: owner_state.OwnerState) -> None:
         """Initializes the driver.
@@ -33,7 +33,10 @@
         self._state = state
 
     def restore(self, now_ms: int) -> None:
-        """Restores the runs that workers may still hold from the job view."""
+        """Restores from the job view the runs that workers may still hold.
+
+        A run whose unit is waiting again is ended.
+        """
         for entry in self._state.job_view.jobs.values():
             workflow = entry.submission.workflow
             for change in entry.progress.unit_records.values():
@@ -74,7 +77,7 @@
             member.state = unit_runs.MemberState.STARTING
 
     def advance_runs(self, now_ms: int, full_scan: bool) -> None:
-        """Advances every run by one step and removes those that are over.
+        """Advances the runs and removes those that are over.
 
         Usually hundreds of runs are fully running while a few start or end. A
         running one needs no command and depends only on the passing of time, so
@@ -97,7 +100,7 @@
                 self._leave_draining_workers(run, now_ms)
             elif run.phase is unit_runs.RunPhase.ENDING:
                 self.send_due_stops(run, now_ms)
-            self._drop_expired_members(run, now_ms)
+            self._mark_expired_members_missing(run, now_ms)
             if run.is_over:
                 self._state.table.remove(run)
                 self._state.victims_by_unit.pop(run.unit, None)
@@ -154,7 +157,11 @@
             )
 
     def _end_if_slow_member(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Ends a gang that would finish sooner if restarted elsewhere."""
+        """Ends a gang that would finish sooner if restarted elsewhere.
+
+        Stops doing so for a unit after `MAX_MOVES` of its runs were ended, for
+        this reason or because they stalled.
+        """
         if run.phase is not unit_runs.RunPhase.ACTIVE or run.step.lasting:
             return
         if run.started_ms is None or len(run.members) < 2:
@@ -183,7 +190,7 @@
     ) -> None:
         """Ends a run and makes its unit avoid some workers from now on."""
         self._state.stall_counts[run.unit] += 1
-        self._state.failed_workers.setdefault(run.unit, set()).update(
+        self._state.avoided_workers.setdefault(run.unit, set()).update(
             worker_ids
         )
         for worker in worker_ids:
@@ -194,7 +201,9 @@
         """Ends a run that is far overdue, so that the unit moves elsewhere.
 
         The limit doubles with each stall of the unit, so that a job whose run
-        time is far above its estimate completes nevertheless.
+        time is far above its estimate completes nevertheless. The workers are
+        checked before the limit applies, because the check also makes those
+        with an overdue run distrusted.
         """
         estimate_ms = run.step.estimate_ms
         if run.started_ms is None or run.step.lasting or not estimate_ms:
@@ -203,14 +212,14 @@
         if elapsed_ms < estimate_ms:
             return
         factors = [
-            self._state.health.overdue_factor(
+            self._state.health.check_overdue(
                 member.place.worker, elapsed_ms, estimate_ms, now_ms
             )
             for member in run.live_members
         ]
         backoff = 2 ** self._state.stall_counts[run.unit]
         min_factor = min(factors, default=0.0)
-        if elapsed_ms < MIN_OVERDUE_MS * backoff:
+        if elapsed_ms < MIN_OVERDUE_ELAPSED_MS * backoff:
             return
         if min_factor >= OVERDUE_FACTOR * backoff:
             self._state.stall_counts[run.unit] += 1
@@ -224,10 +233,11 @@
             self._state.end_run(run, unit_runs.EndCause.STALLED)
 
     def _leave_draining_workers(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Ends a run on a draining worker if a move loses no work.
+        """Ends a run that a draining worker would stop anyway.
 
-        A draining worker stops its tasks when it leaves. Lasting tasks, and
-        tasks with checkpoints that would not finish before, are moved earlier.
+        A draining worker stops its tasks when it leaves. Lasting tasks and
+        tasks with checkpoints lose no work by a move, so they are moved at
+        once, the latter only if they would not finish before the worker leaves.
         """
         if run.started_ms is None:
             return
@@ -301,8 +311,10 @@
             )
         )
 
-    def _drop_expired_members(self, run: unit_runs.Run, now_ms: int) -> None:
-        """Drops members whose lease is certain to have expired."""
+    def _mark_expired_members_missing(
+        self, run: unit_runs.Run, now_ms: int
+    ) -> None:
+        """Marks members as missing whose lease is certain to have expired."""
         for member in run.live_members:
             if member.state is unit_runs.MemberState.RESERVED:
                 continue
--- a/citronmount/fleet/tests/test_worker_health.py
+++ b/citronmount/fleet/tests/test_worker_health.py
@@ -54,14 +54,14 @@
     def test_overdue_run_counts_only_if_the_worker_completes_no_others(
         self,
     ) -> None:
-        self.health.overdue_factor(WORKER, 3_000, 1_000, 3_000)
+        self.health.check_overdue(WORKER, 3_000, 1_000, 3_000)
         self.assertFalse(self.health.assess(ENTRY, 3_001).distrusted)
-        factor = self.health.overdue_factor(WORKER, 9_000, 1_000, 9_000)
+        factor = self.health.check_overdue(WORKER, 9_000, 1_000, 9_000)
         self.assertAlmostEqual(7.5, factor)
         self.assertTrue(self.health.assess(ENTRY, 9_001).distrusted)
         self.health.record_success(OTHER, 1_000, 1_000, 5_000)
         self.assertEqual(
-            0, self.health.overdue_factor(OTHER, 9_000, 1_000, 9_000)
+            0, self.health.check_overdue(OTHER, 9_000, 1_000, 9_000)
         )
         self.assertFalse(self.health.assess(OTHER_ENTRY, 9_001).distrusted)
 
--- a/citronmount/fleet/unit_runs.py
+++ b/citronmount/fleet/unit_runs.py
@@ -73,7 +73,8 @@
             task was seen running.
         stop_open: Whether a `Stop` command is pending.
         stop_answered: Whether a `Stop` command was answered.
-        settled_ms: Monotonic time of the last answer to a command.
+        settled_ms: Monotonic time of the last answer that settled a `Start` or
+            `Stop` command.
         next_order_ms: Earliest monotonic time of the next command after one
             without an answer.
         saved: Newest checkpoint.
@@ -237,8 +238,11 @@
             The record. Its places are all members' for a placed unit, those of
             live members for a waiting unit and none for a finished unit.
         """
-        ended = status in (records.UnitStatus.DONE, records.UnitStatus.FAILED)
-        places = () if ended else tuple(m.place for m in self.members)
+        finished = status in (
+            records.UnitStatus.DONE,
+            records.UnitStatus.FAILED,
+        )
+        places = () if finished else tuple(m.place for m in self.members)
         if status is records.UnitStatus.WAITING:
             places = tuple(m.place for m in self.live_members)
         return records.UnitChanged(
@@ -247,5 +251,5 @@
             run=self.number,
             failures=self.failures,
             places=places,
-            saved="" if ended else self.saved,
+            saved="" if finished else self.saved,
         )
--- a/citronmount/fleet/waiting_units.py
+++ b/citronmount/fleet/waiting_units.py
@@ -1,4 +1,4 @@
-"""Units that wait for a start, and placement decisions on them."""
+"""Units that are ready to start, and decisions to start them."""
 
 import msgspec
 
@@ -24,7 +24,7 @@
         run: Number of the last run, or 0.
         failures: Number of failed runs.
         saved: Newest checkpoint, or empty.
-        avoid: Workers on which the unit failed.
+        avoid: Workers on which the unit failed, stalled or was slow.
     """
 
     key: units.UnitKey
@@ -79,11 +79,13 @@
     Returns:
         Milliseconds.
     """
-    chain_ends: list[int] = []
+    earliest_ends_ms: list[int] = []
     for step in submission.workflow.steps:
-        before = max((chain_ends[earlier] for earlier in step.after), default=0)
-        chain_ends.append(before + step.estimate_ms)
-    critical_path_ms = max(chain_ends, default=0)
+        start_ms = max(
+            (earliest_ends_ms[earlier] for earlier in step.after), default=0
+        )
+        earliest_ends_ms.append(start_ms + step.estimate_ms)
+    critical_path_ms = max(earliest_ends_ms, default=0)
     terms = submission.terms
     allowed_ms = terms.slack_factor * critical_path_ms + terms.objective_ms
     return submission.accepted_ms + int(allowed_ms)
--- a/citronmount/fleet/worker_directory.py
+++ b/citronmount/fleet/worker_directory.py
@@ -26,7 +26,7 @@
     Attributes:
         worker: Worker id; a later incarnation may have the same id.
         life_ms: Unix time in milliseconds at which the incarnation started.
-        machine: The machine that the worker runs on.
+        machine: The machine that the worker runs on, or empty if unknown.
         address: ``ip:port`` that accepts commands.
         failure_domain: Failure domain of the worker.
         service: Service that the worker belongs to.
@@ -34,7 +34,8 @@
         capacity: Total resources of the worker.
         labels: Labels that a step can require.
         rack: Rack of the worker.
-        remaining_ms: Minimum remaining run time of a draining worker.
+        remaining_ms: Minimum time in milliseconds until a draining worker
+            leaves, or None if it published none.
     """
 
     worker: ids.WorkerId
@@ -51,7 +52,10 @@
 
     @property
     def speed_key(self) -> MachineId:
-        """Key of the speed estimate, which outlives an incarnation."""
+        """Key of the speed estimate: the machine, otherwise the worker id.
+
+        The estimate of a machine outlives the incarnations of its workers.
+        """
         return self.machine or self.worker
 
 
--- a/citronmount/fleet/worker_health.py
+++ b/citronmount/fleet/worker_health.py
@@ -1,9 +1,9 @@
-"""Detects slow, failing and hanging workers from the results of their runs.
+"""Detects slow, failing and stalled workers from the results of their runs.
 
 Some workers take several times as long as others, fail every task or let tasks
-hang although they report that they are ready, so only the results of their runs
-count. Failures count per job, so that a job that fails everywhere does not make
-its workers distrusted.
+stall although they report that they are ready, so only the results of their
+runs count. Failures count per job, so that a job that fails everywhere does not
+make its workers distrusted.
 """
 
 import collections
@@ -23,7 +23,7 @@
 FLAPS_TO_DISTRUST = 2
 FLAP_WINDOW_MS = 30_000
 FLAP_DISTRUST_MS = 6_000
-MIN_OVERDUE_MS = 2_000
+OVERDUE_MARGIN_MS = 2_000
 OVERDUE_DISTRUST_MS = 1_000
 FAILURES_TO_DISTRUST = 2
 DISTRUST_MS = 10_000
@@ -115,18 +115,17 @@
         """Marks a worker as distrusted because a task on it is stalled."""
         self._histories[worker].distrusted_until_ms = now_ms + DISTRUST_MS
 
-    def overdue_factor(
+    def check_overdue(
         self,
         worker: ids.WorkerId,
         elapsed_ms: int,
         estimate_ms: int,
         now_ms: int,
     ) -> float:
-        """Returns how far a run is overdue on a worker that completes no runs.
+        """Makes a worker distrusted for a while if a run on it is overdue.
 
         If the worker has completed another run since this one started, the run
-        itself is considered long. Otherwise an overdue run makes the worker
-        distrusted for a while.
+        itself is considered long, not overdue.
 
         Args:
             worker: The worker of the run.
@@ -143,7 +142,7 @@
             return 0.0
         typical_ms = self._typical_ratio() * estimate_ms
         factor = elapsed_ms / max(typical_ms, 1)
-        if factor > SLOW_FACTOR and elapsed_ms > typical_ms + MIN_OVERDUE_MS:
+        if factor > SLOW_FACTOR and elapsed_ms > typical_ms + OVERDUE_MARGIN_MS:
             history.distrusted_until_ms = max(
                 history.distrusted_until_ms, now_ms + OVERDUE_DISTRUST_MS
             )
--- a/citronmount/fleet/worker_reports.py
+++ b/citronmount/fleet/worker_reports.py
@@ -16,7 +16,7 @@
 
 COMMAND_RETRY_MS = 100
 SUSPENSION_MS = 1_000
-SILENT_AFTER_RENEWALS = 3
+LOG_SILENCE_AFTER_RENEWALS = 3
 
 _SUSPENDING_OUTCOMES = (
     commands.StartOutcome.NO_CAPACITY,
@@ -70,8 +70,8 @@
         self._state.needs_planning = True
         if self._may_still_start(member, outcome):
             member.start_uncertain = True
-            retry_ms = member.start_sent_ms + COMMAND_RETRY_MS
-            member.next_order_ms = max(now_ms, retry_ms)
+            next_start_ms = member.start_sent_ms + COMMAND_RETRY_MS
+            member.next_order_ms = max(now_ms, next_start_ms)
             return
         member.start_answered = True
         member.settled_ms = now_ms
@@ -96,9 +96,9 @@
         same_incarnation = (
             outcome is not commands.StartOutcome.OTHER_INCARNATION
         )
+        # A `Stop` settles an earlier `Start` with unknown outcome instead.
         if not (member.start_uncertain and same_incarnation):
             self._state.table.mark_gone(run, member)
-        # Otherwise a Stop settles the earlier Start with unknown outcome.
         self._state.end_run(run, unit_runs.EndCause.MEMBER_NOT_STARTED)
 
     @staticmethod
@@ -141,8 +141,8 @@
     ) -> None:
         """Handles the outcome of a `Stop` command.
 
-        A stopped task that was never seen running gets a status poll, because
-        no end of its run may be reported.
+        If the task was never seen running, its worker may have no end to
+        report, so a status poll is requested.
         """
         self._state.changed_workers.add(command.worker.worker)
         self._update_clock(command.worker, clock_ms, now_ms)
@@ -183,12 +183,12 @@
         if command.look:
             return
         session.renewal_failed(now_ms)
-        if session.unanswered_renewals == SILENT_AFTER_RENEWALS:
+        if session.unanswered_renewals == LOG_SILENCE_AFTER_RENEWALS:
             self._state.log.warning(
                 "worker_silent",
                 worker=command.worker.worker,
                 answered_ms_ago=session.silent_ms(now_ms),
-                runs=session.runs,
+                runs=session.task_count,
             )
 
     def renewal_answered(
@@ -214,7 +214,7 @@
             self._sessions.end_incarnation(session, now_ms)
             return
         first = not session.has_answered
-        if session.unanswered_renewals >= SILENT_AFTER_RENEWALS:
+        if session.unanswered_renewals >= LOG_SILENCE_AFTER_RENEWALS:
             self._state.log.info("worker_answers", worker=command.worker.worker)
         if command.look:
             session.poll_answered(report, now_ms)
@@ -245,7 +245,7 @@
             found = self._state.table.find_task(task.task, task.run)
             if found is None or found[1].place.worker != worker_id:
                 unknown_count += 1
-                self._stop_unknown_run(session, task)
+                self._stop_unknown_task(session, task)
                 continue
             run, member = found
             seen.add(member.task)
@@ -253,8 +253,8 @@
             self._mark_running(run, member, now_ms)
             if run.started_ms is not None:
                 member.progress.add_report(task.percent, report.clock_ms)
-        if self._state.unknown_runs.get(worker_id, 0) != unknown_count:
-            self._state.unknown_runs[worker_id] = unknown_count
+        if self._state.unknown_task_counts.get(worker_id, 0) != unknown_count:
+            self._state.unknown_task_counts[worker_id] = unknown_count
             self._state.needs_planning = True
         if report.complete:
             self._mark_missing(session, seen, sent_ms)
@@ -265,6 +265,11 @@
         seen: set[units.TaskName],
         sent_ms: int,
     ) -> None:
+        """Marks members as missing that a complete report does not contain.
+
+        A report requested before the member's last command was answered may be
+        older than the effect of that command, so it proves nothing.
+        """
         for run, member in self._state.table.tasks_on_worker(
             session.worker.worker
         ):
@@ -273,7 +278,7 @@
             if sent_ms >= member.settled_ms:
                 self._state.mark_member_missing(run, member)
 
-    def _stop_unknown_run(
+    def _stop_unknown_task(
         self, session: lease_sessions.LeaseSession, task: commands.RunningTask
     ) -> None:
         self._state.log.warning(
@@ -323,7 +328,7 @@
         )
         self._state.table.mark_gone(run, member)
         self._record_health(run, member, end.kind, now_ms)
-        status = self._status_after_end(run, end.kind)
+        status = self._update_outcome(run, end.kind)
         if status is None and self._state.pending_unit_records[run.unit]:
             self._state.deferred_ends[run.unit].append((place, end.number))
             return
@@ -362,19 +367,23 @@
                 worker, elapsed_ms, estimate_ms, now_ms
             )
         if kind is commands.EndKind.FAILED:
-            self._state.failed_workers.setdefault(run.unit, set()).add(worker)
+            self._state.avoided_workers.setdefault(run.unit, set()).add(worker)
             if self._state.health.record_failure(worker, run.job, now_ms):
                 self._state.log.warning("worker_distrusted", worker=worker)
 
-    def _status_after_end(
+    def _update_outcome(
         self, run: unit_runs.Run, kind: commands.EndKind
     ) -> records.UnitStatus | None:
-        """Returns the unit's status to record, or None if it is unchanged.
+        """Updates the outcome of a run after the end of a member.
+
+        The first success or failure of a member decides the outcome. Before it
+        is decided, any end but a success ends the whole run.
 
-        The first success or failure of a member decides the outcome of the run.
+        Returns:
+            The unit's status to record, or None if no record is needed.
         """
-        decided = (commands.EndKind.DONE, commands.EndKind.FAILED)
-        if run.outcome in decided:
+        decisive = (commands.EndKind.DONE, commands.EndKind.FAILED)
+        if run.outcome in decisive:
             return None
         run.outcome = kind
         if kind is commands.EndKind.DONE:
--- a/citronmount/fleet/worker_sessions.py
+++ b/citronmount/fleet/worker_sessions.py
@@ -11,7 +11,7 @@
 
 SILENCE_MARGIN_MS = 600
 MIN_SILENT_WORKERS = 2
-MAX_UNANSWERED_RENEWALS = 2
+SILENT_AFTER_UNANSWERED = 2
 MAX_FIRST_RENEWALS = 128
 SCAN_PERIOD_MS = 50
 
@@ -57,6 +57,10 @@
     def _open_session(
         self, worker: worker_directory.Worker, now_ms: int
     ) -> None:
+        """Opens a session and ends older incarnations on the same machine.
+
+        The older ones can have another worker id.
+        """
         session = lease_sessions.LeaseSession(
             worker=worker,
             policy=self._state.policy,
@@ -68,22 +72,22 @@
             if member.place.life_ms != worker.life_ms:
                 self._state.mark_member_missing(run, member)
         for former in list(self._state.sessions.values()):
-            same = former.worker.machine == worker.machine
+            same_machine = former.worker.machine == worker.machine
             older = former.worker.life_ms < worker.life_ms
-            if same and older and worker.machine:
+            if same_machine and older and worker.machine:
                 self.end_incarnation(former, now_ms)
 
     def end_incarnation(
         self, session: lease_sessions.LeaseSession, now_ms: int
     ) -> None:
-        """Ends the session of an incarnation and drops all of its tasks."""
+        """Ends an incarnation's session and marks its tasks as missing."""
         worker_id = session.worker.worker
         self._state.log.info(
             "worker_life_over", worker=worker_id, life_ms=session.worker.life_ms
         )
         if self._state.sessions.get(worker_id) is session:
             del self._state.sessions[worker_id]
-        self._state.unknown_runs.pop(worker_id, None)
+        self._state.unknown_task_counts.pop(worker_id, None)
         self._state.health.record_incarnation_end(session.worker, now_ms)
         for run, member in self._state.table.tasks_on_worker(worker_id):
             if member.place.life_ms == session.worker.life_ms:
@@ -113,7 +117,7 @@
             due = list(sessions.values())
             self._send_first_renewals(now_ms)
         for session in due:
-            session.runs = self._state.table.task_count_on(
+            session.task_count = self._state.table.task_count_on(
                 session.worker.worker
             )
             if session.has_answered:
@@ -122,7 +126,7 @@
     def _send_first_renewals(self, now_ms: int) -> None:
         """Sends the first renewals to workers that have not answered yet.
 
-        Workers that may hold runs come first, those that left renewals
+        Workers that may hold tasks come first, those that left renewals
         unanswered last. At most `MAX_FIRST_RENEWALS` are pending at a time:
         with more concurrent calls, each would exceed its time limit and be
         retried.
@@ -137,9 +141,12 @@
         )
         for session in unanswered:
             worker_id = session.worker.worker
-            session.runs = self._state.table.task_count_on(worker_id)
+            session.task_count = self._state.table.task_count_on(worker_id)
         unanswered.sort(
-            key=lambda session: (session.unanswered_renewals, not session.runs)
+            key=lambda session: (
+                session.unanswered_renewals,
+                not session.task_count,
+            )
         )
         for session in unanswered:
             if free_slots <= 0:
@@ -164,7 +171,7 @@
             if session.has_answered
             and not self._is_silent(session, now_ms)
             and session.worker.failure_domain not in silent_domains
-            and not self._state.unknown_runs.get(worker_id)
+            and not self._state.unknown_task_counts.get(worker_id)
             and self._state.suspended_until_ms.get(worker_id, 0) <= now_ms
             and self._state.directory.is_usable(session.worker)
         ]
@@ -174,14 +181,16 @@
     ) -> bool:
         """Returns whether a worker has not answered although it should have.
 
-        A worker without runs receives no renewals, unless it left one
+        A worker without tasks receives no renewals, unless it left one
         unanswered, so its silence alone proves nothing.
         """
-        if session.unanswered_renewals >= MAX_UNANSWERED_RENEWALS:
+        if session.unanswered_renewals >= SILENT_AFTER_UNANSWERED:
             return True
         policy = self._state.policy
         limit_ms = policy.wait_ms + policy.retry_ms + SILENCE_MARGIN_MS
-        return bool(session.runs) and session.silent_ms(now_ms) >= limit_ms
+        return (
+            bool(session.task_count) and session.silent_ms(now_ms) >= limit_ms
+        )
 
     def _silent_domains(self, now_ms: int) -> set[ids.FailureDomainId]:
         """Returns the failure domains in which no busy worker answers.
@@ -194,7 +203,7 @@
             list
         )
         for session in self._state.sessions.values():
-            if session.has_answered and session.runs:
+            if session.has_answered and session.task_count:
                 domain = session.worker.failure_domain
                 silent[domain].append(self._is_silent(session, now_ms))
         return {
--- a/citronmount/fleet/worker_speeds.py
+++ b/citronmount/fleet/worker_speeds.py
@@ -25,7 +25,7 @@
 
 
 class _SpeedEstimate:
-    """Speed estimate of one machine, as a natural logarithm."""
+    """Natural logarithm of the relative speed of one machine."""
 
     def __init__(self) -> None:
         self.log = 0.0
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         """Initializes without observations."""
         self._speeds: dict[worker_directory.MachineId, _SpeedEstimate] = {}
-        self._baseline_log: float | None = None
+        self._cached_fast_log_speed: float | None = None
 
     def observe(
         self, rates: Mapping[worker_directory.MachineId, float], now_ms: int
@@ -72,7 +72,7 @@
             gain = max(1 / speed.observations, MIN_GAIN)
             speed.log += gain * (math.log(rate) - level - speed.log)
             speed.observed_ms = now_ms
-        self._baseline_log = None
+        self._cached_fast_log_speed = None
 
     def snapshot(
         self, machines: Iterable[worker_directory.MachineId]
@@ -102,12 +102,12 @@
             snapshot: Return value of `snapshot` at the earlier owner.
             now_ms: Monotonic time in milliseconds.
         """
-        for machine, log in snapshot.items():
+        for machine, log_speed in snapshot.items():
             speed = self._speeds.setdefault(machine, _SpeedEstimate())
-            speed.log = log
+            speed.log = log_speed
             speed.observations = _RESTORED_OBSERVATIONS
             speed.observed_ms = now_ms
-        self._baseline_log = None
+        self._cached_fast_log_speed = None
 
     def slowdown(
         self, machine: worker_directory.MachineId, now_ms: int
@@ -128,17 +128,23 @@
         speed = self._speeds.get(machine)
         if speed is None:
             return 1.0
-        factor = math.exp(self._fast_log() - speed.log)
+        factor = math.exp(self._fast_log_speed() - speed.log)
         stale = now_ms - speed.observed_ms > SEVERE_SLOWDOWN_TTL_MS
         if factor >= SEVERE_SLOWDOWN_FACTOR and stale:
             return 1.0
         return max(factor, 1.0)
 
-    def _fast_log(self) -> float:
-        """Returns the log speed of a fast machine (the upper quartile)."""
-        if self._baseline_log is None:
-            logs = [speed.log for speed in self._speeds.values()]
-            self._baseline_log = 0.0
-            if len(logs) >= MIN_BASELINE_MACHINES:
-                self._baseline_log = statistics.quantiles(logs, n=4)[2]
-        return self._baseline_log
+    def _fast_log_speed(self) -> float:
+        """Returns the log speed of a fast machine.
+
+        That is the upper quartile, or 0 with estimates of fewer than
+        `MIN_BASELINE_MACHINES` machines.
+        """
+        if self._cached_fast_log_speed is None:
+            log_speeds = [speed.log for speed in self._speeds.values()]
+            self._cached_fast_log_speed = 0.0
+            if len(log_speeds) >= MIN_BASELINE_MACHINES:
+                self._cached_fast_log_speed = statistics.quantiles(
+                    log_speeds, n=4
+                )[2]
+        return self._cached_fast_log_speed
