--- a/citronmount/fleet/planning.py
+++ b/citronmount/fleet/planning.py
@@ -422,7 +422,7 @@
         return fitting.Spread.PREFERRED
 
     def _fits_preferred_rack(self, unit: waiting_units.WaitingUnit) -> bool:
-        """Returns whether a unit fits into its preferred rack if it is empty."""
+        """Returns whether a unit would fit into its preferred rack if empty."""
         shape = (unit.submission.terms.service, unit.step, unit.tasks)
         cached = self._preferred_rack_fits.get(shape)
         if cached is None:
--- a/citronmount/fleet/unit_runs.py
+++ b/citronmount/fleet/unit_runs.py
@@ -125,13 +125,14 @@
         members: One member per task, in the order of the tasks.
         phase: Phase of the run.
         cause: Why the owner ends the run, or None.
-        outcome: The reported end that determines the outcome of the run, or
-            None before any was reported.
+        outcome: Kind of the first reported success or failure; until then of
+            the last reported end, or None before any was reported.
         failures: Number of failed runs of the unit, including this one.
         saved: Checkpoint that the run started from, or a newer one.
         restored: Whether an earlier owner started the run.
         placed_ms: Monotonic time of the placement.
-        started_ms: Monotonic time at which all members were running, or None.
+        started_ms: Monotonic time at which this owner first saw all members
+            running, or None.
     """
 
     def __init__(
--- a/citronmount/workflow/records.py
+++ b/citronmount/workflow/records.py
@@ -103,7 +103,8 @@
             first run.
         failures: Number of runs that failed by themselves.
         places: Worker incarnations that may hold the newest run, in the order
-            of the tasks.
+            of the tasks; those of a waiting unit cover only the tasks that may
+            still run.
         saved: Newest checkpoint, or empty.
     """
 
@@ -267,6 +268,6 @@
             raise UnreadableRecordError(f"record {key}: {error}") from error
     if key_of(record) != key:
         raise UnreadableRecordError(
-            f"record under key {key} belongs to another key"
+            f"record {key}: the value is a record of another key"
         )
     return record
