--- a/citronmount/peers/__init__.py
+++ b/citronmount/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages and transport between VMs."""
+"""Messages between the VMs and the transport that carries them."""
--- a/citronmount/peers/peer_link.py
+++ b/citronmount/peers/peer_link.py
@@ -1,4 +1,4 @@
-"""The outgoing connection to one peer, which finds the peer's key."""
+"""The outgoing connection to one peer, including the search for its key."""
 
 import contextlib
 
@@ -14,8 +14,8 @@
 LINGER_MS = 500
 RECONNECT_MIN_MS = 100
 RECONNECT_MAX_MS = 2_000
-UNACKNOWLEDGED_MS = 5_000
-HANDSHAKE_MS = 3_000
+TCP_ACK_TIMEOUT_MS = 5_000
+HANDSHAKE_TIMEOUT_MS = 3_000
 
 _MS_PER_S = 1_000
 _HANDSHAKE_FAILED = (
@@ -26,11 +26,12 @@
 
 
 class PeerLink:
-    """A PUSH socket to one peer.
+    """A PUSH socket that is connected to one peer.
 
-    The list of VMs names addresses but no keys, so the link expects each
-    trusted key in turn until a handshake succeeds. After a round without
-    success it waits `RECONNECT_MAX_MS`.
+    The list of VMs gives addresses but no public keys. The link therefore
+    tries the trusted keys one after the other as the peer's key until a
+    handshake succeeds. When all of them have failed, it waits
+    `RECONNECT_MAX_MS` before it starts with the first key again.
 
     Attributes:
         address: ``ip:port`` of the peer.
@@ -47,10 +48,12 @@
         """Initializes the link and starts to connect.
 
         Args:
-            reactor: The reactor to time and watch with.
-            context: Makes the sockets.
+            reactor: The reactor that watches the socket and schedules
+                retries.
+            context: The ZeroMQ context that the socket is created in.
             address: ``ip:port`` of the peer.
-            keys: Own and trusted keys, or None for no encryption.
+            keys: The own key pair and the trusted keys, or None to connect
+                without encryption and authentication.
         """
         self.address = address
         self._reactor = reactor
@@ -58,17 +61,18 @@
         self._keys = keys
         self._key_index = 0
         self._socket: zmq.Socket | None = None
-        self._opened = contextlib.ExitStack()
+        self._resources = contextlib.ExitStack()
         self._open()
 
     def send(self, data: bytes) -> bool:
-        """Sends a message without blocking.
+        """Queues a message for sending, without blocking.
 
         Args:
-            data: The message.
+            data: The encoded message.
 
         Returns:
-            Whether ZeroMQ took it.
+            Whether ZeroMQ accepted it. False if there is no connection or
+            the queue already holds `HIGH_WATER_MARK_MESSAGES`.
         """
         if self._socket is None:
             return False
@@ -79,26 +83,28 @@
         return True
 
     def close(self) -> None:
-        """Closes the socket; queued messages get `LINGER_MS` to leave."""
+        """Closes the socket; queued messages are sent for up to `LINGER_MS`."""
         self._socket = None
-        self._opened.close()
+        self._resources.close()
 
     def _open(self) -> None:
         socket = self._context.socket(zmq.PUSH)
-        self._opened.callback(socket.close)
+        self._resources.callback(socket.close)
         socket.linger = LINGER_MS
         socket.sndhwm = HIGH_WATER_MARK_MESSAGES
         socket.immediate = True
         socket.reconnect_ivl = RECONNECT_MIN_MS
         socket.reconnect_ivl_max = RECONNECT_MAX_MS
-        socket.tcp_maxrt = UNACKNOWLEDGED_MS
-        socket.handshake_ivl = HANDSHAKE_MS
+        socket.tcp_maxrt = TCP_ACK_TIMEOUT_MS
+        socket.handshake_ivl = HANDSHAKE_TIMEOUT_MS
         if self._keys is not None:
-            self._use_keys(socket, self._keys)
+            self._configure_keys(socket, self._keys)
         socket.connect(f"tcp://{self.address}")
         self._socket = socket
 
-    def _use_keys(self, socket: zmq.Socket, keys: curve_keys.PeerKeys) -> None:
+    def _configure_keys(
+        self, socket: zmq.Socket, keys: curve_keys.PeerKeys
+    ) -> None:
         keys.apply_to(socket)
         expected = keys.trusted_keys[self._key_index]
         socket.curve_serverkey = expected.encode("ascii")
@@ -107,17 +113,17 @@
                 self._reactor,
                 socket,
                 _HANDSHAKE_FAILED,
-                lambda frames: self._expect_next_key(),
-                self._opened,
+                lambda frames: self._retry_with_next_key(),
+                self._resources,
             )
 
-    def _expect_next_key(self) -> None:
+    def _retry_with_next_key(self) -> None:
         self.close()
-        self._opened = contextlib.ExitStack()
+        self._resources = contextlib.ExitStack()
         self._key_index = (self._key_index + 1) % len(self._keys.trusted_keys)
-        wait_ms = 0 if self._key_index else RECONNECT_MAX_MS
-        retry = self._reactor.callLater(wait_ms / _MS_PER_S, self._open)
-        self._opened.callback(_cancel, retry)
+        delay_ms = 0 if self._key_index else RECONNECT_MAX_MS
+        retry = self._reactor.callLater(delay_ms / _MS_PER_S, self._open)
+        self._resources.callback(_cancel, retry)
 
 
 def _cancel(call: interfaces.IDelayedCall) -> None:
--- a/citronmount/peers/peer_messages.py
+++ b/citronmount/peers/peer_messages.py
@@ -1,4 +1,7 @@
-"""Messages between the VMs of the system."""
+"""Messages between the VMs of the system.
+
+The classes tagged by ``tag=True`` go over the wire under their own names.
+"""
 
 import msgspec
 
@@ -40,13 +43,13 @@
 
 
 class SubmitJob(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A caller submits a job.
+    """Submits a job.
 
     Attributes:
-        spec: The job; its id names the home failure domain, chosen by the VM
-            that the caller reached.
-        eager: Whether to refuse the job, unrecorded, if it could not start
-            at once here.
+        spec: The job. Its id contains the home failure domain, which the VM
+            that received the caller's request has chosen.
+        eager: Whether the receiver must refuse the job, without writing a
+            record, if it cannot start the job at once.
         move: The number of the move that brings the job from another failure
             domain; 0 for a caller's submission.
     """
@@ -57,12 +60,12 @@
 
 
 class GetJob(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A caller asks for the status of a job.
+    """Requests the status of a job.
 
     Attributes:
         job: The job.
-        wait_ms: How long to wait for a final result.
-        hops: How many pointers of moved jobs were followed.
+        wait_ms: How long to wait for a final result before answering.
+        hops: How often the call has followed a moved job so far.
     """
 
     job: ids.JobId
@@ -71,11 +74,11 @@
 
 
 class CancelJob(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A caller cancels a job.
+    """Cancels a job.
 
     Attributes:
         job: The job.
-        hops: How many pointers of moved jobs were followed.
+        hops: How often the call has followed a moved job so far.
     """
 
     job: ids.JobId
@@ -83,10 +86,10 @@
 
 
 class CancelJobs(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A caller cancels every job of an account in one failure domain.
+    """Cancels all jobs of an account in one failure domain.
 
     Attributes:
-        account: The account.
+        account: The client account.
         failure_domain: The failure domain.
     """
 
@@ -95,12 +98,12 @@
 
 
 class ListJobs(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A caller lists the jobs of a failure domain.
+    """Lists the jobs of a failure domain.
 
     Attributes:
         failure_domain: The failure domain.
-        account: Only this account's jobs, unless empty.
-        limit: The most jobs to return.
+        account: If not empty, only jobs of this client account.
+        limit: Maximum number of jobs to return.
     """
 
     failure_domain: ids.FailureDomainId
@@ -109,13 +112,14 @@
 
 
 class RunRequest(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A caller sends a short request.
+    """Runs a short request.
 
     Attributes:
         spec: The request.
-        claimed: Whether its home failure domain has claimed the key, so that
-            the receiver only has to run it.
-        offered: Whether the receiver must run it at once or refuse it.
+        claimed: Whether the home failure domain already holds the claim on
+            the idempotency key, so that the receiver only runs the request.
+        offered: Whether the receiver must refuse the request if it cannot
+            run it at once, instead of queueing it.
     """
 
     spec: jobs.RequestSpec
@@ -124,23 +128,23 @@
 
 
 class PublishConfiguration(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """An operator publishes a configuration.
+    """Publishes a configuration on behalf of an operator.
 
     Attributes:
-        change: The record to append.
+        change: The record to append to the log.
     """
 
     change: records.ConfigurationChange
 
 
 class TimelineQuery(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Asks a VM for its part of the time line.
+    """Requests a VM's part of the timeline.
 
     Attributes:
-        job: Only events of this job, unless empty.
-        account: Only events of this account, unless empty.
-        target: Only events of this target, unless empty.
-        limit: The most events to return, newest first.
+        job: If not empty, only events of this job.
+        account: If not empty, only events of this client account.
+        target: If not empty, only events of this target.
+        limit: Maximum number of events to return; the newest are chosen.
     """
 
     job: str = ""
@@ -162,11 +166,11 @@
 
 
 class Failure(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A call could not be served.
+    """The answer to a call that failed or was refused.
 
     Attributes:
-        result: The code and its detail.
-        retry_after_ms: When to come back, for retryable refusals.
+        result: The result code and its detail.
+        retry_after_ms: Delay before a retry; None if a retry cannot help.
     """
 
     result: jobs.JobResult
@@ -174,22 +178,22 @@
 
 
 class JobAnswer(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The status of one job.
+    """The answer to a call about a single job.
 
     Attributes:
-        status: The status.
+        status: The status of the job.
     """
 
     status: jobs.JobStatus
 
 
 class JobsAnswer(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The statuses of several jobs.
+    """The answer to a call about several jobs.
 
     Attributes:
-        statuses: The statuses, oldest first.
-        total: How many there are without the limit.
-        unanswered: Failure domains that gave no answer.
+        statuses: The statuses, oldest job first.
+        total: Number of matching jobs, including those beyond the limit.
+        unanswered: Failure domains without an answer, whose jobs are missing.
     """
 
     statuses: tuple[jobs.JobStatus, ...]
@@ -201,18 +205,18 @@
     """The answer to a short request.
 
     Attributes:
-        result: The answer.
+        result: The result of the request.
     """
 
     result: jobs.RequestResult
 
 
 class PublishAnswer(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The answer to a published configuration.
+    """The answer to a configuration that was published.
 
     Attributes:
-        result: Accepted, stale base, invalid or outcome unknown.
-        version: The version in force after the answer.
+        result: Accepted, stale base version, invalid or unknown outcome.
+        version: The configuration version in force after the answer.
     """
 
     result: jobs.JobResult
@@ -220,11 +224,11 @@
 
 
 class TimelineAnswer(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """One VM's part of the time line.
+    """One VM's part of the timeline.
 
     Attributes:
         events: The events, oldest first.
-        dropped: How many older events the bounded memory has let go.
+        dropped: Number of older events that the VM no longer stores.
     """
 
     events: tuple[timeline_events.TimelineEvent, ...]
@@ -242,21 +246,22 @@
 
 
 class _PeerStruct(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Base of what is sent often: encoded without the names of its fields.
+    """Base class of messages that are sent often.
 
-    New fields are added at the end, with a default.
+    They are encoded as arrays, without field names. New fields must be added
+    at the end, with a default.
     """
 
 
 class DomainSummary(_PeerStruct, frozen=True, kw_only=True):
-    """What an owner tells others of its failure domain.
+    """Load of a failure domain, published by its owner.
 
     Attributes:
         failure_domain: The failure domain.
         token: The owner's fencing token.
-        free_accelerators: Accelerators that no job holds.
-        queued_accelerators: Accelerators asked for by queued jobs.
-        largest_gang: The largest gang that the failure domain could hold.
+        free_accelerators: Accelerators that are not allocated to a job.
+        queued_accelerators: Accelerators that the queued jobs request.
+        largest_gang: Accelerators of the largest gang that would fit.
     """
 
     failure_domain: ids.FailureDomainId
@@ -267,22 +272,23 @@
 
 
 class Heartbeat(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """A VM tells that it lives.
+    """Periodic sign of life of a VM, with its state.
 
     Attributes:
-        failure_domain: Where the VM is.
-        incarnation: Wall-clock start time of the process in ms.
-        sequence: Counts the heartbeats of the incarnation.
+        failure_domain: The failure domain that the VM is in.
+        incarnation: Start time of the process, as Unix time in ms.
+        sequence: Number of the heartbeat within the incarnation.
         config_version: The configuration version in force at the VM.
-        config_offset: The offset up to which it has folded.
-        ready: Whether it has rebuilt and may own, keep and vote.
-        draining: Whether it is stopping.
-        domain: The owner's summary, if the VM owns its failure domain.
-        token: The highest fencing token of the failure domain it knows.
-        free_slots: Runner slots that it has free.
-        queued_requests: Short requests that wait at it.
-        physical_ms: Hybrid logical time, wall-clock part.
-        logical: Hybrid logical time, logical part.
+        config_offset: Log offset of the next configuration record to fold.
+        ready: Whether the VM has rebuilt its state, so that it may own a
+            failure domain, renew leases and vote on claims.
+        draining: Whether the VM is shutting down.
+        domain: Summary of the VM's failure domain, if the VM owns it.
+        token: The highest known fencing token of the failure domain.
+        free_slots: Number of free runner slots of the VM.
+        queued_requests: Number of short requests queued at the VM.
+        physical_ms: Physical part of the hybrid logical time, in ms.
+        logical: Logical part of the hybrid logical time.
     """
 
     failure_domain: ids.FailureDomainId
@@ -301,12 +307,12 @@
 
 
 class Forward(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """Passes a caller's call to the VM that can serve it.
+    """Forwards a caller's call to the VM that can serve it.
 
     Attributes:
-        call: Matches the answer to the call.
+        call: Id that the answer refers to.
         body: The call.
-        timeout_ms: How long the sender waits.
+        timeout_ms: How long the sender waits for the answer.
     """
 
     call: ids.CallId
@@ -318,7 +324,7 @@
     """The answer to a forwarded call.
 
     Attributes:
-        call: The call that is answered.
+        call: Id of the call that is answered.
         body: The answer.
     """
 
@@ -327,10 +333,10 @@
 
 
 class Replicate(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """Asks a peer to keep records in memory.
+    """Asks a peer to store replicas of records in memory.
 
     Attributes:
-        call: Matches the acknowledgement.
+        call: Id that the acknowledgement refers to.
         stream: The stream that the records belong to.
         records: The records.
     """
@@ -341,21 +347,21 @@
 
 
 class Acknowledge(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """Confirms a message that the sender repeats until then.
+    """Acknowledges a message that its sender retries until it is acknowledged.
 
     Attributes:
-        call: The call of the message that is confirmed.
+        call: Id of the acknowledged message.
     """
 
     call: ids.CallId
 
 
 class ClaimKey(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """Asks the VMs of the home failure domain for a key.
+    """Asks the VMs of the home failure domain to vote on a claim.
 
     Attributes:
-        call: Matches the answers.
-        claim: The claim.
+        call: Id that the votes refer to.
+        claim: The claim on an idempotency key.
     """
 
     call: ids.CallId
@@ -366,10 +372,10 @@
     """A vote on a claim.
 
     Attributes:
-        call: The claim that is answered.
-        granted: Whether the voter knows no other claim of the key.
-        holder: The claim that the voter holds for the key.
-        result: The key's final answer, if the voter knows it.
+        call: Id of the `ClaimKey` message that is answered.
+        granted: Whether the voter knows of no other claim on the key.
+        holder: The claim on the key that the voter has recorded, if any.
+        result: The final result for the key, if the voter knows it.
     """
 
     call: ids.CallId
@@ -379,12 +385,12 @@
 
 
 class ReleaseKey(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """Gives up a claim that was never used.
+    """Releases a claim under which nothing was run.
 
     Attributes:
-        key: The key.
-        vm: The VM whose claim is given up.
-        record: The claim's record id.
+        key: The idempotency key.
+        vm: The VM that holds the claim.
+        record: Record id of the claim.
     """
 
     key: str
@@ -393,12 +399,14 @@
 
 
 class KeeperReport(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """A lease keeper passes changed worker reports to the owner.
+    """Changed worker reports, sent by a lease renewer to the owner.
 
     Attributes:
-        call: Matches the acknowledgement; repeated until it comes.
-        reports: Reports that changed.
-        lost: Workers that have not answered the keeper for a lease time.
+        call: Id that the acknowledgement refers to. The message is retried
+            until it is acknowledged.
+        reports: The reports that changed.
+        lost: Workers that have not answered the lease renewer for the length
+            of a lease.
     """
 
     call: ids.CallId
@@ -407,11 +415,11 @@
 
 
 class LapseAttempts(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """The owner tells keepers which attempts to let lapse.
+    """Tells lease renewers which attempts' leases must be left to expire.
 
     Attributes:
-        token: The owner's fencing token.
-        attempts: Every attempt that must not be renewed.
+        token: The fencing token of the owner that sends the message.
+        attempts: All attempts whose leases must not be renewed.
     """
 
     token: ids.FenceToken
@@ -419,13 +427,13 @@
 
 
 class StateRequest(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """A rebuilding VM asks a peer for what it knows.
+    """Requests a peer's state, to rebuild the state of the sender.
 
     Attributes:
-        call: Matches the answer.
-        stream: The stream whose records are asked for.
-        recent_claims: Whether claims that the log must have by now may be
-            left out.
+        call: Id that the answer refers to.
+        stream: The stream whose records are requested.
+        recent_claims: Whether to leave out claims that are old enough to be
+            in the log by now.
     """
 
     call: ids.CallId
@@ -434,15 +442,16 @@
 
 
 class StateAnswer(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """What a peer knows of a stream.
+    """A peer's state of a stream.
 
     Attributes:
-        call: The request that is answered.
-        configuration: Its folded configuration, if trustworthy.
-        jobs: Its jobs, claims and results of the failure domain.
-        unappended: Records that it keeps while the log is down.
-        token: The highest fencing token of the failure domain it knows.
-        ready: Whether the peer had itself rebuilt.
+        call: Id of the request that is answered.
+        configuration: The peer's folded configuration, if it is reliable.
+        jobs: The jobs, claims and results of the failure domain.
+        unappended: Records that the peer stores and that may be missing from
+            the log, because it was unavailable.
+        token: The highest known fencing token of the failure domain.
+        ready: Whether the peer had finished its own rebuild.
     """
 
     call: ids.CallId
@@ -473,25 +482,21 @@
 
 
 def encode(message: PeerMessage) -> bytes:
-    """Encodes a message for the wire.
-
-    Args:
-        message: Any message of this module.
-
-    Returns:
-        MessagePack bytes.
-    """
+    """Encodes a message between VMs as MessagePack."""
     return _ENCODER.encode(message)
 
 
 def decode(data: bytes) -> PeerMessage | None:
-    """Decodes a message from the wire.
+    """Decodes a MessagePack message from a peer.
 
     Args:
-        data: Bytes from a peer.
+        data: The encoded message.
 
     Returns:
         The message, or None if it is malformed.
+
+    Raises:
+        RecursionError: The message is nested too deeply.
     """
     try:
         return _DECODER.decode(data)
--- a/citronmount/peers/peer_transport.py
+++ b/citronmount/peers/peer_transport.py
@@ -1,4 +1,4 @@
-"""Sends messages between the VMs over ZeroMQ on the Twisted reactor."""
+"""Exchanges messages between the VMs over ZeroMQ on the Twisted reactor."""
 
 from collections.abc import Callable
 import contextlib
@@ -17,24 +17,26 @@
 
 HIGH_WATER_MARK_MESSAGES = 1_000
 MAX_MESSAGE_BYTES = 32 << 20
-HANDSHAKE_MS = 3_000
+HANDSHAKE_TIMEOUT_MS = 3_000
 
+# The frame starts with the length of the sender's name in a single byte.
 _MAX_NAME_BYTES = 255
 
 
 class TransportCounters(msgspec.Struct, kw_only=True):
-    """What the transport has done since it was opened.
+    """Totals of a transport since it was created.
 
     Attributes:
-        sent_messages: Messages handed to ZeroMQ.
-        sent_bytes: Their bytes, without ZeroMQ's own.
+        sent_messages: Messages that ZeroMQ accepted for sending.
+        sent_bytes: Size of these messages, without ZeroMQ's framing.
         received_messages: Well-formed messages received.
-        received_bytes: Bytes of all messages received.
-        dropped_sends: Messages not sent, as the peer was not connected or
-            its queue was full.
-        malformed: Messages received that could not be read.
-        keys_refused: Connections refused for their own key or because they
-            expected another key here.
+        received_bytes: Size of all messages received, malformed ones
+            included.
+        dropped_sends: Messages that were not sent because the peer was
+            unknown or not connected, or its queue was full.
+        malformed: Messages received that could not be decoded.
+        keys_refused: Refused connections: the peer presented a key that is
+            not trusted here, or expected another key than this VM's.
     """
 
     sent_messages: int = 0
@@ -47,12 +49,18 @@
 
 
 class PeerTransport:
-    """The peer socket of one VM and its links to all others.
+    """The peer socket of one VM and its links to all other VMs.
 
     Each VM binds one PULL socket and connects one PUSH socket to each peer.
-    A send never blocks: with no connection or a full queue the message is
-    dropped and counted, since every message between peers may be lost. All
-    connections are authenticated and encrypted by CURVE.
+    Sending never blocks: without a connection or with a full queue, the
+    message is dropped and counted. The protocol between the VMs tolerates the
+    loss of any message. All connections are authenticated and encrypted with
+    CURVE.
+
+    Attributes:
+        vm: This VM.
+        address: ``ip:port`` that the transport listens on; holds the port
+            that was picked once the transport is open.
     """
 
     def __init__(
@@ -68,34 +76,39 @@
 
         Args:
             reactor: The reactor that watches the sockets.
-            vm: This VM, named as the sender of every message.
-            bind_address: ``ip:port`` to listen on; port 0 picks a free one.
-            keys: Keys of this process and of its peers, or None to leave
-                the sockets open to anyone, in tests only.
-            on_message: Called with the sender and each message.
+            vm: This VM, sent along as the sender of every message.
+            bind_address: ``ip:port`` to listen on; port 0 picks a free port.
+            keys: The own key pair and the trusted keys. None turns off
+                encryption and authentication; for tests only.
+            on_message: Called with the sender and the message for each
+                well-formed message.
+
+        Raises:
+            ValueError: The name of the VM is empty or longer than 255 bytes.
         """
         self.vm = vm
         self.address = bind_address
         self._reactor = reactor
         self._keys = keys
         self._on_message = on_message
-        self._header = _header(vm)
+        self._sender_header = _sender_header(vm)
         self._counters = TransportCounters()
         self._links: dict[ids.VmId, peer_link.PeerLink] = {}
-        self._stack = contextlib.ExitStack()
+        self._resources = contextlib.ExitStack()
         self._context: zmq.Context | None = None
-        self._gate: curve_keys.CurveAuthenticator | None = None
+        self._authenticator: curve_keys.CurveAuthenticator | None = None
 
     @property
     def counters(self) -> TransportCounters:
-        """The counters of this moment."""
-        refused = self._gate.refused if self._gate else 0
+        """A copy of the counters at this moment."""
+        authenticator = self._authenticator
+        refused = authenticator.refused_connections if authenticator else 0
         return msgspec.structs.replace(
             self._counters, keys_refused=self._counters.keys_refused + refused
         )
 
     def open(self) -> None:
-        """Binds the socket and starts to receive.
+        """Binds the PULL socket and starts to receive.
 
         Raises:
             zmq.ZMQError: The address cannot be bound.
@@ -103,51 +116,59 @@
         with contextlib.ExitStack() as stack:
             self._context = zmq.Context(io_threads=1)
             stack.callback(self._context.term)
-            self._open_gate(stack)
+            self._open_authenticator(stack)
             self._open_inbox(stack)
             stack.callback(self._close_links)
-            self._stack = stack.pop_all()
+            self._resources = stack.pop_all()
 
     def close(self) -> None:
-        """Closes every socket, after what is queued had time to leave."""
-        self._stack.close()
+        """Closes all sockets.
+
+        Queued messages are sent for up to `peer_link.LINGER_MS`.
+        """
+        self._resources.close()
 
     def set_peers(self, addresses: dict[ids.VmId, str]) -> None:
-        """Takes over which peers there are.
+        """Replaces the set of peers.
 
-        Links to peers that are gone or have moved are closed.
+        Closes the links to peers that are no longer listed or whose address
+        has changed, and opens links to the new ones.
 
         Args:
-            addresses: ``ip:port`` of each peer; this VM is left out.
+            addresses: ``ip:port`` of each peer; an entry for this VM is
+                ignored.
         """
-        wanted = {vm: at for vm, at in addresses.items() if vm != self.vm}
+        peers = {
+            vm: address for vm, address in addresses.items() if vm != self.vm
+        }
         stale = [
             vm
             for vm, link in self._links.items()
-            if wanted.get(vm) != link.address
+            if peers.get(vm) != link.address
         ]
         for vm in stale:
             self._links.pop(vm).close()
-        for vm in wanted.keys() - self._links.keys():
+        for vm in peers.keys() - self._links.keys():
             self._links[vm] = peer_link.PeerLink(
                 reactor=self._reactor,
                 context=self._context,
-                address=wanted[vm],
+                address=peers[vm],
                 keys=self._keys,
             )
 
     def send(self, to: ids.VmId, message: peer_messages.PeerMessage) -> bool:
-        """Sends a message without blocking.
+        """Sends a message to a peer, without blocking.
 
         Args:
             to: The VM to send to.
             message: The message.
 
         Returns:
-            Whether ZeroMQ took the message; it may still be lost.
+            Whether ZeroMQ accepted the message, which may still be lost. If
+            False, the message was dropped.
         """
         link = self._links.get(to)
-        data = self._header + peer_messages.encode(message)
+        data = self._sender_header + peer_messages.encode(message)
         if link is None or not link.send(data):
             self._counters.dropped_sends += 1
             return False
@@ -155,17 +176,20 @@
         self._counters.sent_bytes += len(data)
         return True
 
-    def _open_gate(self, stack: contextlib.ExitStack) -> None:
+    def _open_authenticator(self, stack: contextlib.ExitStack) -> None:
         if self._keys is None:
             return
-        gate = curve_keys.CurveAuthenticator(
-            context=self._context, trusted=self._keys.trusted_keys
+        authenticator = curve_keys.CurveAuthenticator(
+            context=self._context, trusted_keys=self._keys.trusted_keys
         )
-        stack.callback(gate.close)
+        stack.callback(authenticator.close)
         socket_reader.start_reading(
-            self._reactor, gate.socket, gate.handle, stack
+            self._reactor,
+            authenticator.socket,
+            authenticator.handle_request,
+            stack,
         )
-        self._gate = gate
+        self._authenticator = authenticator
 
     def _open_inbox(self, stack: contextlib.ExitStack) -> None:
         inbox = self._context.socket(zmq.PULL)
@@ -173,7 +197,7 @@
         inbox.linger = 0
         inbox.rcvhwm = HIGH_WATER_MARK_MESSAGES
         inbox.maxmsgsize = MAX_MESSAGE_BYTES
-        inbox.handshake_ivl = HANDSHAKE_MS
+        inbox.handshake_ivl = HANDSHAKE_TIMEOUT_MS
         if self._keys is not None:
             inbox.curve_server = True
             self._keys.apply_to(inbox)
@@ -181,7 +205,7 @@
             self._reactor,
             inbox,
             zmq.EVENT_HANDSHAKE_FAILED_PROTOCOL,
-            self._count_failure,
+            self._count_handshake_failure,
             stack,
         )
         inbox.bind(f"tcp://{self.address}")
@@ -189,17 +213,17 @@
         self.address = bound.decode("ascii").removeprefix("tcp://")
         socket_reader.start_reading(self._reactor, inbox, self._receive, stack)
 
-    def _count_failure(self, frames: list[bytes]) -> None:
+    def _count_handshake_failure(self, frames: list[bytes]) -> None:
         self._counters.keys_refused += 1
 
     def _receive(self, frames: list[bytes]) -> None:
         self._counters.received_bytes += sum(len(frame) for frame in frames)
-        read = _read(frames)
-        if read is None:
+        received = _decode_frames(frames)
+        if received is None:
             self._counters.malformed += 1
             return
         self._counters.received_messages += 1
-        self._on_message(*read)
+        self._on_message(*received)
 
     def _close_links(self) -> None:
         for link in self._links.values():
@@ -207,17 +231,24 @@
         self._links.clear()
 
 
-def _header(vm: ids.VmId) -> bytes:
+def _sender_header(vm: ids.VmId) -> bytes:
+    """Returns the start of each frame: the length of the name, the name."""
     name = vm.encode("utf-8")
     if not 0 < len(name) <= _MAX_NAME_BYTES:
-        raise ValueError("a VM name takes 1 to 255 bytes")
+        raise ValueError("expected a VM name of 1 to 255 bytes in UTF-8")
     return bytes((len(name),)) + name
 
 
-def _read(
+def _decode_frames(
     frames: list[bytes],
 ) -> tuple[ids.VmId, peer_messages.PeerMessage] | None:
-    """Returns the sender and message of one frame, None if malformed."""
+    """Decodes the sender and the message of one frame.
+
+    Returns:
+        The sender and the message, or None if there is not exactly one frame
+        or it is malformed. Deeply nested MessagePack raises RecursionError
+        in the decoder and counts as malformed.
+    """
     if len(frames) != 1 or not frames[0]:
         return None
     length = frames[0][0]
--- a/citronmount/peers/socket_reader.py
+++ b/citronmount/peers/socket_reader.py
@@ -1,4 +1,4 @@
-"""Reads ZeroMQ sockets from the Twisted reactor, without a thread."""
+"""Reads ZeroMQ sockets on the Twisted reactor, without extra threads."""
 
 from collections.abc import Callable
 import contextlib
@@ -20,12 +20,13 @@
 
 @implementer(interfaces.IReadDescriptor)
 class SocketReader:
-    """Feeds every message of a socket to a callback.
+    """Passes every message that a socket receives to a callback.
 
-    The descriptor of a ZeroMQ socket is edge-triggered: it becomes readable
-    once when the socket's state changes, not as long as messages wait. So a
-    read goes on until the socket has no more, and a long backlog is split
-    into batches between which the reactor serves others.
+    The file descriptor of a ZeroMQ socket is edge-triggered: it becomes
+    readable once when the socket's state changes and does not stay readable
+    while messages are queued. The reader therefore receives until the socket
+    is empty. It does so in batches of `BATCH_MESSAGES`, so that the reactor
+    can run other callbacks during a long backlog.
     """
 
     def __init__(
@@ -38,41 +39,41 @@
         """Initializes a reader that is not started.
 
         Args:
-            reactor: The reactor that watches the descriptor.
-            socket: An open socket that can receive.
+            reactor: The reactor that watches the file descriptor.
+            socket: An open socket of a type that can receive.
             on_message: Called with the frames of each message.
         """
         self._reactor = reactor
         self._socket = socket
         self._on_message = on_message
         self._descriptor = socket.fd
-        self._pending = None
+        self._next_batch = None
         self._stopped = True
 
     def start(self) -> None:
-        """Starts to watch the socket."""
+        """Starts to receive, beginning with messages already queued."""
         self._stopped = False
         self._reactor.addReader(self)
-        self._schedule()
+        self._schedule_batch()
 
     def stop(self) -> None:
-        """Stops to watch the socket; it stays open."""
+        """Stops receiving; the socket stays open."""
         self._stopped = True
         self._reactor.removeReader(self)
-        if self._pending is not None and self._pending.active():
-            self._pending.cancel()
-        self._pending = None
+        if self._next_batch is not None and self._next_batch.active():
+            self._next_batch.cancel()
+        self._next_batch = None
 
     def fileno(self) -> int:
-        """Returns the descriptor that the reactor watches."""
+        """Returns the file descriptor that the reactor watches."""
         return self._descriptor
 
     def logPrefix(self) -> str:  # noqa: N802
-        """Returns the name that the reactor logs."""
+        """Returns the prefix that Twisted uses in its log lines."""
         return "zmq"
 
     def doRead(self) -> None:  # noqa: N802
-        """Receives one batch; called by the reactor."""
+        """Receives up to one batch; called by the reactor."""
         for _ in range(BATCH_MESSAGES):
             if self._stopped:
                 return
@@ -81,22 +82,22 @@
             except zmq.Again:
                 return
             self._on_message(frames)
-        self._schedule()
+        self._schedule_batch()
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
-        """Stops reading; called by the reactor when it closes down.
+        """Stops receiving; called by the reactor when it shuts down.
 
         Args:
-            reason: Why the reactor gave the descriptor up.
+            reason: Why the reactor stopped watching the descriptor; ignored.
         """
         self._stopped = True
 
-    def _schedule(self) -> None:
-        if self._pending is None and not self._stopped:
-            self._pending = self._reactor.callLater(0, self._resume)
+    def _schedule_batch(self) -> None:
+        if self._next_batch is None and not self._stopped:
+            self._next_batch = self._reactor.callLater(0, self._run_next_batch)
 
-    def _resume(self) -> None:
-        self._pending = None
+    def _run_next_batch(self) -> None:
+        self._next_batch = None
         self.doRead()
 
 
@@ -106,13 +107,14 @@
     on_message: Callable[[list[bytes]], None],
     stack: contextlib.ExitStack,
 ) -> None:
-    """Reads a socket until a stack is closed.
+    """Starts to read a socket and stops when an exit stack is closed.
 
     Args:
         reactor: The reactor that watches the socket.
-        socket: An open socket, which the stack closes later.
+        socket: An open socket. The stack must close it after the reader has
+            stopped, so its closing is pushed first.
         on_message: Called with the frames of each message.
-        stack: Stops the reader when it is closed.
+        stack: Receives the callback that stops the reader.
     """
     socket_reader = SocketReader(
         reactor=reactor, socket=socket, on_message=on_message
@@ -128,16 +130,16 @@
     on_event: Callable[[list[bytes]], None],
     stack: contextlib.ExitStack,
 ) -> None:
-    """Watches a socket for events of its connections.
+    """Reports connection events of a socket, such as failed handshakes.
 
     Args:
-        reactor: The reactor that watches the monitor.
-        socket: The socket to monitor.
-        events: The mask of ZeroMQ's event numbers.
+        reactor: The reactor that watches the monitor socket.
+        socket: The socket whose connections are monitored.
+        events: Bit mask of the ``zmq.EVENT_*`` constants to report.
         on_event: Called with the frames of each event.
-        stack: Ends the monitor when it is closed.
+        stack: Receives the callbacks that end the monitoring.
     """
-    source = socket.get_monitor_socket(events)
-    stack.callback(source.close)
+    monitor_socket = socket.get_monitor_socket(events)
+    stack.callback(monitor_socket.close)
     stack.callback(socket.disable_monitor)
-    start_reading(reactor, source, on_event, stack)
+    start_reading(reactor, monitor_socket, on_event, stack)
--- a/citronmount/peers/tests/test_peer_transport.py
+++ b/citronmount/peers/tests/test_peer_transport.py
@@ -20,7 +20,7 @@
 
 
 class _Node:
-    """A transport and what it received."""
+    """A transport that records the messages it receives."""
 
     def __init__(
         self,
@@ -40,43 +40,47 @@
         self.transport.open()
         case.addCleanup(self.transport.close)
 
-    def link(self, *others: "_Node") -> None:
-        """Connects to other nodes."""
+    def connect(self, *others: "_Node") -> None:
+        """Makes the other nodes the peers of this node."""
         self.transport.set_peers(
             {other.transport.vm: other.transport.address for other in others}
         )
 
-    async def send_one(self, other: "_Node", number: int = 0) -> None:
-        """Sends until the other node has got it."""
-        got = len(other.received)
+    async def send_until_received(
+        self, other: "_Node", number: int = 0
+    ) -> None:
+        """Repeats a message until the other node has received one more."""
+        before = len(other.received)
 
         def arrived() -> bool:
-            if len(other.received) == got:
+            if len(other.received) == before:
                 self.transport.send(other.transport.vm, _ack(number))
-            return len(other.received) > got
+            return len(other.received) > before
 
         await reactor_loop.wait_until(arrived)
 
 
-class TransportTest(unittest.TestCase):
-    """Messages between transports of one process."""
+class PeerTransportTest(unittest.TestCase):
+    """Tests messages between transports of one process."""
 
-    def test_exchange(self) -> None:
-        for shared in (curve_keys.generate_keys(), None):
-            with self.subTest(encrypted=shared is not None):
-                a, b = (_Node(self, name, shared) for name in "ab")
-                a.link(a, b)
-                b.link(a)
-                reactor_loop.run(a.send_one(b, 7))
-                reactor_loop.run(b.send_one(a, 8))
+    def test_messages_arrive_with_their_sender(self) -> None:
+        for shared_keys in (curve_keys.generate_keys(), None):
+            with self.subTest(encrypted=shared_keys is not None):
+                a, b = (_Node(self, name, shared_keys) for name in "ab")
+                a.connect(a, b)
+                b.connect(a)
+                reactor_loop.run(a.send_until_received(b, 7))
+                reactor_loop.run(b.send_until_received(a, 8))
                 self.assertEqual(("a", _ack(7)), b.received[0])
                 self.assertEqual(("b", _ack(8)), a.received[0])
 
     def test_backlog_larger_than_a_batch_arrives_in_order(self) -> None:
-        shared = curve_keys.generate_keys()
-        a, b = (_Node(self, name, shared) for name in "ab")
-        a.link(b)
-        reactor_loop.run(a.send_one(b))
+        # ZeroMQ's descriptor is edge-triggered: a reader that stops after one
+        # batch is not woken again for the messages that are still queued.
+        shared_keys = curve_keys.generate_keys()
+        a, b = (_Node(self, name, shared_keys) for name in "ab")
+        a.connect(b)
+        reactor_loop.run(a.send_until_received(b))
         del b.received[:]
         count = socket_reader.BATCH_MESSAGES * 3 + 1
         sent = [a.transport.send("b", _ack(n)) for n in range(count)]
@@ -87,21 +91,21 @@
         last = [body for _, body in b.received][-count:]
         self.assertEqual([_ack(n) for n in range(count)], last)
 
-    def test_wrong_key_is_refused_and_counted(self) -> None:
-        right, wrong = curve_keys.generate_keys(), curve_keys.generate_keys()
-        strangers = {
-            "knows no key here": wrong,
-            "knows the key here": curve_keys.PeerKeys(
-                public_key=wrong.public_key,
-                secret_key=wrong.secret_key,
-                accepted_keys=(right.public_key,),
+    def test_untrusted_key_is_refused_and_counted(self) -> None:
+        trusted, other = curve_keys.generate_keys(), curve_keys.generate_keys()
+        intruder_keys = {
+            "does not know the server's key": other,
+            "knows the server's key": curve_keys.PeerKeys(
+                public_key=other.public_key,
+                secret_key=other.secret_key,
+                accepted_keys=(trusted.public_key,),
             ),
         }
-        for name, stranger in strangers.items():
+        for name, peer_keys in intruder_keys.items():
             with self.subTest(name):
-                node = _Node(self, "a", right)
-                intruder = _Node(self, "x", stranger)
-                intruder.link(node)
+                node = _Node(self, "a", trusted)
+                intruder = _Node(self, "x", peer_keys)
+                intruder.connect(node)
 
                 def refused(node=node, intruder=intruder) -> bool:
                     intruder.transport.send("a", _ack(1))
@@ -110,14 +114,14 @@
                 reactor_loop.run(reactor_loop.wait_until(refused))
                 self.assertEqual([], node.received)
 
-    def test_other_accepted_key_is_found(self) -> None:
+    def test_link_finds_the_accepted_key_that_the_peer_uses(self) -> None:
         old, new = curve_keys.generate_keys(), curve_keys.generate_keys()
-        a = _Node(self, "a", _accepting(old, new))
-        b = _Node(self, "b", _accepting(new, old))
-        a.link(b)
-        b.link(a)
-        reactor_loop.run(a.send_one(b))
-        reactor_loop.run(b.send_one(a))
+        a = _Node(self, "a", _with_accepted_key(old, new))
+        b = _Node(self, "b", _with_accepted_key(new, old))
+        a.connect(b)
+        b.connect(a)
+        reactor_loop.run(a.send_until_received(b))
+        reactor_loop.run(b.send_until_received(a))
 
     def test_malformed_messages_are_dropped_and_counted(self) -> None:
         node = _Node(self, "a", None)
@@ -141,17 +145,17 @@
             )
         self.assertEqual([], node.received)
 
-    def test_reconnects_to_a_peer_that_came_back(self) -> None:
-        shared = curve_keys.generate_keys()
-        a, b = (_Node(self, name, shared) for name in "ab")
-        a.link(b)
-        reactor_loop.run(a.send_one(b))
+    def test_reconnects_to_a_restarted_peer(self) -> None:
+        shared_keys = curve_keys.generate_keys()
+        a, b = (_Node(self, name, shared_keys) for name in "ab")
+        a.connect(b)
+        reactor_loop.run(a.send_until_received(b))
         address = b.transport.address
         b.transport.close()
-        again = _Node(self, "b", shared, address)
-        reactor_loop.run(a.send_one(again))
+        restarted = _Node(self, "b", shared_keys, address)
+        reactor_loop.run(a.send_until_received(restarted))
 
-    def test_unknown_or_unconnected_peer_costs_a_drop_only(self) -> None:
+    def test_send_to_unknown_or_unconnected_peer_is_dropped(self) -> None:
         node = _Node(self, "a", curve_keys.generate_keys())
         self.assertFalse(node.transport.send("b", _ack(1)))
         node.transport.set_peers({"b": "127.0.0.1:9"})
@@ -161,7 +165,7 @@
         self.assertFalse(node.transport.send("b", _ack(1)))
 
 
-def _accepting(
+def _with_accepted_key(
     own: curve_keys.PeerKeys, other: curve_keys.PeerKeys
 ) -> curve_keys.PeerKeys:
     return curve_keys.PeerKeys(
