--- a/citronmount/peers/peer_messages.py
+++ b/citronmount/peers/peer_messages.py
@@ -1,7 +1,4 @@
-"""Messages between the VMs of the system.
-
-The classes tagged by ``tag=True`` go over the wire under their own names.
-"""
+"""Messages between the VMs of the system."""
 
 import msgspec
 
@@ -170,7 +167,7 @@
 
     Attributes:
         result: The result code and its detail.
-        retry_after_ms: Delay before a retry; None if a retry cannot help.
+        retry_after_ms: Delay before a retry, for refusals worth a retry.
     """
 
     result: jobs.JobResult
@@ -259,7 +256,7 @@
     Attributes:
         failure_domain: The failure domain.
         token: The owner's fencing token.
-        free_accelerators: Accelerators that are not allocated to a job.
+        free_accelerators: Accelerators that no job holds.
         queued_accelerators: Accelerators that the queued jobs request.
         largest_gang: Accelerators of the largest gang that would fit.
     """
@@ -402,8 +399,7 @@
     """Changed worker reports, sent by a lease renewer to the owner.
 
     Attributes:
-        call: Id that the acknowledgement refers to. The message is retried
-            until it is acknowledged.
+        call: Id of the message, which is retried until it is acknowledged.
         reports: The reports that changed.
         lost: Workers that have not answered the lease renewer for the length
             of a lease.
--- a/citronmount/peers/peer_transport.py
+++ b/citronmount/peers/peer_transport.py
@@ -101,8 +101,11 @@
     @property
     def counters(self) -> TransportCounters:
         """A copy of the counters at this moment."""
-        authenticator = self._authenticator
-        refused = authenticator.refused_connections if authenticator else 0
+        refused = (
+            self._authenticator.refused_connections
+            if self._authenticator
+            else 0
+        )
         return msgspec.structs.replace(
             self._counters, keys_refused=self._counters.keys_refused + refused
         )
