--- a/citronmount/telemetry/__init__.py
+++ b/citronmount/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Histograms, logs and the time line."""
+"""Metrics, logs and the timeline of events."""
--- a/citronmount/telemetry/bounded_sink.py
+++ b/citronmount/telemetry/bounded_sink.py
@@ -1,7 +1,8 @@
-"""A sink for log lines that never blocks and drops what is too much.
+"""A rate-limited sink for log lines that never blocks the process.
 
-Load pattern: a burst of calls makes thousands of lines a second while the
-reader of the stream is slow or gone.
+A burst of calls can produce thousands of log lines a second while the reader
+of the stream is slow or gone. Lines beyond the limits are dropped and counted,
+so that logging neither stops the reactor nor fills the memory.
 """
 
 from collections.abc import Callable
@@ -16,34 +17,38 @@
 URGENT_BURST_LINES = 1_000
 MAX_LINE_BYTES = 4_000
 
-_ROUTINE_MARKS = ('"level":"info"', '"level":"debug"')
+_ROUTINE_LEVELS = ('"level":"info"', '"level":"debug"')
 
 
 class TokenBucket:
-    """A token bucket."""
+    """A token bucket that limits a rate but allows bursts."""
 
     def __init__(
-        self, *, per_s: float, burst: float, clock: Callable[[], float]
+        self,
+        *,
+        tokens_per_s: float,
+        capacity: float,
+        clock: Callable[[], float],
     ) -> None:
         """Initializes a full bucket.
 
         Args:
-            per_s: Tokens that come back each second.
-            burst: The most tokens it holds.
-            clock: Tells a steady time in seconds.
+            tokens_per_s: Refill rate.
+            capacity: Maximum number of tokens in the bucket.
+            clock: Returns a monotonic time in seconds.
         """
-        self._per_s = per_s
-        self._burst = burst
+        self._tokens_per_s = tokens_per_s
+        self._capacity = capacity
         self._clock = clock
-        self._tokens = burst
-        self._filled_s = clock()
+        self._tokens = capacity
+        self._refilled_s = clock()
 
     def take(self) -> bool:
-        """Takes a token and returns whether there was one."""
+        """Takes one token and returns whether one was available."""
         now_s = self._clock()
-        gained = (now_s - self._filled_s) * self._per_s
-        self._tokens = min(self._burst, self._tokens + gained)
-        self._filled_s = now_s
+        gained = (now_s - self._refilled_s) * self._tokens_per_s
+        self._tokens = min(self._capacity, self._tokens + gained)
+        self._refilled_s = now_s
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -51,10 +56,13 @@
 
 
 class BoundedSink:
-    """Writes lines to a descriptor without waiting for its reader.
+    """Writes log lines to a file descriptor without waiting for its reader.
+
+    Lines of level info and debug have one rate limit, all others (warnings and
+    errors) a separate one, so that routine lines can't displace them.
 
     Attributes:
-        dropped: Lines that were not written so far.
+        dropped_lines: Number of lines that were dropped so far.
     """
 
     def __init__(
@@ -66,46 +74,52 @@
         """Initializes the sink and makes the descriptor non-blocking.
 
         Args:
-            descriptor: Where the lines go.
-            clock: Tells a steady time in seconds.
+            descriptor: File descriptor that the lines are written to.
+            clock: Returns a monotonic time in seconds.
         """
         os.set_blocking(descriptor, False)
         self.dropped_lines = 0
         self._descriptor = descriptor
-        self._told = 0
-        self._routine = TokenBucket(
-            per_s=LINES_PER_S, burst=BURST_LINES, clock=clock
+        self._reported_drops = 0
+        self._routine_limit = TokenBucket(
+            tokens_per_s=LINES_PER_S, capacity=BURST_LINES, clock=clock
         )
-        self._urgent = TokenBucket(
-            per_s=URGENT_LINES_PER_S, burst=URGENT_BURST_LINES, clock=clock
+        self._urgent_limit = TokenBucket(
+            tokens_per_s=URGENT_LINES_PER_S,
+            capacity=URGENT_BURST_LINES,
+            clock=clock,
         )
 
     def write(self, text: str) -> None:
-        """Writes a line, or drops it.
+        """Writes a line, or drops it if it exceeds the rate limit.
+
+        Lines dropped earlier are reported by a line of their own before it.
 
         Args:
-            text: The line with its end.
+            text: The line with its line break. Beyond `MAX_LINE_BYTES` it is
+                truncated.
         """
-        routine = any(mark in text for mark in _ROUTINE_MARKS)
-        bucket = self._routine if routine else self._urgent
-        if not bucket.take():
+        routine = any(level in text for level in _ROUTINE_LEVELS)
+        limit = self._routine_limit if routine else self._urgent_limit
+        if not limit.take():
             self.dropped_lines += 1
             return
-        if self.dropped_lines > self._told:
-            self._tell_dropped()
-        if not self._put(text):
+        if self.dropped_lines > self._reported_drops:
+            self._report_dropped_lines()
+        if not self._write_to_descriptor(text):
             self.dropped_lines += 1
 
     def flush(self) -> None:
-        """Does nothing, as each line is written at once."""
+        """Does nothing, because each line is written at once."""
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped_lines(self) -> None:
         count = self.dropped_lines
         line = f'{{"event":"log_lines_dropped","total":{count}}}\n'
-        if self._put(line):
-            self._told = count
+        if self._write_to_descriptor(line):
+            self._reported_drops = count
 
-    def _put(self, text: str) -> bool:
+    def _write_to_descriptor(self, text: str) -> bool:
+        """Writes text and returns whether all of it was written."""
         data = text.encode("utf-8", "replace")
         if len(data) > MAX_LINE_BYTES:
             data = data[: MAX_LINE_BYTES - 1] + b"\n"
--- a/citronmount/telemetry/event_metrics.py
+++ b/citronmount/telemetry/event_metrics.py
@@ -1,7 +1,8 @@
-"""Counters and histograms made from the log's own events.
+"""Counters and histograms derived from log events.
 
-Every event counts, also those whose line is dropped. Names come from the code
-and never from callers, so that their number is bounded.
+Every event is counted, including those whose log line is dropped. Event names
+and label values come from the code and never from callers, so the number of
+metrics is bounded.
 """
 
 from collections.abc import MutableMapping
@@ -14,22 +15,30 @@
 LABEL_FIELDS = ("verdict", "kind", "state", "status", "reason", "cause")
 DURATION_FIELDS = ("waited_ms", "took_ms", "age_ms")
 
-_Event = MutableMapping[str, typing.Any]
+_EventDict = MutableMapping[str, typing.Any]
 
 
 class EventMetrics:
-    """A processor of structlog that counts and times events."""
+    """A structlog processor that counts events and records durations.
+
+    An event named ``x`` increments the counter ``events.x`` and, for each
+    field of `LABEL_FIELDS`, ``events.x.FIELD.VALUE``. A field of
+    `DURATION_FIELDS` is recorded in the histogram of that event, with the
+    field's name without ``_ms`` as the stage.
+    """
 
     def __init__(self, *, metrics: metrics_registry.MetricsRegistry) -> None:
         """Initializes the processor.
 
         Args:
-            metrics: Gets the counters and histograms.
+            metrics: The registry that holds the counters and histograms.
         """
         self._metrics = metrics
 
-    def __call__(self, logger: object, method: str, event: _Event) -> _Event:
-        """Counts one event and passes it on."""
+    def __call__(
+        self, logger: object, method: str, event: _EventDict
+    ) -> _EventDict:
+        """Counts an event and returns it unchanged, as structlog requires."""
         del logger, method
         name = str(event.get("event", ""))
         self._metrics.increment(f"events.{name}")
--- a/citronmount/telemetry/exposition.py
+++ b/citronmount/telemetry/exposition.py
@@ -1,7 +1,4 @@
-"""Metrics as text, one value a line, for scrapers.
-
-The format is the Prometheus text exposition format, version 0.0.4.
-"""
+"""Renders metrics in the Prometheus text exposition format, version 0.0.4."""
 
 from collections.abc import Iterator
 
@@ -16,13 +13,13 @@
 
 
 def render(snapshot: metrics_registry.MetricsSnapshot) -> str:
-    """Returns all metrics as text.
+    """Renders all metrics as text for a scraper.
 
     Args:
-        snapshot: The metrics of one moment.
+        snapshot: The metrics to render.
 
     Returns:
-        Lines of name, labels and value.
+        One line per value, with its name, labels and value.
     """
     return "".join(f"{line}\n" for line in _lines(snapshot))
 
--- a/citronmount/telemetry/hybrid_logical_clock.py
+++ b/citronmount/telemetry/hybrid_logical_clock.py
@@ -1,29 +1,33 @@
-"""Hybrid logical clock, which orders events over all processes."""
+"""A hybrid logical clock, which orders events across processes."""
 
 __all__ = ["HybridLogicalClock"]
 
 
 class HybridLogicalClock:
-    """A clock that never goes back and follows every message received.
+    """A hybrid logical clock: monotonic and close to wall-clock time.
 
-    Notes:
+    Local events and received messages advance it, so that the time of an
+    event is greater than that of every event which may have caused it.
+
+    References:
         Kulkarni et al., "Logical Physical Clocks and Consistent Snapshots in
         Globally Distributed Databases", OPODIS 2014.
     """
 
     def __init__(self) -> None:
-        """Initializes the clock at the epoch."""
+        """Initializes the clock at the Unix epoch."""
         self.physical_ms = 0
         self.logical = 0
 
     def tick(self, wall_ms: int) -> tuple[int, int]:
-        """Returns the time of a local event.
+        """Advances the clock for a local event and returns its time.
 
         Args:
-            wall_ms: Wall-clock time in ms since the epoch.
+            wall_ms: Unix time in ms. It may go backwards.
 
         Returns:
-            Physical and logical part, greater than any returned before.
+            Physical part in ms and logical part; as a pair greater than every
+            time returned or merged before.
 
         Example:
             >>> clock = HybridLogicalClock()
@@ -38,10 +42,10 @@
         return self.physical_ms, self.logical
 
     def merge(self, physical_ms: int, logical: int) -> None:
-        """Notes the time of a message received.
+        """Advances the clock to the time of a received message if it is later.
 
         Args:
-            physical_ms: Physical part of the sender's time.
+            physical_ms: Physical part of the sender's time in ms.
             logical: Logical part of the sender's time.
         """
         if (physical_ms, logical) > (self.physical_ms, self.logical):
--- a/citronmount/telemetry/logs.py
+++ b/citronmount/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""JSON-line logs through structlog."""
+"""Structured logs as JSON lines, through structlog."""
 
 import contextlib
 import logging
@@ -28,17 +28,19 @@
     stream: typing.TextIO | bounded_sink.BoundedSink | None = None,
     event_processor: structlog.typing.Processor | None = None,
 ) -> contextlib.ExitStack:
-    """Sends every log line of the process to one place as JSON.
+    """Configures structlog and Twisted to log JSON lines to a single place.
 
     Args:
-        vm: The VM, part of each line.
-        level: The least important level that is written.
-        file_path: The log file, or None for the stream.
-        stream: Where lines go without a file, or None for standard output.
-        event_processor: Gets every event before its line is made, if given.
+        vm: The VM, added to each line as ``vm``.
+        level: The lowest level that is written, for example ``info``.
+        file_path: Path of the log file, or None to write to `stream`.
+        stream: Destination without a log file; None for standard output.
+        event_processor: A structlog processor that receives every event
+            before it is rendered, or None.
 
     Returns:
-        Closes the log file when it is closed.
+        An exit stack that closes the log file and detaches the log from
+        Twisted when it is closed.
     """
     stack = contextlib.ExitStack()
     stream = stream or sys.stdout
@@ -61,13 +63,13 @@
         cache_logger_on_first_use=True,
     )
     structlog.contextvars.bind_contextvars(vm=vm)
-    logger.globalLogPublisher.addObserver(_pass_on)
-    stack.callback(logger.globalLogPublisher.removeObserver, _pass_on)
+    logger.globalLogPublisher.addObserver(_log_twisted_event)
+    stack.callback(logger.globalLogPublisher.removeObserver, _log_twisted_event)
     return stack
 
 
-def _pass_on(event: logger.LogEvent) -> None:
-    """Writes what Twisted tells at level warn or above as one line."""
+def _log_twisted_event(event: logger.LogEvent) -> None:
+    """Logs a Twisted event of level warn or above as one error line."""
     level = event.get("log_level", logger.LogLevel.info)
     if level < logger.LogLevel.warn:
         return
@@ -78,19 +80,19 @@
     )
 
 
-def _traceback(reason: failure.Failure | None) -> str:
-    return "" if reason is None else reason.getTraceback()
+def _traceback(twisted_failure: failure.Failure | None) -> str:
+    return "" if twisted_failure is None else twisted_failure.getTraceback()
 
 
 def log_event(
     log: structlog.typing.FilteringBoundLogger,
     event: timeline_events.TimelineEvent,
 ) -> None:
-    """Writes an event of the time line as one line.
+    """Logs a timeline event as one line, without its empty fields.
 
     Args:
-        log: The logger.
-        event: The event.
+        log: The logger to write to.
+        event: The event. A result code is logged together with its name.
     """
     fields = {
         name: value
--- a/citronmount/telemetry/metrics_registry.py
+++ b/citronmount/telemetry/metrics_registry.py
@@ -1,4 +1,4 @@
-"""Latency histograms, counters and gauges of one VM."""
+"""Latency histograms, counters and gauges of one process."""
 
 import collections
 from collections.abc import Callable
@@ -23,13 +23,13 @@
 
     Attributes:
         work_class: The kind of work that was timed.
-        stage: Which part of it was timed.
-        count: How many values were recorded.
-        mean_ms: Their mean.
-        max_ms: The largest.
-        percentiles_ms: Values by percentile.
+        stage: The part of the work that was timed.
+        count: Number of recorded values.
+        mean_ms: Mean of the recorded values.
+        max_ms: Maximum of the recorded values.
+        percentiles_ms: Values by percentile, for example ``"99.9"``.
         encoded: The whole histogram in HdrHistogram's compressed text form,
-            which can be merged over VMs.
+            in which histograms of several VMs can be merged.
     """
 
     work_class: str
@@ -42,12 +42,12 @@
 
 
 class MetricsSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """All metrics at one moment.
+    """The values of all metrics at one moment.
 
     Attributes:
-        histograms: Latencies by class and stage.
-        counters: Totals since the process started.
-        gauges: Present values.
+        histograms: Durations, sorted by work class and stage.
+        counters: Totals since the start of the process, by name.
+        gauges: Current values, by name.
     """
 
     histograms: tuple[HistogramSummary, ...]
@@ -55,11 +55,11 @@
     gauges: dict[str, float]
 
 
-class _Recorder:
-    """A histogram with the exact sum of its values.
+class _HistogramWithSum:
+    """A histogram that also keeps the sum of its values.
 
-    The library finds the mean by a walk over the whole histogram, which would
-    hold the loop up at each export.
+    HdrHistogram computes the mean by iterating over the whole histogram, which
+    would block the reactor at each export.
     """
 
     def __init__(self) -> None:
@@ -69,65 +69,65 @@
         self.sum_us = 0
 
     def record(self, value_us: int) -> None:
-        """Records one value, at the nearest bound if it is out of range."""
+        """Records a value, clamped to `LOWEST_US` and `HIGHEST_US`."""
         bounded_us = min(max(value_us, LOWEST_US), HIGHEST_US)
         self.histogram.record_value(bounded_us)
         self.sum_us += bounded_us
 
 
 class MetricsRegistry:
-    """Records what one process does.
+    """The metrics of one process.
 
-    Memory is bounded, as classes, stages and names come from the code and
-    never from callers.
+    Memory is bounded, because work classes, stages and names come from the
+    code and never from callers.
     """
 
     def __init__(self) -> None:
-        """Initializes without any value."""
-        self._histograms: dict[tuple[str, str], _Recorder] = {}
+        """Initializes a registry without metrics."""
+        self._histograms: dict[tuple[str, str], _HistogramWithSum] = {}
         self._counters: collections.Counter[str] = collections.Counter()
         self._gauges: dict[str, Gauge] = {}
 
     def record_duration(
         self, work_class: str, stage: str, duration_ms: float
     ) -> None:
-        """Records how long a stage took.
+        """Records the duration of a stage in its histogram.
 
         Args:
             work_class: The kind of work.
-            stage: The part of it that was timed.
-            duration_ms: The duration.
+            stage: The part of the work that was timed.
+            duration_ms: The duration in ms.
         """
         key = (work_class, stage)
-        recorder = self._histograms.get(key)
-        if recorder is None:
-            recorder = self._histograms[key] = _Recorder()
-        recorder.record(int(duration_ms * _US_PER_MS))
+        durations = self._histograms.get(key)
+        if durations is None:
+            durations = self._histograms[key] = _HistogramWithSum()
+        durations.record(int(duration_ms * _US_PER_MS))
 
     def increment(self, name: str, amount: int = 1) -> None:
-        """Adds to a counter.
+        """Increments a counter, which starts at 0.
 
         Args:
-            name: The counter.
-            amount: What to add.
+            name: The name of the counter.
+            amount: The amount to add.
         """
         self._counters[name] += amount
 
     def register_gauge(self, name: str, read: Gauge) -> None:
-        """Registers a gauge.
+        """Registers a gauge, or replaces the one of the same name.
 
         Args:
-            name: The gauge.
-            read: Returns its present value.
+            name: The name of the gauge.
+            read: Returns the current value; called at each snapshot.
         """
         self._gauges[name] = read
 
     def snapshot(self) -> MetricsSnapshot:
-        """Returns all metrics of this moment."""
+        """Returns the current values of all metrics."""
         return MetricsSnapshot(
             histograms=tuple(
-                _summary(work_class, stage, recorder)
-                for (work_class, stage), recorder in sorted(
+                _summary(work_class, stage, durations)
+                for (work_class, stage), durations in sorted(
                     self._histograms.items(), key=lambda item: item[0]
                 )
             ),
@@ -137,16 +137,16 @@
 
 
 def _summary(
-    work_class: str, stage: str, recorder: _Recorder
+    work_class: str, stage: str, durations: _HistogramWithSum
 ) -> HistogramSummary:
-    values = recorder.histogram
+    values = durations.histogram
     count = values.get_total_count()
     points_us = values.get_percentile_to_value_dict(list(PERCENTILES))
     return HistogramSummary(
         work_class=work_class,
         stage=stage,
         count=count,
-        mean_ms=recorder.sum_us / count / _US_PER_MS,
+        mean_ms=durations.sum_us / count / _US_PER_MS,
         max_ms=values.get_max_value() / _US_PER_MS,
         percentiles_ms={
             f"{percentile:g}": points_us[percentile] / _US_PER_MS
--- a/citronmount/telemetry/process_usage.py
+++ b/citronmount/telemetry/process_usage.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of the running process."""
+"""CPU time and memory of the running process."""
 
 import os
 import pathlib
@@ -13,12 +13,15 @@
 
 
 def processor_s() -> float:
-    """Returns the processor time that the process has used, in seconds."""
+    """Returns the CPU time that the process has used, in seconds."""
     return time.process_time()
 
 
 def resident_bytes() -> int:
-    """Returns the resident memory, or its peak where that is not told."""
+    """Returns the resident memory of the process.
+
+    On systems without ``/proc``, returns the peak resident memory instead.
+    """
     try:
         pages = int(_STATM.read_text("ascii").split()[_RESIDENT_FIELD])
     except OSError:
