--- a/citronmount/telemetry/bounded_sink.py
+++ b/citronmount/telemetry/bounded_sink.py
@@ -1,8 +1,8 @@
 """A rate-limited sink for log lines that never blocks the process.
 
 A burst of calls can produce thousands of log lines a second while the reader
-of the stream is slow or gone. Lines beyond the limits are dropped and counted,
-so that logging neither stops the reactor nor fills the memory.
+of the stream is slow or gone. Lines beyond the limits, or that the reader does
+not take, are dropped and counted.
 """
 
 from collections.abc import Callable
--- a/citronmount/telemetry/stage_timer.py
+++ b/citronmount/telemetry/stage_timer.py
@@ -1,4 +1,4 @@
-"""Times the stages of jobs and short requests from time line events."""
+"""Measures the stages of jobs and short requests from timeline events."""
 
 import collections
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 
 __all__ = ["StageTimer"]
 
-MAX_OPEN = 50_000
+MAX_UNFINISHED = 50_000
 
 _Handler = Callable[["StageTimer", timeline_events.TimelineEvent], None]
 _HANDLERS: dict[timeline_events.EventKind, _Handler] = {}
 
 
-def _on(kind: timeline_events.EventKind) -> Callable[[_Handler], _Handler]:
-    """Registers the method that takes in one kind of event."""
+def _handles(kind: timeline_events.EventKind) -> Callable[[_Handler], _Handler]:
+    """Returns a decorator that registers the handler of a kind of event."""
 
     def register(handler: _Handler) -> _Handler:
         _HANDLERS[kind] = handler
@@ -26,8 +26,8 @@
     return register
 
 
-class _Work(msgspec.Struct, kw_only=True):
-    """When a job or request came to its stages, in wall-clock ms."""
+class _StageTimes(msgspec.Struct, kw_only=True):
+    """When a job or short request reached its stages, as Unix time in ms."""
 
     accepted_ms: int | None = None
     placed_ms: int | None = None
@@ -36,13 +36,16 @@
 
 
 class StageTimer:
-    """Records how long work stays in each stage, by the account's class.
+    """Records the duration of each stage of the work, by class of account.
 
     Stages of jobs are ``queued`` (accepted to placed), ``starting`` (placed
-    to started), ``running`` (started to ended), ``reclaim`` (asked to give
-    way to placed again) and ``total`` (accepted to ended). The stage of short
-    requests is ``served`` (first sent to answered). Beyond `MAX_OPEN` the
-    oldest open work is forgotten.
+    to started), ``running`` (started to ended), ``reclaim`` (eviction
+    requested to placed again) and ``total`` (accepted to ended). Short
+    requests have the stage ``served`` (first sent to answered).
+
+    Memory is bounded: beyond `MAX_UNFINISHED` jobs and requests, the oldest
+    is forgotten, and its stages that end later are not recorded. Stages that
+    began on another VM are not recorded either.
     """
 
     def __init__(
@@ -51,77 +54,78 @@
         metrics: metrics_registry.MetricsRegistry,
         account_class: Callable[[str], str],
     ) -> None:
-        """Initializes a timer without open work.
+        """Initializes a timer that has observed no events.
 
         Args:
-            metrics: Gets the durations.
-            account_class: Returns the class of an account, for example paying.
+            metrics: The registry that the durations are recorded in.
+            account_class: Returns the class of a client account, for example
+                ``paying``.
         """
         self._metrics = metrics
         self._account_class = account_class
-        self._open: collections.OrderedDict[str, _Work] = (
+        self._unfinished: collections.OrderedDict[str, _StageTimes] = (
             collections.OrderedDict()
         )
 
     def observe(self, event: timeline_events.TimelineEvent) -> None:
-        """Takes in an event of this VM.
+        """Records the stages that an event of this VM ends.
 
         Args:
-            event: The event.
+            event: The event; kinds that end or begin no stage are ignored.
         """
         handler = _HANDLERS.get(event.kind)
         if handler is not None:
             handler(self, event)
 
-    @_on(timeline_events.EventKind.JOB_ACCEPTED)
-    def _accepted(self, event: timeline_events.TimelineEvent) -> None:
-        self._work(event.job).accepted_ms = event.physical_ms
-
-    @_on(timeline_events.EventKind.JOB_EVICTING)
-    def _evicting(self, event: timeline_events.TimelineEvent) -> None:
-        self._work(event.job).evicting_ms = event.physical_ms
-
-    @_on(timeline_events.EventKind.JOB_PLACED)
-    def _placed(self, event: timeline_events.TimelineEvent) -> None:
-        work = self._work(event.job)
-        if work.evicting_ms is not None:
-            self._record(event, "reclaim", work.evicting_ms)
-        elif work.placed_ms is None:
-            self._record(event, "queued", work.accepted_ms)
-        work.evicting_ms = None
-        work.placed_ms = event.physical_ms
-
-    @_on(timeline_events.EventKind.JOB_STARTED)
-    def _started(self, event: timeline_events.TimelineEvent) -> None:
-        work = self._work(event.job)
-        self._record(event, "starting", work.placed_ms)
-        work.started_ms = event.physical_ms
-
-    @_on(timeline_events.EventKind.JOB_ENDED)
-    def _ended(self, event: timeline_events.TimelineEvent) -> None:
-        work = self._open.pop(event.job, _Work())
-        self._record(event, "running", work.started_ms)
-        self._record(event, "total", work.accepted_ms)
-
-    @_on(timeline_events.EventKind.REQUEST_SENT)
-    def _sent(self, event: timeline_events.TimelineEvent) -> None:
-        work = self._work(event.request.partition("~")[0])
-        if work.started_ms is None:
-            work.started_ms = event.physical_ms
-
-    @_on(timeline_events.EventKind.REQUEST_ANSWERED)
-    def _answered(self, event: timeline_events.TimelineEvent) -> None:
-        name = event.request.partition("~")[0]
-        work = self._open.pop(name, _Work())
-        self._record(event, "served", work.started_ms, kind="request")
-
-    def _work(self, name: str) -> _Work:
-        work = self._open.get(name)
-        if work is None:
-            work = self._open[name] = _Work()
-            if len(self._open) > MAX_OPEN:
-                self._open.popitem(last=False)
-        return work
+    @_handles(timeline_events.EventKind.JOB_ACCEPTED)
+    def _on_accepted(self, event: timeline_events.TimelineEvent) -> None:
+        self._times_of(event.job).accepted_ms = event.physical_ms
+
+    @_handles(timeline_events.EventKind.JOB_EVICTING)
+    def _on_evicting(self, event: timeline_events.TimelineEvent) -> None:
+        self._times_of(event.job).evicting_ms = event.physical_ms
+
+    @_handles(timeline_events.EventKind.JOB_PLACED)
+    def _on_placed(self, event: timeline_events.TimelineEvent) -> None:
+        times = self._times_of(event.job)
+        if times.evicting_ms is not None:
+            self._record(event, "reclaim", times.evicting_ms)
+        elif times.placed_ms is None:
+            self._record(event, "queued", times.accepted_ms)
+        times.evicting_ms = None
+        times.placed_ms = event.physical_ms
+
+    @_handles(timeline_events.EventKind.JOB_STARTED)
+    def _on_started(self, event: timeline_events.TimelineEvent) -> None:
+        times = self._times_of(event.job)
+        self._record(event, "starting", times.placed_ms)
+        times.started_ms = event.physical_ms
+
+    @_handles(timeline_events.EventKind.JOB_ENDED)
+    def _on_ended(self, event: timeline_events.TimelineEvent) -> None:
+        times = self._unfinished.pop(event.job, _StageTimes())
+        self._record(event, "running", times.started_ms)
+        self._record(event, "total", times.accepted_ms)
+
+    @_handles(timeline_events.EventKind.REQUEST_SENT)
+    def _on_sent(self, event: timeline_events.TimelineEvent) -> None:
+        times = self._times_of(event.request.partition("~")[0])
+        if times.started_ms is None:
+            times.started_ms = event.physical_ms
+
+    @_handles(timeline_events.EventKind.REQUEST_ANSWERED)
+    def _on_answered(self, event: timeline_events.TimelineEvent) -> None:
+        request = event.request.partition("~")[0]
+        times = self._unfinished.pop(request, _StageTimes())
+        self._record(event, "served", times.started_ms, kind="request")
+
+    def _times_of(self, work_id: str) -> _StageTimes:
+        times = self._unfinished.get(work_id)
+        if times is None:
+            times = self._unfinished[work_id] = _StageTimes()
+            if len(self._unfinished) > MAX_UNFINISHED:
+                self._unfinished.popitem(last=False)
+        return times
 
     def _record(
         self,
--- a/citronmount/telemetry/tests/test_bounded_logs.py
+++ b/citronmount/telemetry/tests/test_bounded_logs.py
@@ -26,7 +26,7 @@
         text = os.read(self.reader, 1 << 20).decode("utf-8")
         return text.splitlines()
 
-    def test_burst_of_ten_times_the_rate_is_bounded_and_counted(self) -> None:
+    def test_burst_of_ten_times_the_rate_is_limited_and_counted(self) -> None:
         for step in range(10):
             self.now_s = step * 0.1
             for _ in range(bounded_sink.LINES_PER_S):
@@ -34,10 +34,12 @@
                 os.set_blocking(self.reader, False)
             self.read()
         written = 10 * bounded_sink.LINES_PER_S - self.sink.dropped_lines
-        most = bounded_sink.BURST_LINES + bounded_sink.LINES_PER_S
-        self.assertLessEqual(written, most)
+        allowed = bounded_sink.BURST_LINES + bounded_sink.LINES_PER_S
+        self.assertLessEqual(written, allowed)
 
-    def test_warnings_pass_while_routine_lines_are_dropped(self) -> None:
+    def test_warnings_are_written_while_routine_lines_are_dropped(
+        self,
+    ) -> None:
         while not self.sink.dropped_lines:
             self.sink.write('{"level":"info"}\n')
         self.read()
@@ -46,14 +48,14 @@
         self.assertIn(WARNING.strip(), lines)
         self.assertIn("log_lines_dropped", lines[0])
 
-    def test_reader_that_stands_still_does_not_block(self) -> None:
+    def test_stalled_reader_does_not_block_the_writer(self) -> None:
         for step in range(400):
             self.now_s = float(step)
             for _ in range(20):
                 self.sink.write("x" * 200 + WARNING)
         self.assertGreater(self.sink.dropped_lines, 0)
 
-    def test_long_line_is_cut(self) -> None:
+    def test_long_line_is_truncated(self) -> None:
         self.sink.write("z" * 10_000 + "\n")
         (line,) = self.read()
         self.assertLess(len(line), bounded_sink.MAX_LINE_BYTES)
@@ -61,22 +63,22 @@
 
 class EventMetricsTest(unittest.TestCase):
     def test_events_become_counters_and_histograms(self) -> None:
-        kept = metrics_registry.MetricsRegistry()
-        count = event_metrics.EventMetrics(metrics=kept)
+        registry = metrics_registry.MetricsRegistry()
+        processor = event_metrics.EventMetrics(metrics=registry)
         for waited_ms in (5, 7):
             event = {"event": "placed", "waited_ms": waited_ms, "kind": "a"}
-            self.assertIs(event, count(None, "info", event))
-        text = exposition.render(kept.snapshot())
+            self.assertIs(event, processor(None, "info", event))
+        text = exposition.render(registry.snapshot())
         self.assertIn('count_total{name="events.placed"} 2', text)
         self.assertIn('count_total{name="events.placed.kind.a"} 2', text)
         self.assertIn(
             'duration_ms_count{event="placed",stage="waited"} 2', text
         )
 
-    def test_text_is_made_of_single_values(self) -> None:
-        kept = metrics_registry.MetricsRegistry()
-        kept.register_gauge('odd"name', lambda: 1.5)
-        text = exposition.render(kept.snapshot())
+    def test_quotes_in_names_are_escaped(self) -> None:
+        registry = metrics_registry.MetricsRegistry()
+        registry.register_gauge('odd"name', lambda: 1.5)
+        text = exposition.render(registry.snapshot())
         self.assertEqual('citronmount_gauge{name="odd\\"name"} 1.5\n', text)
         self.assertTrue(msgspec.json.encode(text))
 
--- a/citronmount/telemetry/tests/test_job_history.py
+++ b/citronmount/telemetry/tests/test_job_history.py
@@ -26,36 +26,40 @@
     ]
 
 
-class JobStoryTest(unittest.TestCase):
-    def story(self, lines: list[str]) -> job_history.JobHistory:
+class JobHistoryTest(unittest.TestCase):
+    def history(self, lines: list[str]) -> job_history.JobHistory:
         return job_history.job_histories(lines)[JOB]
 
-    def test_lines_that_are_no_log_lines_are_skipped(self) -> None:
+    def test_text_that_is_no_log_line_is_skipped(self) -> None:
         for text in ("", "{", "Traceback", '{"event": "x"}', "[]"):
             self.assertIsNone(job_history.parse(text))
 
-    def test_what_comes_before_the_line_is_skipped(self) -> None:
+    def test_prefix_of_a_log_line_is_ignored(self) -> None:
         text = "  1.5 vm-1 " + line(1, "job_submitted", job=JOB)
         self.assertEqual(JOB, job_history.parse(text).job)
 
-    def test_time_is_split_by_phase(self) -> None:
-        spent = self.story(
+    def test_time_is_attributed_to_phases(self) -> None:
+        spent = self.history(
             gang_log_lines(0.6, 0.9, 2.9, 4.0)
         ).phase_durations_ms()
         self.assertAlmostEqual(300, spent[job_history.Phase.STARTING], 3)
-        self.assertAlmostEqual(2_000, spent[job_history.Phase.WORKING], 3)
-        self.assertAlmostEqual(1_100, spent[job_history.Phase.RECORDING], 3)
-
-    def test_job_in_time_is_not_late(self) -> None:
-        found = job_history.job_histories(gang_log_lines(0.6, 0.7, 2.7, 2.8))
-        self.assertEqual([], job_history.late_jobs(found))
-
-    def test_late_job_names_its_main_loss(self) -> None:
-        found = job_history.job_histories(gang_log_lines(0.6, 0.7, 2.7, 4.8))
-        late = job_history.late_jobs(found)
-        self.assertIs(job_history.Phase.RECORDING, late[0].longest_delay())
-
-    def test_runs_that_came_to_nothing_are_told_with_their_cause(self) -> None:
+        self.assertAlmostEqual(2_000, spent[job_history.Phase.LAST_RUN], 3)
+        self.assertAlmostEqual(1_100, spent[job_history.Phase.COMPLETION], 3)
+
+    def test_job_within_its_objective_is_not_late(self) -> None:
+        histories = job_history.job_histories(
+            gang_log_lines(0.6, 0.7, 2.7, 2.8)
+        )
+        self.assertEqual([], job_history.late_jobs(histories))
+
+    def test_late_job_names_its_longest_delay(self) -> None:
+        histories = job_history.job_histories(
+            gang_log_lines(0.6, 0.7, 2.7, 4.8)
+        )
+        late = job_history.late_jobs(histories)
+        self.assertIs(job_history.Phase.COMPLETION, late[0].longest_delay())
+
+    def test_incomplete_runs_are_counted_by_cause(self) -> None:
         unit = f"{JOB}.0.0"
         lines = [
             *gang_log_lines(0.6, 0.7, 4.7, 4.8),
@@ -63,36 +67,43 @@
             line(3.0, "unit_placed", unit=unit, priority=0, waited_ms=100),
             line(3.1, "run_started", unit=unit),
         ]
-        story = self.story(lines)
-        self.assertIs(job_history.Phase.REPEATING, story.longest_delay())
-        self.assertEqual({"preempted": 1}, dict(story.count_failure_causes()))
+        history = self.history(lines)
+        self.assertIs(
+            job_history.Phase.INCOMPLETE_RUNS, history.longest_delay()
+        )
+        self.assertEqual({"preempted": 1}, dict(history.count_failure_causes()))
 
-    def test_run_that_a_new_owner_tells_again_began_when_first_told(
+    def test_run_logged_again_by_a_new_owner_keeps_its_first_start(
         self,
     ) -> None:
+        # A new owner logs run_started again for runs in progress. Counting
+        # from that line would turn time at work into lost time.
         lines = gang_log_lines(0.6, 0.7, 2.7, 2.8)
-        again = line(2.2, "run_started", unit=f"{JOB}.0.0")
-        story = self.story([*lines, again])
-        spent = story.phase_durations_ms()
-        self.assertAlmostEqual(2_000, spent[job_history.Phase.WORKING], 3)
-        self.assertEqual([], job_history.late_jobs({JOB: story}))
-
-    def test_job_that_nobody_decided_on_lost_that_time(self) -> None:
-        found = job_history.job_histories(gang_log_lines(3.5, 3.6, 5.6, 5.7))
-        late = job_history.late_jobs(found)
-        self.assertIs(job_history.Phase.UNDECIDED, late[0].longest_delay())
-
-    def test_line_without_slack_is_judged_by_its_objective(self) -> None:
-        old = {"age_ms": 3_000, "objective_ms": 2_500}
+        repeated = line(2.2, "run_started", unit=f"{JOB}.0.0")
+        history = self.history([*lines, repeated])
+        spent = history.phase_durations_ms()
+        self.assertAlmostEqual(2_000, spent[job_history.Phase.LAST_RUN], 3)
+        self.assertEqual([], job_history.late_jobs({JOB: history}))
+
+    def test_time_before_the_first_decision_is_lost(self) -> None:
+        histories = job_history.job_histories(
+            gang_log_lines(3.5, 3.6, 5.6, 5.7)
+        )
+        late = job_history.late_jobs(histories)
+        self.assertIs(job_history.Phase.AWAITING_OWNER, late[0].longest_delay())
+
+    def test_job_logged_without_slack_is_judged_by_its_objective(self) -> None:
+        # Log lines of an older version have no slack_factor and margin_ms.
+        old_finish = {"age_ms": 3_000, "objective_ms": 2_500}
         lines = gang_log_lines(0.6, 0.7, 2.7, 2.8)[:-1]
-        lines.append(line(2.8, "job_finished", job=JOB, **old))
+        lines.append(line(2.8, "job_finished", job=JOB, **old_finish))
         late = job_history.late_jobs(job_history.job_histories(lines))
-        self.assertEqual([JOB], [story.job for story in late])
+        self.assertEqual([JOB], [history.job for history in late])
 
-    def test_refused_submissions_count_from_the_first(self) -> None:
+    def test_refused_submissions_count_as_lost_from_the_first(self) -> None:
         lines = [
             line(0.0, "job_submitted", job=JOB, verdict="not_done"),
             *gang_log_lines(0.6, 0.7, 2.7, 2.8),
         ]
-        spent = self.story(lines).phase_durations_ms()
-        self.assertAlmostEqual(500, spent[job_history.Phase.INTAKE], 3)
+        spent = self.history(lines).phase_durations_ms()
+        self.assertAlmostEqual(500, spent[job_history.Phase.SUBMISSION], 3)
--- a/citronmount/telemetry/tests/test_logs.py
+++ b/citronmount/telemetry/tests/test_logs.py
@@ -15,7 +15,7 @@
 
 
 class LogsTest(unittest.TestCase):
-    """JSON lines."""
+    """Tests the JSON lines of timeline events and of Twisted."""
 
     def setUp(self) -> None:
         self.addCleanup(structlog.reset_defaults)
@@ -28,7 +28,9 @@
             write()
         return list(map(json.loads, self.path.read_text("utf-8").splitlines()))
 
-    def test_event_becomes_one_line_with_its_ids(self) -> None:
+    def test_timeline_event_becomes_one_line_without_empty_fields(
+        self,
+    ) -> None:
         event = timeline_events.TimelineEvent(
             physical_ms=5,
             logical=0,
@@ -44,17 +46,17 @@
             structlog.get_logger().debug("left out")
 
         (line,) = self._lines(write)
-        wanted = {
+        expected = {
             "event": "job_ended",
             "vm": "v1",
             "job": "kr-a/1",
             "account": "é",
             "code_name": codes.ResultCode.DONE.name,
         }
-        self.assertEqual(wanted, {name: line[name] for name in wanted})
+        self.assertEqual(expected, {name: line[name] for name in expected})
         self.assertNotIn("attempt", line)
 
-    def test_faults_that_twisted_tells_become_lines(self) -> None:
+    def test_failures_logged_by_twisted_become_lines(self) -> None:
         twisted_log = logger.Logger()
 
         def write() -> None:
--- a/citronmount/telemetry/tests/test_metrics_registry.py
+++ b/citronmount/telemetry/tests/test_metrics_registry.py
@@ -7,23 +7,23 @@
 from citronmount.telemetry import metrics_registry
 
 
-class MetricsTest(unittest.TestCase):
-    """Histograms, counters and gauges."""
+class MetricsRegistryTest(unittest.TestCase):
+    """Tests histograms, counters and gauges."""
 
-    def test_snapshot(self) -> None:
+    def test_snapshot_holds_all_kinds_of_metrics(self) -> None:
         metrics = metrics_registry.MetricsRegistry()
         for value_ms in range(1, 101):
             metrics.record_duration("job.paying", "queued", value_ms)
         metrics.increment("calls", 2)
         metrics.register_gauge("open", lambda: 7)
-        found = metrics.snapshot()
-        summary = found.histograms[0]
+        snapshot = metrics.snapshot()
+        summary = snapshot.histograms[0]
         self.assertEqual(100, summary.count)
         self.assertAlmostEqual(50.5, summary.mean_ms)
         self.assertAlmostEqual(50, summary.percentiles_ms["50"], delta=1)
         self.assertAlmostEqual(99, summary.percentiles_ms["99"], delta=1)
-        self.assertEqual({"calls": 2}, found.counters)
-        self.assertEqual({"open": 7}, found.gauges)
+        self.assertEqual({"calls": 2}, snapshot.counters)
+        self.assertEqual({"open": 7}, snapshot.gauges)
 
     def test_exported_histograms_can_be_merged(self) -> None:
         metrics = metrics_registry.MetricsRegistry()
--- a/citronmount/telemetry/tests/test_stage_timer.py
+++ b/citronmount/telemetry/tests/test_stage_timer.py
@@ -18,7 +18,7 @@
 
 
 class StageTimerTest(unittest.TestCase):
-    """From events to durations."""
+    """Tests the durations that are derived from events."""
 
     def setUp(self) -> None:
         self.metrics = metrics_registry.MetricsRegistry()
@@ -27,17 +27,17 @@
         )
 
     def _observe(
-        self, *found: timeline_events.TimelineEvent
+        self, *observed: timeline_events.TimelineEvent
     ) -> dict[str, float]:
-        for event in found:
+        for event in observed:
             self.timer.observe(event)
         return {
             f"{summary.work_class}/{summary.stage}": summary.max_ms
             for summary in self.metrics.snapshot().histograms
         }
 
-    def test_life_of_an_evicted_job(self) -> None:
-        found = self._observe(
+    def test_every_stage_of_an_evicted_job_is_recorded(self) -> None:
+        durations_ms = self._observe(
             _event(_KIND.JOB_ACCEPTED, 0, job="j"),
             _event(_KIND.JOB_PLACED, 10, job="j"),
             _event(_KIND.JOB_STARTED, 15, job="j"),
@@ -53,19 +53,21 @@
             "job.trial/running": 30,
             "job.trial/total": 92,
         }
-        self.assertEqual(expected, {k: round(v) for k, v in found.items()})
+        self.assertEqual(
+            expected, {k: round(v) for k, v in durations_ms.items()}
+        )
 
-    def test_request_counts_from_its_first_attempt(self) -> None:
-        found = self._observe(
+    def test_request_is_measured_from_its_first_attempt(self) -> None:
+        durations_ms = self._observe(
             _event(_KIND.REQUEST_SENT, 0, request="q~v-1"),
             _event(_KIND.REQUEST_SENT, 5, request="q~v-2"),
             _event(_KIND.REQUEST_ANSWERED, 9, request="q"),
         )
-        self.assertEqual(9, round(found["request.trial/served"]))
+        self.assertEqual(9, round(durations_ms["request.trial/served"]))
 
-    def test_stages_that_began_elsewhere_are_left_out(self) -> None:
-        found = self._observe(
+    def test_stages_that_began_on_another_vm_are_not_recorded(self) -> None:
+        durations_ms = self._observe(
             _event(_KIND.JOB_STARTED, 5, job="j"),
             _event(_KIND.JOB_ENDED, 9, job="j"),
         )
-        self.assertEqual(["job.trial/running"], list(found))
+        self.assertEqual(["job.trial/running"], list(durations_ms))
--- a/citronmount/telemetry/timeline_events.py
+++ b/citronmount/telemetry/timeline_events.py
@@ -1,4 +1,4 @@
-"""Events of the time line over all processes."""
+"""Events of the timeline that spans all processes."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class EventKind(enum.Enum):
-    """What happened, as told by the process that saw it."""
+    """What happened, as recorded by the process that observed it."""
 
     VM_STARTED = "vm_started"
     VM_RESUMED_LATE = "vm_resumed_late"
@@ -39,26 +39,29 @@
 class TimelineEvent(
     msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True
 ):
-    """One event with its hybrid logical time.
+    """An event with its hybrid logical time.
 
-    The pair (`physical_ms`, `logical`) orders events over all processes as in
-    Kulkarni et al., "Logical Physical Clocks", OPODIS 2014.
+    The pair (`physical_ms`, `logical`) orders events across processes as in
+    Kulkarni et al., "Logical Physical Clocks", OPODIS 2014. Fields that do
+    not apply to an event are empty or 0.
 
     Attributes:
-        physical_ms: Wall-clock part in ms since the epoch.
-        logical: Logical part, to order events of the same ms.
-        process: The VM, worker or runner that saw it.
+        physical_ms: Physical part of the time, as Unix time in ms.
+        logical: Logical part of the time, which orders events of the same
+            ms.
+        process: The VM, worker or runner that observed the event.
         kind: What happened.
-        job: The job, if any.
-        attempt: The attempt, if any.
-        request: The short request, if any.
-        account: The client account, if any.
-        target: The worker or runner, if any.
-        failure_domain: The failure domain, if any.
-        version: Configuration version, if any.
-        code: The number of a result code, if any.
-        count: Tasks, targets or other amount, as the kind says.
-        detail: More for a person.
+        job: The job.
+        attempt: The attempt of the job.
+        request: The short request.
+        account: The client account.
+        target: The worker or runner that the event concerns.
+        failure_domain: The failure domain.
+        version: The configuration version.
+        code: The number of the result code.
+        count: An amount whose meaning depends on the kind, for example a
+            number of tasks.
+        detail: Further information for people.
     """
 
     physical_ms: int
--- a/citronmount/telemetry/timeline_store.py
+++ b/citronmount/telemetry/timeline_store.py
@@ -1,4 +1,4 @@
-"""Keeps the newest events of a VM's time line in bounded memory."""
+"""Stores the newest timeline events of a VM in bounded memory."""
 
 import collections
 from collections.abc import Iterator
@@ -12,13 +12,13 @@
 
 
 class TimelineFilter(msgspec.Struct, frozen=True, kw_only=True):
-    """Which events to return; empty fields match all.
+    """Selects timeline events; empty fields match every event.
 
     Attributes:
         job: Only events of this job.
         account: Only events of this client account.
         target: Only events of this target.
-        limit: The most events to return, newest first.
+        limit: Maximum number of events to return; the newest are chosen.
     """
 
     job: str = ""
@@ -27,13 +27,10 @@
     limit: int = 1_000
 
     def matches(self, event: timeline_events.TimelineEvent) -> bool:
-        """Returns whether an event passes.
+        """Returns whether all non-empty fields equal those of an event.
 
         Args:
-            event: The event.
-
-        Returns:
-            Whether every field that is set equals the event's.
+            event: The event to compare with. `limit` plays no part.
         """
         return (
             self.job in ("", event.job)
@@ -43,11 +40,12 @@
 
 
 class TimelineExcerpt(msgspec.Struct, frozen=True, kw_only=True):
-    """What a search brought.
+    """The result of a search in a timeline store.
 
     Attributes:
-        events: The events, oldest first.
-        dropped: How many older events the store has let go.
+        events: The matching events, oldest first.
+        dropped: Number of older events that the store has discarded since it
+            was created, whether they match or not.
     """
 
     events: tuple[timeline_events.TimelineEvent, ...]
@@ -55,13 +53,13 @@
 
 
 class TimelineStore:
-    """The newest events of one VM, oldest dropped first."""
+    """A bounded store of timeline events that discards the oldest first."""
 
     def __init__(self, *, max_events: int) -> None:
         """Initializes an empty store.
 
         Args:
-            max_events: How many events are kept.
+            max_events: Maximum number of events in the store.
         """
         self._events: collections.deque[timeline_events.TimelineEvent] = (
             collections.deque(maxlen=max_events)
@@ -69,30 +67,32 @@
         self._added = 0
 
     def add(self, event: timeline_events.TimelineEvent) -> None:
-        """Keeps an event and drops the oldest one if the store is full.
+        """Adds an event and discards the oldest one if the store is full.
 
         Args:
-            event: The event.
+            event: The newest event.
         """
         self._events.append(event)
         self._added += 1
 
-    def find(self, wanted: TimelineFilter) -> TimelineExcerpt:
-        """Returns the newest events that pass a filter.
+    def find(self, event_filter: TimelineFilter) -> TimelineExcerpt:
+        """Returns the newest events that match a filter.
 
         Args:
-            wanted: The filter.
+            event_filter: Selects the events and limits their number.
 
         Returns:
-            The events and how many were dropped before.
+            The events and the number of discarded events.
         """
-        newest = itertools.islice(self._newest(wanted), wanted.limit)
+        newest = itertools.islice(
+            self._newest_first(event_filter), event_filter.limit
+        )
         found = tuple(newest)[::-1]
         return TimelineExcerpt(
             events=found, dropped=self._added - len(self._events)
         )
 
-    def _newest(
-        self, wanted: TimelineFilter
+    def _newest_first(
+        self, event_filter: TimelineFilter
     ) -> Iterator[timeline_events.TimelineEvent]:
-        return filter(wanted.matches, reversed(self._events))
+        return filter(event_filter.matches, reversed(self._events))
