--- a/citronmount/telemetry/job_history.py
+++ b/citronmount/telemetry/job_history.py
@@ -112,7 +112,7 @@
         started = _starts_of_last_run(unit_lines)
         ended = [line for line in unit_lines if line.event == _RUN_ENDED]
         if placed and started and ended:
-            waited_s = sum(_waited_s(line) for line in placed)
+            waited_s = sum(_waited_s(placement) for placement in placed)
             ready_s = placed[0].time_s - _waited_s(placed[0])
             ready_to_last_placed_s = placed[-1].time_s - ready_s
             phase_until_ready = (
@@ -264,7 +264,9 @@
     """
     starts = [line for line in lines if line.event == _RUN_STARTED]
     runs = [line.fields.get("run", 0) for line in starts]
-    return [line for line in starts if line.fields.get("run", 0) == max(runs)]
+    return [
+        start for start in starts if start.fields.get("run", 0) == max(runs)
+    ]
 
 
 def _waited_s(line: LogLine) -> float:
