--- a/citronmount/testing/__init__.py
+++ b/citronmount/testing/__init__.py
@@ -1,1 +1,1 @@
-"""The test runner of the project."""
+"""The test runner of the project and helpers for tests."""
--- a/citronmount/testing/__main__.py
+++ b/citronmount/testing/__main__.py
@@ -1,7 +1,8 @@
-"""Runs all tests and prints the slowest and one closing line with counts.
+"""Runs tests and prints the slowest tests and a closing line with counts.
 
-Tests listed in KNOWN-RED.txt may fail; they are printed and do not fail the
-run. Every other failure does.
+Tests listed in KNOWN-RED.txt may fail: they are printed and do not make the
+run fail. Any other failure does. CI reads the closing line and the lines that
+start with ``known red:``.
 """
 
 import argparse
@@ -12,45 +13,51 @@
 
 __all__ = ["main"]
 
-_KNOWN_RED = pathlib.Path("KNOWN-RED.txt")
-_SLOWEST = 10
+_KNOWN_RED_PATH = pathlib.Path("KNOWN-RED.txt")
+_SLOWEST_TESTS_SHOWN = 10
 
 
 class _TimedResult(unittest.TextTestResult):
-    """Notes how long each test took, and each module as it begins."""
+    """A test result that times each test and prints module names.
+
+    Attributes:
+        durations_s: Duration of each finished test, by test id.
+    """
 
     def __init__(self, *args: object, **options: object) -> None:
         super().__init__(*args, **options)
-        self.took_s: dict[str, float] = {}
-        self._began_s = 0.0
-        self._module = ""
+        self.durations_s: dict[str, float] = {}
+        self._started_s = 0.0
+        self._current_module = ""
 
     def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802
         module = type(test).__module__
-        if module != self._module:
-            self._module = module
+        if module != self._current_module:
+            self._current_module = module
             self.stream.writeln(f"\n{module}")
-        self._began_s = time.monotonic()
+        self._started_s = time.monotonic()
         super().startTest(test)
 
     def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802
         super().stopTest(test)
-        self.took_s[test.id()] = time.monotonic() - self._began_s
+        self.durations_s[test.id()] = time.monotonic() - self._started_s
 
 
-def _print_slowest(took_s: dict[str, float]) -> None:
-    ranked = sorted(took_s, key=took_s.__getitem__, reverse=True)
+def _print_slowest(durations_s: dict[str, float]) -> None:
+    slowest_first = sorted(
+        durations_s, key=durations_s.__getitem__, reverse=True
+    )
     print("slowest tests:")
-    for test in ranked[:_SLOWEST]:
-        print(f"{took_s[test]:7.1f} s  {test}")
-    print(f"{sum(took_s.values()):7.1f} s  all {len(took_s)}")
+    for test in slowest_first[:_SLOWEST_TESTS_SHOWN]:
+        print(f"{durations_s[test]:7.1f} s  {test}")
+    print(f"{sum(durations_s.values()):7.1f} s  all {len(durations_s)}")
 
 
-def _known_red() -> frozenset[str]:
-    """Returns the test ids that the project lists as failing."""
-    if not _KNOWN_RED.exists():
+def _known_red_ids() -> frozenset[str]:
+    """Returns the ids of the tests that KNOWN-RED.txt lists as failing."""
+    if not _KNOWN_RED_PATH.exists():
         return frozenset()
-    lines = _KNOWN_RED.read_text(encoding="utf-8").splitlines()
+    lines = _KNOWN_RED_PATH.read_text(encoding="utf-8").splitlines()
     return frozenset(
         line.split("|")[0].strip()
         for line in lines
@@ -58,18 +65,19 @@
     )
 
 
-def _failed_ids(result: unittest.TestResult) -> list[str]:
+def _failed_test_ids(result: unittest.TestResult) -> list[str]:
     return [test.id() for test, _ in (*result.failures, *result.errors)]
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the tests of the named packages or of the whole project.
+    """Runs the tests below a directory, by default those of the project.
 
     Args:
         argv: Arguments without the program name, or None for `sys.argv`.
 
     Returns:
-        0 if every test passed that is not listed in KNOWN-RED.txt.
+        The exit status: 0 if at least one test ran and only tests listed in
+        KNOWN-RED.txt failed, otherwise 1.
     """
     parser = argparse.ArgumentParser(prog="citronmount.testing")
     parser.add_argument("directory", nargs="?", default="citronmount")
@@ -80,17 +88,17 @@
         verbosity=2 if args.verbose else 1, resultclass=_TimedResult
     )
     result = runner.run(suite)
-    _print_slowest(result.took_s)
-    known = _known_red()
-    failed = _failed_ids(result)
-    tolerated = [test for test in failed if test in known]
-    for test in tolerated:
+    _print_slowest(result.durations_s)
+    known_red_ids = _known_red_ids()
+    failed = _failed_test_ids(result)
+    known_red = [test for test in failed if test in known_red_ids]
+    for test in known_red:
         print(f"known red: {test}")
     skipped = len(result.skipped)
     passed = result.testsRun - len(failed) - skipped
     print(f"{passed} passed, {len(failed)} failed, {skipped} skipped")
-    ran = result.testsRun > 0
-    return 0 if ran and len(tolerated) == len(failed) else 1
+    any_ran = result.testsRun > 0
+    return 0 if any_ran and len(known_red) == len(failed) else 1
 
 
 if __name__ == "__main__":
--- a/citronmount/testing/code_table.py
+++ b/citronmount/testing/code_table.py
@@ -1,6 +1,6 @@
-"""Makes the page of result codes from their enumeration.
+"""Generates the documentation page of result codes from their enumeration.
 
-``python -m citronmount.testing.code_table`` writes the page anew.
+``python -m citronmount.testing.code_table`` overwrites the page.
 """
 
 from collections.abc import Iterator
@@ -13,8 +13,8 @@
 
 PAGE_PATH = pathlib.Path("docs/CODES.md")
 
-_FAMILY = 1_000
-_FAMILIES = {
+_CODES_PER_FAMILY = 1_000
+_FAMILY_TITLES = {
     1: "Good results",
     2: "Final refusals",
     3: "Refusals worth a later retry",
@@ -24,7 +24,7 @@
     7: "Results of a configuration change",
     9: "Faults of the system",
 }
-_HEAD = """\
+_INTRODUCTION = """\
 # Result codes
 
 Every answer of the system carries one of these codes. The page is made from
@@ -37,30 +37,30 @@
 
 
 def render_page() -> str:
-    """Returns the whole page of result codes."""
-    return "\n".join(itertools.chain([_HEAD], _tables()))
+    """Returns the page of result codes as Markdown text."""
+    return "\n".join(itertools.chain([_INTRODUCTION], _table_lines()))
 
 
-def _tables() -> Iterator[str]:
-    rows = sorted(codes.CODES.values(), key=lambda row: row.code)
+def _table_lines() -> Iterator[str]:
+    code_infos = sorted(codes.CODES.values(), key=lambda info: info.code)
     for family, members in itertools.groupby(
-        rows, key=lambda row: row.code // _FAMILY
+        code_infos, key=lambda info: info.code // _CODES_PER_FAMILY
     ):
-        yield f"## {family}xxx: {_FAMILIES[family]}\n"
+        yield f"## {family}xxx: {_FAMILY_TITLES[family]}\n"
         yield "| code | name | not run | retry | meaning | what to do |"
         yield "|---|---|---|---|---|---|"
-        yield from map(_row, members)
+        yield from map(_table_row, members)
         yield ""
 
 
-def _row(row: codes.CodeInfo) -> str:
+def _table_row(info: codes.CodeInfo) -> str:
     cells = (
-        str(int(row.code)),
-        f"`{row.code.name}`",
-        "yes" if row.proves_not_run else "no",
-        "yes" if row.retry else "no",
-        row.meaning,
-        row.action,
+        str(int(info.code)),
+        f"`{info.code.name}`",
+        "yes" if info.proves_not_run else "no",
+        "yes" if info.retry else "no",
+        info.meaning,
+        info.action,
     )
     return f"| {' | '.join(cells)} |"
 
--- a/citronmount/testing/documents.py
+++ b/citronmount/testing/documents.py
@@ -1,4 +1,4 @@
-"""Reads the project's documents: their links and their examples."""
+"""Extracts links and HTTP examples from the project's Markdown files."""
 
 from collections.abc import Iterator
 import pathlib
@@ -11,20 +11,21 @@
 
 _LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
 _EXTERNAL = ("http://", "https://", "mailto:")
-_EXAMPLE = re.compile(
+_CURL_EXAMPLE = re.compile(
     r"Answers `(\d{3})`:\n\n```sh\n(curl .+?)\n```", re.DOTALL
 )
-_IGNORED = frozenset({".venv", "build", "dist", "node_modules"})
+_IGNORED_DIRECTORIES = frozenset({".venv", "build", "dist", "node_modules"})
 
 
 class CurlExample(msgspec.Struct, frozen=True, kw_only=True):
-    """One call of the HTTP API as a document shows it.
+    """A call of the HTTP API that is shown in a document.
 
     Attributes:
-        status: The HTTP status that the document promises.
+        status: The HTTP status that the document states for the call.
         method: The HTTP method.
-        url: The URL, with variables.
-        body: The body, or the name of a file after ``@``.
+        url: The URL, in which shell variables are not expanded.
+        body: The request body, or ``@`` followed by the name of a file that
+            contains it; empty if there is none.
     """
 
     status: int
@@ -34,27 +35,27 @@
 
 
 def markdown_files(root: pathlib.Path) -> Iterator[pathlib.Path]:
-    """Yields every document of the project.
+    """Yields the Markdown files of the project, sorted by path.
 
     Args:
-        root: The root of the repository.
+        root: The root directory of the repository.
 
     Yields:
-        The paths of the Markdown files.
+        The path of each file outside of `_IGNORED_DIRECTORIES`.
     """
     for path in sorted(root.rglob("*.md")):
-        if _IGNORED.isdisjoint(path.relative_to(root).parts):
+        if _IGNORED_DIRECTORIES.isdisjoint(path.relative_to(root).parts):
             yield path
 
 
 def broken_links(document: pathlib.Path) -> list[str]:
-    """Returns the relative links of a document that lead nowhere.
+    """Returns the relative links of a document whose target does not exist.
 
     Args:
         document: A Markdown file.
 
     Returns:
-        The targets of the links, as written.
+        The link targets as they are written, without fragments.
     """
     links = _LINK.findall(document.read_text(encoding="utf-8"))
     return [
@@ -66,28 +67,28 @@
 
 
 def curl_examples(document: pathlib.Path) -> Iterator[CurlExample]:
-    """Yields the examples that a document promises an HTTP status for.
+    """Yields the curl examples of a document that state an HTTP status.
 
     Args:
         document: A Markdown file.
 
     Yields:
-        The examples, in order.
+        The examples in the order of the document.
     """
     text = document.read_text(encoding="utf-8")
-    for status, command in _EXAMPLE.findall(text):
-        yield _parse(int(status), shlex.split(command)[1:])
+    for status, command in _CURL_EXAMPLE.findall(text):
+        yield _parse_curl_arguments(int(status), shlex.split(command)[1:])
 
 
-def _parse(status: int, arguments: list[str]) -> CurlExample:
+def _parse_curl_arguments(status: int, arguments: list[str]) -> CurlExample:
     method = "GET"
     body = url = ""
-    rest = iter(arguments)
-    for argument in rest:
+    remaining = iter(arguments)
+    for argument in remaining:
         if argument == "-X":
-            method = next(rest)
+            method = next(remaining)
         elif argument in ("-d", "--data-binary"):
-            body = next(rest)
+            body = next(remaining)
         else:
             url = argument
     return CurlExample(status=status, method=method, url=url, body=body)
--- a/citronmount/testing/reactor_loop.py
+++ b/citronmount/testing/reactor_loop.py
@@ -1,4 +1,8 @@
-"""Runs coroutines of tests on the reactor, without stopping it."""
+"""Runs coroutines on the reactor in tests, without stopping the reactor.
+
+A Twisted reactor that was stopped cannot be started again, so tests iterate
+the global reactor instead of running it.
+"""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -12,31 +16,33 @@
 
 __all__ = ["run", "wait_until"]
 
-HANG_LIMIT_S = 120
-POLL_S = 0.01
+COROUTINE_TIMEOUT_S = 120
+POLL_INTERVAL_S = 0.01
 
 _Result = typing.TypeVar("_Result")
 
 
 def run(coroutine: Coroutine[object, object, _Result]) -> _Result:
-    """Runs a coroutine to its end by turning the reactor.
+    """Runs a coroutine to its end by iterating the reactor.
 
     Args:
-        coroutine: It may await any Deferred.
+        coroutine: The coroutine, which may await Deferreds.
 
     Returns:
-        What the coroutine returns.
+        The result of the coroutine.
 
     Raises:
-        TimeoutError: The coroutine hangs.
+        TimeoutError: The coroutine did not end within `COROUTINE_TIMEOUT_S`.
     """
     results: list[typing.Any] = []
     defer.ensureDeferred(coroutine).addBoth(results.append)
-    limit_s = time.monotonic() + HANG_LIMIT_S
+    deadline_s = time.monotonic() + COROUTINE_TIMEOUT_S
     while not results:
-        if time.monotonic() > limit_s:
-            raise TimeoutError(f"no end after {HANG_LIMIT_S} s")
-        reactor.iterate(POLL_S)
+        if time.monotonic() > deadline_s:
+            raise TimeoutError(
+                f"coroutine did not end within {COROUTINE_TIMEOUT_S} s"
+            )
+        reactor.iterate(POLL_INTERVAL_S)
     if isinstance(results[0], failure.Failure):
         results[0].raiseException()
     return results[0]
@@ -46,7 +52,7 @@
     """Waits until a condition holds.
 
     Args:
-        condition: Asked on every turn of the reactor.
+        condition: Evaluated every `POLL_INTERVAL_S`.
     """
     while not condition():
-        await task.deferLater(reactor, POLL_S)
+        await task.deferLater(reactor, POLL_INTERVAL_S)
--- a/citronmount/testing/tests/test_code_table.py
+++ b/citronmount/testing/tests/test_code_table.py
@@ -4,9 +4,9 @@
 
 
 class CodeTableTest(unittest.TestCase):
-    def test_page_is_equal_to_the_enumeration(self):
-        written = code_table.PAGE_PATH.read_text(encoding="utf-8")
-        self.assertEqual(written, code_table.render_page())
+    def test_page_of_the_documentation_is_up_to_date(self):
+        committed = code_table.PAGE_PATH.read_text(encoding="utf-8")
+        self.assertEqual(committed, code_table.render_page())
 
 
 if __name__ == "__main__":
--- a/citronmount/testing/tests/test_docstrings.py
+++ b/citronmount/testing/tests/test_docstrings.py
@@ -5,7 +5,7 @@
 
 import citronmount
 
-_PROGRAMS = ("__main__",)
+_PROGRAM_MODULES = ("__main__",)
 
 
 def _module_names():
@@ -14,12 +14,13 @@
         for module in pkgutil.walk_packages(
             citronmount.__path__, f"{citronmount.__name__}."
         )
-        if ".tests" not in module.name and not module.name.endswith(_PROGRAMS)
+        if ".tests" not in module.name
+        and not module.name.endswith(_PROGRAM_MODULES)
     ]
 
 
 class DocstringExamplesTest(unittest.TestCase):
-    def test_examples_of_every_module_hold(self):
+    def test_doctests_of_every_module_pass(self):
         attempted = 0
         for name in _module_names():
             with self.subTest(module=name):
--- a/citronmount/testing/tests/test_documents.py
+++ b/citronmount/testing/tests/test_documents.py
@@ -7,14 +7,14 @@
 
 
 class DocumentsTest(unittest.TestCase):
-    def test_relative_links_lead_somewhere(self):
-        found = list(documents.markdown_files(_ROOT))
-        self.assertTrue(found)
-        for path in found:
+    def test_targets_of_relative_links_exist(self):
+        paths = list(documents.markdown_files(_ROOT))
+        self.assertTrue(paths)
+        for path in paths:
             with self.subTest(path=path):
                 self.assertEqual(documents.broken_links(path), [])
 
-    def test_every_api_example_can_be_read(self):
+    def test_every_api_example_is_parsed(self):
         path = _ROOT / "docs" / "API.md"
         examples = list(documents.curl_examples(path))
         text = path.read_text(encoding="utf-8")
--- a/citronmount/testing/tests/test_root.py
+++ b/citronmount/testing/tests/test_root.py
@@ -2,7 +2,7 @@
 import unittest
 
 ROOT = pathlib.Path(__file__).parents[3]
-FILES = {
+EXPECTED_FILES = {
     ".gitignore",
     "CONTRIBUTING.md",
     "KNOWN-RED.txt",
@@ -14,10 +14,10 @@
 
 
 class RootTest(unittest.TestCase):
-    def test_no_output_of_a_run_lies_at_the_root(self) -> None:
+    def test_root_holds_no_files_generated_by_a_run(self) -> None:
         found = {path.name for path in ROOT.iterdir() if path.is_file()}
         found.discard(".git")
-        self.assertEqual(set(), found - FILES)
+        self.assertEqual(set(), found - EXPECTED_FILES)
 
 
 if __name__ == "__main__":
--- a/citronmount/testing/tests/test_tutorial.py
+++ b/citronmount/testing/tests/test_tutorial.py
@@ -13,7 +13,7 @@
 from citronmount.service import settings
 from citronmount.standins import http
 
-_EXAMPLES = pathlib.Path("examples/tutorial")
+_TUTORIAL_FILES = pathlib.Path("examples/tutorial")
 _PAGES = (
     pathlib.Path("docs/OPERATIONS.md"),
     pathlib.Path("docs/REFERENCE.md"),
@@ -31,29 +31,32 @@
 
 
 class TutorialTest(unittest.TestCase):
-    def test_files_fit_together(self):
-        data = (_EXAMPLES / "standins.toml").read_bytes()
+    def test_tutorial_files_are_consistent(self):
+        data = (_TUTORIAL_FILES / "standins.toml").read_bytes()
         standins = msgspec.toml.decode(data, type=http.StandinSettings)
-        listed = {vm.vm: vm.peer_address for vm in standins.vms}
-        for vm, peer_address in listed.items():
-            loaded = settings.load(_EXAMPLES / f"{vm}.toml")
+        peer_addresses = {vm.vm: vm.peer_address for vm in standins.vms}
+        for vm, peer_address in peer_addresses.items():
+            loaded = settings.load(_TUTORIAL_FILES / f"{vm}.toml")
             self.assertEqual(loaded.listen.peer_address, peer_address)
             self.assertEqual(loaded.platform.log_address, standins.log_address)
-        pool = pool_file.load(_EXAMPLES / "pool.toml")
+        pool = pool_file.load(_TUTORIAL_FILES / "pool.toml")
         self.assertEqual(
             [(worker.rack, worker.capacity) for worker in pool.workers],
             [(worker.rack, worker.capacity) for worker in standins.workers],
         )
-        found = sheet_fit.check(sheet.read(_EXAMPLES / "sheet.csv"), pool)
-        self.assertEqual(found.faults, ())
+        report = sheet_fit.check(
+            sheet.read(_TUTORIAL_FILES / "sheet.csv"), pool
+        )
+        self.assertEqual(report.faults, ())
 
-    def test_commands_of_the_pages_are_known(self):
+    def test_commands_in_the_documentation_exist(self):
         for page in _PAGES:
             for arguments in _commands(page):
                 with self.subTest(page=page, arguments=arguments):
                     self.check_command(main.main, arguments)
 
     def check_command(self, command, arguments):
+        """Checks that the subcommand and all its long options exist."""
         while isinstance(command, click.Group):
             command = command.commands[arguments[0]]
             arguments = arguments[1:]
