--- a/citronmount/testing/tests/test_tutorial.py
+++ b/citronmount/testing/tests/test_tutorial.py
@@ -9,7 +9,7 @@
 from citronmount.cli import main
 from citronmount.config import pool_file
 from citronmount.config import sheet
-from citronmount.config import sheet_fit
+from citronmount.config import sheet_feasibility
 from citronmount.service import settings
 from citronmount.standins import http
 
@@ -44,7 +44,7 @@
             [(worker.rack, worker.capacity) for worker in pool.workers],
             [(worker.rack, worker.capacity) for worker in standins.workers],
         )
-        report = sheet_fit.check(
+        report = sheet_feasibility.check(
             sheet.read(_TUTORIAL_FILES / "sheet.csv"), pool
         )
         self.assertEqual(report.faults, ())
