--- a/citronmount/peers/peer_messages.py
+++ b/citronmount/peers/peer_messages.py
@@ -113,8 +113,8 @@
 
     Attributes:
         spec: The request.
-        claimed: Whether the home failure domain already holds the claim on
-            the idempotency key, so that the receiver only runs the request.
+        claimed: Whether the home failure domain has claimed the idempotency
+            key, so that the receiver only has to run the request.
         offered: Whether the receiver must refuse the request if it cannot
             run it at once, instead of queueing it.
     """
@@ -269,7 +269,7 @@
 
 
 class Heartbeat(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """Periodic sign of life of a VM, with its state.
+    """Tells the peers periodically that a VM is alive, and its state.
 
     Attributes:
         failure_domain: The failure domain that the VM is in.
@@ -382,7 +382,7 @@
 
 
 class ReleaseKey(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """Releases a claim under which nothing was run.
+    """Releases a claim that was never used.
 
     Attributes:
         key: The idempotency key.
@@ -444,8 +444,8 @@
         call: Id of the request that is answered.
         configuration: The peer's folded configuration, if it is reliable.
         jobs: The jobs, claims and results of the failure domain.
-        unappended: Records that the peer stores and that may be missing from
-            the log, because it was unavailable.
+        unappended: Records that the peer stores because the log is
+            unavailable and may not contain them.
         token: The highest known fencing token of the failure domain.
         ready: Whether the peer had finished its own rebuild.
     """
--- a/citronmount/telemetry/job_history.py
+++ b/citronmount/telemetry/job_history.py
@@ -1,4 +1,4 @@
-"""Reconstructs the history of jobs, and where time was lost, from log lines."""
+"""Reconstructs from log lines the history of jobs and where they lost time."""
 
 import collections
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
     "Phase",
     "job_histories",
     "late_jobs",
-    "parse",
+    "parse_line",
 ]
 
 _JOB_SUBMITTED = "job_submitted"
@@ -29,7 +29,7 @@
 
 
 class Phase(enum.Enum):
-    """What a job spends its time on, in chronological order."""
+    """The phases that a job's time is attributed to, in chronological order."""
 
     SUBMISSION = "refused before it was accepted"
     AWAITING_OWNER = "accepted, but no owner decided on it"
@@ -79,7 +79,7 @@
     lines: list[LogLine] = []
 
     @property
-    def finish_line(self) -> LogLine | None:
+    def final_state_line(self) -> LogLine | None:
         """The line with the final state of the job, or None."""
         return next(
             (line for line in self.lines if line.event == _JOB_FINISHED), None
@@ -102,8 +102,8 @@
             are missing.
         """
         accepted_s = self._accepted_s()
-        finish_line = self.finish_line
-        if accepted_s is None or finish_line is None:
+        final_state_line = self.final_state_line
+        if accepted_s is None or final_state_line is None:
             return {}
         spent_s = {Phase.SUBMISSION: accepted_s - self.lines[0].time_s}
         unit = self._last_unit()
@@ -128,7 +128,9 @@
             running_since_s = max(started[0].time_s, placed[-1].time_s)
             spent_s[Phase.STARTING] = running_since_s - placed[-1].time_s
             spent_s[Phase.LAST_RUN] = ended[-1].time_s - running_since_s
-            spent_s[Phase.COMPLETION] = finish_line.time_s - ended[-1].time_s
+            spent_s[Phase.COMPLETION] = (
+                final_state_line.time_s - ended[-1].time_s
+            )
         return {phase: s * _MS_PER_S for phase, s in spent_s.items()}
 
     def longest_delay(self) -> Phase | None:
@@ -164,6 +166,10 @@
         return min(accepted, default=None)
 
     def _last_unit(self) -> str:
+        """Returns the unit whose run ended last, or an empty string.
+
+        The line about the end of a run names a unit or one of its tasks.
+        """
         ended = [line for line in self.lines if line.event == _RUN_ENDED]
         if not ended:
             return ""
@@ -172,7 +178,7 @@
         return task if task in units else task.rpartition(".")[0]
 
 
-def parse(text: str) -> LogLine | None:
+def parse_line(text: str) -> LogLine | None:
     """Parses one line; any text before the first brace is ignored.
 
     Args:
@@ -200,7 +206,7 @@
         The histories by job, for every job that a line names.
     """
     histories: dict[str, JobHistory] = {}
-    for line in filter(None, map(parse, texts)):
+    for line in filter(None, map(parse_line, texts)):
         job = line.job
         if job is not None:
             histories.setdefault(
@@ -240,9 +246,9 @@
     at its end minus its objective.
     """
     spent_ms = history.phase_durations_ms()
-    if Phase.LAST_RUN not in spent_ms or history.finish_line is None:
+    if Phase.LAST_RUN not in spent_ms or history.final_state_line is None:
         return 0.0
-    fields = history.finish_line.fields
+    fields = history.final_state_line.fields
     if "slack_factor" not in fields or "margin_ms" not in fields:
         return float(fields["age_ms"]) - float(fields["objective_ms"])
     work_ms = sum(spent_ms.get(phase, 0.0) for phase in _PRODUCTIVE)
@@ -260,7 +266,7 @@
     """Returns the lines about the start of the newest run of a unit.
 
     A new owner logs the start of a run that is in progress again, so there can
-    be several; the first one tells when the run started.
+    be several lines; the first one has the actual start time.
     """
     starts = [line for line in lines if line.event == _RUN_STARTED]
     runs = [line.fields.get("run", 0) for line in starts]
--- a/citronmount/telemetry/tests/test_job_history.py
+++ b/citronmount/telemetry/tests/test_job_history.py
@@ -32,11 +32,11 @@
 
     def test_text_that_is_no_log_line_is_skipped(self) -> None:
         for text in ("", "{", "Traceback", '{"event": "x"}', "[]"):
-            self.assertIsNone(job_history.parse(text))
+            self.assertIsNone(job_history.parse_line(text))
 
     def test_prefix_of_a_log_line_is_ignored(self) -> None:
         text = "  1.5 vm-1 " + line(1, "job_submitted", job=JOB)
-        self.assertEqual(JOB, job_history.parse(text).job)
+        self.assertEqual(JOB, job_history.parse_line(text).job)
 
     def test_time_is_attributed_to_phases(self) -> None:
         spent = self.history(
