--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -9,22 +9,22 @@
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import vm_process
 from citronmount.fleet_service import vm_settings
-from citronmount.platform import entries
 from citronmount.platform import job_api
-from citronmount.platform import log as log_lib
-from citronmount.platform import runners
-from citronmount.platform import settings as settings_lib
+from citronmount.platform import runner_client
+from citronmount.platform import settings_file
+from citronmount.platform import store_log
+from citronmount.platform import topic_records
 from citronmount.services import exchange
 
-__all__ = ["UsersPlatform", "check", "main", "run"]
+__all__ = ["PlatformAdapter", "check", "main", "run"]
 
 
-class UsersPlatform:
+class PlatformAdapter:
     """The parts of a VM that speak to the platform; see `Adapter`."""
 
     def load(self, path: str) -> vm_settings.VmSettings:
         """Reads a settings file."""
-        return settings_lib.load(path)
+        return settings_file.load(path)
 
     def log(
         self,
@@ -33,7 +33,7 @@
         member: str,
     ) -> ports.Log:
         """Returns the platform's store as the log."""
-        return log_lib.StoreLog(
+        return store_log.StoreLog(
             connections=connections,
             address=settings.log_address,
             member=member,
@@ -45,7 +45,7 @@
         connections: exchange.Exchange,
     ) -> ports.WorkerOrders:
         """Returns the orders that the platform's runners take."""
-        return runners.RunnerOrders(
+        return runner_client.RunnerClient(
             connections=connections, advice_address=settings.advice_address
         )
 
@@ -53,7 +53,7 @@
         self, topic: ports.Topic, record: ports.LogRecord
     ) -> ports.LogEvent | None:
         """Decodes a record of the operators or the runners."""
-        return entries.decode(topic, record)
+        return topic_records.decode(topic, record)
 
     def api(self, front: front_lib.Front) -> vm_process.Api:
         """Returns the interface that the platform's clients call."""
@@ -62,7 +62,7 @@
 
 def check(path: str) -> int:
     """Checks a settings file; see `vm_process.check`."""
-    return vm_process.check(UsersPlatform(), path)
+    return vm_process.check(PlatformAdapter(), path)
 
 
 def run(path: str | None) -> int:
@@ -74,8 +74,8 @@
     Returns:
         The exit status; see `vm_process.run`.
     """
-    named = os.environ.get(settings_lib.SETTINGS_VARIABLE, "")
-    return vm_process.run(UsersPlatform(), path or named)
+    named = os.environ.get(settings_file.SETTINGS_VARIABLE, "")
+    return vm_process.run(PlatformAdapter(), path or named)
 
 
 @click.command()
--- a/citronmount/platform/runners.py
+++ b/citronmount/platform/runner_client.py
@@ -11,9 +11,9 @@
 from citronmount.services import exchange
 from citronmount.workflow import units
 
-__all__ = ["RunnerOrders"]
+__all__ = ["RunnerClient"]
 
-EXPECTED_LIFE_HEADER = "Citronmount-Expect-Instance"
+EXPECTED_INSTANCE_HEADER = "Citronmount-Expect-Instance"
 
 _END_KINDS = {
     "done": commands.EndKind.DONE,
@@ -87,7 +87,7 @@
     finished: list[tuple[int, str, int, str, str]] = []
 
 
-class RunnerOrders:
+class RunnerClient:
     """Makes the calls of `ports.WorkerOrders` at the platform's runners."""
 
     def __init__(
@@ -211,7 +211,7 @@
             timeout_ms,
             headers={
                 "Content-Type": "application/json",
-                EXPECTED_LIFE_HEADER: command.worker.worker,
+                EXPECTED_INSTANCE_HEADER: command.worker.worker,
             },
             body=msgspec.json.encode(body),
         )
--- a/citronmount/platform/log.py
+++ b/citronmount/platform/store_log.py
@@ -26,7 +26,7 @@
     ports.Topic.CONFIGURATION: "keyed.op",
     ports.Topic.WORKERS: "keyed.servers",
 }
-_NOTHING_DONE = (
+_NO_EFFECT_STATUSES = (
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.SERVICE_UNAVAILABLE,
     http.HTTPStatus.INSUFFICIENT_STORAGE,
@@ -244,7 +244,7 @@
 def _checked(answer: exchange.Answer) -> exchange.Answer:
     if answer.status == http.HTTPStatus.OK:
         return answer
-    nothing_done = answer.status in _NOTHING_DONE
+    nothing_done = answer.status in _NO_EFFECT_STATUSES
     kind = ports.NotDoneError if nothing_done else ports.UnansweredError
     raise kind(
         f"HTTP status {answer.status}", code=codes.ResultCode.UNREACHABLE
--- a/citronmount/platform/tests/log_burst.py
+++ b/citronmount/platform/tests/log_burst.py
@@ -16,8 +16,8 @@
 from twisted.internet import defer
 from twisted.internet import reactor
 
-from citronmount.platform.tests import loopback_site as site
-from citronmount.platform.tests import soak as soak_lib
+from citronmount.platform.tests import loopback_site
+from citronmount.platform.tests import soak
 from citronmount.services import exchange
 
 USUAL_PER_S = 10
@@ -51,7 +51,7 @@
     unaccounted: list[str] = []
 
 
-class LogBurst(soak_lib.Soak):
+class LogBurst(soak.Soak):
     """Loads on the programs of a soak, without faults."""
 
     def __init__(self, *, folder: str, read: bool) -> None:
@@ -64,7 +64,7 @@
         super().write_settings(number, store_port)
         text = (self.folder / f"vm-{number}.toml").read_text()
         port = re.search(r"port_range = \[(\d+)", text).group(1)
-        self.metrics.append(f"{site.HOST}:{port}")
+        self.metrics.append(f"{loopback_site.HOST}:{port}")
 
     def start(self, number: int) -> None:
         if self.read:
@@ -83,9 +83,9 @@
         calls = []
         for _ in range(int(per_s * LOAD_S)):
             calls.append(defer.ensureDeferred(self.one_call(result)))
-            await site.sleep(1 / per_s)
+            await loopback_site.sleep(1 / per_s)
         await defer.gatherResults(calls)
-        await site.sleep(2.0)
+        await loopback_site.sleep(2.0)
         after = await self.counts()
         result.made = after[0] - before[0]
         result.dropped = after[1] - before[1]
@@ -140,7 +140,7 @@
 
     async def loads(self, *factors: float) -> list[LoadResult]:
         self.set_up()
-        await site.sleep(4.0)
+        await loopback_site.sleep(4.0)
         return [await self.measure(USUAL_PER_S * each) for each in factors]
 
 
@@ -158,7 +158,7 @@
     return {"usual": usual, "burst": burst, "unread": alone}
 
 
-def stop(soak: soak_lib.Soak) -> None:
+def stop(soak: soak.Soak) -> None:
     """Kills the processes of a soak that still run."""
     for process in soak.processes.values():
         if process.poll() is None:
--- a/citronmount/platform/tests/loopback_site.py
+++ b/citronmount/platform/tests/loopback_site.py
@@ -15,14 +15,14 @@
 from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
 from citronmount.platform import framing
-from citronmount.platform import log as log_lib
+from citronmount.platform import store_log
 from citronmount.standins import pool_log
 from citronmount.standins import pool_workers
 from citronmount.workflow import units
 
 HOST = "127.0.0.1"
 SILENCE_MS = 3_000
-_TOPICS = {name: topic for topic, name in log_lib.TOPICS.items()}
+_TOPICS = {name: topic for topic, name in store_log.TOPICS.items()}
 _HOW = {
     commands.EndKind.DONE: "done",
     commands.EndKind.FAILED: "failed",
@@ -96,7 +96,7 @@
         said = msgspec.json.decode(request.content.read())
         dealt = self.log.join(said["member"], said["ttl_ms"])
         part = 0 if dealt.candidate else 1
-        parts = [[log_lib.JOBS_TOPIC, part, 0]] if dealt.dealt else []
+        parts = [[store_log.JOBS_TOPIC, part, 0]] if dealt.dealt else []
         return _json({"generation": dealt.generation, "parts": parts})
 
     @app.route("/-/log-leave", methods=["POST"])
@@ -108,7 +108,7 @@
     def owners(self, request: iweb.IRequest) -> bytes:
         members = sorted(self.log.members())
         rows = [
-            [log_lib.JOBS_TOPIC, number, member, 0]
+            [store_log.JOBS_TOPIC, number, member, 0]
             for number, member in enumerate(members)
         ]
         return _json({"parts": rows})
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -26,7 +26,7 @@
 from citronmount.core import ids
 from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
-from citronmount.platform.tests import loopback_site as site
+from citronmount.platform.tests import loopback_site
 from citronmount.services import exchange
 from citronmount.standins import pool_log
 from citronmount.standins import pool_workers
@@ -92,7 +92,7 @@
         self.log = pool_log.PoolLog(clock=reactor)
         self.pool = pool_workers.PoolWorkers(clock=reactor, plans=self.plan)
         self.http = exchange.Exchange(reactor=reactor)
-        self.links: list[site.Link] = []
+        self.links: list[loopback_site.Link] = []
         self.fronts: list[str] = []
         self.processes: dict[int, subprocess.Popen] = {}
         self.gangs: dict[str, int] = {}
@@ -114,7 +114,7 @@
     async def run(self) -> list[str]:
         self.set_up()
         extra = self.vms - USUAL_VMS
-        await site.sleep(SET_UP_S + SET_UP_S_PER_VM * extra)
+        await loopback_site.sleep(SET_UP_S + SET_UP_S_PER_VM * extra)
         self.watcher = task.LoopingCall(self.note_broken)
         self.watcher.start(WATCH_S)
         traffic = defer.ensureDeferred(self.traffic())
@@ -128,14 +128,14 @@
         self.note_broken()
         for number in list(self.processes):
             self.processes[number].terminate()
-        await site.sleep(PLANNED_STOP_S)
+        await loopback_site.sleep(PLANNED_STOP_S)
         self.check_exits()
         return self.broken + self.pool.broken
 
     def set_up(self) -> None:
-        store = site.StoreResource(log=self.log).app.resource()
+        store = loopback_site.StoreResource(log=self.log).app.resource()
         store_port = listen(server.Site(store))
-        runners = site.RunnerResource(pool=self.pool).app.resource()
+        runners = loopback_site.RunnerResource(pool=self.pool).app.resource()
         runner_port = listen(server.Site(runners))
         for number in range(WORKERS):
             self.add_worker(number, runner_port)
@@ -153,7 +153,7 @@
         entry = ("config", msgspec.json.encode(said))
         self.log.write(ports.Topic.CONFIGURATION, [entry])
         for number in range(self.vms):
-            link = site.Link(port=store_port)
+            link = loopback_site.Link(port=store_port)
             self.links.append(link)
             self.write_settings(number, listen(link))
             self.start(number)
@@ -164,7 +164,7 @@
             worker=ids.WorkerId(f"i-{number}"),
             life_ms=1,
             machine=f"m-{number}",
-            address=f"{site.HOST}:{port}",
+            address=f"{loopback_site.HOST}:{port}",
             failure_domain=ids.FailureDomainId("zone-0"),
             service=spec.ServiceName("s"),
             state=worker_directory.WorkerState.READY,
@@ -193,7 +193,7 @@
 
     def write_settings(self, number: int, store_port: int) -> None:
         front, ready, metrics = (free_port() for _ in range(3))
-        self.fronts.append(f"{site.HOST}:{front}")
+        self.fronts.append(f"{loopback_site.HOST}:{front}")
         text = SETTINGS.format(
             n=number,
             zone=number % 2,
@@ -223,7 +223,7 @@
         while reactor.seconds() < end_s:
             number += 1
             defer.ensureDeferred(self.submit(f"{number:016x}"))
-            await site.sleep(site.pick(self.rng, 0.05, 0.5))
+            await loopback_site.sleep(loopback_site.pick(self.rng, 0.05, 0.5))
 
     async def submit(self, job: str) -> None:
         tasks = self.rng.choice((1, 1, 2, 4))
@@ -247,7 +247,7 @@
             if status not in (503, 429):
                 return
             refusals = attempt + 1
-            await site.sleep(1.0)
+            await loopback_site.sleep(1.0)
         if refusals == 4:
             self.accepted[job] = "refused"
 
@@ -271,10 +271,10 @@
     async def inject(self) -> None:
         end_s = reactor.seconds() + self.time_s
         while reactor.seconds() < end_s:
-            await site.sleep(site.pick(self.rng, 0.3, 2.0))
+            await loopback_site.sleep(loopback_site.pick(self.rng, 0.3, 2.0))
             fault = self.rng.choice(FAULTS)
             number = self.rng.randrange(self.vms)
-            time_s = site.pick(self.rng, 0.5, 4.0)
+            time_s = loopback_site.pick(self.rng, 0.5, 4.0)
             self.faults.append(f"{fault.__name__} vm-{number} {time_s:.1f} s")
             defer.ensureDeferred(self.during(fault(self, number, time_s)))
 
@@ -303,7 +303,7 @@
         self.healing = True
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
-        await site.sleep(PLANNED_STOP_S)
+        await loopback_site.sleep(PLANNED_STOP_S)
         for link in self.links:
             link.heal()
             link.reset()
@@ -317,7 +317,7 @@
         end_s = reactor.seconds() + HEAL_LIMIT_S
         left = [job for job, end in self.accepted.items() if not end]
         while left and reactor.seconds() < end_s:
-            await site.sleep(0.5)
+            await loopback_site.sleep(0.5)
             left = [job for job in left if not await self.complete(job)]
         self.broken += [f"LOST: {job} is not complete" for job in left]
         started = {name.partition(".")[0] for name, _, _ in self.pool.starts}
@@ -329,7 +329,7 @@
         end_s = reactor.seconds() + HEAL_LIMIT_S
         down = list(self.fronts)
         while down and reactor.seconds() < end_s:
-            await site.sleep(0.2)
+            await loopback_site.sleep(0.2)
             down = [address for address in down if not await self.up(address)]
         self.broken += [f"{address} does not come up" for address in down]
 
@@ -364,7 +364,7 @@
 
 
 async def again(soak: Soak, number: int, time_s: float) -> None:
-    await site.sleep(time_s)
+    await loopback_site.sleep(time_s)
     if soak.processes[number].poll() is not None and not soak.healing:
         soak.start(number)
 
@@ -372,7 +372,7 @@
 async def freeze(soak: Soak, number: int, time_s: float) -> None:
     process = soak.processes[number]
     process.send_signal(signal.SIGSTOP)
-    await site.sleep(time_s)
+    await loopback_site.sleep(time_s)
     process.send_signal(signal.SIGCONT)
 
 
@@ -380,13 +380,13 @@
     link = soak.links[number]
     link.silent_in = soak.rng.random() < 0.7
     link.silent_out = not link.silent_in or soak.rng.random() < 0.5
-    await site.sleep(time_s)
+    await loopback_site.sleep(time_s)
     link.heal()
 
 
 async def delay(soak: Soak, number: int, time_s: float) -> None:
-    soak.links[number].delay_s = site.pick(soak.rng, 0.05, 0.6)
-    await site.sleep(time_s)
+    soak.links[number].delay_s = loopback_site.pick(soak.rng, 0.05, 0.6)
+    await loopback_site.sleep(time_s)
     soak.links[number].heal()
 
 
@@ -397,7 +397,7 @@
 async def outage(soak: Soak, number: int, time_s: float) -> None:
     for link in soak.links:
         link.silent_in = True
-    await site.sleep(time_s)
+    await loopback_site.sleep(time_s)
     for link in soak.links:
         link.heal()
 
@@ -407,7 +407,7 @@
     kinds = (pool_workers.WorkerFault.SILENT, pool_workers.WorkerFault.LATE)
     worker.fault = soak.rng.choice(kinds)
     worker.late_s = time_s
-    await site.sleep(time_s)
+    await loopback_site.sleep(time_s)
     worker.fault = pool_workers.WorkerFault.NONE
 
 
@@ -419,7 +419,11 @@
 
 
 def listen(factory: object) -> int:
-    return reactor.listenTCP(0, factory, interface=site.HOST).getHost().port
+    return (
+        reactor.listenTCP(0, factory, interface=loopback_site.HOST)
+        .getHost()
+        .port
+    )
 
 
 def free_port() -> int:
@@ -428,7 +432,7 @@
         number = random.SystemRandom().choice(VM_PORTS)
         try:
             port = reactor.listenTCP(
-                number, server.Site(None), interface=site.HOST
+                number, server.Site(None), interface=loopback_site.HOST
             )
         except error.CannotListenError:
             continue
--- a/citronmount/platform/tests/test_decoding.py
+++ b/citronmount/platform/tests/test_decoding.py
@@ -8,10 +8,10 @@
 from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import vm_settings
-from citronmount.platform import entries
 from citronmount.platform import framing
 from citronmount.platform import job_bodies
-from citronmount.platform import settings
+from citronmount.platform import settings_file
+from citronmount.platform import topic_records
 from citronmount.service import daemon
 from citronmount.workflow import spec
 
@@ -51,7 +51,7 @@
 
 class SettingsTest(unittest.TestCase):
     def test_fields_are_read_and_unknown_ones_ignored(self) -> None:
-        read = settings.decode(SETTINGS)
+        read = settings_file.decode(SETTINGS)
         self.assertEqual("10.200.1.7:8524", read.log_address)
         self.assertEqual(1.0, read.processor_share)
         self.assertEqual(10_000, read.bounds.max_lease_ms)
@@ -59,7 +59,7 @@
     def test_faults_are_told(self) -> None:
         for data in (b"", b"x=", SETTINGS.replace(b'"a"', b"3"), b"\xff"):
             with self.assertRaises(vm_settings.SettingsError):
-                settings.decode(data)
+                settings_file.decode(data)
 
 
 class CheckTest(unittest.TestCase):
@@ -95,7 +95,7 @@
 
 class EntryTest(unittest.TestCase):
     def decode(self, value: object) -> worker_directory.Worker | None:
-        event = entries.decode(ports.Topic.WORKERS, record("i-1", value))
+        event = topic_records.decode(ports.Topic.WORKERS, record("i-1", value))
         self.assertEqual("i-1", event.worker)
         return event.entry
 
@@ -123,7 +123,9 @@
 
 class ConfigurationTest(unittest.TestCase):
     def decode(self, key: str, value: object) -> ports.LogEvent | None:
-        return entries.decode(ports.Topic.CONFIGURATION, record(key, value))
+        return topic_records.decode(
+            ports.Topic.CONFIGURATION, record(key, value)
+        )
 
     def test_version(self) -> None:
         route = {
