--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -1,18 +1,18 @@
-"""The failure domain that a VM owns: carries out the scheduler's decisions."""
+"""The failure domain that a VM owns, with its scheduler, jobs and attempts."""
 
-from citronmount.agent import domain_core
-from citronmount.agent import job_ends
-from citronmount.agent import job_intake
+from citronmount.agent import attempt_manager
+from citronmount.agent import domain_context
+from citronmount.agent import job_call_handler
+from citronmount.agent import job_completion
 from citronmount.agent import job_moves
-from citronmount.agent import job_rebuilding
-from citronmount.agent import job_runs
+from citronmount.agent import job_rebuilder
 from citronmount.agent import job_table
 from citronmount.agent import worker_reports
 from citronmount.config import configuration as configuration_lib
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.leases import gang as gang_lib
+from citronmount.leases import gang
 from citronmount.peers import messages as peer_messages
 from citronmount.services import messages
 
@@ -20,154 +20,164 @@
 
 
 class OwnedDomain:
-    """Scheduler, jobs and attempts of the owned failure domain.
+    """Runs the scheduler of an owned failure domain and executes decisions.
 
-    It exists from the end of a rebuild until the VM steps down or is fenced
-    off. Everything that must last is in the job book and the outbox.
+    An instance exists from the moment that the VM becomes the owner until it
+    steps down or is fenced. All state that must survive it is in the job view
+    and the outbox.
 
     Attributes:
-        intake: Takes callers' calls for jobs.
-        moves: Hands jobs to other failure domains.
-        reports: Takes reports of workers.
-        rebuilding: Takes over jobs and attempts.
+        job_calls: Handles callers' calls for jobs.
+        moves: Records moves of jobs between failure domains.
+        reports: Processes reports of workers.
+        rebuilder: Restores jobs and adopts attempts after a takeover.
     """
 
     def __init__(
         self,
         *,
-        core: domain_core.DomainCore,
+        context: domain_context.DomainContext,
     ) -> None:
         """Initializes an owned failure domain without workers.
 
         Args:
-            core: What its parts share.
+            context: State and services shared by its parts.
         """
-        ends = job_ends.JobEnds(core=core)
-        self._core = core
-        self._runs = job_runs.JobRuns(core=core, ends=ends)
-        self.moves = job_moves.JobMoves(core=core, ends=ends)
-        self.intake = job_intake.JobIntake(
-            core=core, ends=ends, moves=self.moves
+        completion = job_completion.JobCompletion(domain=context)
+        self._context = context
+        self._attempt_manager = attempt_manager.AttemptManager(
+            domain=context, completion=completion
         )
-        self.reports = worker_reports.WorkerReports(core=core, runs=self._runs)
-        self.rebuilding = job_rebuilding.JobRebuilding(
-            core=core,
-            ends=ends,
+        self.moves = job_moves.JobMoves(domain=context, completion=completion)
+        self.job_calls = job_call_handler.JobCallHandler(
+            domain=context, completion=completion, moves=self.moves
+        )
+        self.reports = worker_reports.WorkerReports(
+            domain=context, manager=self._attempt_manager
+        )
+        self.rebuilder = job_rebuilder.JobRebuilder(
+            domain=context,
+            completion=completion,
             moves=self.moves,
-            runs=self._runs,
+            manager=self._attempt_manager,
             reports=self.reports,
         )
-        core.on_worker_answer = self.reports.answered
+        context.on_worker_answer = self.reports.handle_answer
 
     @property
     def token(self) -> ids.FenceToken:
-        """The fencing token that the workers have seen."""
-        return self._core.token
+        """The owner's fencing token, which the workers have seen."""
+        return self._context.token
 
     @property
     def table(self) -> job_table.JobTable:
-        """The open jobs."""
-        return self._core.table
+        """The jobs without a final result."""
+        return self._context.table
 
     @property
-    def placing(self) -> bool:
+    def placement_enabled(self) -> bool:
         """Whether new attempts may begin."""
-        return self._core.placing
+        return self._context.placement_enabled
 
-    @placing.setter
-    def placing(self, placing: bool) -> None:
-        self._core.placing = placing
+    @placement_enabled.setter
+    def placement_enabled(self, placement_enabled: bool) -> None:
+        self._context.placement_enabled = placement_enabled
 
     def summary(self) -> peer_messages.DomainSummary:
-        """Returns what other VMs are told of the failure domain."""
-        scheduler = self._core.scheduler
+        """Returns the summary that heartbeats carry to other VMs."""
+        scheduler = self._context.scheduler
         return peer_messages.DomainSummary(
-            failure_domain=self._core.failure_domain,
-            token=self._core.token,
+            failure_domain=self._context.failure_domain,
+            token=self._context.token,
             free_accelerators=scheduler.free_accelerators(),
             queued_accelerators=scheduler.queued_accelerators(),
             largest_gang=scheduler.largest_gang(),
         )
 
     def fragmentation(self) -> float:
-        """Returns the share of free accelerators that queued work can't use."""
-        return self._core.scheduler.fragmentation()
+        """Returns the share of free accelerators that queued jobs can't use."""
+        return self._context.scheduler.fragmentation()
 
     def in_service(self) -> bool:
         """Returns whether tasks may start in the failure domain."""
-        return self._core.in_service()
+        return self._context.in_service()
 
     def set_configuration(
         self, configuration: configuration_lib.Configuration
     ) -> None:
-        """Takes over a new version; what has not started is called back.
+        """Applies a new version of the configuration.
+
+        While the failure domain is out of service, attempts that are still
+        reserving are stopped.
 
         Args:
-            configuration: The version in force.
+            configuration: The configuration in force.
         """
-        self._core.configuration = configuration
-        self._core.scheduler.set_configuration(configuration)
-        if self._core.in_service():
+        self._context.configuration = configuration
+        self._context.scheduler.set_configuration(configuration)
+        if self._context.in_service():
             return
-        for attempt in list(self._core.attempts.values()):
-            if attempt.phase is gang_lib.GangPhase.RESERVING:
+        for attempt in list(self._context.attempts.values()):
+            if attempt.phase is gang.GangPhase.RESERVING:
                 attempt.stop(decisions.AttemptEnd.REFUSED)
 
     def set_workers(self, workers: tuple[messages.ListedTarget, ...]) -> None:
-        """Takes over the platform's list of workers.
+        """Applies the platform's list of workers.
 
         Args:
             workers: The workers of the failure domain.
         """
-        core = self._core
-        core.targets.update(
+        context = self._context
+        context.targets.update(
             {ids.WorkerId(worker.name): worker for worker in workers}
         )
-        core.scheduler.set_workers(workers)
-        core.token_check.set_workers(tuple(core.targets.values()))
-        for worker in self.reports.lost:
-            core.scheduler.set_worker_state(
-                worker, states.TargetState.LOST, core.ctx.now_ms
+        context.scheduler.set_workers(workers)
+        context.token_check.set_workers(tuple(context.targets.values()))
+        for worker in self.reports.lost_workers:
+            context.scheduler.set_worker_state(
+                worker, states.TargetState.LOST, context.ctx.now_ms
             )
 
-    def idle(self) -> bool:
-        """Returns whether no attempt is between two phases."""
+    def all_attempts_running(self) -> bool:
+        """Returns whether no attempt is reserving, starting or stopping."""
         return all(
-            attempt.phase is gang_lib.GangPhase.RUNNING
-            for attempt in self._core.attempts.values()
+            attempt.phase is gang.GangPhase.RUNNING
+            for attempt in self._context.attempts.values()
         )
 
-    def lapsing(self) -> tuple[ids.AttemptId, ...]:
-        """Returns the attempts that keepers must not renew."""
+    def lapsing_attempts(self) -> tuple[ids.AttemptId, ...]:
+        """Returns the attempts whose leases must not be renewed."""
         return tuple(
             attempt.attempt
-            for attempt in self._core.attempts.values()
+            for attempt in self._context.attempts.values()
             if attempt.must_lapse
         )
 
     def tick(self) -> None:
-        """Decides, retries and answers whatever is due."""
-        core = self._core
-        core.scheduler.set_wall_clock(
-            now_ms=core.ctx.now_ms, wall_ms=core.ctx.wall_ms
+        """Runs everything that is due: retries, decisions and answers."""
+        context = self._context
+        context.scheduler.set_wall_clock(
+            now_ms=context.ctx.now_ms, wall_ms=context.ctx.wall_ms
         )
-        for attempt in list(core.attempts.values()):
+        for attempt in list(context.attempts.values()):
             attempt.tick()
-        self._runs.release_held()
-        if core.placing:
+        self._attempt_manager.requeue_held_jobs()
+        if context.placement_enabled:
             self.decide()
-        core.table.answer_due(core.ctx.now_ms)
-        self.reports.send_forget()
-        self.reports.note_quarantine()
-        core.token_check.tick()
+        context.table.answer_due(context.ctx.now_ms)
+        self.reports.send_forget_calls()
+        self.reports.trace_quarantine()
+        context.token_check.tick()
 
     def decide_if_due(self) -> None:
-        """Decides after an event that may have made room."""
-        if self._core.decision_due and self._core.placing:
+        """Runs the scheduler if a job was accepted or an attempt has ended."""
+        if self._context.decision_due and self._context.placement_enabled:
             self.decide()
 
     def decide(self) -> None:
-        """Carries out what the scheduler decides now."""
-        self._core.decision_due = False
-        for decision in self._core.scheduler.decide(self._core.ctx.now_ms):
-            self._runs.carry_out(decision)
+        """Runs the scheduler and executes its decisions."""
+        self._context.decision_due = False
+        for decision in self._context.scheduler.decide(
+            self._context.ctx.now_ms
+        ):
+            self._attempt_manager.execute(decision)
--- a/citronmount/service/agent_brain.py
+++ b/citronmount/service/agent_brain.py
@@ -4,7 +4,7 @@
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.config import configuration as configuration_lib
-from citronmount.membership import view as view_lib
+from citronmount.membership import membership_view
 from citronmount.service import bodies
 
 __all__ = ["AgentBrain"]
@@ -88,14 +88,16 @@
 
 
 def _member(
-    view: view_lib.MembershipView, peer: view_lib.Peer, now_ms: int
+    view: membership_view.MembershipView,
+    peer: membership_view.Peer,
+    now_ms: int,
 ) -> bodies.Member:
     last = peer.heartbeat
     return bodies.Member(
         vm=peer.vm,
         failure_domain=peer.failure_domain,
         listed=peer.listed,
-        alive=view.alive(peer.vm, now_ms),
+        alive=view.is_alive(peer.vm, now_ms),
         ready=last is not None and last.ready,
         draining=last is not None and last.draining,
         owner=view.owner(peer.failure_domain, now_ms) == peer.vm,
