--- a/citronmount/platform/__init__.py
+++ b/citronmount/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: its names, formats and calls."""
+"""Adapter to the users' platform: names, formats and HTTP calls."""
--- a/citronmount/platform/__main__.py
+++ b/citronmount/platform/__main__.py
@@ -1,7 +1,8 @@
 """Runs the process of one VM: ``python -m citronmount.platform``.
 
-The site speaks plain HTTP, and memory is dear on every VM: the libraries of
-OpenSSL, which others import where they find them, stay out (4 MB).
+The site uses plain HTTP only. Several dependencies import the OpenSSL bindings
+if these are present, which costs 4 MB of memory on every VM. Setting the
+modules to None makes these imports fail.
 """
 
 import sys
--- a/citronmount/platform/day_journal.py
+++ b/citronmount/platform/day_journal.py
@@ -1,4 +1,4 @@
-"""Reads scored days from the journal of the users' bench."""
+"""Reads scored days from the journal of the users' benchmark."""
 
 import pathlib
 
@@ -24,33 +24,33 @@
 }
 
 
-class _Day(msgspec.Struct, frozen=True, kw_only=True):
-    # G is the worth: credit earned less prices over the credit owed.
+class _JournalDay(msgspec.Struct, frozen=True, kw_only=True):
+    # Worth: (credit earned - prices) / credit owed.
     worth: float = msgspec.field(name="G")
     slot: str
     parts: list[tuple[str, float, float]]
     prices: list[tuple[str, float, float]]
 
 
-class _Entry(msgspec.Struct, frozen=True, kw_only=True):
+class _JournalEntry(msgspec.Struct, frozen=True, kw_only=True):
     site: str = ""
-    days: list[_Day] = []
+    days: list[_JournalDay] = []
 
 
 def read(path: pathlib.Path) -> tuple[str, list[day_losses.Day]]:
     """Reads the scored days of a journal entry.
 
     Args:
-        path: The entry.
+        path: JSON file of the entry.
 
     Returns:
-        The site and its days.
+        The site's name and its days.
     """
-    entry = msgspec.json.decode(path.read_bytes(), type=_Entry)
-    return entry.site, [_decoded(day) for day in entry.days]
+    entry = msgspec.json.decode(path.read_bytes(), type=_JournalEntry)
+    return entry.site, [_to_day(day) for day in entry.days]
 
 
-def _decoded(day: _Day) -> day_losses.Day:
+def _to_day(day: _JournalDay) -> day_losses.Day:
     return day_losses.Day(
         worth=day.worth,
         kind=day.slot,
--- a/citronmount/platform/framing.py
+++ b/citronmount/platform/framing.py
@@ -1,8 +1,8 @@
-"""Records of the log service as bytes.
+"""Binary encoding of the log service's records.
 
-A record is a length of four bytes (big-endian) and its content. In the topics
-used here the content is the length of the key (one byte), the key, and the
-value; a record without a value removes its key.
+A record is the length of its content (four bytes, big-endian) followed by the
+content. In the topics used here the content is the length of the key (one
+byte), the key in UTF-8 and the value. A record without a value deletes its key.
 """
 
 from collections.abc import Sequence
@@ -11,52 +11,53 @@
 from citronmount.core import errors
 from citronmount.fleet_service import ports
 
-__all__ = ["BadPageError", "decode_page", "encode"]
+__all__ = ["InvalidPageError", "decode_page", "encode"]
 
-_LENGTH = struct.Struct(">I")
-_OFFSETS = struct.Struct(">QQ")
+_LENGTH_PREFIX = struct.Struct(">I")
+_PAGE_HEADER = struct.Struct(">QQ")
 
 
-class BadPageError(errors.InvalidInputError):
-    """Bytes of the log service that are no page of records."""
+class InvalidPageError(errors.InvalidInputError):
+    """The log service sent bytes that are not a valid page of records."""
 
 
 def encode(records: Sequence[tuple[str, bytes | None]]) -> bytes:
     """Encodes records for an append.
 
     Args:
-        records: Pairs of key and value; a value of None removes the key.
+        records: Pairs of key and value; a value of None deletes the key.
 
     Returns:
-        The body of the append.
+        The request body of the append.
     """
-    return b"".join(_framed(key, value) for key, value in records)
+    return b"".join(_encode_record(key, value) for key, value in records)
 
 
-def _framed(key: str, value: bytes | None) -> bytes:
-    name = key.encode("utf-8")
-    content = bytes([len(name)]) + name + (value or b"")
-    return _LENGTH.pack(len(content)) + content
+def _encode_record(key: str, value: bytes | None) -> bytes:
+    key_bytes = key.encode("utf-8")
+    content = bytes([len(key_bytes)]) + key_bytes + (value or b"")
+    return _LENGTH_PREFIX.pack(len(content)) + content
 
 
 def decode_page(body: bytes, first: int) -> ports.Page:
-    """Decodes the answer to a read.
+    """Decodes the response to a read.
 
     Args:
-        body: The bytes: the end and the first kept offset, then records.
-        first: The offset that was asked for.
+        body: Response body: the end offset and the first retained offset of
+            the topic (eight bytes each, big-endian), then the records.
+        first: The offset that the read started from.
 
     Returns:
         The page.
 
     Raises:
-        BadPageError: The bytes are cut short.
+        InvalidPageError: The body is truncated.
     """
     try:
-        end, _ = _OFFSETS.unpack_from(body)
+        end, _ = _PAGE_HEADER.unpack_from(body)
         records = _decode_records(body, first)
     except (struct.error, IndexError) as error:
-        raise BadPageError(f"page from {first}: {error}") from error
+        raise InvalidPageError(f"page from offset {first}: {error}") from error
     return ports.Page(
         records=tuple(records),
         next_offset=first + len(records),
@@ -66,18 +67,24 @@
 
 def _decode_records(body: bytes, first: int) -> list[ports.LogRecord]:
     records = []
-    position = _OFFSETS.size
+    position = _PAGE_HEADER.size
     while position < len(body):
-        (length,) = _LENGTH.unpack_from(body, position)
-        start = position + _LENGTH.size
+        (length,) = _LENGTH_PREFIX.unpack_from(body, position)
+        start = position + _LENGTH_PREFIX.size
         position = start + length
         if position > len(body):
-            raise IndexError("a record is cut short")
-        records.append(_record(body[start:position], first + len(records)))
+            raise IndexError(
+                f"record truncated: got {len(body) - start} of {length} bytes"
+            )
+        records.append(
+            _decode_record(body[start:position], first + len(records))
+        )
     return records
 
 
-def _record(content: bytes, offset: int) -> ports.LogRecord:
-    size = content[0] + 1 if content else 0
-    key = content[1:size].decode("utf-8", "replace")
-    return ports.LogRecord(key=key, value=content[size:] or None, offset=offset)
+def _decode_record(content: bytes, offset: int) -> ports.LogRecord:
+    value_start = content[0] + 1 if content else 0
+    key = content[1:value_start].decode("utf-8", "replace")
+    return ports.LogRecord(
+        key=key, value=content[value_start:] or None, offset=offset
+    )
--- a/citronmount/platform/job_api.py
+++ b/citronmount/platform/job_api.py
@@ -124,7 +124,7 @@
     ) -> bytes:
         try:
             workflow = job_bodies.decode_job(job, request.content.read())
-        except job_bodies.BadJobError as error:
+        except job_bodies.InvalidJobError as error:
             return _refuse(request, http.BAD_REQUEST, str(error))
         answer = await self._front.submit(
             queue, account, workflow, _timeout_ms(request, queue)
--- a/citronmount/platform/job_bodies.py
+++ b/citronmount/platform/job_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of the calls that clients make about jobs."""
+"""Request and response bodies of the job calls of the HTTP interface."""
 
 import re
 
@@ -10,7 +10,7 @@
 from citronmount.workflow import spec
 
 __all__ = [
-    "BadJobError",
+    "InvalidJobError",
     "decode_job",
     "encode_pending",
     "encode_refusal",
@@ -31,15 +31,16 @@
 }
 
 
-class BadJobError(errors.InvalidInputError):
-    """A body that describes no job."""
+class InvalidJobError(errors.InvalidInputError):
+    """The body of a submission does not describe a valid job."""
 
 
 class _Phase(msgspec.Struct):
-    """A step; names follow the page, fields of value 0 may be missing.
+    """A step, with the field names of the platform's interface.
 
-    `constraints` is one label, `affinity_to` a rack, `anti_affinity` the most
-    tasks on one runner, `may_miss` how many may be away at a time.
+    Clients may omit fields whose value is 0. `constraints` is one label,
+    `affinity_to` a rack, `anti_affinity` the maximum number of tasks on one
+    runner and `may_miss` the maximum number of tasks unavailable at a time.
     """
 
     count: int = 0
@@ -63,7 +64,7 @@
 
 
 class _Job(msgspec.Struct):
-    """A job; `spec` is what its tasks are handed."""
+    """A job; `spec` is the payload that is passed to each task."""
 
     spec: str
     phases: list[_Phase]
@@ -85,53 +86,63 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Returns whether a text is an id that a client may choose."""
+    """Returns whether a text is a job id: 16 lowercase hexadecimal digits."""
     return _JOB_ID.fullmatch(text) is not None
 
 
 def decode_job(job: ids.JobId, body: bytes) -> spec.Workflow:
-    """Decodes the body that hands a job in.
+    """Decodes the body of a submission.
 
     Args:
-        job: Its id.
-        body: The JSON text.
+        job: Id of the job, taken from the path.
+        body: JSON text in UTF-8.
 
     Returns:
         The job.
 
     Raises:
-        BadJobError: The text describes no job.
+        InvalidJobError: The body cannot be decoded, or a value is out of range.
     """
     try:
-        said = msgspec.json.decode(body, type=_Job)
+        submitted = msgspec.json.decode(body, type=_Job)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise BadJobError(str(error)) from error
-    _check(said)
+        raise InvalidJobError(str(error)) from error
+    _validate(submitted)
     return spec.Workflow(
         job=job,
-        payload=said.spec,
-        steps=tuple(map(_step, said.phases)),
-        occurrences=said.repeats,
-        first_due_ms=said.first_ms,
-        interval_ms=said.interval_ms,
+        payload=submitted.spec,
+        steps=tuple(map(_to_step, submitted.phases)),
+        occurrences=submitted.repeats,
+        first_due_ms=submitted.first_ms,
+        interval_ms=submitted.interval_ms,
     )
 
 
-def _check(said: _Job) -> None:
-    if not said.phases:
-        raise BadJobError("a job needs a step")
-    if not 0 <= said.repeats <= MAX_OCCURRENCES:
-        raise BadJobError(f"repeats {said.repeats} is out of range")
-    for number, phase in enumerate(said.phases):
+def _validate(submitted: _Job) -> None:
+    if not submitted.phases:
+        raise InvalidJobError("phases: expected at least 1 phase, got none")
+    if not 0 <= submitted.repeats <= MAX_OCCURRENCES:
+        raise InvalidJobError(
+            f"repeats: expected 0 to {MAX_OCCURRENCES}, got {submitted.repeats}"
+        )
+    for number, phase in enumerate(submitted.phases):
         if not 1 <= phase.count <= MAX_TASKS:
-            raise BadJobError(f"step {number}: count {phase.count}")
+            raise InvalidJobError(
+                f"phase {number}: expected count 1 to {MAX_TASKS}, "
+                f"got {phase.count}"
+            )
         if min(phase.cpu, phase.mem_mb, phase.gpu) < 0:
-            raise BadJobError(f"step {number}: negative resources")
+            raise InvalidJobError(
+                f"phase {number}: cpu, mem_mb and gpu must not be negative"
+            )
         if not all(0 <= earlier < number for earlier in phase.after):
-            raise BadJobError(f"step {number}: after {phase.after}")
+            raise InvalidJobError(
+                f"phase {number}: after must name earlier phases, "
+                f"got {phase.after}"
+            )
 
 
-def _step(phase: _Phase) -> spec.Step:
+def _to_step(phase: _Phase) -> spec.Step:
     return spec.Step(
         tasks=phase.count,
         demand=spec.Demand(
@@ -162,10 +173,10 @@
 
 
 def encode_pending(count: int) -> bytes:
-    """Encodes how many jobs of a queue have not begun."""
+    """Encodes the number of jobs of a queue that have not started."""
     return msgspec.json.encode(_Pending(pending=count))
 
 
-def encode_refusal(why: str) -> bytes:
-    """Encodes why a call is refused."""
-    return msgspec.json.encode(_Refusal(error=why))
+def encode_refusal(reason: str) -> bytes:
+    """Encodes the reason why a call is refused, or no reason if empty."""
+    return msgspec.json.encode(_Refusal(error=reason))
--- a/citronmount/platform/settings_file.py
+++ b/citronmount/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes, decoded into our terms."""
+"""Decodes the settings file that the platform writes for a VM."""
 
 import pathlib
 
@@ -54,13 +54,14 @@
     """Decodes a settings file.
 
     Args:
-        data: The TOML text.
+        data: TOML text in UTF-8.
 
     Returns:
-        The settings.
+        The settings. Fields that are not known are ignored.
 
     Raises:
-        SettingsError: A field is missing or has another type.
+        SettingsError: The text is no TOML, or a field is missing or has the
+            wrong type.
     """
     try:
         file = msgspec.toml.decode(data, type=_File)
@@ -90,10 +91,10 @@
 
 
 def load(path: str) -> vm_settings.VmSettings:
-    """Reads a settings file.
+    """Reads and decodes a settings file.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Returns:
         The settings.
--- a/citronmount/platform/tests/test_decoding.py
+++ b/citronmount/platform/tests/test_decoding.py
@@ -33,7 +33,7 @@
 [platform]
 address = "10.200.1.7:8524"
 """
-ENTRY = {
+RUNNER_ENTRY = {
     "backend": "huvo11a",
     "address": "10.128.0.9:8080",
     "zone": "a",
@@ -44,25 +44,25 @@
 }
 
 
-def record(key: str, value: object) -> ports.LogRecord:
-    data = value if isinstance(value, bytes) else msgspec.json.encode(value)
-    return ports.LogRecord(key=key, value=data or None, offset=3)
+def make_record(key: str, value: object) -> ports.LogRecord:
+    body = value if isinstance(value, bytes) else msgspec.json.encode(value)
+    return ports.LogRecord(key=key, value=body or None, offset=3)
 
 
-class SettingsTest(unittest.TestCase):
-    def test_fields_are_read_and_unknown_ones_ignored(self) -> None:
-        read = settings_file.decode(SETTINGS)
-        self.assertEqual("10.200.1.7:8524", read.log_address)
-        self.assertEqual(1.0, read.processor_share)
-        self.assertEqual(10_000, read.bounds.max_lease_ms)
+class SettingsFileTest(unittest.TestCase):
+    def test_settings_are_decoded_and_unknown_keys_ignored(self) -> None:
+        settings = settings_file.decode(SETTINGS)
+        self.assertEqual("10.200.1.7:8524", settings.log_address)
+        self.assertEqual(1.0, settings.processor_share)
+        self.assertEqual(10_000, settings.bounds.max_lease_ms)
 
-    def test_faults_are_told(self) -> None:
+    def test_invalid_settings_raise_a_settings_error(self) -> None:
         for data in (b"", b"x=", SETTINGS.replace(b'"a"', b"3"), b"\xff"):
             with self.assertRaises(vm_settings.SettingsError):
                 settings_file.decode(data)
 
 
-class CheckTest(unittest.TestCase):
+class CheckSettingsTest(unittest.TestCase):
     def check(self, data: bytes) -> testing.Result:
         runner = testing.CliRunner()
         with runner.isolated_filesystem():
@@ -70,7 +70,7 @@
             arguments = ["--platform", "--check", "boot.toml"]
             return runner.invoke(daemon.main, arguments)
 
-    def test_daemon_checks_the_platforms_settings(self) -> None:
+    def test_check_names_the_missing_key_and_exits_with_2(self) -> None:
         self.assertEqual(0, self.check(SETTINGS).exit_code)
         result = self.check(SETTINGS.replace(b'zone = "a"', b""))
         self.assertEqual(2, result.exit_code)
@@ -78,56 +78,60 @@
 
 
 class FramingTest(unittest.TestCase):
-    def test_records_survive(self) -> None:
-        body = framing.encode([("k", b"value"), ("gone", None)])
-        head = (9).to_bytes(8, "big") + bytes(8)
-        page = framing.decode_page(head + body, 7)
+    def test_encoded_records_decode_to_the_same_records(self) -> None:
+        records = framing.encode([("k", b"value"), ("gone", None)])
+        header = (9).to_bytes(8, "big") + bytes(8)
+        page = framing.decode_page(header + records, 7)
         pairs = [(each.key, each.value, each.offset) for each in page.records]
         self.assertEqual([("k", b"value", 7), ("gone", None, 8)], pairs)
         self.assertEqual((9, 9), (page.next_offset, page.end_offset))
 
-    def test_page_cut_short_is_refused(self) -> None:
-        body = bytes(16) + framing.encode([("k", b"value")])
-        for length in (0, 15, 18, len(body) - 1):
-            with self.assertRaises(framing.BadPageError):
-                framing.decode_page(body[:length], 0)
+    def test_truncated_page_is_rejected(self) -> None:
+        page = bytes(16) + framing.encode([("k", b"value")])
+        for length in (0, 15, 18, len(page) - 1):
+            with self.assertRaises(framing.InvalidPageError):
+                framing.decode_page(page[:length], 0)
 
 
-class EntryTest(unittest.TestCase):
+class RunnerEntryTest(unittest.TestCase):
     def decode(self, value: object) -> worker_directory.Worker | None:
-        event = topic_records.decode(ports.Topic.WORKERS, record("i-1", value))
+        event = topic_records.decode(
+            ports.Topic.WORKERS, make_record("i-1", value)
+        )
         self.assertEqual("i-1", event.worker)
         return event.entry
 
-    def test_entry_of_a_runner(self) -> None:
-        entry = self.decode(ENTRY)
+    def test_runner_entry_becomes_a_worker(self) -> None:
+        entry = self.decode(RUNNER_ENTRY)
         self.assertEqual(17, entry.life_ms)
         self.assertEqual("r1-3", entry.rack)
         self.assertEqual(
             spec.Demand(millicores=16_000, memory_mb=32_768), entry.capacity
         )
 
-    def test_entry_that_cannot_be_read_names_no_worker(self) -> None:
-        bad = (
+    def test_invalid_runner_entry_counts_as_removed(self) -> None:
+        invalid_values = (
             b"",
             b"\xff\x00",
             {},
-            {**ENTRY, "state": "odd"},
-            {**ENTRY, "labels": []},
-            {**ENTRY, "born": 1.5},
-            {**ENTRY, "address": None},
+            {**RUNNER_ENTRY, "state": "odd"},
+            {**RUNNER_ENTRY, "labels": []},
+            {**RUNNER_ENTRY, "born": 1.5},
+            {**RUNNER_ENTRY, "address": None},
         )
-        for value in bad:
+        for value in invalid_values:
             self.assertIsNone(self.decode(value), value)
 
 
 class ConfigurationTest(unittest.TestCase):
     def decode(self, key: str, value: object) -> ports.LogEvent | None:
         return topic_records.decode(
-            ports.Topic.CONFIGURATION, record(key, value)
+            ports.Topic.CONFIGURATION, make_record(key, value)
         )
 
-    def test_version(self) -> None:
+    def test_configuration_routes_by_longest_prefix_and_finds_accounts(
+        self,
+    ) -> None:
         route = {
             "name": "r",
             "host": "h.example",
@@ -138,33 +142,37 @@
             "max_attempts": 3,
             "slack_factor": 1.5,
         }
-        longer = {**route, "name": "r2", "path_prefix": "/p/q/"}
+        longer_prefix = {**route, "name": "r2", "path_prefix": "/p/q/"}
         tenant = {"name": "t", "api_keys": ["k"], "guaranteed": {"gpu": 32}}
-        said = {
+        published = {
             "version": 7,
-            "routes": [route, longer],
+            "routes": [route, longer_prefix],
             "tenants": [tenant],
             "other": 1,
         }
-        read = self.decode("config", said).configuration
-        self.assertEqual("r2", read.queue_at("h.example", "/p/q/1").terms.queue)
-        self.assertEqual("r", read.queue_at("h.example", "/p/1").terms.queue)
-        self.assertIsNone(read.queue_at("other", "/p/1"))
-        self.assertEqual("t", read.account_of("k"))
-        self.assertIsNone(read.account_of("x"))
-        self.assertEqual(32, read.accounts[0].guaranteed_accelerators)
-
-    def test_unreadable_version_is_ignored(self) -> None:
+        configuration = self.decode("config", published).configuration
+        self.assertEqual(
+            "r2", configuration.queue_at("h.example", "/p/q/1").terms.queue
+        )
+        self.assertEqual(
+            "r", configuration.queue_at("h.example", "/p/1").terms.queue
+        )
+        self.assertIsNone(configuration.queue_at("other", "/p/1"))
+        self.assertEqual("t", configuration.account_of("k"))
+        self.assertIsNone(configuration.account_of("x"))
+        self.assertEqual(32, configuration.accounts[0].guaranteed_accelerators)
+
+    def test_invalid_configuration_and_unknown_keys_are_ignored(self) -> None:
         self.assertIsNone(self.decode("config", b"{"))
         self.assertIsNone(self.decode("unknown", {}))
 
-    def test_domain_out_of_service_and_back(self) -> None:
+    def test_failure_domain_leaves_and_reenters_service(self) -> None:
         self.assertTrue(self.decode("evacuate/a", {}).out)
         self.assertFalse(self.decode("evacuate/a", b"").out)
 
 
-class JobBodyTest(unittest.TestCase):
-    def test_step_fields_get_names_that_say_what_they_hold(self) -> None:
+class JobBodiesTest(unittest.TestCase):
+    def test_fields_of_a_phase_become_fields_of_a_step(self) -> None:
         phase = {
             "count": 4,
             "cpu": 500,
@@ -189,26 +197,28 @@
         self.assertEqual((2, 1), (step.max_tasks_per_worker, 1))
         self.assertEqual((0,), job.steps[1].after)
 
-    def test_bodies_that_describe_no_job(self) -> None:
-        one = {"count": 1}
-        bad = (
+    def test_invalid_submission_bodies_are_rejected(self) -> None:
+        phase = {"count": 1}
+        invalid_bodies = (
             b"",
             b"\xff",
             b"[]",
             b'{"spec":"x"}',
             msgspec.json.encode({"spec": "x", "phases": []}),
             msgspec.json.encode({"spec": "x", "phases": [{"count": 0}]}),
-            msgspec.json.encode({"spec": "x", "phases": [{**one, "cpu": -1}]}),
             msgspec.json.encode(
-                {"spec": "x", "phases": [one, {**one, "after": [1]}]}
+                {"spec": "x", "phases": [{**phase, "cpu": -1}]}
+            ),
+            msgspec.json.encode(
+                {"spec": "x", "phases": [phase, {**phase, "after": [1]}]}
             ),
-            msgspec.json.encode({"spec": 1, "phases": [one]}),
+            msgspec.json.encode({"spec": 1, "phases": [phase]}),
         )
-        for body in bad:
-            with self.assertRaises(job_bodies.BadJobError, msg=body):
+        for body in invalid_bodies:
+            with self.assertRaises(job_bodies.InvalidJobError, msg=body):
                 job_bodies.decode_job(JOB, body)
 
-    def test_ids(self) -> None:
+    def test_only_16_lowercase_hexadecimal_digits_are_a_job_id(self) -> None:
         self.assertTrue(job_bodies.is_job_id(JOB))
         for text in ("", "5C0E7A21D94B36F8", JOB + "0", "x" * 16):
             self.assertFalse(job_bodies.is_job_id(text))
--- a/citronmount/platform/topic_records.py
+++ b/citronmount/platform/topic_records.py
@@ -1,4 +1,4 @@
-"""Decodes what operators and runners write into the store."""
+"""Decodes the records that operators and runners write into the store."""
 
 import msgspec
 import structlog
@@ -20,20 +20,20 @@
 }
 
 
-class _Room(msgspec.Struct):
+class _Resources(msgspec.Struct):
     cpu: int = 0
     mem_mb: int = 0
     gpu: int = 0
 
 
-class _Entry(msgspec.Struct):
-    """What a runner writes; `free_resources` is its whole room."""
+class _RunnerEntry(msgspec.Struct):
+    """A runner's own entry; `free_resources` is its total capacity."""
 
     backend: str
     address: str
     zone: str
     state: str
-    free_resources: _Room
+    free_resources: _Resources
     labels: list[str]
     born: int
     host_machine: str = ""
@@ -41,7 +41,11 @@
 
 
 class _Route(msgspec.Struct):
-    """A queue; `slo_ms` is what the objective allows beyond the work."""
+    """A queue.
+
+    `slo_ms` is the time that the completion time objective allows beyond the
+    `slack_factor` multiple of the critical path.
+    """
 
     name: str
     host: str
@@ -78,16 +82,17 @@
     """Decodes one record of the operators' or the runners' topic.
 
     Args:
-        topic: The topic.
+        topic: The topic that the record was read from.
         record: The record.
 
     Returns:
-        What it says, or None if it says nothing that is used here.
+        The change that the record publishes, or None if it is not used here
+        or holds a configuration that cannot be decoded.
     """
     if topic is ports.Topic.WORKERS:
-        return _worker(record)
+        return _decode_worker_record(record)
     if record.key == _CONFIGURATION_KEY and record.value is not None:
-        return _configuration(record.value, record.offset)
+        return _decode_configuration(record.value, record.offset)
     if record.key.startswith(_OUT_OF_SERVICE_PREFIX):
         domain = record.key.removeprefix(_OUT_OF_SERVICE_PREFIX)
         return ports.DomainSwitched(
@@ -98,66 +103,71 @@
     return None
 
 
-def _worker(record: ports.LogRecord) -> ports.WorkerChanged:
-    """Decodes a runner's entry; one that cannot be read names no worker."""
-    name = ids.WorkerId(record.key)
+def _decode_worker_record(record: ports.LogRecord) -> ports.WorkerChanged:
+    """Decodes a runner's entry; an invalid entry counts as removed."""
+    worker = ids.WorkerId(record.key)
     entry = None
     if record.value is not None:
         try:
-            entry = _entry(name, record.value)
+            entry = _decode_worker(worker, record.value)
         except (msgspec.DecodeError, LookupError, UnicodeDecodeError) as error:
             structlog.get_logger().warning(
-                "worker_entry_ignored", worker=name, error=str(error)
+                "worker_entry_ignored", worker=worker, error=str(error)
             )
-    return ports.WorkerChanged(worker=name, entry=entry)
+    return ports.WorkerChanged(worker=worker, entry=entry)
 
 
-def _entry(name: ids.WorkerId, value: bytes) -> worker_directory.Worker:
-    entry = msgspec.json.decode(value, type=_Entry)
+def _decode_worker(
+    worker: ids.WorkerId, value: bytes
+) -> worker_directory.Worker:
+    entry = msgspec.json.decode(value, type=_RunnerEntry)
     return worker_directory.Worker(
-        worker=name,
+        worker=worker,
         life_ms=entry.born,
         machine=entry.host_machine,
         address=entry.address,
         failure_domain=ids.FailureDomainId(entry.zone),
         service=spec.ServiceName(entry.backend),
         state=_STATES[entry.state],
-        capacity=_demand(entry.free_resources),
+        capacity=_to_demand(entry.free_resources),
         labels=frozenset(entry.labels),
         rack=ids.RackId(entry.labels[-1]),
         remaining_ms=entry.remaining_ms,
     )
 
 
-def _demand(room: _Room) -> spec.Demand:
+def _to_demand(resources: _Resources) -> spec.Demand:
     return spec.Demand(
-        millicores=room.cpu, memory_mb=room.mem_mb, accelerators=room.gpu
+        millicores=resources.cpu,
+        memory_mb=resources.mem_mb,
+        accelerators=resources.gpu,
     )
 
 
-def _configuration(
+def _decode_configuration(
     value: bytes, offset: int
 ) -> ports.ConfigurationChanged | None:
     try:
-        said = msgspec.json.decode(value, type=_Configuration)
+        published = msgspec.json.decode(value, type=_Configuration)
     except msgspec.DecodeError as error:
         structlog.get_logger().error(
             "configuration_ignored", offset=offset, error=str(error)
         )
         return None
     queues = sorted(
-        map(_queue, said.routes), key=lambda queue: -len(queue.path_prefix)
+        map(_to_queue, published.routes),
+        key=lambda queue: -len(queue.path_prefix),
     )
     return ports.ConfigurationChanged(
         configuration=fleet_configuration.FleetConfiguration(
-            version=said.version,
+            version=published.version,
             queues=tuple(queues),
-            accounts=tuple(map(_account, said.tenants)),
+            accounts=tuple(map(_to_account, published.tenants)),
         )
     )
 
 
-def _queue(route: _Route) -> fleet_configuration.Queue:
+def _to_queue(route: _Route) -> fleet_configuration.Queue:
     return fleet_configuration.Queue(
         terms=spec.QueueTerms(
             queue=spec.QueueName(route.name),
@@ -175,7 +185,7 @@
     )
 
 
-def _account(tenant: _Tenant) -> fleet_configuration.Account:
+def _to_account(tenant: _Tenant) -> fleet_configuration.Account:
     return fleet_configuration.Account(
         account=ids.AccountId(tenant.name),
         keys=frozenset(tenant.api_keys),
