--- a/citronmount/platform/tests/log_burst.py
+++ b/citronmount/platform/tests/log_burst.py
@@ -55,7 +55,7 @@
     """Loads on the programs of a soak, without faults."""
 
     def __init__(self, *, folder: str, read: bool) -> None:
-        super().__init__(seed=1, time_s=LOAD_S, folder=folder)
+        super().__init__(seed=1, duration_s=LOAD_S, folder=folder)
         self.read = read
         self.metrics: list[str] = []
         self.number = 0
--- a/citronmount/platform/tests/loopback_site.py
+++ b/citronmount/platform/tests/loopback_site.py
@@ -1,4 +1,4 @@
-"""The store and the runners over HTTP on loopback, for the soak."""
+"""HTTP servers of an in-memory store and runners on loopback, for the soak."""
 
 import base64
 import random
@@ -21,9 +21,9 @@
 from citronmount.workflow import units
 
 HOST = "127.0.0.1"
-SILENCE_MS = 3_000
+ANSWER_TIMEOUT_MS = 3_000
 _TOPICS = {name: topic for topic, name in store_log.TOPICS.items()}
-_HOW = {
+_END_KINDS = {
     commands.EndKind.DONE: "done",
     commands.EndKind.FAILED: "failed",
     commands.EndKind.STOPPED: "stopped",
@@ -40,7 +40,7 @@
 
 
 class StoreResource:
-    """The store's calls over a `PoolLog`."""
+    """The store's HTTP interface, served from a `PoolLog`."""
 
     app = klein.Klein()
 
@@ -50,32 +50,34 @@
     @app.route("/-/log-append", methods=["POST"])
     def append(self, request: iweb.IRequest) -> bytes:
         page = framing.decode_page(bytes(16) + request.content.read(), 0)
-        entries = [(each.key, each.value) for each in page.records]
+        records = [(each.key, each.value) for each in page.records]
         epoch = request.args.get(b"epoch")
         try:
             if epoch is None:
-                offset = self.log.write(ports.Topic.JOBS, entries)
+                offset = self.log.write(ports.Topic.JOBS, records)
             else:
                 sequence = int(request.args[b"seq"][0])
                 offset = self.log.append_as_owner(
-                    entries, int(epoch[0]), sequence
+                    records, int(epoch[0]), sequence
                 )
         except ports.FencedError as error:
             request.setResponseCode(409)
-            return _json({"reason": "fenced", "epoch": error.epoch})
-        return _json({"offset": offset, "end_offset": offset + len(entries)})
+            return _encode_json({"reason": "fenced", "epoch": error.epoch})
+        return _encode_json(
+            {"offset": offset, "end_offset": offset + len(records)}
+        )
 
     @app.route("/-/log-read", methods=["GET"])
     async def read(self, request: iweb.IRequest) -> bytes:
         topic = _TOPICS[request.args[b"topic"][0].decode()]
-        start = int(request.args[b"from"][0])
-        page = self.log.page(topic, start)
+        offset = int(request.args[b"from"][0])
+        page = self.log.page(topic, offset)
         if not page.records and int(request.args[b"wait_ms"][0]):
             await self.log.next_write(int(request.args[b"wait_ms"][0]))
-            page = self.log.page(topic, start)
-        head = page.end_offset.to_bytes(8, "big") + bytes(8)
-        pairs = [(each.key, each.value) for each in page.records]
-        return head + framing.encode(pairs)
+            page = self.log.page(topic, offset)
+        header = page.end_offset.to_bytes(8, "big") + bytes(8)
+        records = [(each.key, each.value) for each in page.records]
+        return header + framing.encode(records)
 
     @app.route("/-/log-newest", methods=["GET"])
     def newest(self, request: iweb.IRequest) -> bytes:
@@ -89,15 +91,17 @@
             }
             for each in snapshot.records
         ]
-        return _json({"items": items, "end_offset": snapshot.end_offset})
+        return _encode_json({"items": items, "end_offset": snapshot.end_offset})
 
     @app.route("/-/log-join", methods=["POST"])
     def join(self, request: iweb.IRequest) -> bytes:
-        said = msgspec.json.decode(request.content.read())
-        dealt = self.log.join(said["member"], said["ttl_ms"])
-        part = 0 if dealt.candidate else 1
-        parts = [[store_log.JOBS_TOPIC, part, 0]] if dealt.dealt else []
-        return _json({"generation": dealt.generation, "parts": parts})
+        body = msgspec.json.decode(request.content.read())
+        membership = self.log.join(body["member"], body["ttl_ms"])
+        part = 0 if membership.candidate else 1
+        parts = [[store_log.JOBS_TOPIC, part, 0]] if membership.dealt else []
+        return _encode_json(
+            {"generation": membership.generation, "parts": parts}
+        )
 
     @app.route("/-/log-leave", methods=["POST"])
     def leave(self, request: iweb.IRequest) -> bytes:
@@ -111,11 +115,14 @@
             [store_log.JOBS_TOPIC, number, member, 0]
             for number, member in enumerate(members)
         ]
-        return _json({"parts": rows})
+        return _encode_json({"parts": rows})
 
 
 class RunnerResource:
-    """The runners' calls over `PoolWorkers`, told apart by instance."""
+    """The HTTP interface of all runners, served from `PoolWorkers`.
+
+    The runners share one port; the instance header of a call selects one.
+    """
 
     app = klein.Klein()
 
@@ -124,50 +131,50 @@
 
     @app.route("/-/run-start", methods=["POST"])
     async def start(self, request: iweb.IRequest) -> bytes:
-        said = msgspec.json.decode(request.content.read())
+        body = msgspec.json.decode(request.content.read())
         command = commands.Start(
-            worker=self._entry(request),
-            task=units.TaskName(said["task"]),
-            run=said["run_id"],
-            payload=said["spec"],
-            until_ms=said["until_ms"],
-            saved=said.get("checkpoint", ""),
-            token=ids.FenceToken(said["fencing_token"]),
+            worker=self._addressed_worker(request),
+            task=units.TaskName(body["task"]),
+            run=body["run_id"],
+            payload=body["spec"],
+            until_ms=body["until_ms"],
+            saved=body.get("checkpoint", ""),
+            token=ids.FenceToken(body["fencing_token"]),
         )
-        outcome, _ = await self.pool.start(command, SILENCE_MS)
+        outcome, _ = await self.pool.start(command, ANSWER_TIMEOUT_MS)
         if outcome is not commands.StartOutcome.STARTED:
             request.setResponseCode(409)
-        return self._answer(_REASONS.get(outcome, ""))
+        return self._encode_answer(_REASONS.get(outcome, ""))
 
     @app.route("/-/run-stop", methods=["POST"])
     async def stop(self, request: iweb.IRequest) -> bytes:
-        said = msgspec.json.decode(request.content.read())
+        body = msgspec.json.decode(request.content.read())
         command = commands.Stop(
-            worker=self._entry(request),
-            task=units.TaskName(said["task"]),
-            run=said["run_id"],
-            token=ids.FenceToken(said["fencing_token"]),
+            worker=self._addressed_worker(request),
+            task=units.TaskName(body["task"]),
+            run=body["run_id"],
+            token=ids.FenceToken(body["fencing_token"]),
         )
-        outcome, _ = await self.pool.stop(command, SILENCE_MS)
+        outcome, _ = await self.pool.stop(command, ANSWER_TIMEOUT_MS)
         fenced = outcome is commands.StopOutcome.FENCED
         request.setResponseCode(409 if fenced else 200)
-        return self._answer("fence" if fenced else "")
+        return self._encode_answer("fence" if fenced else "")
 
     @app.route("/-/hold", methods=["POST"])
     async def hold(self, request: iweb.IRequest) -> bytes:
-        said = msgspec.json.decode(request.content.read())
+        body = msgspec.json.decode(request.content.read())
         command = commands.RenewLeases(
-            worker=self._entry(request),
-            until_ms=said.get("until_ms"),
-            last_seen=said["last_seen"],
-            wait_ms=said.get("wait_ms", 0),
-            token=ids.FenceToken(said["fencing_token"]),
+            worker=self._addressed_worker(request),
+            until_ms=body.get("until_ms"),
+            last_seen=body["last_seen"],
+            wait_ms=body.get("wait_ms", 0),
+            token=ids.FenceToken(body["fencing_token"]),
         )
-        report = await self.pool.hold(command, SILENCE_MS)
+        report = await self.pool.hold(command, ANSWER_TIMEOUT_MS)
         if not isinstance(report, commands.LeaseReport):
             request.setResponseCode(409)
-            return self._answer("fence")
-        return _json(
+            return self._encode_answer("fence")
+        return _encode_json(
             {
                 "clock_ms": report.clock_ms,
                 "born": report.life_ms,
@@ -176,27 +183,36 @@
                     for each in report.running
                 ],
                 "finished": [
-                    [e.number, e.task, e.run, _HOW[e.kind], e.saved]
-                    for e in report.ended
+                    [
+                        each.number,
+                        each.task,
+                        each.run,
+                        _END_KINDS[each.kind],
+                        each.saved,
+                    ]
+                    for each in report.ended
                 ],
             }
         )
 
-    def _entry(self, request: iweb.IRequest) -> worker_directory.Worker:
-        name = request.getHeader("citronmount-expect-instance")
-        return self.pool.workers[ids.WorkerId(name)].entry
+    def _addressed_worker(
+        self, request: iweb.IRequest
+    ) -> worker_directory.Worker:
+        instance = request.getHeader("citronmount-expect-instance")
+        return self.pool.workers[ids.WorkerId(instance)].entry
 
-    def _answer(self, reason: str) -> bytes:
-        return _json({"clock_ms": self.pool.now_ms(), "reason": reason})
+    def _encode_answer(self, reason: str) -> bytes:
+        return _encode_json({"clock_ms": self.pool.now_ms(), "reason": reason})
 
 
-class Link(protocol.ServerFactory):
-    """A loopback proxy in front of the store, with faults.
+class FaultyProxy(protocol.ServerFactory):
+    """A loopback TCP proxy between a VM and the store that injects faults.
 
     Attributes:
-        delay_s: How long each piece of data is held back.
-        silent_in: Whether data to the store vanishes.
-        silent_out: Whether data from the store vanishes.
+        delay_s: Delay of each piece of data in both directions.
+        drops_requests: Whether data to the store is discarded.
+        drops_responses: Whether data from the store is discarded.
+        connections: The open connections from the VM.
     """
 
     noisy = False
@@ -204,76 +220,82 @@
     def __init__(self, *, port: int) -> None:
         self.port = port
         self.delay_s = 0.0
-        self.silent_in = False
-        self.silent_out = False
-        self.open: set[_Near] = set()
+        self.drops_requests = False
+        self.drops_responses = False
+        self.connections: set[_VmConnection] = set()
 
     def buildProtocol(self, address):  # noqa: N802
-        return _Near(self)
+        return _VmConnection(self)
 
     def reset(self) -> None:
-        for near in list(self.open):
-            near.transport.abortConnection()
+        for vm_connection in list(self.connections):
+            vm_connection.transport.abortConnection()
 
     def heal(self) -> None:
         self.delay_s = 0.0
-        self.silent_in = self.silent_out = False
+        self.drops_requests = self.drops_responses = False
+
 
+class _VmConnection(protocol.Protocol):
+    """A connection from the VM; queues data until the store's is open."""
 
-class _Near(protocol.Protocol):
-    def __init__(self, link: Link) -> None:
-        self.link = link
-        self.far: _Far | None = None
-        self.early: list[bytes] = []
+    def __init__(self, proxy: FaultyProxy) -> None:
+        self.proxy = proxy
+        self.store_connection: _StoreConnection | None = None
+        self.pending: list[bytes] = []
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.link.open.add(self)
-        creator = protocol.ClientCreator(reactor, _Far, self)
-        made = creator.connectTCP(HOST, self.link.port)
-        made.addCallbacks(self._connected, lambda _: self._drop())
+        self.proxy.connections.add(self)
+        creator = protocol.ClientCreator(reactor, _StoreConnection, self)
+        connecting = creator.connectTCP(HOST, self.proxy.port)
+        connecting.addCallbacks(self._store_connected, lambda _: self._abort())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.link.silent_in:
+        if self.proxy.drops_requests:
             return
-        if self.far is None:
-            self.early.append(data)
+        if self.store_connection is None:
+            self.pending.append(data)
         else:
-            _later(self.link, self.far, data)
+            _forward(self.proxy, self.store_connection, data)
 
     def connectionLost(self, reason) -> None:  # noqa: N802
-        self.link.open.discard(self)
-        if self.far is not None:
-            self.far.transport.loseConnection()
+        self.proxy.connections.discard(self)
+        if self.store_connection is not None:
+            self.store_connection.transport.loseConnection()
 
-    def _connected(self, far: "_Far") -> None:
-        self.far = far
-        for data in self.early:
-            far.transport.write(data)
+    def _store_connected(self, store_connection: "_StoreConnection") -> None:
+        self.store_connection = store_connection
+        for data in self.pending:
+            store_connection.transport.write(data)
 
-    def _drop(self) -> None:
+    def _abort(self) -> None:
         self.transport.abortConnection()
 
 
-class _Far(protocol.Protocol):
-    def __init__(self, near: _Near) -> None:
-        self.near = near
+class _StoreConnection(protocol.Protocol):
+    """The connection to the store that belongs to one from the VM."""
+
+    def __init__(self, vm_connection: _VmConnection) -> None:
+        self.vm_connection = vm_connection
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if not self.near.link.silent_out:
-            _later(self.near.link, self.near, data)
+        if not self.vm_connection.proxy.drops_responses:
+            _forward(self.vm_connection.proxy, self.vm_connection, data)
 
     def connectionLost(self, reason) -> None:  # noqa: N802
-        self.near.transport.loseConnection()
+        self.vm_connection.transport.loseConnection()
 
 
-def _later(link: Link, to: protocol.Protocol, data: bytes) -> None:
-    if link.delay_s:
-        reactor.callLater(link.delay_s, to.transport.write, data)
+def _forward(
+    proxy: FaultyProxy, receiver: protocol.Protocol, data: bytes
+) -> None:
+    if proxy.delay_s:
+        reactor.callLater(proxy.delay_s, receiver.transport.write, data)
     else:
-        to.transport.write(data)
+        receiver.transport.write(data)
 
 
-def _json(body: object) -> bytes:
+def _encode_json(body: object) -> bytes:
     return msgspec.json.encode(body)
 
 
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -1,9 +1,9 @@
-"""A seeded fault soak of the real programs on loopback.
+"""Soak test of real VM processes on loopback with seeded random faults.
 
 python -m citronmount.platform.tests.soak --seed 1 --seconds 20 [--vms 4]
 
-Exit status 0: every promise held; 1: the broken promises are printed with the
-folder that keeps the logs.
+Exit status 0: no violation; 1: prints the violations, the injected faults and
+the folder with the logs of the VMs.
 """
 
 import argparse
@@ -33,29 +33,29 @@
 from citronmount.workflow import spec
 from citronmount.workflow import units
 
-USUAL_VMS = 4
+DEFAULT_VMS = 4
 CLOCK_RATES = (1.0, 0.99, 0.98)
 VM_PORTS = range(20_000, 32_000)
-WORKERS = 8
-SET_UP_S = 4.0
-SET_UP_S_PER_VM = 0.15
-# Seeds that failed once, with what was wrong; they are run with the others.
+WORKER_COUNT = 8
+START_S = 4.0
+START_S_PER_EXTRA_VM = 0.15
+# Seeds that failed before and the cause; the test runs them with its own seed.
 REGRESSIONS = {
-    4: "the soak took the status of its own signal for a bad end",
-    20: "the soak took the status of its own signal for a bad end",
-    23: "a gang in part: its owner frozen while starting it, a runner silent",
-    241: "a gang in part: two runners silent at its start, then no more faults",
-    222: "the soak gave a VM a port that another connection took",
+    4: "the soak counted the exit status of its own signal as a failure",
+    20: "the soak counted the exit status of its own signal as a failure",
+    23: "partial gang start: owner frozen during it and one runner silent",
+    241: "partial gang start: two runners silent, no further faults injected",
+    222: "the soak gave a VM a port that another connection had been assigned",
 }
-QUEUE = "/jobs/"
-KEY = {"X-Api-Key": "key", "Content-Type": "application/json"}
-HEAL_LIMIT_S = 40.0
-PLANNED_STOP_S = 4.0
-WATCH_S = 0.05
-CALM_S = 1.0
+PREFIX = "/jobs/"
+HEADERS = {"X-Api-Key": "key", "Content-Type": "application/json"}
+RECOVERY_TIMEOUT_S = 40.0
+VM_STOP_S = 4.0
+CHECK_PERIOD_S = 0.05
+GANG_MARGIN_S = 1.0
 DEMAND = spec.Demand(millicores=4_000, memory_mb=4_096, accelerators=2)
-ROOM = spec.Demand(millicores=32_000, memory_mb=65_536, accelerators=8)
-SETTINGS = """
+CAPACITY = spec.Demand(millicores=32_000, memory_mb=65_536, accelerators=8)
+SETTINGS_TEMPLATE = """
 node_name = "vm-{n}"
 ip = "127.0.0.1"
 zone = "zone-{zone}"
@@ -75,87 +75,96 @@
 
 
 class Soak:
-    """One run."""
+    """One run: VM processes with an in-process store and runners.
+
+    Attributes:
+        proxies: The proxy between each VM and the store.
+        submissions: "" for each accepted job and "refused" for each job whose
+            four submissions were all refused; jobs with an unknown outcome are
+            missing.
+        open_faults: Number of faults in progress.
+        checked: Number of the pool's violations already filtered.
+    """
 
     def __init__(
         self,
         *,
         seed: int,
-        time_s: float,
+        duration_s: float,
         folder: str,
-        vms: int = USUAL_VMS,
+        vm_count: int = DEFAULT_VMS,
     ) -> None:
         self.rng = random.Random(seed)
-        self.time_s = time_s
-        self.vms = vms
+        self.duration_s = duration_s
+        self.vm_count = vm_count
         self.folder = pathlib.Path(folder)
         self.log = pool_log.PoolLog(clock=reactor)
-        self.pool = pool_workers.PoolWorkers(clock=reactor, plans=self.plan)
+        self.pool = pool_workers.PoolWorkers(clock=reactor, plans=self.plan_run)
         self.http = exchange.Exchange(reactor=reactor)
-        self.links: list[loopback_site.Link] = []
-        self.fronts: list[str] = []
+        self.proxies: list[loopback_site.FaultyProxy] = []
+        self.client_addresses: list[str] = []
         self.processes: dict[int, subprocess.Popen] = {}
-        self.gangs: dict[str, int] = {}
-        self.accepted: dict[str, str] = {}
-        self.broken: list[str] = []
+        self.gang_sizes: dict[str, int] = {}
+        self.submissions: dict[str, str] = {}
+        self.violations: list[str] = []
         self.faults: list[str] = []
         self.healing = False
-        self.active = 0
-        self.calm_since_s = 0.0
-        self.seen = 0
+        self.open_faults = 0
+        self.fault_end_s = 0.0
+        self.checked = 0
 
-    def plan(self, name: units.TaskName, run: int) -> pool_workers.TaskPlan:
-        gang = self.gangs.get(name.partition(".")[0], 1)
-        time_ms = 300 + hash_of(name) % 1_500
+    def plan_run(self, name: units.TaskName, run: int) -> pool_workers.TaskPlan:
+        gang = self.gang_sizes.get(name.partition(".")[0], 1)
+        time_ms = 300 + hash_text(name) % 1_500
         return pool_workers.TaskPlan(
             run_time_ms=1_200 if gang > 1 else time_ms, demand=DEMAND, gang=gang
         )
 
     async def run(self) -> list[str]:
         self.set_up()
-        extra = self.vms - USUAL_VMS
-        await loopback_site.sleep(SET_UP_S + SET_UP_S_PER_VM * extra)
-        self.watcher = task.LoopingCall(self.note_broken)
-        self.watcher.start(WATCH_S)
-        traffic = defer.ensureDeferred(self.traffic())
-        faults = defer.ensureDeferred(self.inject())
-        await traffic
+        extra_vms = self.vm_count - DEFAULT_VMS
+        await loopback_site.sleep(START_S + START_S_PER_EXTRA_VM * extra_vms)
+        self.violation_filter = task.LoopingCall(self.filter_violations)
+        self.violation_filter.start(CHECK_PERIOD_S)
+        jobs = defer.ensureDeferred(self.submit_jobs())
+        faults = defer.ensureDeferred(self.inject_faults())
+        await jobs
         await faults
         await self.heal()
-        await self.settle()
-        await self.all_up()
-        self.watcher.stop()
-        self.note_broken()
+        await self.await_jobs()
+        await self.await_vms()
+        self.violation_filter.stop()
+        self.filter_violations()
         for number in list(self.processes):
             self.processes[number].terminate()
-        await loopback_site.sleep(PLANNED_STOP_S)
+        await loopback_site.sleep(VM_STOP_S)
         self.check_exits()
-        return self.broken + self.pool.broken
+        return self.violations + self.pool.broken
 
     def set_up(self) -> None:
         store = loopback_site.StoreResource(log=self.log).app.resource()
         store_port = listen(server.Site(store))
         runners = loopback_site.RunnerResource(pool=self.pool).app.resource()
         runner_port = listen(server.Site(runners))
-        for number in range(WORKERS):
+        for number in range(WORKER_COUNT):
             self.add_worker(number, runner_port)
         route = {
             "name": "r",
             "host": "",
-            "path_prefix": QUEUE,
+            "path_prefix": PREFIX,
             "backend": "s",
             "priority": 1,
             "max_attempts": 3,
             "slack_factor": 3.0,
         }
         tenant = {"name": "t", "api_keys": ["key"], "guaranteed": {"gpu": 0}}
-        said = {"version": 1, "routes": [route], "tenants": [tenant]}
-        entry = ("config", msgspec.json.encode(said))
-        self.log.write(ports.Topic.CONFIGURATION, [entry])
-        for number in range(self.vms):
-            link = loopback_site.Link(port=store_port)
-            self.links.append(link)
-            self.write_settings(number, listen(link))
+        content = {"version": 1, "routes": [route], "tenants": [tenant]}
+        record = ("config", msgspec.json.encode(content))
+        self.log.write(ports.Topic.CONFIGURATION, [record])
+        for number in range(self.vm_count):
+            proxy = loopback_site.FaultyProxy(port=store_port)
+            self.proxies.append(proxy)
+            self.write_settings(number, listen(proxy))
             self.start(number)
 
     def add_worker(self, number: int, port: int) -> None:
@@ -168,38 +177,38 @@
             failure_domain=ids.FailureDomainId("zone-0"),
             service=spec.ServiceName("s"),
             state=worker_directory.WorkerState.READY,
-            capacity=ROOM,
+            capacity=CAPACITY,
             labels=frozenset({"a", rack}),
             rack=ids.RackId(rack),
         )
         worker = self.pool.add(entry)
         worker.clock_rate = self.rng.choice(CLOCK_RATES)
-        said = {
+        content = {
             "backend": "s",
             "address": entry.address,
             "zone": "zone-0",
             "state": "ready",
             "free_resources": {
-                "cpu": ROOM.millicores,
-                "mem_mb": ROOM.memory_mb,
-                "gpu": ROOM.accelerators,
+                "cpu": CAPACITY.millicores,
+                "mem_mb": CAPACITY.memory_mb,
+                "gpu": CAPACITY.accelerators,
             },
             "labels": ["a", rack],
             "born": 1,
             "host_machine": entry.machine,
         }
-        record = (entry.worker, msgspec.json.encode(said))
+        record = (entry.worker, msgspec.json.encode(content))
         self.log.write(ports.Topic.WORKERS, [record])
 
     def write_settings(self, number: int, store_port: int) -> None:
-        front, ready, metrics = (free_port() for _ in range(3))
-        self.fronts.append(f"{loopback_site.HOST}:{front}")
-        text = SETTINGS.format(
+        client_port, ready_port, metrics_port = (free_port() for _ in range(3))
+        self.client_addresses.append(f"{loopback_site.HOST}:{client_port}")
+        text = SETTINGS_TEMPLATE.format(
             n=number,
             zone=number % 2,
-            front=front,
-            ready=ready,
-            metrics=metrics,
+            front=client_port,
+            ready=ready_port,
+            metrics=metrics_port,
             store=store_port,
         )
         (self.folder / f"vm-{number}.toml").write_text(text)
@@ -217,8 +226,8 @@
                 stderr=output,
             )
 
-    async def traffic(self) -> None:
-        end_s = reactor.seconds() + self.time_s
+    async def submit_jobs(self) -> None:
+        end_s = reactor.seconds() + self.duration_s
         number = 0
         while reactor.seconds() < end_s:
             number += 1
@@ -226,11 +235,11 @@
             await loopback_site.sleep(loopback_site.pick(self.rng, 0.05, 0.5))
 
     async def submit(self, job: str) -> None:
-        tasks = self.rng.choice((1, 1, 2, 4))
-        gang = tasks > 1 and self.rng.random() < 0.6
-        self.gangs[job] = tasks if gang else 1
+        task_count = self.rng.choice((1, 1, 2, 4))
+        gang = task_count > 1 and self.rng.random() < 0.6
+        self.gang_sizes[job] = task_count if gang else 1
         phase = {
-            "count": tasks,
+            "count": task_count,
             "gang": gang,
             "cpu": DEMAND.millicores,
             "mem_mb": DEMAND.memory_mb,
@@ -242,128 +251,130 @@
         for attempt in range(4):
             status, _ = await self.call("POST", job, body)
             if status == 200:
-                self.accepted[job] = ""
+                self.submissions[job] = ""
                 return
             if status not in (503, 429):
                 return
             refusals = attempt + 1
             await loopback_site.sleep(1.0)
         if refusals == 4:
-            self.accepted[job] = "refused"
+            self.submissions[job] = "refused"
 
     async def call(
         self, method: str, job: str, body: bytes | None = None
     ) -> tuple[int, bytes]:
-        address = self.rng.choice(self.fronts)
+        address = self.rng.choice(self.client_addresses)
         try:
             answer = await self.http.call(
                 method,
                 address,
-                QUEUE + job,
+                PREFIX + job,
                 3_000,
-                headers=KEY,
+                headers=HEADERS,
                 body=body,
             )
         except exchange.NoAnswerError:
             return 0, b""
         return answer.status, answer.body
 
-    async def inject(self) -> None:
-        end_s = reactor.seconds() + self.time_s
+    async def inject_faults(self) -> None:
+        end_s = reactor.seconds() + self.duration_s
         while reactor.seconds() < end_s:
             await loopback_site.sleep(loopback_site.pick(self.rng, 0.3, 2.0))
             fault = self.rng.choice(FAULTS)
-            number = self.rng.randrange(self.vms)
+            number = self.rng.randrange(self.vm_count)
             time_s = loopback_site.pick(self.rng, 0.5, 4.0)
             self.faults.append(f"{fault.__name__} vm-{number} {time_s:.1f} s")
-            defer.ensureDeferred(self.during(fault(self, number, time_s)))
+            defer.ensureDeferred(self.run_fault(fault(self, number, time_s)))
 
-    async def during(self, fault: Awaitable[None]) -> None:
-        self.active += 1
+    async def run_fault(self, fault: Awaitable[None]) -> None:
+        self.open_faults += 1
         await fault
-        self.active -= 1
-        self.calm_since_s = reactor.seconds()
+        self.open_faults -= 1
+        self.fault_end_s = reactor.seconds()
 
-    def note_broken(self) -> None:
-        """Passes over gangs that were cut short by a fault near them.
+    def filter_violations(self) -> None:
+        """Drops the violations of gangs that a recent fault interrupted.
 
-        A gang whose owner or worker is killed, frozen or silent in the middle
-        of its start waits for members that nobody sends.
+        If the owner or a worker of a gang is killed, frozen or silent during
+        the gang's start, its members wait for others that are never started.
         """
-        fresh = self.pool.broken[self.seen :]
-        calm_s = 0 if self.active else reactor.seconds() - self.calm_since_s
-        near = calm_s < pool_workers.GANG_WAIT_MS / 1_000 + CALM_S
+        new = self.pool.broken[self.checked :]
+        calm_s = 0 if self.open_faults else reactor.seconds() - self.fault_end_s
+        recent = calm_s < pool_workers.GANG_WAIT_MS / 1_000 + GANG_MARGIN_S
         kept = [
-            each for each in fresh if not (near and each.startswith("GANG"))
+            each for each in new if not (recent and each.startswith("GANG"))
         ]
-        self.pool.broken[self.seen :] = kept
-        self.seen = len(self.pool.broken)
+        self.pool.broken[self.checked :] = kept
+        self.checked = len(self.pool.broken)
 
     async def heal(self) -> None:
         self.healing = True
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
-        await loopback_site.sleep(PLANNED_STOP_S)
-        for link in self.links:
-            link.heal()
-            link.reset()
+        await loopback_site.sleep(VM_STOP_S)
+        for proxy in self.proxies:
+            proxy.heal()
+            proxy.reset()
         for worker in self.pool.workers.values():
             worker.fault = pool_workers.WorkerFault.NONE
         for number, process in self.processes.items():
             if process.poll() is not None:
                 self.start(number)
 
-    async def settle(self) -> None:
-        end_s = reactor.seconds() + HEAL_LIMIT_S
-        left = [job for job, end in self.accepted.items() if not end]
-        while left and reactor.seconds() < end_s:
+    async def await_jobs(self) -> None:
+        end_s = reactor.seconds() + RECOVERY_TIMEOUT_S
+        pending = [job for job, state in self.submissions.items() if not state]
+        while pending and reactor.seconds() < end_s:
             await loopback_site.sleep(0.5)
-            left = [job for job in left if not await self.complete(job)]
-        self.broken += [f"LOST: {job} is not complete" for job in left]
+            pending = [job for job in pending if not await self.is_done(job)]
+        self.violations += [f"LOST: {job} is not complete" for job in pending]
         started = {name.partition(".")[0] for name, _, _ in self.pool.starts}
-        refused = {job for job, end in self.accepted.items() if end}
-        self.broken += [f"REFUSED: {job} ran" for job in refused & started]
+        refused = {job for job, state in self.submissions.items() if state}
+        self.violations += [f"REFUSED: {job} ran" for job in refused & started]
 
-    async def all_up(self) -> None:
-        """Waits for every VM, so that none is stopped while it starts."""
-        end_s = reactor.seconds() + HEAL_LIMIT_S
-        down = list(self.fronts)
+    async def await_vms(self) -> None:
+        """Waits for every VM, so that none is stopped during its start."""
+        end_s = reactor.seconds() + RECOVERY_TIMEOUT_S
+        down = list(self.client_addresses)
         while down and reactor.seconds() < end_s:
             await loopback_site.sleep(0.2)
-            down = [address for address in down if not await self.up(address)]
-        self.broken += [f"{address} does not come up" for address in down]
+            down = [each for each in down if not await self.is_up(each)]
+        self.violations += [f"{each} does not answer" for each in down]
 
-    async def up(self, address: str) -> bool:
+    async def is_up(self, address: str) -> bool:
         try:
-            await self.http.call("GET", address, QUEUE, 1_000, headers=KEY)
+            await self.http.call("GET", address, PREFIX, 1_000, headers=HEADERS)
         except exchange.NoAnswerError:
             return False
         return True
 
-    async def complete(self, job: str) -> bool:
+    async def is_done(self, job: str) -> bool:
         status, body = await self.call("GET", job)
         if status == 410:
-            self.broken.append(f"LOST: {job} is told as unknown")
+            self.violations.append(f"LOST: {job} is reported as unknown")
         return status == 200 and b"complete" in body
 
     def check_exits(self) -> None:
         for number, process in self.processes.items():
             if process.poll() != 0:
-                self.broken.append(f"vm-{number} ended with {process.poll()}")
+                self.violations.append(
+                    f"vm-{number} exited with status {process.poll()}"
+                )
                 process.kill()
 
 
 async def kill(soak: Soak, number: int, time_s: float) -> None:
     soak.processes[number].kill()
-    await again(soak, number, time_s)
+    await restart_after(soak, number, time_s)
 
 
 async def stop(soak: Soak, number: int, time_s: float) -> None:
     soak.processes[number].terminate()
-    await again(soak, number, time_s + 3.0)
+    await restart_after(soak, number, time_s + 3.0)
 
 
-async def again(soak: Soak, number: int, time_s: float) -> None:
+async def restart_after(soak: Soak, number: int, time_s: float) -> None:
     await loopback_site.sleep(time_s)
     if soak.processes[number].poll() is not None and not soak.healing:
         soak.start(number)
@@ -377,35 +388,35 @@
 
 
 async def silence(soak: Soak, number: int, time_s: float) -> None:
-    link = soak.links[number]
-    link.silent_in = soak.rng.random() < 0.7
-    link.silent_out = not link.silent_in or soak.rng.random() < 0.5
+    proxy = soak.proxies[number]
+    proxy.drops_requests = soak.rng.random() < 0.7
+    proxy.drops_responses = not proxy.drops_requests or soak.rng.random() < 0.5
     await loopback_site.sleep(time_s)
-    link.heal()
+    proxy.heal()
 
 
 async def delay(soak: Soak, number: int, time_s: float) -> None:
-    soak.links[number].delay_s = loopback_site.pick(soak.rng, 0.05, 0.6)
+    soak.proxies[number].delay_s = loopback_site.pick(soak.rng, 0.05, 0.6)
     await loopback_site.sleep(time_s)
-    soak.links[number].heal()
+    soak.proxies[number].heal()
 
 
 async def reset(soak: Soak, number: int, time_s: float) -> None:
-    soak.links[number].reset()
+    soak.proxies[number].reset()
 
 
 async def outage(soak: Soak, number: int, time_s: float) -> None:
-    for link in soak.links:
-        link.silent_in = True
+    for proxy in soak.proxies:
+        proxy.drops_requests = True
     await loopback_site.sleep(time_s)
-    for link in soak.links:
-        link.heal()
+    for proxy in soak.proxies:
+        proxy.heal()
 
 
 async def quiet_worker(soak: Soak, number: int, time_s: float) -> None:
     worker = soak.rng.choice(list(soak.pool.workers.values()))
-    kinds = (pool_workers.WorkerFault.SILENT, pool_workers.WorkerFault.LATE)
-    worker.fault = soak.rng.choice(kinds)
+    faults = (pool_workers.WorkerFault.SILENT, pool_workers.WorkerFault.LATE)
+    worker.fault = soak.rng.choice(faults)
     worker.late_s = time_s
     await loopback_site.sleep(time_s)
     worker.fault = pool_workers.WorkerFault.NONE
@@ -414,7 +425,7 @@
 FAULTS = (kill, stop, freeze, silence, delay, reset, outage, quiet_worker)
 
 
-def hash_of(text: str) -> int:
+def hash_text(text: str) -> int:
     return sum(map(ord, text)) * 7_919
 
 
@@ -427,7 +438,7 @@
 
 
 def free_port() -> int:
-    """Returns a port that no outgoing connection is given."""
+    """Returns a free port outside the range for outgoing connections."""
     while True:
         number = random.SystemRandom().choice(VM_PORTS)
         try:
@@ -444,33 +455,36 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--seconds", type=float, default=20.0)
-    parser.add_argument("--vms", type=int, default=USUAL_VMS)
+    parser.add_argument("--vms", type=int, default=DEFAULT_VMS)
     args = parser.parse_args()
     folder = tempfile.mkdtemp(prefix=f"soak-{args.seed}-")
     soak = Soak(
-        seed=args.seed, time_s=args.seconds, folder=folder, vms=args.vms
+        seed=args.seed,
+        duration_s=args.seconds,
+        folder=folder,
+        vm_count=args.vms,
     )
     results: list[object] = []
 
-    def end(result: object) -> None:
+    def finish(result: object) -> None:
         results.append(result)
         for process in soak.processes.values():
             if process.poll() is None:
                 process.kill()
         reactor.stop()
 
-    def begin() -> None:
-        defer.ensureDeferred(soak.run()).addBoth(end)
+    def start() -> None:
+        defer.ensureDeferred(soak.run()).addBoth(finish)
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start)
     reactor.run()
-    (broken,) = results
-    done = sum(not end for end in soak.accepted.values())
-    print(f"seed {args.seed}: {done} jobs accepted, {len(soak.faults)} faults")
-    if broken == []:
+    (result,) = results
+    jobs = sum(not state for state in soak.submissions.values())
+    print(f"seed {args.seed}: {jobs} jobs accepted, {len(soak.faults)} faults")
+    if result == []:
         print("every promise held")
         return 0
-    print(broken if isinstance(broken, list) else broken.getTraceback())
+    print(result if isinstance(result, list) else result.getTraceback())
     print("\n".join(soak.faults))
     print(f"logs in {folder}")
     return 1
