--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -19,6 +19,7 @@
 from twisted.web import resource
 from twisted.web import server
 
+from citronmount.clients import http_client
 from citronmount.fleet import lease_sessions
 from citronmount.fleet_service import front as front_lib
 from citronmount.fleet_service import node as node_lib
@@ -26,9 +27,8 @@
 from citronmount.fleet_service import ports
 from citronmount.fleet_service import reloading
 from citronmount.fleet_service import vm_settings
-from citronmount.service import closing
-from citronmount.service import site
-from citronmount.services import exchange
+from citronmount.service import cleanup
+from citronmount.service import http_server
 from citronmount.telemetry import bounded_sink
 from citronmount.telemetry import event_metrics
 from citronmount.telemetry import logs
@@ -76,7 +76,7 @@
     def log(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
         member: str,
     ) -> ports.Log:
         """Returns the site's log."""
@@ -84,7 +84,7 @@
     def worker_orders(
         self,
         settings: vm_settings.VmSettings,
-        connections: exchange.Exchange,
+        connections: http_client.HttpClient,
     ) -> ports.WorkerOrders:
         """Returns the orders that the site's workers take."""
 
@@ -116,7 +116,7 @@
     Raises:
         ExceptionGroup: Parts could not be closed.
     """
-    http = exchange.Exchange(reactor=reactor)
+    http = http_client.HttpClient(reactor=reactor)
     member = f"{settings.vm}/{secrets.token_hex(PROCESS_NONCE_BYTES)}"
     log = adapter.log(settings, http, member)
     node = _node(reactor, adapter, settings, http, log)
@@ -131,9 +131,9 @@
     api = adapter.api(node.front)
     terminated: defer.Deferred[None] = defer.Deferred()
     _on_signals(reactor, terminated, reloader)
-    async with closing.ClosingStack() as stack:
+    async with cleanup.CleanupStack() as stack:
         stack.push("platform connections", http.close)
-        factory = site.make_factory(api.resource(), MAX_BODY_BYTES)
+        factory = http_server.make_http_factory(api.resource(), MAX_BODY_BYTES)
         port = await _listen(reactor, settings.caller_address, factory)
         stack.push(
             "caller connections", lambda: factory.close_connections(reactor)
@@ -167,7 +167,7 @@
     reactor: interfaces.IReactorCore,
     adapter: Adapter,
     settings: vm_settings.VmSettings,
-    http: exchange.Exchange,
+    http: http_client.HttpClient,
     log: ports.Log,
 ) -> node_lib.Node:
     lease_ms = min(LEASE_MS, settings.bounds.max_lease_ms - LEASE_MARGIN_MS)
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -23,11 +23,11 @@
 from twisted.internet import task
 from twisted.web import server
 
+from citronmount.clients import http_client
 from citronmount.core import ids
 from citronmount.fleet import worker_directory
 from citronmount.fleet_service import ports
 from citronmount.platform.tests import loopback_site
-from citronmount.services import exchange
 from citronmount.standins import pool_log
 from citronmount.standins import pool_workers
 from citronmount.workflow import spec
@@ -100,7 +100,7 @@
         self.folder = pathlib.Path(folder)
         self.log = pool_log.PoolLog(clock=reactor)
         self.pool = pool_workers.PoolWorkers(clock=reactor, plans=self.plan_run)
-        self.http = exchange.Exchange(reactor=reactor)
+        self.http = http_client.HttpClient(reactor=reactor)
         self.proxies: list[loopback_site.FaultyProxy] = []
         self.client_addresses: list[str] = []
         self.processes: dict[int, subprocess.Popen] = {}
@@ -273,7 +273,7 @@
                 headers=HEADERS,
                 body=body,
             )
-        except exchange.NoAnswerError:
+        except http_client.NoAnswerError:
             return 0, b""
         return answer.status, answer.body
 
@@ -345,7 +345,7 @@
     async def is_up(self, address: str) -> bool:
         try:
             await self.http.call("GET", address, PREFIX, 1_000, headers=HEADERS)
-        except exchange.NoAnswerError:
+        except http_client.NoAnswerError:
             return False
         return True
 
