--- a/citronmount/platform/framing.py
+++ b/citronmount/platform/framing.py
@@ -39,7 +39,7 @@
     return _LENGTH_PREFIX.pack(len(content)) + content
 
 
-def decode_page(body: bytes, first: int) -> ports.Page:
+def decode_page(body: bytes, first: int) -> ports.LogPage:
     """Decodes the response to a read.
 
     Args:
@@ -58,7 +58,7 @@
         records = _decode_records(body, first)
     except (struct.error, IndexError) as error:
         raise InvalidPageError(f"page from offset {first}: {error}") from error
-    return ports.Page(
+    return ports.LogPage(
         records=tuple(records),
         next_offset=first + len(records),
         end_offset=end,
--- a/citronmount/platform/tests/loopback_site.py
+++ b/citronmount/platform/tests/loopback_site.py
@@ -170,7 +170,7 @@
             wait_ms=body.get("wait_ms", 0),
             token=ids.FenceToken(body["fencing_token"]),
         )
-        report = await self.pool.hold(command, ANSWER_TIMEOUT_MS)
+        report = await self.pool.renew_leases(command, ANSWER_TIMEOUT_MS)
         if not isinstance(report, commands.LeaseReport):
             request.setResponseCode(409)
             return self._encode_answer("fence")
