--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -1,4 +1,4 @@
-"""The process of one VM on the users' platform."""
+"""Entry point of one VM's process on the users' platform."""
 
 import os
 import sys
@@ -20,10 +20,13 @@
 
 
 class PlatformAdapter:
-    """The parts of a VM that speak to the platform; see `Adapter`."""
+    """The formats, names and protocols of the platform.
+
+    See `vm_process.Adapter`.
+    """
 
     def load(self, path: str) -> vm_settings.VmSettings:
-        """Reads a settings file."""
+        """Reads and decodes a settings file."""
         return settings_file.load(path)
 
     def log(
@@ -32,9 +35,9 @@
         connections: http_client.HttpClient,
         member: str,
     ) -> ports.Log:
-        """Returns the platform's store as the log."""
+        """Returns a client of the log in the platform's store."""
         return store_log.StoreLog(
-            connections=connections,
+            client=connections,
             address=settings.log_address,
             member=member,
         )
@@ -44,20 +47,20 @@
         settings: vm_settings.VmSettings,
         connections: http_client.HttpClient,
     ) -> ports.WorkerCommands:
-        """Returns the orders that the platform's runners take."""
+        """Returns a client that sends commands to the platform's runners."""
         return runner_client.RunnerClient(
-            connections=connections, advice_address=settings.advice_address
+            client=connections, advice_address=settings.advice_address
         )
 
     def decode(
         self, topic: ports.Topic, record: ports.LogRecord
     ) -> ports.LogEvent | None:
-        """Decodes a record of the operators or the runners."""
+        """Decodes a record that operators or runners have written."""
         return topic_records.decode(topic, record)
 
     def api(self, service: job_service.JobService) -> vm_process.Api:
-        """Returns the interface that the platform's clients call."""
-        return job_api.JobApi(front=service)
+        """Returns the HTTP interface for the platform's clients."""
+        return job_api.JobApi(service=service)
 
 
 def check(path: str) -> int:
@@ -69,13 +72,14 @@
     """Runs the process of one VM until it is stopped.
 
     Args:
-        path: The settings file, or None for the one the platform names.
+        path: Path of the settings file, or None for the path in the
+            environment variable that the platform sets.
 
     Returns:
         The exit status; see `vm_process.run`.
     """
-    named = os.environ.get(settings_file.SETTINGS_VARIABLE, "")
-    return vm_process.run(PlatformAdapter(), path or named)
+    default_path = os.environ.get(settings_file.SETTINGS_VARIABLE, "")
+    return vm_process.run(PlatformAdapter(), path or default_path)
 
 
 @click.command()
@@ -83,18 +87,18 @@
     "--settings",
     "path",
     type=click.Path(),
-    help="The settings file, instead of the one that the platform names.",
+    help="Settings file; default: the one that the platform names.",
 )
 @click.option(
     "--check",
     "check_path",
     type=click.Path(),
-    help="Check this settings file, print what is wrong and exit.",
+    help="Check this settings file, print its errors and exit.",
 )
 def main(path: str | None, check_path: str | None) -> None:
     """Runs the process of one VM on the users' platform.
 
-    Exits with 0 after a planned stop, 1 after a fault and 2 if the settings
-    are faulty.
+    Exits with status 0 after a planned stop, 1 after a failure and 2 if the
+    settings are invalid.
     """
     sys.exit(check(check_path) if check_path else run(path))
--- a/citronmount/platform/job_api.py
+++ b/citronmount/platform/job_api.py
@@ -6,7 +6,7 @@
 import structlog
 from twisted.web import http
 from twisted.web import iweb
-from twisted.web import resource as resource_lib
+from twisted.web import resource
 
 from citronmount.core import errors
 from citronmount.core import ids
@@ -14,12 +14,12 @@
 from citronmount.fleet_service import job_service
 from citronmount.platform import job_bodies
 
-__all__ = ["JobApi", "close_after_answer"]
+__all__ = ["JobApi", "close_after_response"]
 
-KEY_HEADER = "x-api-key"
+API_KEY_HEADER = "x-api-key"
 DEADLINE_HEADER = "citronmount-deadline-ms"
 RETRY_AFTER_S = 1
-MAX_LOGGED_PATH = 200
+MAX_LOGGED_PATH_LENGTH = 200
 
 _MS_PER_S = 1_000
 
@@ -32,74 +32,78 @@
 
 
 class JobApi:
-    """Routes calls to the front.
+    """Dispatches HTTP calls to the job service.
 
     Attributes:
-        closing: Whether each connection is closed after its answer.
+        closing: Whether each connection is closed after its response.
     """
 
     app = klein.Klein()
 
-    def __init__(self, *, front: job_service.JobService) -> None:
+    def __init__(self, *, service: job_service.JobService) -> None:
         """Initializes the interface.
 
         Args:
-            front: Answers the calls.
+            service: The service that the calls are dispatched to.
         """
         self.closing = False
-        self._front = front
+        self._service = service
 
-    def resource(self) -> resource_lib.Resource:
-        """Returns the root of the interface."""
+    def resource(self) -> resource.Resource:
+        """Returns the root resource of the interface."""
         return self.app.resource()
 
     @app.route("/", branch=True)
     async def call(self, request: iweb.IRequest) -> bytes:
         """Answers any call and logs each refusal.
 
-        A VM that refuses closes the connection, so that the caller's retry
-        comes to another VM.
+        A VM that responds with status 503 closes the connection, so that the
+        caller's retry reaches another VM.
         """
         request.setHeader("content-type", "application/json")
-        began_s = time.monotonic()
-        in_force = self._front.configuration
-        body = await self._answer(request, in_force)
+        start_s = time.monotonic()
+        configuration = self._service.configuration
+        body = await self._dispatch(request, configuration)
         if self.closing or request.code == http.SERVICE_UNAVAILABLE:
-            close_after_answer(request)
+            close_after_response(request)
         if request.code >= http.BAD_REQUEST:
             structlog.get_logger().info(
                 "call_refused",
                 method=request.method.decode("ascii", "replace"),
-                path=request.path.decode("utf-8", "replace")[:MAX_LOGGED_PATH],
+                path=request.path.decode("utf-8", "replace")[
+                    :MAX_LOGGED_PATH_LENGTH
+                ],
                 status=request.code,
                 why=body.decode("utf-8", "replace"),
-                version=in_force.version if in_force else None,
-                took_ms=int((time.monotonic() - began_s) * _MS_PER_S),
+                version=configuration.version if configuration else None,
+                took_ms=int((time.monotonic() - start_s) * _MS_PER_S),
             )
         return body
 
-    async def _answer(
+    async def _dispatch(
         self,
         request: iweb.IRequest,
-        in_force: fleet_configuration.FleetConfiguration | None,
+        configuration: fleet_configuration.FleetConfiguration | None,
     ) -> bytes:
-        if in_force is None:
+        if configuration is None:
             return _refuse(request, http.SERVICE_UNAVAILABLE)
         path = request.path.decode("utf-8", "replace")
-        queue = in_force.queue_at(_host(request), path)
+        queue = configuration.queue_at(_host_name(request), path)
         if queue is None:
             return _refuse(request, http.NOT_FOUND)
-        account = self._account(request, in_force, queue)
+        account = self._authenticate(request, configuration, queue)
         if account is None:
             return _refuse(request, http.UNAUTHORIZED)
         name = path.removeprefix(queue.path_prefix)
         if not name and request.method == b"GET":
-            return job_bodies.encode_pending(self._front.pending(queue))
+            return job_bodies.encode_pending(self._service.pending(queue))
         if not job_bodies.is_job_id(name):
             return _refuse(request, http.NOT_FOUND)
-        return await self._job_call(request, queue, account, ids.JobId(name))
+        return await self._dispatch_job_call(
+            request, queue, account, ids.JobId(name)
+        )
 
-    async def _job_call(
+    async def _dispatch_job_call(
         self,
         request: iweb.IRequest,
         queue: fleet_configuration.Queue,
@@ -110,7 +114,7 @@
             case b"POST":
                 return await self._submit(request, queue, account, job)
             case b"GET":
-                return await self._state(request, queue, job)
+                return await self._get_state(request, queue, job)
             case b"DELETE":
                 return await self._cancel(request, queue, job)
         return _refuse(request, http.NOT_ALLOWED)
@@ -126,10 +130,10 @@
             workflow = job_bodies.decode_job(job, request.content.read())
         except job_bodies.InvalidJobError as error:
             return _refuse(request, http.BAD_REQUEST, str(error))
-        answer = await self._front.submit(
+        result = await self._service.submit(
             queue, account, workflow, _timeout_ms(request, queue)
         )
-        return _answer(request, answer)
+        return _respond(request, result)
 
     async def _cancel(
         self,
@@ -138,74 +142,79 @@
         job: ids.JobId,
     ) -> bytes:
         try:
-            answer = await self._front.cancel(
+            result = await self._service.cancel(
                 queue, job, _timeout_ms(request, queue)
             )
         except errors.CitronmountError as error:
             return _refuse(request, http.SERVICE_UNAVAILABLE, str(error))
-        return _answer(request, answer)
+        return _respond(request, result)
 
-    async def _state(
+    async def _get_state(
         self,
         request: iweb.IRequest,
         queue: fleet_configuration.Queue,
         job: ids.JobId,
     ) -> bytes:
         try:
-            state = await self._front.state(queue, job)
+            state = await self._service.state(queue, job)
         except errors.CitronmountError as error:
             return _refuse(request, http.SERVICE_UNAVAILABLE, str(error))
         if state is None:
             return _refuse(request, http.GONE)
         return job_bodies.encode_state(state)
 
-    def _account(
+    def _authenticate(
         self,
         request: iweb.IRequest,
-        in_force: fleet_configuration.FleetConfiguration,
+        configuration: fleet_configuration.FleetConfiguration,
         queue: fleet_configuration.Queue,
     ) -> ids.AccountId | None:
-        """Returns the caller's account, or None if its key is unknown."""
-        key = request.getHeader(KEY_HEADER)
-        account = in_force.account_of(key) if key else None
+        """Returns the caller's account, or None if the call is unauthorized.
+
+        The account is empty for a call without a known key to a public queue.
+        """
+        key = request.getHeader(API_KEY_HEADER)
+        account = configuration.account_of(key) if key else None
         if account is None and queue.public:
             return ids.AccountId("")
         return account
 
 
-def close_after_answer(request: iweb.IRequest) -> None:
-    """Lets the connection of a call end with its answer.
+def close_after_response(request: iweb.IRequest) -> None:
+    """Closes the connection of a call after its response.
 
     Args:
-        request: The call; its caller may have gone already.
+        request: The call; its connection may have been closed already.
     """
     if request.channel is not None:
         request.channel.persistent = False
 
 
-def _host(request: iweb.IRequest) -> str:
+def _host_name(request: iweb.IRequest) -> str:
     return (request.getHeader("host") or "").partition(":")[0]
 
 
 def _timeout_ms(
     request: iweb.IRequest, queue: fleet_configuration.Queue
 ) -> int:
-    """Returns how long the caller waits, within the queue's limit."""
-    text = request.getHeader(DEADLINE_HEADER) or ""
-    if not text.isdigit():
+    """Returns the caller's deadline in ms, at most the queue's limit."""
+    deadline = request.getHeader(DEADLINE_HEADER) or ""
+    if not deadline.isdigit():
         return queue.timeout_ms
-    return min(int(text), queue.timeout_ms)
+    return min(int(deadline), queue.timeout_ms)
 
 
-def _answer(request: iweb.IRequest, answer: job_service.RequestResult) -> bytes:
-    request.setResponseCode(_STATUSES[answer.verdict])
-    if answer.verdict is job_service.RequestOutcome.NOT_DONE:
-        request.setHeader("retry-after", str(answer.retry_after_s))
+def _respond(
+    request: iweb.IRequest, result: job_service.RequestResult
+) -> bytes:
+    request.setResponseCode(_STATUSES[result.verdict])
+    if result.verdict is job_service.RequestOutcome.NOT_DONE:
+        request.setHeader("retry-after", str(result.retry_after_s))
     return b"{}"
 
 
-def _refuse(request: iweb.IRequest, status: int, why: str = "") -> bytes:
+def _refuse(request: iweb.IRequest, status: int, reason: str = "") -> bytes:
     request.setResponseCode(status)
     if status == http.SERVICE_UNAVAILABLE:
         request.setHeader("retry-after", str(RETRY_AFTER_S))
-    return job_bodies.encode_refusal(why)
+    return job_bodies.encode_refusal(reason)
--- a/citronmount/platform/runner_client.py
+++ b/citronmount/platform/runner_client.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's runners."""
+"""Client that sends commands to the platform's runners."""
 
 import http
 import typing
@@ -23,18 +23,18 @@
     "broken": commands.EndKind.MEMBER_LOST,
     "alone": commands.EndKind.MEMBER_MISSING,
 }
-_REASONS = {
+_START_OUTCOMES = {
     "fence": commands.StartOutcome.FENCED,
     "old": commands.StartOutcome.STALE_RUN,
     "late": commands.StartOutcome.LEASE_EXPIRED,
     "room": commands.StartOutcome.NO_CAPACITY,
     "ticket": commands.StartOutcome.NO_TICKET,
 }
-_MAX_ENDS = 500
+_MAX_REPORTED_ENDS = 500
 
 
 class _Start(msgspec.Struct, omit_defaults=True):
-    """`spec` is what the task is handed, not a description of the job."""
+    """`spec` is the payload of the task, not a description of the job."""
 
     task: str
     run_id: int
@@ -51,34 +51,36 @@
     fencing_token: int
 
 
-class _Hold(msgspec.Struct, omit_defaults=True):
+class _RenewLeases(msgspec.Struct, omit_defaults=True):
     fencing_token: int
     last_seen: int
     until_ms: int | None = None
     wait_ms: int = 0
 
 
-class _Question(msgspec.Struct):
+class _AdviceRequest(msgspec.Struct):
     step: str
     workers: list[str]
 
 
-class _Advice(msgspec.Struct):
-    """`granted` holds rows of worker and ticket."""
+class _AdviceResponse(msgspec.Struct):
+    """`granted` has rows of worker and ticket."""
 
     granted: list[tuple[str, str]]
     valid_ms: float
 
 
-class _Answer(msgspec.Struct):
+class _CommandResponse(msgspec.Struct):
     clock_ms: int | None = None
     reason: str = ""
 
 
-class _Report(msgspec.Struct):
-    """`running`: task, run, saved, percent, load.
+class _LeaseReport(msgspec.Struct):
+    """The tasks that run on a runner and those that ended.
 
-    `finished`: number, task, run, how, saved. `born` names the life.
+    `running` has rows of task, run, checkpoint, percent and load, `finished`
+    rows of number, task, run, kind of end and checkpoint. `born` is the start
+    of the runner's incarnation.
     """
 
     clock_ms: int
@@ -88,18 +90,19 @@
 
 
 class RunnerClient:
-    """Makes the calls of `ports.WorkerCommands` at the platform's runners."""
+    """Implements `ports.WorkerCommands` with calls to the runners."""
 
     def __init__(
-        self, *, connections: http_client.HttpClient, advice_address: str = ""
+        self, *, client: http_client.HttpClient, advice_address: str = ""
     ) -> None:
         """Initializes a client.
 
         Args:
-            connections: The connections to use.
-            advice_address: ``ip:port`` of the policies' service, if any.
+            client: HTTP client for the calls.
+            advice_address: ``ip:port`` of the service that answers advice
+                requests for the queues' policies, or empty.
         """
-        self._connections = connections
+        self._client = client
         self._advice_address = advice_address
 
     async def start(
@@ -116,13 +119,15 @@
             ticket=command.ticket,
         )
         try:
-            answer = await self._call("/-/run-start", command, body, timeout_ms)
+            response = await self._call(
+                "/-/run-start", command, body, timeout_ms
+            )
         except http_client.NoAnswerError as error:
             if error.sent:
                 return commands.StartOutcome.UNKNOWN, None
             return commands.StartOutcome.UNREACHABLE, None
-        said = _decoded(answer)
-        return _start_outcome(answer.status, said.reason), said.clock_ms
+        decoded = _decode(response)
+        return _start_outcome(response.status, decoded.reason), decoded.clock_ms
 
     async def stop(
         self, command: commands.Stop, timeout_ms: int
@@ -133,28 +138,30 @@
             run_id=command.run,
             fencing_token=int(command.token),
         )
-        answer = await self._post("/-/run-stop", command, body, timeout_ms)
-        if answer is None:
+        response = await self._post("/-/run-stop", command, body, timeout_ms)
+        if response is None:
             return commands.StopOutcome.UNKNOWN, None
-        return _stop_outcome(answer.status), _decoded(answer).clock_ms
+        return _stop_outcome(response.status), _decode(response).clock_ms
 
     async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
         """Renews leases and asks what runs; see `ports.WorkerCommands`."""
-        body = _Hold(
+        body = _RenewLeases(
             fencing_token=int(command.token),
             last_seen=command.last_seen,
             until_ms=command.until_ms,
             wait_ms=command.wait_ms,
         )
-        answer = await self._post("/-/hold", command, body, timeout_ms)
-        if answer is None:
+        response = await self._post("/-/hold", command, body, timeout_ms)
+        if response is None:
             return commands.StopOutcome.UNKNOWN
-        if answer.status != http.HTTPStatus.OK:
-            return _stop_outcome(answer.status)
+        if response.status != http.HTTPStatus.OK:
+            return _stop_outcome(response.status)
         try:
-            return _report(msgspec.json.decode(answer.body, type=_Report))
+            return _to_lease_report(
+                msgspec.json.decode(response.body, type=_LeaseReport)
+            )
         except (msgspec.DecodeError, LookupError, ValueError):
             return commands.StopOutcome.UNKNOWN
 
@@ -162,12 +169,12 @@
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> commands.AdviceAnswer | None:
         """Asks a queue's policy; see `ports.WorkerCommands`."""
-        body = _Question(
+        body = _AdviceRequest(
             step=advice_request.step,
             workers=[worker.worker for worker in advice_request.workers],
         )
         try:
-            answer = await self._connections.call(
+            response = await self._client.call(
                 "POST",
                 self._advice_address,
                 "/-/advise",
@@ -175,14 +182,14 @@
                 headers={"Content-Type": "application/json"},
                 body=msgspec.json.encode(body),
             )
-            if answer.status != http.HTTPStatus.OK:
+            if response.status != http.HTTPStatus.OK:
                 return None
-            said = msgspec.json.decode(answer.body, type=_Advice)
+            advice = msgspec.json.decode(response.body, type=_AdviceResponse)
         except (http_client.NoAnswerError, msgspec.DecodeError):
             return None
         return commands.AdviceAnswer(
-            tickets={ids.WorkerId(name): text for name, text in said.granted},
-            valid_ms=int(said.valid_ms),
+            tickets={ids.WorkerId(name): text for name, text in advice.granted},
+            valid_ms=int(advice.valid_ms),
         )
 
     async def _post(
@@ -204,7 +211,7 @@
         body: msgspec.Struct,
         timeout_ms: int,
     ) -> defer.Deferred[http_client.HttpResponse]:
-        return self._connections.call(
+        return self._client.call(
             "POST",
             command.worker.address,
             path,
@@ -217,11 +224,11 @@
         )
 
 
-def _decoded(answer: http_client.HttpResponse) -> _Answer:
+def _decode(response: http_client.HttpResponse) -> _CommandResponse:
     try:
-        return msgspec.json.decode(answer.body, type=_Answer)
+        return msgspec.json.decode(response.body, type=_CommandResponse)
     except msgspec.DecodeError:
-        return _Answer()
+        return _CommandResponse()
 
 
 def _start_outcome(status: int, reason: str) -> commands.StartOutcome:
@@ -230,7 +237,7 @@
     if status == http.HTTPStatus.MISDIRECTED_REQUEST:
         return commands.StartOutcome.OTHER_INCARNATION
     if status == http.HTTPStatus.CONFLICT:
-        return _REASONS.get(reason, commands.StartOutcome.NOT_STARTED)
+        return _START_OUTCOMES.get(reason, commands.StartOutcome.NOT_STARTED)
     return commands.StartOutcome.NOT_STARTED
 
 
@@ -244,17 +251,17 @@
     return commands.StopOutcome.UNKNOWN
 
 
-def _report(report: _Report) -> commands.LeaseReport:
+def _to_lease_report(report: _LeaseReport) -> commands.LeaseReport:
     return commands.LeaseReport(
         clock_ms=report.clock_ms,
         life_ms=report.born,
-        running=tuple(map(_running, report.running)),
-        ended=tuple(map(_ended, report.finished)),
-        complete=len(report.finished) < _MAX_ENDS,
+        running=tuple(map(_to_running_task, report.running)),
+        ended=tuple(map(_to_ended_task, report.finished)),
+        complete=len(report.finished) < _MAX_REPORTED_ENDS,
     )
 
 
-def _running(row: list[typing.Any]) -> commands.RunningTask:
+def _to_running_task(row: list[typing.Any]) -> commands.RunningTask:
     task, run, saved, percent, *load = row
     return commands.RunningTask(
         task=units.TaskName(task),
@@ -265,7 +272,7 @@
     )
 
 
-def _ended(row: tuple[int, str, int, str, str]) -> commands.EndedTask:
+def _to_ended_task(row: tuple[int, str, int, str, str]) -> commands.EndedTask:
     number, task, run, how, saved = row
     return commands.EndedTask(
         number=number,
--- a/citronmount/platform/store_log.py
+++ b/citronmount/platform/store_log.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as the log of a pool."""
+"""Client of the platform's metadata store, which holds the pool's log."""
 
 import base64
 from collections.abc import Sequence
@@ -17,10 +17,10 @@
 
 JOBS_TOPIC = "keyed.jobs"
 PRODUCER = "owner"
-GROUP = "owners"
+OWNERS_GROUP = "owners"
 MAX_READ_KB = 1_024
 
-_PART = 0
+_PARTITION = 0
 TOPICS = {
     ports.Topic.JOBS: JOBS_TOPIC,
     ports.Topic.CONFIGURATION: "keyed.op",
@@ -35,12 +35,12 @@
 _Body = typing.TypeVar("_Body")
 
 
-class _Appended(msgspec.Struct):
+class _AppendResponse(msgspec.Struct):
     offset: int = 0
 
 
-class _Conflict(msgspec.Struct):
-    """Why an append was refused; `epoch` and `seq` tell what was expected."""
+class _ConflictResponse(msgspec.Struct):
+    """Why an append was refused; `epoch` and `seq` are the expected values."""
 
     reason: str = ""
     epoch: int | None = None
@@ -53,28 +53,28 @@
     value: str = ""
 
 
-class _Newest(msgspec.Struct):
+class _NewestResponse(msgspec.Struct):
     items: list[_NewestItem]
     end_offset: int
     truncated: bool = False
 
 
-class _Joined(msgspec.Struct):
-    """`parts` holds rows of topic, partition and committed offset."""
+class _JoinResponse(msgspec.Struct):
+    """`parts` has rows of topic, partition and committed offset."""
 
     generation: int
     parts: list[tuple[str, int, int]] = []
 
 
-class _Owners(msgspec.Struct):
-    """`parts` holds rows of topic, partition, member and offset."""
+class _OwnersResponse(msgspec.Struct):
+    """`parts` has rows of topic, partition, member and offset."""
 
     rows: list[tuple[str, int, str, int]] = msgspec.field(
         name="parts", default_factory=list
     )
 
 
-class _Join(msgspec.Struct):
+class _JoinRequest(msgspec.Struct):
     group: str
     member: str
     topics: list[str]
@@ -82,38 +82,42 @@
     generation: int
 
 
-class _Leave(msgspec.Struct):
+class _LeaveRequest(msgspec.Struct):
     group: str
     member: str
 
 
 class StoreLog:
-    """Makes the calls of `ports.Log` at the platform's store."""
+    """Implements `ports.Log` with calls to the platform's store.
+
+    Attributes:
+        member: Name of this VM in the owners' group.
+    """
 
     def __init__(
-        self, *, connections: http_client.HttpClient, address: str, member: str
+        self, *, client: http_client.HttpClient, address: str, member: str
     ) -> None:
         """Initializes a client of one store.
 
         Args:
-            connections: The connections to use.
+            client: HTTP client for the calls.
             address: ``ip:port`` of the store.
-            member: The name of this VM in groups.
+            member: Name of this VM in the owners' group.
         """
-        self._connections = connections
+        self._client = client
         self._address = address
         self.member = member
 
     def use_address(self, address: str) -> None:
-        """Makes further calls go to another address."""
+        """Sends all later calls to another address."""
         self._address = address
 
     async def append(
         self, records: Sequence[tuple[str, bytes | None]], timeout_ms: int
     ) -> int:
         """Appends to the job topic; see `ports.Log`."""
-        answer = await self._append({}, framing.encode(records), timeout_ms)
-        return _decoded(answer, _Appended).offset
+        response = await self._append({}, framing.encode(records), timeout_ms)
+        return _decode_response(response, _AppendResponse).offset
 
     async def append_as_owner(
         self,
@@ -122,90 +126,98 @@
         sequence: int,
         timeout_ms: int,
     ) -> int:
-        """Appends unless a newer epoch was seen; see `ports.Log`."""
+        """Appends unless the log has seen a newer epoch; see `ports.Log`."""
         query = {"producer": PRODUCER, "epoch": epoch, "seq": sequence}
-        answer = await self._append(query, framing.encode(records), timeout_ms)
-        return _decoded(answer, _Appended).offset
+        response = await self._append(
+            query, framing.encode(records), timeout_ms
+        )
+        return _decode_response(response, _AppendResponse).offset
 
     async def read(
         self, topic: ports.Topic, offset: int, wait_ms: int, timeout_ms: int
     ) -> ports.LogPage:
         """Reads records; see `ports.Log`."""
         query = {
-            **_place(topic),
+            **_partition_query(topic),
             "from": offset,
             "max_kb": MAX_READ_KB,
             "wait_ms": wait_ms,
         }
-        answer = await self._call("GET", "/-/log-read", query, timeout_ms)
-        if answer.status == http.HTTPStatus.GONE:
+        response = await self._call("GET", "/-/log-read", query, timeout_ms)
+        if response.status == http.HTTPStatus.GONE:
             raise ports.LogTruncatedError
-        return framing.decode_page(_checked(answer).body, offset)
+        return framing.decode_page(_check_status(response).body, offset)
 
     async def snapshot(
         self, topic: ports.Topic, timeout_ms: int
     ) -> ports.Snapshot:
         """Reads the newest record of each key; see `ports.Log`."""
         items: list[_NewestItem] = []
-        first_end: int | None = None
-        query = _place(topic)
+        end_offset: int | None = None
+        query = _partition_query(topic)
         while True:
-            answer = await self._call("GET", "/-/log-newest", query, timeout_ms)
-            page = _decoded(answer, _Newest)
-            first_end = page.end_offset if first_end is None else first_end
+            response = await self._call(
+                "GET", "/-/log-newest", query, timeout_ms
+            )
+            page = _decode_response(response, _NewestResponse)
+            end_offset = page.end_offset if end_offset is None else end_offset
             items += page.items
             if not page.truncated or not page.items:
                 break
             query = {**query, "after": page.items[-1].key}
-        records = sorted(map(_record, items), key=lambda each: each.offset)
-        return ports.Snapshot(records=tuple(records), end_offset=first_end)
+        records = sorted(map(_to_record, items), key=lambda each: each.offset)
+        return ports.Snapshot(records=tuple(records), end_offset=end_offset)
 
     async def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> ports.Membership:
-        """Joins the owners' group; see `ports.Log`."""
-        body = _Join(
-            group=GROUP,
+        """Joins the owners' group or renews the membership; see `ports.Log`."""
+        body = _JoinRequest(
+            group=OWNERS_GROUP,
             member=self.member,
             topics=[JOBS_TOPIC],
             ttl_ms=ttl_ms,
             generation=generation,
         )
-        answer = await self._call(
+        response = await self._call(
             "POST", "/-/log-join", {}, timeout_ms, msgspec.json.encode(body)
         )
-        joined = _decoded(answer, _Joined)
-        held = {(topic, part) for topic, part, _ in joined.parts}
+        joined = _decode_response(response, _JoinResponse)
+        assigned = {(topic, partition) for topic, partition, _ in joined.parts}
         return ports.Membership(
             generation=joined.generation,
-            candidate=(JOBS_TOPIC, _PART) in held,
-            dealt=bool(held),
+            candidate=(JOBS_TOPIC, _PARTITION) in assigned,
+            dealt=bool(assigned),
         )
 
     async def members(self, timeout_ms: int) -> frozenset[str]:
-        """Tells who was dealt anything; see `ports.Log`."""
-        answer = await self._call(
-            "GET", "/-/log-owners", {"group": GROUP}, timeout_ms
+        """Returns the members with a partition; see `ports.Log`."""
+        response = await self._call(
+            "GET", "/-/log-owners", {"group": OWNERS_GROUP}, timeout_ms
         )
-        rows = _decoded(answer, _Owners).rows
+        rows = _decode_response(response, _OwnersResponse).rows
         return frozenset(member for _, _, member, _ in rows)
 
     async def leave(self, timeout_ms: int) -> None:
         """Leaves the owners' group; see `ports.Log`."""
-        body = msgspec.json.encode(_Leave(group=GROUP, member=self.member))
-        answer = await self._call("POST", "/-/log-leave", {}, timeout_ms, body)
-        _checked(answer)
+        body = msgspec.json.encode(
+            _LeaveRequest(group=OWNERS_GROUP, member=self.member)
+        )
+        response = await self._call(
+            "POST", "/-/log-leave", {}, timeout_ms, body
+        )
+        _check_status(response)
 
     async def _append(
         self, query: dict[str, object], body: bytes, timeout_ms: int
     ) -> http_client.HttpResponse:
-        place = _place(ports.Topic.JOBS)
-        answer = await self._call(
-            "POST", "/-/log-append", {**place, **query}, timeout_ms, body
+        partition = _partition_query(ports.Topic.JOBS)
+        response = await self._call(
+            "POST", "/-/log-append", {**partition, **query}, timeout_ms, body
         )
-        if answer.status == http.HTTPStatus.CONFLICT:
-            raise ports.FencedError(_conflicting_epoch(answer))
-        return answer
+        if response.status == http.HTTPStatus.CONFLICT:
+            raise ports.FencedError(_decode_epoch(response))
+        return response
 
     async def _call(
         self,
@@ -216,7 +228,7 @@
         body: bytes | None = None,
     ) -> http_client.HttpResponse:
         try:
-            return await self._connections.call(
+            return await self._client.call(
                 method,
                 self._address,
                 path,
@@ -225,19 +237,19 @@
                 body=body,
             )
         except http_client.NoAnswerError as error:
-            kind = (
+            error_type = (
                 ports.UnknownOutcomeError
                 if error.sent
                 else ports.CallRefusedError
             )
-            raise kind(f"{path}: {error}", code=error.code) from error
+            raise error_type(f"{path}: {error}", code=error.code) from error
 
 
-def _place(topic: ports.Topic) -> dict[str, object]:
-    return {"topic": TOPICS[topic], "part": _PART}
+def _partition_query(topic: ports.Topic) -> dict[str, object]:
+    return {"topic": TOPICS[topic], "part": _PARTITION}
 
 
-def _record(item: _NewestItem) -> ports.LogRecord:
+def _to_record(item: _NewestItem) -> ports.LogRecord:
     return ports.LogRecord(
         key=item.key,
         value=base64.b64decode(item.value) or None,
@@ -245,19 +257,25 @@
     )
 
 
-def _checked(answer: http_client.HttpResponse) -> http_client.HttpResponse:
-    if answer.status == http.HTTPStatus.OK:
-        return answer
-    nothing_done = answer.status in _NO_EFFECT_STATUSES
-    kind = ports.CallRefusedError if nothing_done else ports.UnknownOutcomeError
-    raise kind(
-        f"HTTP status {answer.status}", code=codes.ResultCode.UNREACHABLE
+def _check_status(
+    response: http_client.HttpResponse,
+) -> http_client.HttpResponse:
+    if response.status == http.HTTPStatus.OK:
+        return response
+    no_effect = response.status in _NO_EFFECT_STATUSES
+    error_type = (
+        ports.CallRefusedError if no_effect else ports.UnknownOutcomeError
+    )
+    raise error_type(
+        f"HTTP status {response.status}", code=codes.ResultCode.UNREACHABLE
     )
 
 
-def _decoded(answer: http_client.HttpResponse, kind: type[_Body]) -> _Body:
-    return msgspec.json.decode(_checked(answer).body, type=kind)
+def _decode_response(
+    response: http_client.HttpResponse, body_type: type[_Body]
+) -> _Body:
+    return msgspec.json.decode(_check_status(response).body, type=body_type)
 
 
-def _conflicting_epoch(answer: http_client.HttpResponse) -> int | None:
-    return msgspec.json.decode(answer.body, type=_Conflict).epoch
+def _decode_epoch(response: http_client.HttpResponse) -> int | None:
+    return msgspec.json.decode(response.body, type=_ConflictResponse).epoch
--- a/citronmount/platform/tests/test_job_api.py
+++ b/citronmount/platform/tests/test_job_api.py
@@ -12,7 +12,7 @@
 
 JOB = "5c0e7a21d94b36f8"
 BODY = msgspec.json.encode({"spec": "x", "phases": [{"count": 1, "gpu": 1}]})
-KEY = {"X-Api-Key": "key-acme"}
+HEADERS = {"X-Api-Key": "key-acme"}
 
 
 class JobApiTest(pool_fixture.PoolTestCase):
@@ -23,7 +23,7 @@
         self.run_for(0.5)
         self.run_time_ms = lambda task, run: 1_000
         self.steps[JOB, 0] = pool_fixture.make_step()
-        api = job_api.JobApi(front=self.pool_vms[1].job_service)
+        api = job_api.JobApi(service=self.pool_vms[1].job_service)
         self.http = treq.testing.StubTreq(api.app.resource())
 
     def call(
@@ -31,12 +31,12 @@
         method: str,
         path: str,
         body: bytes = b"",
-        headers: dict[str, str] = KEY,
+        headers: dict[str, str] = HEADERS,
     ) -> tuple[int, dict]:
-        sent = self.http.request(
+        requested = self.http.request(
             method, f"http://h.example{path}", data=body, headers=headers
         )
-        response = self.result_of(sent)
+        response = self.result_of(requested)
         text = self.result_of(response.text())
         self.headers = response.headers
         return response.code, msgspec.json.decode(text) if text else {}
@@ -49,10 +49,10 @@
                 break
             self.clock.advance(pool_fixture.STEP_S)
             self.http.flush()
-        self.assertTrue(results, "no answer")
+        self.assertTrue(results, "no response within 4 s")
         return results[0]
 
-    def test_job_from_its_submission_to_its_end(self) -> None:
+    def test_job_is_reported_from_submission_to_completion(self) -> None:
         path = f"/batch/{JOB}"
         self.assertEqual(200, self.call("POST", path, BODY)[0])
         self.assertEqual(200, self.call("POST", path, BODY)[0])
@@ -63,43 +63,41 @@
         self.assertEqual(200, self.call("DELETE", path)[0])
         self.assertEqual((200, {"pending": 0}), self.call("GET", "/batch/"))
 
-    def test_calls_that_are_refused(self) -> None:
-        path = f"/batch/{JOB}"
+    def test_invalid_calls_get_their_status_and_start_no_task(self) -> None:
+        job_path = f"/batch/{JOB}"
         calls = (
-            (401, "POST", path, BODY, {"X-Api-Key": "other"}),
-            (401, "GET", path, b"", {}),
-            (404, "POST", f"/none/{JOB}", BODY, KEY),
-            (404, "GET", "/none/", b"", KEY),
-            (404, "POST", "/batch/short", BODY, KEY),
-            (400, "POST", path, b"{", KEY),
-            (405, "PUT", path, BODY, KEY),
-            (410, "GET", path, b"", KEY),
-            (410, "DELETE", path, b"", KEY),
+            (401, "POST", job_path, BODY, {"X-Api-Key": "other"}),
+            (401, "GET", job_path, b"", {}),
+            (404, "POST", f"/none/{JOB}", BODY, HEADERS),
+            (404, "GET", "/none/", b"", HEADERS),
+            (404, "POST", "/batch/short", BODY, HEADERS),
+            (400, "POST", job_path, b"{", HEADERS),
+            (405, "PUT", job_path, BODY, HEADERS),
+            (410, "GET", job_path, b"", HEADERS),
+            (410, "DELETE", job_path, b"", HEADERS),
         )
-        for status, method, where, body, headers in calls:
-            with self.subTest(method=method, path=where, status=status):
-                code, _ = self.call(method, where, body, headers)
+        for status, method, path, body, headers in calls:
+            with self.subTest(method=method, path=path, status=status):
+                code, _ = self.call(method, path, body, headers)
                 self.assertEqual(status, code)
         self.assertEqual([], self.pool_workers.starts)
 
-    def test_refusal_while_the_log_refuses_says_when_to_come_back(
-        self,
-    ) -> None:
+    def test_refusal_by_the_log_sets_retry_after(self) -> None:
         self.log.faults[ids.VmId("vm1")] = pool_log.LogFault.REFUSES
         self.assertEqual(503, self.call("POST", f"/batch/{JOB}", BODY)[0])
         self.assertEqual(["1"], self.headers.getRawHeaders("retry-after"))
 
-    def test_lost_answer_of_the_log_is_not_told_as_a_refusal(self) -> None:
+    def test_lost_log_answer_is_a_timeout_and_not_a_refusal(self) -> None:
         self.log.faults[ids.VmId("vm1")] = pool_log.LogFault.LOSES_ANSWERS
         self.assertEqual(504, self.call("POST", f"/batch/{JOB}", BODY)[0])
 
-    def test_caller_that_has_gone_is_no_fault(self) -> None:
-        job_api.close_after_answer(types.SimpleNamespace(channel=None))
+    def test_closing_ignores_a_caller_that_disconnected(self) -> None:
+        job_api.close_after_response(types.SimpleNamespace(channel=None))
         channel = types.SimpleNamespace(persistent=True)
-        job_api.close_after_answer(types.SimpleNamespace(channel=channel))
+        job_api.close_after_response(types.SimpleNamespace(channel=channel))
         self.assertFalse(channel.persistent)
 
-    def test_vm_without_configuration_refuses(self) -> None:
+    def test_vm_without_configuration_refuses_calls(self) -> None:
         self.pool_vms[1].job_service.configuration = None
         self.assertEqual(503, self.call("POST", f"/batch/{JOB}", BODY)[0])
 
