--- a/citronmount/platform/runner_client.py
+++ b/citronmount/platform/runner_client.py
@@ -138,7 +138,9 @@
             run_id=command.run,
             fencing_token=int(command.token),
         )
-        response = await self._post("/-/run-stop", command, body, timeout_ms)
+        response = await self._call_or_none(
+            "/-/run-stop", command, body, timeout_ms
+        )
         if response is None:
             return commands.StopOutcome.UNKNOWN, None
         return _stop_outcome(response.status), _decode(response).clock_ms
@@ -146,14 +148,16 @@
     async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
-        """Renews leases and asks what runs; see `ports.WorkerCommands`."""
+        """Renews leases and gets a report; see `ports.WorkerCommands`."""
         body = _RenewLeases(
             fencing_token=int(command.token),
             last_seen=command.last_seen,
             until_ms=command.until_ms,
             wait_ms=command.wait_ms,
         )
-        response = await self._post("/-/hold", command, body, timeout_ms)
+        response = await self._call_or_none(
+            "/-/hold", command, body, timeout_ms
+        )
         if response is None:
             return commands.StopOutcome.UNKNOWN
         if response.status != http.HTTPStatus.OK:
@@ -168,7 +172,7 @@
     async def request_advice(
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> commands.AdviceAnswer | None:
-        """Asks a queue's policy; see `ports.WorkerCommands`."""
+        """Asks a queue's policy for advice; see `ports.WorkerCommands`."""
         body = _AdviceRequest(
             step=advice_request.step,
             workers=[worker.worker for worker in advice_request.workers],
@@ -188,11 +192,14 @@
         except (http_client.NoAnswerError, msgspec.DecodeError):
             return None
         return commands.AdviceAnswer(
-            tickets={ids.WorkerId(name): text for name, text in advice.granted},
+            tickets={
+                ids.WorkerId(worker): ticket
+                for worker, ticket in advice.granted
+            },
             valid_ms=int(advice.valid_ms),
         )
 
-    async def _post(
+    async def _call_or_none(
         self,
         path: str,
         command: commands.Command,
@@ -273,11 +280,11 @@
 
 
 def _to_ended_task(row: tuple[int, str, int, str, str]) -> commands.EndedTask:
-    number, task, run, how, saved = row
+    number, task, run, kind, saved = row
     return commands.EndedTask(
         number=number,
         task=units.TaskName(task),
         run=run,
-        kind=_END_KINDS[how],
+        kind=_END_KINDS[kind],
         saved=saved,
     )
--- a/citronmount/platform/tests/log_burst.py
+++ b/citronmount/platform/tests/log_burst.py
@@ -1,10 +1,10 @@
-"""Real programs under ten times the usual calls, with and without a reader.
+"""Runs real VM processes at ten times the normal call rate.
 
 python -m citronmount.platform.tests.log_burst
 
-Prints one JSON object: for the usual load, the burst and a burst with nobody
-reading the logs, the calls and their answers, the slowest answer, and the
-lines that the VMs made, wrote and dropped.
+Prints one JSON object with the result of three loads: "usual" (normal rate),
+"burst" (ten times the rate) and "unread" (ten times the rate, with no process
+reading the VMs' logs). See `LoadResult`.
 """
 
 import re
@@ -20,27 +20,27 @@
 from citronmount.platform.tests import loopback_site
 from citronmount.platform.tests import soak
 
-USUAL_PER_S = 10
+NORMAL_CALLS_PER_S = 10
 BURST_FACTOR = 10
-LOAD_S = 3.0
+LOAD_DURATION_S = 3.0
 PIPE_BYTES = 65_536
-_EVENTS = re.compile(
+_EVENT_COUNTS = re.compile(
     r'citronmount_count_total\{name="events\.([^."]+)"\} (\d+)'
 )
-_DROPPED = re.compile(r'name="log_lines_dropped"\} (\d+)')
+_DROPPED_COUNTS = re.compile(r'name="log_lines_dropped"\} (\d+)')
 
 
 class LoadResult(msgspec.Struct, kw_only=True):
-    """What one load did.
+    """Result of one load.
 
     Attributes:
-        calls: Calls made.
-        statuses: Answers by HTTP status; 0 for none.
-        slowest_ms: The slowest answer.
-        made: Log lines that the VMs made.
-        dropped: Those that they dropped and counted.
-        unaccounted: VMs whose lines, of all since their start, are neither
-            found in their logs nor counted as dropped.
+        calls: Number of calls.
+        statuses: Number of calls by HTTP status; 0 for no response.
+        slowest_ms: Duration of the slowest call in milliseconds.
+        made: Number of log lines that the VMs produced.
+        dropped: Number of lines that the VMs counted as dropped.
+        unaccounted: Metrics addresses of the VMs that, since their start, have
+            produced lines that are neither in their log nor counted as dropped.
     """
 
     calls: int = 0
@@ -52,22 +52,27 @@
 
 
 class LogBurst(soak.Soak):
-    """Loads on the programs of a soak, without faults."""
+    """Loads on the VM processes of a soak, without faults.
 
-    def __init__(self, *, folder: str, read: bool) -> None:
-        super().__init__(seed=1, duration_s=LOAD_S, folder=folder)
-        self.read = read
-        self.metrics: list[str] = []
-        self.number = 0
+    Attributes:
+        logs_to_file: Whether the VMs log to files; otherwise they log to pipes
+            that no process reads.
+    """
+
+    def __init__(self, *, folder: str, logs_to_file: bool) -> None:
+        super().__init__(seed=1, duration_s=LOAD_DURATION_S, folder=folder)
+        self.logs_to_file = logs_to_file
+        self.metrics_addresses: list[str] = []
+        self.job_number = 0
 
     def write_settings(self, number: int, store_port: int) -> None:
         super().write_settings(number, store_port)
         text = (self.folder / f"vm-{number}.toml").read_text()
         port = re.search(r"port_range = \[(\d+)", text).group(1)
-        self.metrics.append(f"{loopback_site.HOST}:{port}")
+        self.metrics_addresses.append(f"{loopback_site.HOST}:{port}")
 
     def start(self, number: int) -> None:
-        if self.read:
+        if self.logs_to_file:
             super().start(number)
             return
         self.processes[number] = subprocess.Popen(
@@ -77,58 +82,63 @@
             stderr=subprocess.DEVNULL,
         )
 
-    async def measure(self, per_s: float) -> LoadResult:
+    async def measure(self, calls_per_s: float) -> LoadResult:
         result = LoadResult(statuses={})
-        before = await self.counts()
+        before = await self.count_lines()
         calls = []
-        for _ in range(int(per_s * LOAD_S)):
-            calls.append(defer.ensureDeferred(self.one_call(result)))
-            await loopback_site.sleep(1 / per_s)
+        for _ in range(int(calls_per_s * LOAD_DURATION_S)):
+            calls.append(defer.ensureDeferred(self.submit_job(result)))
+            await loopback_site.sleep(1 / calls_per_s)
         await defer.gatherResults(calls)
         await loopback_site.sleep(2.0)
-        after = await self.counts()
+        after = await self.count_lines()
         result.made = after[0] - before[0]
         result.dropped = after[1] - before[1]
-        if self.read:
+        if self.logs_to_file:
             result.unaccounted = [
                 address
-                for number, address in enumerate(self.metrics)
-                if not await self.accounts_for_all(number)
+                for number, address in enumerate(self.metrics_addresses)
+                if not await self.accounts_for_all_lines(number)
             ]
         return result
 
-    async def accounts_for_all(self, number: int) -> bool:
-        """Returns whether a VM wrote or counted every line that it made.
+    async def accounts_for_all_lines(self, number: int) -> bool:
+        """Returns whether a VM wrote or counted every line that it produced.
 
-        It goes on making lines, so its log is read before and after.
+        The VM keeps producing lines, so its log is counted before and after
+        its metrics are read.
         """
-        least = self.written(number)
-        text = await self.scrape(self.metrics[number])
-        made = sum(int(n) for _, n in _EVENTS.findall(text))
-        dropped = sum(int(n) for n in _DROPPED.findall(text))
-        return least <= made - dropped <= self.written(number)
+        written_before = self.count_written_lines(number)
+        text = await self.scrape(self.metrics_addresses[number])
+        made = sum(int(n) for _, n in _EVENT_COUNTS.findall(text))
+        dropped = sum(int(n) for n in _DROPPED_COUNTS.findall(text))
+        return (
+            written_before <= made - dropped <= self.count_written_lines(number)
+        )
 
-    def written(self, number: int) -> int:
+    def count_written_lines(self, number: int) -> int:
         lines = (self.folder / f"vm-{number}.log").read_bytes().splitlines()
         return sum(b"log_lines_dropped" not in line for line in lines)
 
-    async def one_call(self, result: LoadResult) -> None:
-        self.number += 1
-        began_s = reactor.seconds()
+    async def submit_job(self, result: LoadResult) -> None:
+        self.job_number += 1
+        start_s = reactor.seconds()
         phase = {"count": 1, "cpu": 4_000, "mem_mb": 4_096, "gpu": 2}
         body = msgspec.json.encode({"spec": "x", "phases": [phase]})
-        status, _ = await self.call("POST", f"{self.number:016x}", body)
-        took_ms = int((reactor.seconds() - began_s) * 1_000)
+        status, _ = await self.call("POST", f"{self.job_number:016x}", body)
+        duration_ms = int((reactor.seconds() - start_s) * 1_000)
         result.calls += 1
         name = str(status)
         result.statuses[name] = result.statuses.get(name, 0) + 1
-        result.slowest_ms = max(result.slowest_ms, took_ms)
-
-    async def counts(self) -> tuple[int, int]:
-        """Returns lines made and dropped by all VMs so far."""
-        texts = [await self.scrape(address) for address in self.metrics]
-        made = sum(int(n) for t in texts for _, n in _EVENTS.findall(t))
-        dropped = sum(int(n) for t in texts for n in _DROPPED.findall(t))
+        result.slowest_ms = max(result.slowest_ms, duration_ms)
+
+    async def count_lines(self) -> tuple[int, int]:
+        """Returns how many lines all VMs have produced and dropped so far."""
+        texts = [
+            await self.scrape(address) for address in self.metrics_addresses
+        ]
+        made = sum(int(n) for t in texts for _, n in _EVENT_COUNTS.findall(t))
+        dropped = sum(int(n) for t in texts for n in _DROPPED_COUNTS.findall(t))
         return made, dropped
 
     async def scrape(self, address: str) -> str:
@@ -138,29 +148,35 @@
             return ""
         return answer.body.decode()
 
-    async def loads(self, *factors: float) -> list[LoadResult]:
+    async def run_loads(self, *factors: float) -> list[LoadResult]:
         self.set_up()
         await loopback_site.sleep(4.0)
-        return [await self.measure(USUAL_PER_S * each) for each in factors]
+        return [
+            await self.measure(NORMAL_CALLS_PER_S * each) for each in factors
+        ]
 
 
 async def run() -> dict[str, LoadResult]:
-    """Returns the result of each load."""
-    read = LogBurst(folder=tempfile.mkdtemp(prefix="log-burst-"), read=True)
-    unread = LogBurst(folder=tempfile.mkdtemp(prefix="log-burst-"), read=False)
+    """Returns the result of each load, by the name of the load."""
+    read = LogBurst(
+        folder=tempfile.mkdtemp(prefix="log-burst-"), logs_to_file=True
+    )
+    unread = LogBurst(
+        folder=tempfile.mkdtemp(prefix="log-burst-"), logs_to_file=False
+    )
     try:
-        usual, burst = await read.loads(1, BURST_FACTOR)
-        stop(read)
-        (alone,) = await unread.loads(BURST_FACTOR)
+        usual, burst = await read.run_loads(1, BURST_FACTOR)
+        kill_processes(read)
+        (unread_burst,) = await unread.run_loads(BURST_FACTOR)
     finally:
-        stop(read)
-        stop(unread)
-    return {"usual": usual, "burst": burst, "unread": alone}
+        kill_processes(read)
+        kill_processes(unread)
+    return {"usual": usual, "burst": burst, "unread": unread_burst}
 
 
-def stop(soak: soak.Soak) -> None:
-    """Kills the processes of a soak that still run."""
-    for process in soak.processes.values():
+def kill_processes(log_burst: LogBurst) -> None:
+    """Kills the processes that are still running."""
+    for process in log_burst.processes.values():
         if process.poll() is None:
             process.kill()
             process.wait()
@@ -169,11 +185,11 @@
 def main() -> None:
     results: list[object] = []
 
-    def end(result: object) -> None:
+    def finish(result: object) -> None:
         results.append(result)
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: defer.ensureDeferred(run()).addBoth(end))
+    reactor.callWhenRunning(lambda: defer.ensureDeferred(run()).addBoth(finish))
     reactor.run()
     (result,) = results
     if not isinstance(result, dict):
--- a/citronmount/platform/tests/test_memory.py
+++ b/citronmount/platform/tests/test_memory.py
@@ -2,32 +2,36 @@
 import sys
 import unittest
 
-_LOADED = """
+_PRINT_LOADED_MODULES = """
 import sys
 import citronmount.platform.__main__
 print(*(name for name, module in sys.modules.items() if module))
 """
-_LARGE_LIBRARIES = ("_ssl", "_hashlib", "numpy", "matplotlib", "zmq")
-_STAND_ALONE_ONLY = ("agent", "membership", "peers", "leases", "state")
+_LARGE_UNUSED_LIBRARIES = ("_ssl", "_hashlib", "numpy", "matplotlib", "zmq")
+_STANDALONE_PACKAGES = ("agent", "membership", "peers", "leases", "state")
 
 
 class MemoryTest(unittest.TestCase):
-    """What the process of a VM loads; every VM pays for it."""
+    """Modules loaded by a VM's process, which use memory on every VM."""
 
-    def loaded(self) -> frozenset[str]:
-        done = subprocess.run(
-            [sys.executable, "-c", _LOADED],
+    def loaded_modules(self) -> frozenset[str]:
+        completed = subprocess.run(
+            [sys.executable, "-c", _PRINT_LOADED_MODULES],
             capture_output=True,
             text=True,
             timeout=60,
             check=True,
         )
-        return frozenset(done.stdout.split())
+        return frozenset(completed.stdout.split())
 
-    def test_no_large_library_that_it_does_not_use(self) -> None:
-        self.assertFalse(self.loaded() & set(_LARGE_LIBRARIES))
+    def test_vm_process_loads_no_large_unused_library(self) -> None:
+        self.assertFalse(self.loaded_modules() & set(_LARGE_UNUSED_LIBRARIES))
 
-    def test_nothing_that_the_site_makes_needless(self) -> None:
-        """Claims, copies at peers, the VM list and leases of domains."""
-        names = {f"citronmount.{name}" for name in _STAND_ALONE_ONLY}
-        self.assertFalse(self.loaded() & names)
+    def test_vm_process_loads_no_package_of_the_standalone_mode(self) -> None:
+        """The platform provides what these packages do.
+
+        They implement claims, replicas at peers, the VM list and the leases of
+        failure domains.
+        """
+        packages = {f"citronmount.{name}" for name in _STANDALONE_PACKAGES}
+        self.assertFalse(self.loaded_modules() & packages)
--- a/citronmount/platform/tests/test_soak.py
+++ b/citronmount/platform/tests/test_soak.py
@@ -5,17 +5,17 @@
 from citronmount.platform.tests import soak
 
 SEED = 7
-TIME_S = 8
-LIMIT_S = 150
+DURATION_S = 8
+TIMEOUT_S = 150
 
 
-def start(seed: int) -> subprocess.Popen:
+def start_soak(seed: int) -> subprocess.Popen:
     command = [
         sys.executable,
         "-m",
         "citronmount.platform.tests.soak",
         f"--seed={seed}",
-        f"--seconds={TIME_S}",
+        f"--seconds={DURATION_S}",
     ]
     return subprocess.Popen(
         command,
@@ -27,8 +27,8 @@
 
 class SoakTest(unittest.TestCase):
     def test_short_runs_hold_every_promise(self) -> None:
-        runs = {seed: start(seed) for seed in (SEED, *soak.REGRESSIONS)}
+        runs = {seed: start_soak(seed) for seed in (SEED, *soak.REGRESSIONS)}
         for seed, process in runs.items():
             with self.subTest(seed=seed), process:
-                said, _ = process.communicate(timeout=LIMIT_S)
-                self.assertEqual(0, process.returncode, said)
+                output, _ = process.communicate(timeout=TIMEOUT_S)
+                self.assertEqual(0, process.returncode, output)
