--- a/citronmount/platform/tests/log_burst.py
+++ b/citronmount/platform/tests/log_burst.py
@@ -143,10 +143,10 @@
 
     async def scrape(self, address: str) -> str:
         try:
-            answer = await self.http.call("GET", address, "/metrics", 3_000)
+            response = await self.http.call("GET", address, "/metrics", 3_000)
         except http_client.NoAnswerError:
             return ""
-        return answer.body.decode()
+        return response.body.decode()
 
     async def run_loads(self, *factors: float) -> list[LoadResult]:
         self.set_up()
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -44,10 +44,10 @@
     4: "the soak counted the exit status of its own signal as a failure",
     20: "the soak counted the exit status of its own signal as a failure",
     23: "partial gang start: owner frozen during it and one runner silent",
-    241: "partial gang start: two runners silent, no further faults injected",
+    241: "partial gang start: two runners silent during it, no later faults",
     222: "the soak gave a VM a port that another connection had been assigned",
 }
-PREFIX = "/jobs/"
+QUEUE_PREFIX = "/jobs/"
 HEADERS = {"X-Api-Key": "key", "Content-Type": "application/json"}
 RECOVERY_TIMEOUT_S = 40.0
 VM_STOP_S = 4.0
@@ -151,7 +151,7 @@
         route = {
             "name": "r",
             "host": "",
-            "path_prefix": PREFIX,
+            "path_prefix": QUEUE_PREFIX,
             "backend": "s",
             "priority": 1,
             "max_attempts": 3,
@@ -265,17 +265,17 @@
     ) -> tuple[int, bytes]:
         address = self.rng.choice(self.client_addresses)
         try:
-            answer = await self.http.call(
+            response = await self.http.call(
                 method,
                 address,
-                PREFIX + job,
+                QUEUE_PREFIX + job,
                 3_000,
                 headers=HEADERS,
                 body=body,
             )
         except http_client.NoAnswerError:
             return 0, b""
-        return answer.status, answer.body
+        return response.status, response.body
 
     async def inject_faults(self) -> None:
         end_s = reactor.seconds() + self.duration_s
@@ -344,7 +344,9 @@
 
     async def is_up(self, address: str) -> bool:
         try:
-            await self.http.call("GET", address, PREFIX, 1_000, headers=HEADERS)
+            await self.http.call(
+                "GET", address, QUEUE_PREFIX, 1_000, headers=HEADERS
+            )
         except http_client.NoAnswerError:
             return False
         return True
