--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -80,7 +80,7 @@
     Attributes:
         proxies: The proxy between each VM and the store.
         submissions: "" for each accepted job and "refused" for each job whose
-            four submissions were all refused; jobs with an unknown outcome are
+            four submissions were all refused; jobs with any other result are
             missing.
         open_faults: Number of faults in progress.
         checked: Number of the pool's violations already filtered.
