--- a/citronmount/service/runtime.py
+++ b/citronmount/service/event_loop.py
@@ -1,4 +1,4 @@
-"""Drives the state machine of a VM: feeds events and carries out effects."""
+"""The event loop of a VM: dispatches events and executes effects."""
 
 import collections
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.clients import http_client
-from citronmount.clients import messages as platform_messages
+from citronmount.clients import messages
 from citronmount.clients import platform_api
 from citronmount.core import codes
 from citronmount.core import ids
@@ -37,18 +37,18 @@
 _Executor = Callable[["Runtime", _Effect], None]
 
 
-def _executes(kind: type[_Effect]) -> Callable[[_Executor], _Executor]:
-    """Registers the method that carries out one kind of effect."""
+def _executes(effect_type: type[_Effect]) -> Callable[[_Executor], _Executor]:
+    """Registers the method that executes one type of effect."""
 
     def register(executor: _Executor) -> _Executor:
-        _EXECUTORS[kind] = executor
+        _EXECUTORS[effect_type] = executor
         return executor
 
     return register
 
 
 class Addresses(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the platform's services listen.
+    """Addresses of the platform's services.
 
     Attributes:
         log: ``ip:port`` of the log service.
@@ -60,13 +60,14 @@
 
 
 class Runtime:
-    """The loop round one state machine.
+    """The event loop of one state machine.
 
-    Events are taken in one after the other, never one inside another: an
-    event that arises while an effect is carried out waits for its turn.
+    Events are handled one at a time: an event that is dispatched while
+    another one is being handled, or its effects executed, is queued.
 
     Attributes:
-        exited: Fires when the state machine asks to end the process.
+        exited: A Deferred that fires when the state machine requests the end
+            of the process.
     """
 
     def __init__(
@@ -82,18 +83,18 @@
         now_ns: Callable[[], int] = time.monotonic_ns,
         wall_ns: Callable[[], int] = time.time_ns,
     ) -> None:
-        """Initializes a runtime that does not tick yet.
+        """Initializes the runtime without starting its ticks.
 
         Args:
-            reactor: The reactor to time with.
-            state_machine: The state machine.
+            reactor: The reactor that schedules the ticks.
+            state_machine: Handles the events.
             peers: Sends messages to other VMs.
-            http: Talks to platform and targets.
-            addresses: Where the platform listens.
-            on_trace: Takes the events that the state machine traces.
-            metrics: Gets latencies and counts.
-            now_ns: The monotonic clock.
-            wall_ns: The wall clock.
+            http: Calls the platform's services and the targets.
+            addresses: The addresses of the platform's services.
+            on_trace: Called with each event that the state machine traces.
+            metrics: Receives durations and counters.
+            now_ns: Returns the monotonic time in nanoseconds.
+            wall_ns: Returns the Unix time in nanoseconds.
         """
         self.exited: defer.Deferred[None] = defer.Deferred()
         self._state_machine = state_machine
@@ -109,31 +110,31 @@
         self._handling = False
         self._stopped = False
         self._tickets = itertools.count(1)
-        self._calls: dict[
+        self._pending_calls: dict[
             ids.TicketId, defer.Deferred[peer_messages.Answer]
         ] = {}
-        self._ticker = task.LoopingCall(self.dispatch, events.Tick())
-        self._ticker.clock = reactor
+        self._tick_loop = task.LoopingCall(self.dispatch, events.Tick())
+        self._tick_loop.clock = reactor
 
     @property
     def open_calls(self) -> int:
-        """How many callers wait for an answer."""
-        return len(self._calls)
+        """The number of callers that wait for an answer."""
+        return len(self._pending_calls)
 
     def start(self, tick_ms: int) -> None:
-        """Tells the state machine that it has started and begins to tick.
+        """Dispatches `events.Started` and starts the periodic ticks.
 
         Args:
-            tick_ms: Period of the ticks.
+            tick_ms: The period of the ticks.
         """
         self.dispatch(events.Started())
-        self._ticker.start(tick_ms / _MS_PER_S, now=False)
+        self._tick_loop.start(tick_ms / _MS_PER_S, now=False)
 
     def stop(self) -> None:
-        """Stops to tick and to take in events."""
+        """Stops the ticks and the handling of events."""
         self._stopped = True
-        if self._ticker.running:
-            self._ticker.stop()
+        if self._tick_loop.running:
+            self._tick_loop.stop()
 
     def call(
         self, body: peer_messages.CallerCall
@@ -144,16 +145,17 @@
             body: The call.
 
         Returns:
-            Fires with the answer; cancelled when the caller has left.
+            A Deferred that fires with the answer. Cancel it when the caller
+            has disconnected.
         """
         ticket = ids.TicketId(f"t{next(self._tickets)}")
         answer = defer.Deferred(lambda _: self._drop_call(ticket))
-        self._calls[ticket] = answer
+        self._pending_calls[ticket] = answer
         self.dispatch(events.CallArrived(ticket=ticket, body=body))
         return answer
 
     def dispatch(self, event: events.Event) -> None:
-        """Takes in an event and carries out what follows from it.
+        """Handles an event and executes its effects, or queues the event.
 
         Args:
             event: The event.
@@ -171,7 +173,7 @@
     def receive_peer_message(
         self, sender: ids.VmId, message: peer_messages.PeerMessage
     ) -> None:
-        """Takes in a message of a peer.
+        """Dispatches a message from a peer.
 
         Args:
             sender: The VM that sent it.
@@ -181,19 +183,19 @@
 
     def _handle(self, event: events.Event) -> None:
         kind = type(event).__name__
-        begin_ns = self._now_ns()
+        start_ns = self._now_ns()
         try:
-            wanted = self._state_machine.handle(
-                event, begin_ns // _NS_PER_MS, self._wall_ns() // _NS_PER_MS
+            requested_effects = self._state_machine.handle(
+                event, start_ns // _NS_PER_MS, self._wall_ns() // _NS_PER_MS
             )
         except Exception:
             self._metrics.increment("events_failed")
             self._logger.exception("event_failed", kind=kind)
             self._answer_internal_error(event)
             return
-        duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
+        duration_ms = (self._now_ns() - start_ns) / _NS_PER_MS
         self._metrics.record_duration("event", kind, duration_ms)
-        for effect in wanted:
+        for effect in requested_effects:
             self._execute(effect)
 
     def _execute(self, effect: effects.Effect) -> None:
@@ -205,7 +207,7 @@
             self._logger.exception("effect_failed", kind=kind)
 
     def _answer_internal_error(self, event: events.Event) -> None:
-        """Answers a caller whose call the state machine could not take in."""
+        """Answers a call that made the state machine raise an exception."""
         if isinstance(event, events.CallArrived):
             result = jobs.JobResult(code=codes.ResultCode.INTERNAL)
             self._answer_call(
@@ -213,15 +215,15 @@
             )
 
     def _drop_call(self, ticket: ids.TicketId) -> None:
-        if self._calls.pop(ticket, None) is not None:
+        if self._pending_calls.pop(ticket, None) is not None:
             self.dispatch(events.CallerLeft(ticket=ticket))
 
     def _answer_call(
         self, ticket: ids.TicketId, answer: peer_messages.Answer
     ) -> None:
-        waiting = self._calls.pop(ticket, None)
-        if waiting is not None:
-            waiting.callback(answer)
+        pending = self._pending_calls.pop(ticket, None)
+        if pending is not None:
+            pending.callback(answer)
 
     def _dispatch_result(
         self,
@@ -229,11 +231,11 @@
         answer: defer.Deferred[typing.Any],
         to_event: Callable[[typing.Any], events.Event],
     ) -> None:
-        """Feeds one event for an exchange: its answer or its failure."""
-        begin_ns = self._now_ns()
+        """Dispatches exactly one event once a call has succeeded or failed."""
+        start_ns = self._now_ns()
 
         def finish(result: typing.Any) -> None:
-            duration_ms = (self._now_ns() - begin_ns) / _NS_PER_MS
+            duration_ms = (self._now_ns() - start_ns) / _NS_PER_MS
             self._metrics.record_duration("exchange", kind, duration_ms)
             if isinstance(result, failure.Failure):
                 self._record_no_answer(kind, result)
@@ -262,8 +264,8 @@
         )
 
         def to_event(result: typing.Any) -> events.Event:
-            found = _answer_or_none(result)
-            offset = None if found is None else found.offset
+            append_answer = _answer_or_none(result)
+            offset = None if append_answer is None else append_answer.offset
             return events.LogAppended(call=effect.call, offset=offset)
 
         self._dispatch_result("append_log", answer, to_event)
@@ -300,7 +302,7 @@
 
         self._dispatch_result("list_platform", answer, to_event)
 
-    def _update_peers(self, view: platform_messages.PlatformView) -> None:
+    def _update_peers(self, view: messages.PlatformView) -> None:
         self._peers.set_peers({vm.vm: vm.peer_address for vm in view.vms})
 
     @_executes(effects.CallWorker)
@@ -353,6 +355,7 @@
 
 
 def _may_have_been_sent(result: typing.Any) -> bool:
+    """Returns False only if the call provably never left this VM."""
     if isinstance(result, failure.Failure):
         error = result.value
         return not isinstance(error, http_client.NoAnswerError) or error.sent
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a daemon from its settings."""
+"""Builds the components of a daemon from its settings."""
 
 import time
 
@@ -13,9 +13,9 @@
 from citronmount.peers import curve_keys
 from citronmount.peers import peer_transport
 from citronmount.service import agent_state_machine
-from citronmount.service import api as api_lib
+from citronmount.service import event_loop
+from citronmount.service import http_api
 from citronmount.service import rate_limiter
-from citronmount.service import runtime as runtime_lib
 from citronmount.service import settings as settings_lib
 from citronmount.service import vm_state_machine
 from citronmount.telemetry import logs
@@ -31,15 +31,15 @@
 
 
 class Components:
-    """The parts of one daemon, connected with each other but not started.
+    """The components of one daemon, connected but not started.
 
     Attributes:
-        state_machine: The state machine.
-        peers: The socket to other VMs.
-        http: The connections to platform and targets.
-        runtime: Drives the state machine.
-        api: Serves callers.
-        metrics: What is measured.
+        state_machine: The state machine of the VM.
+        peers: The transport of messages between VMs.
+        http: The HTTP client for the platform's services and the targets.
+        runtime: The event loop of the state machine.
+        api: The HTTP API for callers and operators.
+        metrics: The metrics that the daemon exports.
     """
 
     def __init__(
@@ -49,12 +49,12 @@
         settings: settings_lib.Settings,
         state_machine: vm_state_machine.VmStateMachine,
     ) -> None:
-        """Initializes the parts.
+        """Initializes the components.
 
         Args:
             reactor: The reactor of the process.
-            settings: The checked settings.
-            state_machine: The state machine.
+            settings: The validated settings.
+            state_machine: The state machine of the VM.
         """
         self.state_machine = state_machine
         self.metrics = metrics_registry.MetricsRegistry()
@@ -64,7 +64,7 @@
             vm=settings.vm.vm_id,
             bind_address=settings.listen.peer_address,
             keys=_peer_keys(settings.curve),
-            on_message=self._peer_arrived,
+            on_message=self._receive_peer_message,
         )
         self._logger = structlog.get_logger()
         self._timeline = timeline_store.TimelineStore(
@@ -73,44 +73,44 @@
         self._stages = stage_timer.StageTimer(
             metrics=self.metrics, account_class=self._account_class
         )
-        self.runtime = runtime_lib.Runtime(
+        self.runtime = event_loop.Runtime(
             reactor=reactor,
             state_machine=state_machine,
             peers=self.peers,
             http=self.http,
-            addresses=runtime_lib.Addresses(
+            addresses=event_loop.Addresses(
                 log=settings.platform.log_address,
                 vm_list=settings.platform.vm_list_address,
             ),
-            on_trace=self._traced,
+            on_trace=self._record_event,
             metrics=self.metrics,
         )
-        self.api = api_lib.Api(
+        self.api = http_api.Api(
             vm=settings.vm.vm_id,
             failure_domain=settings.vm.failure_domain_id,
             runtime=self.runtime,
             state_machine=state_machine,
             timeline=self._timeline,
             metrics=self.metrics,
-            limit=_limit(settings.limits),
+            account_limiter=_make_rate_limiter(settings.limits),
             now_ms=_now_ms,
             wall_ms=_wall_ms,
         )
         self._register_gauges()
 
-    def _peer_arrived(self, sender: ids.VmId, message: object) -> None:
+    def _receive_peer_message(self, sender: ids.VmId, message: object) -> None:
         self.runtime.receive_peer_message(sender, message)
 
-    def _traced(self, event: timeline_events.TimelineEvent) -> None:
+    def _record_event(self, event: timeline_events.TimelineEvent) -> None:
         self._timeline.add(event)
         self._stages.observe(event)
         logs.log_event(self._logger, event)
 
     def _account_class(self, account: str) -> str:
         content = self.state_machine.configuration
-        known = () if content is None else content.accounts
+        accounts = () if content is None else content.accounts
         return next(
-            (a.account_class.value for a in known if a.name == account),
+            (a.account_class.value for a in accounts if a.name == account),
             "unknown",
         )
 
@@ -146,13 +146,13 @@
 def make_state_machine(
     settings: settings_lib.Settings,
 ) -> vm_state_machine.VmStateMachine:
-    """Returns the state machine of the VM that the settings describe.
+    """Returns a new state machine for the VM that the settings describe.
 
     Args:
-        settings: The checked settings.
+        settings: The validated settings.
 
     Returns:
-        A new agent.
+        The state machine, with a new agent.
     """
     timing = settings.timing
     retention = settings.retention
@@ -187,7 +187,9 @@
     )
 
 
-def _limit(settings: settings_lib.LimitSettings) -> rate_limiter.RateLimiter:
+def _make_rate_limiter(
+    settings: settings_lib.LimitSettings,
+) -> rate_limiter.RateLimiter:
     return rate_limiter.RateLimiter(
         rate_per_s=settings.requests_per_second_per_account,
         burst=settings.burst_requests_per_account,
