--- a/citronmount/fleet/unit_runs.py
+++ b/citronmount/fleet/unit_runs.py
@@ -73,7 +73,8 @@
             task was seen running.
         stop_open: Whether a `Stop` command is pending.
         stop_answered: Whether a `Stop` command was answered.
-        settled_ms: Monotonic time of the last answer to a command.
+        settled_ms: Monotonic time of the last answer that settled a `Start` or
+            `Stop` command.
         next_order_ms: Earliest monotonic time of the next command after one
             without an answer.
         saved: Newest checkpoint.
@@ -124,13 +125,14 @@
         members: One member per task, in the order of the tasks.
         phase: Phase of the run.
         cause: Why the owner ends the run, or None.
-        outcome: The reported end that determines the outcome of the run, or
-            None before any was reported.
+        outcome: Kind of the first reported success or failure; until then of
+            the last reported end, or None before any was reported.
         failures: Number of failed runs of the unit, including this one.
         saved: Checkpoint that the run started from, or a newer one.
         restored: Whether an earlier owner started the run.
         placed_ms: Monotonic time of the placement.
-        started_ms: Monotonic time at which all members were running, or None.
+        started_ms: Monotonic time at which this owner first saw all members
+            running, or None.
     """
 
     def __init__(
@@ -237,8 +239,11 @@
             The record. Its places are all members' for a placed unit, those of
             live members for a waiting unit and none for a finished unit.
         """
-        ended = status in (records.UnitStatus.DONE, records.UnitStatus.FAILED)
-        places = () if ended else tuple(m.place for m in self.members)
+        finished = status in (
+            records.UnitStatus.DONE,
+            records.UnitStatus.FAILED,
+        )
+        places = () if finished else tuple(m.place for m in self.members)
         if status is records.UnitStatus.WAITING:
             places = tuple(m.place for m in self.live_members)
         return records.UnitChanged(
@@ -247,5 +252,5 @@
             run=self.number,
             failures=self.failures,
             places=places,
-            saved="" if ended else self.saved,
+            saved="" if finished else self.saved,
         )
