--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -94,9 +94,9 @@
             configuration=self.configuration,
             workers=lambda: self._workers,
         )
-        self._make_call_handlers()
+        self._create_components()
 
-    def _make_call_handlers(self) -> None:
+    def _create_components(self) -> None:
         self.lease_renewer = lease_renewer.LeaseRenewer(
             ctx=self._ctx,
             view=self.view,
@@ -200,7 +200,7 @@
         self.view.restart_suspicion_timers(now_ms)
         self.drain.record_pause()
         self.ownership.step_down("paused")
-        self.ownership.delay_take_over(now_ms + self.settings.suspicion_ms)
+        self.ownership.delay_takeover(now_ms + self.settings.suspicion_ms)
 
     def _dispatch(self, event: events.Event) -> None:
         match event:
@@ -235,7 +235,7 @@
 
     def _on_started(self) -> None:
         self._ctx.trace(timeline.EventKind.VM_STARTED)
-        self.ownership.delay_take_over(
+        self.ownership.delay_takeover(
             self._ctx.now_ms + self.settings.heartbeat_ms * 2
         )
         self._tick()
@@ -247,7 +247,7 @@
         self.joining.tick()
         self.outbox.tick()
         self.claims.tick()
-        self._assign_work()
+        self._update_assignments()
         self.ownership.tick()
         self._tick_lease_renewal()
         self.mover.tick()
@@ -295,7 +295,7 @@
         if self.ownership.domain is not None:
             self.ownership.domain.set_workers(self._workers)
 
-    def _assign_work(self) -> None:
+    def _update_assignments(self) -> None:
         """Reassigns workers and slots after candidates or workers changed."""
         candidates = self.view.candidates(
             self.settings.failure_domain, self._ctx.now_ms
@@ -319,8 +319,8 @@
             )
         owner = self.view.owner(self.settings.failure_domain, self._ctx.now_ms)
         rebuilding = owner == self.settings.vm and domain is None
-        reachable = None if rebuilding else owner
-        self.lease_renewer.tick(self.ownership.token, reachable)
+        report_receiver = None if rebuilding else owner
+        self.lease_renewer.tick(self.ownership.token, report_receiver)
 
     def _handle_call(self, event: events.CallArrived) -> None:
         ticket = event.ticket
@@ -441,7 +441,7 @@
     ) -> peer_messages.StateAnswer:
         fold = self.configuration.fold
         jobs_wanted = request.stream != records.CONFIG_STREAM
-        answered_view = self.job_view if jobs_wanted else self._empty_job_view()
+        job_view = self.job_view if jobs_wanted else self._empty_job_view()
         since_ms = 0
         if request.recent_claims:
             since_ms = self._ctx.wall_ms - RECENT_CLAIMS_MS
@@ -452,7 +452,7 @@
                 if fold.trusted
                 else None
             ),
-            jobs=answered_view.snapshot(
+            jobs=job_view.snapshot(
                 ids.RecordId(self._ctx.unique_id()), claims_since_ms=since_ms
             ),
             unappended=self.outbox.unappended(request.stream),
--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -18,8 +18,8 @@
 
 __all__ = ["AttemptManager"]
 
-BACKOFF_START_MS = 250
-BACKOFF_MAX_MS = 8_000
+INITIAL_BACKOFF_MS = 250
+MAX_BACKOFF_MS = 8_000
 
 
 class AttemptManager:
@@ -52,7 +52,7 @@
             case decisions.EvictJob():
                 self._evict(decision)
             case decisions.EndJob():
-                self._completion.finish_queued(decision.job, decision.result)
+                self._completion.end_queued_job(decision.job, decision.result)
 
     def _place(self, decision: decisions.PlaceJob) -> None:
         entry = self._domain.table.entries[decision.job]
@@ -78,7 +78,7 @@
             attempt.begin()
             self._write_intent(attempt)
         else:
-            self._claim_attempt(entry, attempt)
+            self._claim_and_begin(entry, attempt)
 
     def _evict(self, decision: decisions.EvictJob) -> None:
         attempt = self._domain.attempt_of(decision.job)
@@ -171,7 +171,7 @@
             for group in placement.groups
         }
 
-    def _claim_attempt(
+    def _claim_and_begin(
         self, entry: job_table.JobEntry, attempt: attempts.Attempt
     ) -> None:
         """Begins an attempt of a non-idempotent job under a durable claim."""
@@ -273,7 +273,7 @@
         final = final or _verdict_or_refusal(entry, verdict)
         self._domain.decision_due = True
         if final is not None:
-            self._completion.finish(job, final)
+            self._completion.end_job(job, final)
             return
         entry.state = states.JobState.QUEUED
         if refused:
@@ -283,7 +283,7 @@
 
     def _delay_requeue(self, entry: job_table.JobEntry) -> None:
         """Delays requeueing a refused job, with exponential backoff."""
-        delay_ms = min(BACKOFF_START_MS << entry.refusals, BACKOFF_MAX_MS)
+        delay_ms = min(INITIAL_BACKOFF_MS << entry.refusals, MAX_BACKOFF_MS)
         entry.refusals += 1
         self._domain.requeue_at_ms[entry.spec.job] = (
             self._domain.ctx.now_ms + delay_ms
--- a/citronmount/agent/attempts.py
+++ b/citronmount/agent/attempts.py
@@ -125,8 +125,8 @@
             for group in placement.groups
         }
         self._start_allowed = False
-        self._reserved_ms: int | None = None
-        self._adopt_due_ms: int | None = None
+        self._reserve_begun_ms: int | None = None
+        self._adoption_due_ms: int | None = None
         self._end_reason = decisions.AttemptEnd.DONE
         self._culprits: tuple[ids.WorkerId, ...] = ()
         self._exit_code: int | None = None
@@ -150,7 +150,7 @@
 
     def begin(self) -> None:
         """Requests a reservation from every worker."""
-        self._reserved_ms = self._ctx.now_ms
+        self._reserve_begun_ms = self._ctx.now_ms
         for worker in self._members:
             self._reserve(worker)
 
@@ -165,7 +165,7 @@
         for member in self._members.values():
             member.reserved = True
             member.start_sent = True
-        self._adopt_due_ms = (
+        self._adoption_due_ms = (
             self._ctx.now_ms
             + self._ctx.settings.lease_ttl_ms
             + ADOPTION_MARGIN_MS
@@ -238,7 +238,7 @@
             case states.LeaseState.LAPSED | states.LeaseState.STOPPED:
                 self._member_lease_ended(worker, member, lease.ran)
             case states.LeaseState.RESERVED:
-                if self._adopt_due_ms is not None:
+                if self._adoption_due_ms is not None:
                     self.stop(decisions.AttemptEnd.WORKER_LOST)
 
     def absent(self, worker: ids.WorkerId, sequence: int) -> None:
@@ -254,7 +254,7 @@
         member = self._members.get(worker)
         if member is None or member.exit_code == 0:
             return
-        adopting = self._adopt_due_ms is not None and not member.started
+        adopting = self._adoption_due_ms is not None and not member.started
         dropped = member.started and sequence > member.confirmed_sequence
         if adopting or dropped:
             self.stop(decisions.AttemptEnd.WORKER_LOST, culprits=(worker,))
@@ -271,10 +271,10 @@
 
     def _reserved_until_ms(self) -> int:
         ttl_ms = self._ctx.settings.reservation_ttl_ms
-        return (self._reserved_ms or 0) + ttl_ms
+        return (self._reserve_begun_ms or 0) + ttl_ms
 
     def _tick_reserving(self) -> None:
-        if self._reserved_ms is None:
+        if self._reserve_begun_ms is None:
             return
         if self._ctx.now_ms >= self._reserved_until_ms() - START_MARGIN_MS:
             pending = tuple(
@@ -289,7 +289,7 @@
                 self._reserve(worker)
 
     def _tick_starting(self) -> None:
-        deadline_ms = self._adopt_due_ms
+        deadline_ms = self._adoption_due_ms
         if deadline_ms is None:
             deadline_ms = self._reserved_until_ms() + START_MARGIN_MS
         if self._ctx.now_ms >= deadline_ms:
@@ -300,7 +300,7 @@
             )
             self.stop(decisions.AttemptEnd.WORKER_LOST, culprits=pending)
             return
-        if self._adopt_due_ms is not None:
+        if self._adoption_due_ms is not None:
             return
         for worker, member in self._due_members():
             if not member.started:
@@ -360,7 +360,9 @@
             ttl_ms=self._ctx.settings.reservation_ttl_ms,
         )
 
-        def reserved(results: tuple[messages.ActResult, ...]) -> None:
+        def handle_reserve_results(
+            results: tuple[messages.ActResult, ...],
+        ) -> None:
             if self.phase is not gang.GangPhase.RESERVING:
                 return
             if results[0].outcome is not messages.ActOutcome.DONE:
@@ -369,7 +371,9 @@
             member.reserved = True
             self._check_reserved()
 
-        self._call(worker, (act,), reserved, retry_ms=CALL_RETRY_MS)
+        self._call(
+            worker, (act,), handle_reserve_results, retry_ms=CALL_RETRY_MS
+        )
 
     def _check_reserved(self) -> None:
         in_time = self._ctx.now_ms < self._reserved_until_ms() - START_MARGIN_MS
@@ -387,7 +391,9 @@
             attempt=self.attempt, ttl_ms=self._ctx.settings.lease_ttl_ms
         )
 
-        def started(results: tuple[messages.ActResult, ...]) -> None:
+        def handle_start_results(
+            results: tuple[messages.ActResult, ...],
+        ) -> None:
             outcome = results[0].outcome
             if outcome is messages.ActOutcome.DONE:
                 member.started = True
@@ -399,7 +405,7 @@
                 reason = decisions.AttemptEnd.REFUSED
             self.stop(reason, culprits=(worker,))
 
-        self._call(worker, (act,), started, retry_ms=CALL_RETRY_MS)
+        self._call(worker, (act,), handle_start_results, retry_ms=CALL_RETRY_MS)
 
     def _check_started(self) -> None:
         complete = all(member.started for member in self._members.values())
@@ -450,16 +456,26 @@
     def _checkpoint(self, worker: ids.WorkerId, member: _Member) -> None:
         member.checkpointed = True
 
-        def saved(results: tuple[messages.ActResult, ...]) -> None:
+        def handle_checkpoint_results(
+            results: tuple[messages.ActResult, ...],
+        ) -> None:
             self._progress = max(self._progress, results[0].progress)
             if member.proof is None:
                 self._send_stop(worker, member)
 
         act = messages.Checkpoint(attempt=self.attempt)
-        self._call(worker, (act,), saved, retry_ms=0, timeout_ms=self._grace_ms)
+        self._call(
+            worker,
+            (act,),
+            handle_checkpoint_results,
+            retry_ms=0,
+            timeout_ms=self._grace_ms,
+        )
 
     def _send_stop(self, worker: ids.WorkerId, member: _Member) -> None:
-        def stopped(results: tuple[messages.ActResult, ...]) -> None:
+        def handle_stop_results(
+            results: tuple[messages.ActResult, ...],
+        ) -> None:
             outcome = results[0].outcome
             if outcome is messages.ActOutcome.NEVER_RAN:
                 member.proof = _Proof.NEVER_RAN
@@ -468,15 +484,15 @@
             self._check_stopped()
 
         act = messages.Stop(attempt=self.attempt)
-        self._call(worker, (act,), stopped, retry_ms=STOP_RETRY_MS)
+        self._call(worker, (act,), handle_stop_results, retry_ms=STOP_RETRY_MS)
 
     def _check_stopped(self) -> None:
         proofs = [member.proof for member in self._members.values()]
         if None in proofs or not self._gang.all_stopped():
             return
-        self._finish(ran=self._proof_of_run(proofs))
+        self._finish(ran=self._has_run(proofs))
 
-    def _proof_of_run(self, proofs: list[_Proof | None]) -> bool | None:
+    def _has_run(self, proofs: list[_Proof | None]) -> bool | None:
         if _Proof.RAN in proofs:
             return True
         if not self._gang_state.may_have_run or _Proof.LOST not in proofs:
--- a/citronmount/agent/call_router.py
+++ b/citronmount/agent/call_router.py
@@ -27,7 +27,7 @@
 MAX_SEEN_CALLS = 50_000
 MAX_MOVES_FOLLOWED = 4
 
-Respond = Callable[[peer_messages.Answer], None]
+Responder = Callable[[peer_messages.Answer], None]
 DomainCall = (
     peer_messages.SubmitJob
     | peer_messages.GetJob
@@ -42,7 +42,7 @@
 
     failure_domain: ids.FailureDomainId
     body: DomainCall
-    respond: Respond
+    respond: Responder
     due_ms: int
     in_flight: bool = False
     sent: bool = False
@@ -96,7 +96,9 @@
         """Returns whether any routed call has not been answered yet."""
         return bool(self._routed)
 
-    def handle(self, body: peer_messages.CallerCall, respond: Respond) -> None:
+    def handle(
+        self, body: peer_messages.CallerCall, respond: Responder
+    ) -> None:
         """Serves a call that this VM received from a caller.
 
         Args:
@@ -158,9 +160,9 @@
                 self._answer_timeout(call)
 
     def _submit_request(
-        self, body: peer_messages.RunRequest, respond: Respond
+        self, body: peer_messages.RunRequest, respond: Responder
     ) -> None:
-        def answered(result: jobs.RequestResult) -> None:
+        def handle_answer(result: jobs.RequestResult) -> None:
             respond(peer_messages.RequestAnswer(result=result))
 
         if body.spec.timeout_ms <= 0:
@@ -168,7 +170,7 @@
             return
         self._requests.submit(
             body.spec,
-            answered,
+            handle_answer,
             claimed=body.claimed,
             offered=body.offered,
         )
@@ -177,7 +179,7 @@
         self,
         failure_domain: ids.FailureDomainId,
         body: DomainCall,
-        respond: Respond,
+        respond: Responder,
     ) -> None:
         """Routes a call to the owner of a failure domain.
 
@@ -241,13 +243,13 @@
         timeout_ms = min(timeout_ms, max(call.due_ms - self._ctx.now_ms, 1))
         call_id = self._ctx.new_call()
 
-        def answered(message: peer_messages.ForwardAnswer | None) -> None:
+        def handle_answer(message: peer_messages.ForwardAnswer | None) -> None:
             call.in_flight = False
             if call not in self._routed:
                 return
             if message is None:
                 call.uncertain = True
-                call.body = _conclusive(call.body)
+                call.body = _body_to_retry(call.body)
                 return
             if not call_answers.is_not_owner(message.body):
                 self._routed.remove(call)
@@ -257,7 +259,7 @@
             call=call_id, body=call.body, timeout_ms=timeout_ms
         )
         self._ctx.call_peer(
-            owner, call_id, forward, answered, timeout_ms=timeout_ms
+            owner, call_id, forward, handle_answer, timeout_ms=timeout_ms
         )
 
     def _answer_timeout(self, call: _RoutedCall) -> None:
@@ -273,7 +275,7 @@
             code = codes.ResultCode.TIMED_OUT
             call.respond(call_answers.failure(code))
 
-    def _serve(self, body: DomainCall, respond: Respond) -> None:
+    def _serve(self, body: DomainCall, respond: Responder) -> None:
         """Serves a call as the owner of the failure domain."""
         domain = self._ownership.domain
         if domain is None:
@@ -300,7 +302,7 @@
         self,
         moved_to: ids.FailureDomainId,
         body: peer_messages.GetJob | peer_messages.CancelJob,
-        respond: Respond,
+        respond: Responder,
     ) -> None:
         """Routes a call to the failure domain that its job was moved to."""
         if body.hops >= MAX_MOVES_FOLLOWED:
@@ -312,7 +314,7 @@
     def _fan_out(
         self,
         body: peer_messages.ListJobs | peer_messages.CancelJobs,
-        respond: Respond,
+        respond: Responder,
     ) -> None:
         """Routes a call to one or all failure domains, merging the answers."""
         names = (
@@ -325,7 +327,7 @@
         )
         answers: dict[ids.FailureDomainId, peer_messages.Answer] = {}
 
-        def answered(
+        def handle_answer(
             name: ids.FailureDomainId, answer: peer_messages.Answer
         ) -> None:
             answers[name] = answer
@@ -336,7 +338,9 @@
             respond(peer_messages.JobsAnswer(statuses=()))
         for name in names:
             domain_call = msgspec.structs.replace(body, failure_domain=name)
-            self.route(name, domain_call, functools.partial(answered, name))
+            self.route(
+                name, domain_call, functools.partial(handle_answer, name)
+            )
 
 
 def _answer_to_report(
@@ -353,7 +357,7 @@
     return answer
 
 
-def _conclusive(body: DomainCall) -> DomainCall:
+def _body_to_retry(body: DomainCall) -> DomainCall:
     """Returns the call to retry after a lost answer.
 
     A submission is retried as one that may be queued, so that its answer
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -201,7 +201,7 @@
     def _request_vote(self, pending: _PendingClaim, voter: ids.VmId) -> None:
         call = self._ctx.new_call()
 
-        def answered(answer: peer_messages.ClaimAnswer | None) -> None:
+        def handle_answer(answer: peer_messages.ClaimAnswer | None) -> None:
             if answer is None:
                 return
             pending.undecided.discard(voter)
@@ -216,7 +216,7 @@
             voter,
             call,
             peer_messages.ClaimKey(call=call, claim=pending.claim),
-            answered,
+            handle_answer,
             timeout_ms=VOTE_TIMEOUT_MS,
         )
 
--- a/citronmount/agent/configuration_manager.py
+++ b/citronmount/agent/configuration_manager.py
@@ -25,7 +25,7 @@
 SNAPSHOTS_PER_RETENTION = 4
 PUBLISH_TIMEOUT_MS = 8_000
 PUBLISH_RETRY_MS = 500
-PEER_SNAPSHOT_TIMEOUT_MS = 1_000
+STATE_TIMEOUT_MS = 1_000
 
 
 class _Publication(msgspec.Struct, kw_only=True):
@@ -188,14 +188,14 @@
             return
         publication.in_flight = True
 
-        def appended(offset: ids.Offset | None) -> None:
+        def handle_append_answer(offset: ids.Offset | None) -> None:
             publication.in_flight = False
             publication.appended = offset is not None
             publication.next_append_ms = self._ctx.now_ms + PUBLISH_RETRY_MS
             self._poll()
 
         self._ctx.append_log(
-            records.CONFIG_STREAM, (publication.change,), appended
+            records.CONFIG_STREAM, (publication.change,), handle_append_answer
         )
 
     def _answer_decided_publications(self) -> None:
@@ -236,7 +236,7 @@
         self._requesting_snapshot = True
         call = self._ctx.new_call()
 
-        def answered(answer: peer_messages.StateAnswer | None) -> None:
+        def handle_answer(answer: peer_messages.StateAnswer | None) -> None:
             self._requesting_snapshot = False
             if answer is not None and answer.configuration is not None:
                 self.adopt(answer.configuration)
@@ -245,8 +245,8 @@
             peer,
             call,
             peer_messages.StateRequest(call=call, stream=records.CONFIG_STREAM),
-            answered,
-            timeout_ms=PEER_SNAPSHOT_TIMEOUT_MS,
+            handle_answer,
+            timeout_ms=STATE_TIMEOUT_MS,
         )
 
     def _append_snapshot_if_due(self) -> None:
@@ -260,11 +260,13 @@
             return
         self._snapshot_in_flight = True
 
-        def appended(offset: ids.Offset | None) -> None:
+        def handle_append_answer(offset: ids.Offset | None) -> None:
             self._snapshot_in_flight = False
 
         snapshot = self.fold.snapshot(ids.RecordId(self._ctx.unique_id()))
-        self._ctx.append_log(records.CONFIG_STREAM, (snapshot,), appended)
+        self._ctx.append_log(
+            records.CONFIG_STREAM, (snapshot,), handle_append_answer
+        )
 
     def _is_snapshot_due(self) -> bool:
         """Returns whether the last snapshot is too old.
--- a/citronmount/agent/domain_context.py
+++ b/citronmount/agent/domain_context.py
@@ -117,7 +117,7 @@
         attempt = self.attempt_by_job.get(job)
         return None if attempt is None else self.attempts.get(attempt)
 
-    def record(self, record: records.Record) -> None:
+    def write_record(self, record: records.Record) -> None:
         """Folds a record into the job view and writes it to the stream.
 
         Args:
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -15,7 +15,7 @@
 
 LAME_DUCK_MS = 2_000
 RESUME_GRACE_MS = 1_000
-HANDOVER_TIMEOUT_MS = 1_000
+REPLICATE_TIMEOUT_MS = 1_000
 
 
 class Drain:
@@ -94,7 +94,7 @@
             or self._calls.has_open_work()
             or self._requests.has_open_work()
         )
-        if open_work or self._just_resumed() or not self._may_release_domain():
+        if open_work or self._just_resumed() or not self._may_step_down():
             return
         if self._outbox.streams():
             self._replicate_unappended()
@@ -112,7 +112,7 @@
             and self._ctx.now_ms - self._resumed_ms < RESUME_GRACE_MS
         )
 
-    def _may_release_domain(self) -> bool:
+    def _may_step_down(self) -> bool:
         """Returns whether the VM may stop scheduling its failure domain.
 
         If there is another candidate, the VM waits until that one has taken
@@ -144,7 +144,7 @@
         streams = self._outbox.streams()
         unacknowledged = set(streams)
 
-        def acknowledged(
+        def handle_acknowledgement(
             stream: ids.StreamName,
             answer: peer_messages.Acknowledge | None,
         ) -> None:
@@ -165,8 +165,10 @@
                     stream=stream,
                     records=self._outbox.unappended(stream),
                 ),
-                lambda answer, stream=stream: acknowledged(stream, answer),
-                timeout_ms=HANDOVER_TIMEOUT_MS,
+                lambda answer, stream=stream: handle_acknowledgement(
+                    stream, answer
+                ),
+                timeout_ms=REPLICATE_TIMEOUT_MS,
             )
 
     def _exit(self) -> None:
--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -82,12 +82,12 @@
             exists = peer.listed or self._view.is_alive(vm, self._ctx.now_ms)
             if exists and (peer.failure_domain == own) is local:
                 self._ctx.send(vm, heartbeat)
-        lapsing = self._lapsing()
+        lapsing = self._lapse_message()
         if local and lapsing is not None:
             for vm in self._view.local_peers(self._ctx.now_ms):
                 self._ctx.send(vm, lapsing)
 
-    def _lapsing(self) -> peer_messages.LapseAttempts | None:
+    def _lapse_message(self) -> peer_messages.LapseAttempts | None:
         domain = self._ownership.domain
         if domain is None:
             return None
--- a/citronmount/agent/job_call_handler.py
+++ b/citronmount/agent/job_call_handler.py
@@ -17,7 +17,7 @@
 
 __all__ = ["JobCallHandler"]
 
-REFUSAL_RETRY_AFTER_MS = 2_000
+RETRY_AFTER_MS = 2_000
 
 
 class JobCallHandler:
@@ -226,7 +226,7 @@
         respond(
             peer_messages.Failure(
                 result=result,
-                retry_after_ms=REFUSAL_RETRY_AFTER_MS if retry else None,
+                retry_after_ms=RETRY_AFTER_MS if retry else None,
             )
         )
 
@@ -254,7 +254,7 @@
     ) -> None:
         spec = entry.spec
         if outcome is outbox.WriteOutcome.NEVER_SENT:
-            self._reject_unwritten(entry, codes.ResultCode.NOT_DURABLE)
+            self._refuse_unwritten(entry, codes.ResultCode.NOT_DURABLE)
             return
         self._domain.job_view.fold(record)
         entry.durability = outcome.durability or states.Durability.PEERS
@@ -276,7 +276,7 @@
             self._completion.execute_cancel(entry)
         self._domain.decision_due = True
 
-    def _reject_unwritten(
+    def _refuse_unwritten(
         self, entry: job_table.JobEntry, code: codes.ResultCode
     ) -> None:
         self._domain.table.entries.pop(entry.spec.job, None)
--- a/citronmount/agent/job_completion.py
+++ b/citronmount/agent/job_completion.py
@@ -34,7 +34,7 @@
         """
         self._domain = domain
 
-    def finish(self, job: ids.JobId, result: jobs.JobResult) -> None:
+    def end_job(self, job: ids.JobId, result: jobs.JobResult) -> None:
         """Records a job's final result and then reports it to callers.
 
         Args:
@@ -63,7 +63,7 @@
             limit_ms=None,
         )
 
-    def finish_queued(self, job: ids.JobId, result: jobs.JobResult) -> None:
+    def end_queued_job(self, job: ids.JobId, result: jobs.JobResult) -> None:
         """Ends a queued job on the scheduler's decision.
 
         Args:
@@ -76,7 +76,7 @@
             result = jobs.JobResult(
                 code=codes.ResultCode.INTERRUPTED, detail=result.detail
             )
-        self.finish(job, result)
+        self.end_job(job, result)
 
     def _handle_end_written(self, ended: records.JobEnded) -> None:
         if ended.result.code is codes.ResultCode.DONE:
@@ -95,9 +95,9 @@
             account=ended.account,
             code=int(ended.result.code),
         )
-        self._domain.table.finish_job(ended)
+        self._domain.table.remove_ended(ended)
 
-    def end_finished_jobs(self) -> None:
+    def remove_ended_jobs(self) -> None:
         """Closes jobs that already have a final result in the job view.
 
         An earlier owner may have recorded it after this VM took over the job.
@@ -116,7 +116,7 @@
                 continue
             self._domain.scheduler.cancel(job)
             self._domain.requeue_at_ms.pop(job, None)
-            self._domain.table.finish_job(self._domain.job_view.ended[job])
+            self._domain.table.remove_ended(self._domain.job_view.ended[job])
 
     def cancel(self, entry: job_table.JobEntry) -> None:
         """Cancels a job, or marks it for cancellation until it is accepted.
@@ -141,7 +141,7 @@
         if attempt is None:
             self._domain.scheduler.cancel(job)
             self._domain.requeue_at_ms.pop(job, None)
-            self.finish(job, cancel_result(entry))
+            self.end_job(job, cancel_result(entry))
             return
         record = records.JobCancelled(
             record=ids.RecordId(f"cancel:{job}"), job=job
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -164,7 +164,7 @@
         self, job: ids.JobId, to: ids.FailureDomainId
     ) -> None:
         """Records that another failure domain has accepted a job."""
-        self._domain.record(
+        self._domain.write_record(
             records.JobMoved(
                 record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
@@ -181,7 +181,7 @@
             job: The job.
             number: The number of the move.
         """
-        self._domain.record(
+        self._domain.write_record(
             records.JobMoved(
                 record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
@@ -197,7 +197,7 @@
         Args:
             job: The job.
         """
-        self._domain.record(
+        self._domain.write_record(
             records.JobMoved(
                 record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
--- a/citronmount/agent/job_rebuilder.py
+++ b/citronmount/agent/job_rebuilder.py
@@ -79,7 +79,7 @@
         Args:
             delay_ms: Time before the restored jobs may be placed.
         """
-        self._completion.end_finished_jobs()
+        self._completion.remove_ended_jobs()
         missing = [
             spec
             for job, spec in self._domain.job_view.accepted.items()
@@ -112,7 +112,7 @@
         if intent is not None and not spec.idempotent:
             self._manager.stop_earlier_attempt(entry, intent)
         elif entry.cancelled:
-            self._completion.finish(
+            self._completion.end_job(
                 spec.job, job_completion.cancel_result(entry)
             )
         elif delay_ms > 0:
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -19,8 +19,10 @@
 
 MAX_TASKS = 128
 
-Respond = Callable[[peer_messages.Answer], None]
-Route = Callable[[ids.FailureDomainId, peer_messages.SubmitJob, Respond], None]
+Responder = Callable[[peer_messages.Answer], None]
+Route = Callable[
+    [ids.FailureDomainId, peer_messages.SubmitJob, Responder], None
+]
 
 
 class JobSubmission:
@@ -47,7 +49,7 @@
         self._tracker = tracker
         self._route = route
 
-    def submit(self, spec: jobs.JobSpec, respond: Respond) -> None:
+    def submit(self, spec: jobs.JobSpec, respond: Responder) -> None:
         """Submits a job to the failure domain that can start it first.
 
         Args:
@@ -73,7 +75,7 @@
             self._submit_without_known_owner(spec, respond)
 
     def _submit_without_known_owner(
-        self, spec: jobs.JobSpec, respond: Respond
+        self, spec: jobs.JobSpec, respond: Responder
     ) -> None:
         """Submits a job while no owner of a usable failure domain is known.
 
@@ -89,7 +91,7 @@
         job = ids.job_id(home, self._ctx.unique_id())
         self._submit_to(home, spec, job, respond)
 
-    def _submit_keyed(self, spec: jobs.JobSpec, respond: Respond) -> None:
+    def _submit_keyed(self, spec: jobs.JobSpec, respond: Responder) -> None:
         current = self._configuration.fold.current
         key = spec.idempotency_key
         home = homes.home_of_key(current, spec.account, key)
@@ -104,7 +106,7 @@
         spec: jobs.JobSpec,
         candidates: list[ids.FailureDomainId],
         fallback: ids.FailureDomainId,
-        respond: Respond,
+        respond: Responder,
     ) -> None:
         """Tries failure domains in turn until one can start the job at once.
 
@@ -130,15 +132,15 @@
         home: ids.FailureDomainId,
         spec: jobs.JobSpec,
         job: ids.JobId,
-        respond: Respond,
+        respond: Responder,
         *,
         eager: bool = False,
     ) -> None:
-        filled = msgspec.structs.replace(
+        submitted_spec = msgspec.structs.replace(
             spec, job=job, submitted_ms=self._ctx.wall_ms
         )
         self._tracker.record_submission(home, spec.accelerators)
-        body = peer_messages.SubmitJob(spec=filled, eager=eager)
+        body = peer_messages.SubmitJob(spec=submitted_spec, eager=eager)
         self._route(home, body, respond)
 
     def _validation_error(
--- a/citronmount/agent/job_table.py
+++ b/citronmount/agent/job_table.py
@@ -134,7 +134,7 @@
         waiter = _Waiter(responder=responder, due_ms=due_ms)
         self._waiters.setdefault(job, []).append(waiter)
 
-    def finish_job(self, ended: records.JobEnded) -> None:
+    def remove_ended(self, ended: records.JobEnded) -> None:
         """Removes a job and answers its waiters with the final status.
 
         Args:
--- a/citronmount/agent/joining.py
+++ b/citronmount/agent/joining.py
@@ -95,7 +95,7 @@
         self._requested_peers.add(peer)
         call = self._ctx.new_call()
 
-        def answered(answer: peer_messages.StateAnswer | None) -> None:
+        def handle_answer(answer: peer_messages.StateAnswer | None) -> None:
             if answer is None:
                 self._requested_peers.discard(peer)
                 return
@@ -114,7 +114,7 @@
                 stream=records.job_stream(self._ctx.settings.failure_domain),
                 recent_claims=self._log_read,
             ),
-            answered,
+            handle_answer,
             timeout_ms=STATE_TIMEOUT_MS,
         )
 
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -205,7 +205,7 @@
     ) -> None:
         token = self._token
 
-        def recorded(
+        def handle_recorded(
             recorded_spec: jobs.JobSpec, moved: records.JobMoved
         ) -> None:
             if token == self._token and self._ownership.domain is not None:
@@ -218,7 +218,9 @@
                 self._moves[spec.job] = move
                 self._send(move)
 
-        self._ownership.domain.moves.move_out(spec.job, destination, recorded)
+        self._ownership.domain.moves.move_out(
+            spec.job, destination, handle_recorded
+        )
 
     def _send(self, move: _Move) -> None:
         if move.in_flight or move.retry_ms > self._ctx.now_ms:
@@ -226,7 +228,7 @@
         move.in_flight = True
         token = self._token
 
-        def answered(answer: peer_messages.Answer) -> None:
+        def handle_answer(answer: peer_messages.Answer) -> None:
             move.in_flight = False
             move.retry_ms = self._ctx.now_ms + RESEND_DELAY_MS
             domain = self._ownership.domain
@@ -242,7 +244,7 @@
         body = peer_messages.SubmitJob(
             spec=move.spec, eager=move.eager, move=move.number
         )
-        self._calls.route(move.to, body, answered)
+        self._calls.route(move.to, body, handle_answer)
 
 
 def _never_accepted(answer: peer_messages.Answer) -> bool:
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -199,10 +199,10 @@
         self._ctx.append_log(
             stream,
             tuple(write.record for write in batch),
-            lambda offset: self._appended(stream, batch, offset),
+            lambda offset: self._handle_append_answer(stream, batch, offset),
         )
 
-    def _appended(
+    def _handle_append_answer(
         self,
         stream: ids.StreamName,
         batch: tuple[_Write, ...],
@@ -229,9 +229,9 @@
             self._replicate_to_peers(write)
         timed_out = write.limit_ms is not None and age_ms >= write.limit_ms
         if timed_out and write.on_outcome is not None:
-            self._end_unanswered(write)
+            self._report_timeout(write)
 
-    def _end_unanswered(self, write: _Write) -> None:
+    def _report_timeout(self, write: _Write) -> None:
         """Reports the outcome as unknown, or drops a write never sent."""
         if write.sent or write.asked_peers:
             write.settle(WriteOutcome.UNKNOWN)
@@ -262,7 +262,9 @@
     def _replicate(self, write: _Write, peer: ids.VmId, needed: int) -> None:
         call = self._ctx.new_call()
 
-        def acknowledged(answer: peer_messages.Acknowledge | None) -> None:
+        def handle_acknowledgement(
+            answer: peer_messages.Acknowledge | None,
+        ) -> None:
             if answer is None:
                 self._view.record_unanswered_call(peer, self._ctx.now_ms)
                 write.asked_peers = False
@@ -278,7 +280,7 @@
             peer,
             call,
             message,
-            acknowledged,
+            handle_acknowledgement,
             timeout_ms=REPLICATE_TIMEOUT_MS,
         )
 
@@ -286,12 +288,12 @@
         """Appends older replicas of other VMs while the log is available."""
         if not self.log_available:
             return
-        limit_ms = self._ctx.now_ms - REPLICA_APPEND_DELAY_MS
+        stored_by_ms = self._ctx.now_ms - REPLICA_APPEND_DELAY_MS
         for stream, replicas in self._replicas.items():
             due = [
                 replica
                 for replica in replicas.values()
-                if replica.since_ms <= limit_ms
+                if replica.since_ms <= stored_by_ms
             ]
             for replica in due:
                 del replicas[replica.record.record]
--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -36,59 +36,59 @@
     def __init__(
         self,
         *,
-        context: domain_context.DomainContext,
+        domain: domain_context.DomainContext,
     ) -> None:
         """Initializes an owned failure domain without workers.
 
         Args:
-            context: State and services shared by its parts.
+            domain: State and services shared by its parts.
         """
-        completion = job_completion.JobCompletion(domain=context)
-        self._context = context
+        completion = job_completion.JobCompletion(domain=domain)
+        self._domain = domain
         self._attempt_manager = attempt_manager.AttemptManager(
-            domain=context, completion=completion
+            domain=domain, completion=completion
         )
-        self.moves = job_moves.JobMoves(domain=context, completion=completion)
+        self.moves = job_moves.JobMoves(domain=domain, completion=completion)
         self.job_calls = job_call_handler.JobCallHandler(
-            domain=context, completion=completion, moves=self.moves
+            domain=domain, completion=completion, moves=self.moves
         )
         self.reports = worker_reports.WorkerReports(
-            domain=context, manager=self._attempt_manager
+            domain=domain, manager=self._attempt_manager
         )
         self.rebuilder = job_rebuilder.JobRebuilder(
-            domain=context,
+            domain=domain,
             completion=completion,
             moves=self.moves,
             manager=self._attempt_manager,
             reports=self.reports,
         )
-        context.on_worker_answer = self.reports.handle_answer
+        domain.on_worker_answer = self.reports.handle_answer
 
     @property
     def token(self) -> ids.FenceToken:
         """The owner's fencing token, which the workers have seen."""
-        return self._context.token
+        return self._domain.token
 
     @property
     def table(self) -> job_table.JobTable:
         """The jobs without a final result."""
-        return self._context.table
+        return self._domain.table
 
     @property
     def placement_enabled(self) -> bool:
         """Whether new attempts may begin."""
-        return self._context.placement_enabled
+        return self._domain.placement_enabled
 
     @placement_enabled.setter
     def placement_enabled(self, placement_enabled: bool) -> None:
-        self._context.placement_enabled = placement_enabled
+        self._domain.placement_enabled = placement_enabled
 
     def summary(self) -> peer_messages.DomainSummary:
         """Returns the summary that heartbeats carry to other VMs."""
-        scheduler = self._context.scheduler
+        scheduler = self._domain.scheduler
         return peer_messages.DomainSummary(
-            failure_domain=self._context.failure_domain,
-            token=self._context.token,
+            failure_domain=self._domain.failure_domain,
+            token=self._domain.token,
             free_accelerators=scheduler.free_accelerators(),
             queued_accelerators=scheduler.queued_accelerators(),
             largest_gang=scheduler.largest_gang(),
@@ -96,11 +96,11 @@
 
     def fragmentation(self) -> float:
         """Returns the share of free accelerators that queued jobs can't use."""
-        return self._context.scheduler.fragmentation()
+        return self._domain.scheduler.fragmentation()
 
     def in_service(self) -> bool:
         """Returns whether tasks may start in the failure domain."""
-        return self._context.in_service()
+        return self._domain.in_service()
 
     def set_configuration(
         self, configuration: configuration_lib.Configuration
@@ -113,11 +113,11 @@
         Args:
             configuration: The configuration in force.
         """
-        self._context.configuration = configuration
-        self._context.scheduler.set_configuration(configuration)
-        if self._context.in_service():
+        self._domain.configuration = configuration
+        self._domain.scheduler.set_configuration(configuration)
+        if self._domain.in_service():
             return
-        for attempt in list(self._context.attempts.values()):
+        for attempt in list(self._domain.attempts.values()):
             if attempt.phase is gang.GangPhase.RESERVING:
                 attempt.stop(decisions.AttemptEnd.REFUSED)
 
@@ -127,57 +127,55 @@
         Args:
             workers: The workers of the failure domain.
         """
-        context = self._context
-        context.targets.update(
+        domain = self._domain
+        domain.targets.update(
             {ids.WorkerId(worker.name): worker for worker in workers}
         )
-        context.scheduler.set_workers(workers)
-        context.token_check.set_workers(tuple(context.targets.values()))
+        domain.scheduler.set_workers(workers)
+        domain.token_check.set_workers(tuple(domain.targets.values()))
         for worker in self.reports.lost_workers:
-            context.scheduler.set_worker_state(
-                worker, states.TargetState.LOST, context.ctx.now_ms
+            domain.scheduler.set_worker_state(
+                worker, states.TargetState.LOST, domain.ctx.now_ms
             )
 
     def all_attempts_running(self) -> bool:
         """Returns whether no attempt is reserving, starting or stopping."""
         return all(
             attempt.phase is gang.GangPhase.RUNNING
-            for attempt in self._context.attempts.values()
+            for attempt in self._domain.attempts.values()
         )
 
     def lapsing_attempts(self) -> tuple[ids.AttemptId, ...]:
         """Returns the attempts whose leases must not be renewed."""
         return tuple(
             attempt.attempt
-            for attempt in self._context.attempts.values()
+            for attempt in self._domain.attempts.values()
             if attempt.must_lapse
         )
 
     def tick(self) -> None:
         """Runs everything that is due: retries, decisions and answers."""
-        context = self._context
-        context.scheduler.set_wall_clock(
-            now_ms=context.ctx.now_ms, wall_ms=context.ctx.wall_ms
+        domain = self._domain
+        domain.scheduler.set_wall_clock(
+            now_ms=domain.ctx.now_ms, wall_ms=domain.ctx.wall_ms
         )
-        for attempt in list(context.attempts.values()):
+        for attempt in list(domain.attempts.values()):
             attempt.tick()
         self._attempt_manager.requeue_held_jobs()
-        if context.placement_enabled:
+        if domain.placement_enabled:
             self.decide()
-        context.table.answer_due(context.ctx.now_ms)
+        domain.table.answer_due(domain.ctx.now_ms)
         self.reports.send_forget_calls()
         self.reports.trace_quarantine()
-        context.token_check.tick()
+        domain.token_check.tick()
 
     def decide_if_due(self) -> None:
         """Runs the scheduler if a job was accepted or an attempt has ended."""
-        if self._context.decision_due and self._context.placement_enabled:
+        if self._domain.decision_due and self._domain.placement_enabled:
             self.decide()
 
     def decide(self) -> None:
         """Runs the scheduler and executes its decisions."""
-        self._context.decision_due = False
-        for decision in self._context.scheduler.decide(
-            self._context.ctx.now_ms
-        ):
+        self._domain.decision_due = False
+        for decision in self._domain.scheduler.decide(self._domain.ctx.now_ms):
             self._attempt_manager.execute(decision)
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -84,9 +84,9 @@
         self._claims = claims
         self._configuration = configuration
         self._workers = workers
-        self._earliest_take_over_ms = 0
-        self._take_over_number = 0
-        self._due_ms = 0
+        self._earliest_takeover_ms = 0
+        self._takeover_number = 0
+        self._phase_due_ms = 0
         self._awaited_answers: set[str] = set()
         self._reports: dict[ids.WorkerId, messages.Report] = {}
         self._log_read_attempts = 0
@@ -109,13 +109,13 @@
         if self.phase is not OwnershipPhase.FOLLOWER:
             self._higher_token = token
 
-    def delay_take_over(self, due_ms: int) -> None:
+    def delay_takeover(self, due_ms: int) -> None:
         """Delays taking over, so that heartbeats of peers can arrive first.
 
         Args:
             due_ms: Earliest monotonic time of a take-over.
         """
-        self._earliest_take_over_ms = max(self._earliest_take_over_ms, due_ms)
+        self._earliest_takeover_ms = max(self._earliest_takeover_ms, due_ms)
 
     def step_down(self, reason: str) -> None:
         """Gives up the ownership; running attempts continue at the workers.
@@ -126,7 +126,7 @@
         if self.phase is OwnershipPhase.FOLLOWER:
             return
         self.phase = OwnershipPhase.FOLLOWER
-        self._take_over_number += 1
+        self._takeover_number += 1
         if self.domain is not None:
             self.domain.table.answer_all()
         self.domain = None
@@ -150,7 +150,7 @@
         if since_fenced_ms > BACKOFF_RESET_MS:
             self._backoff_ms = INITIAL_BACKOFF_MS
         self._last_fenced_ms = self._ctx.now_ms
-        self.delay_take_over(self._ctx.now_ms + self._backoff_ms)
+        self.delay_takeover(self._ctx.now_ms + self._backoff_ms)
         self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_MS)
 
     def tick(self) -> None:
@@ -164,7 +164,7 @@
             case OwnershipPhase.FOLLOWER:
                 if (
                     should_own
-                    and self._ctx.now_ms >= self._earliest_take_over_ms
+                    and self._ctx.now_ms >= self._earliest_takeover_ms
                 ):
                     self._fence_workers()
             case OwnershipPhase.FENCING | OwnershipPhase.READING:
@@ -175,7 +175,7 @@
     def _tick_taking_over(self, should_own: bool) -> None:
         if not should_own:
             self.step_down("another owner")
-        elif self._ctx.now_ms >= self._due_ms:
+        elif self._ctx.now_ms >= self._phase_due_ms:
             if self.phase is OwnershipPhase.FENCING:
                 self._read_state()
             else:
@@ -192,11 +192,11 @@
 
     def _fence_workers(self) -> None:
         """Raises the fencing token at all workers and collects reports."""
-        self._take_over_number += 1
+        self._takeover_number += 1
         self.phase = OwnershipPhase.FENCING
         self.token = fencing.next_token(self.token, self._ctx.settings)
         self._reports = {}
-        self._due_ms = self._ctx.now_ms + FENCE_TIMEOUT_MS
+        self._phase_due_ms = self._ctx.now_ms + FENCE_TIMEOUT_MS
         self._ctx.trace(
             timeline.EventKind.OWNERSHIP_TAKEN,
             failure_domain=self._ctx.settings.failure_domain,
@@ -209,7 +209,7 @@
             self._ctx.call_worker(
                 target,
                 call,
-                self._fence_handler(target.name, self._take_over_number),
+                self._fence_handler(target.name, self._takeover_number),
                 timeout_ms=FENCE_TIMEOUT_MS,
             )
         if not targets:
@@ -218,8 +218,8 @@
     def _fence_handler(
         self, worker: str, take_over_number: int
     ) -> Callable[[messages.WorkerAnswer | None], None]:
-        def answered(answer: messages.WorkerAnswer | None) -> None:
-            if take_over_number != self._take_over_number:
+        def handle_answer(answer: messages.WorkerAnswer | None) -> None:
+            if take_over_number != self._takeover_number:
                 return
             if answer is not None:
                 self.learn_token(answer.token)
@@ -234,24 +234,24 @@
             ):
                 self._read_state()
 
-        return answered
+        return handle_answer
 
     def _read_state(self) -> None:
         """Reads the job stream and requests the state of peers."""
         self.phase = OwnershipPhase.READING
         self._log_read_attempts = 0
-        self._due_ms = self._ctx.now_ms + STATE_TIMEOUT_MS
+        self._phase_due_ms = self._ctx.now_ms + STATE_TIMEOUT_MS
         peers = self._view.local_peers(self._ctx.now_ms)
         self._awaited_answers = {"log", *peers}
         for peer in peers:
-            self._request_state(peer, self._take_over_number)
-        self._read_log(self._take_over_number)
+            self._request_state(peer, self._takeover_number)
+        self._read_log(self._takeover_number)
 
     def _request_state(self, peer: ids.VmId, take_over_number: int) -> None:
         call = self._ctx.new_call()
 
-        def answered(answer: peer_messages.StateAnswer | None) -> None:
-            if take_over_number != self._take_over_number:
+        def handle_answer(answer: peer_messages.StateAnswer | None) -> None:
+            if take_over_number != self._takeover_number:
                 return
             if answer is not None:
                 self.merge(answer)
@@ -266,7 +266,7 @@
                 stream=records.job_stream(self._ctx.settings.failure_domain),
                 recent_claims=True,
             ),
-            answered,
+            handle_answer,
             timeout_ms=STATE_TIMEOUT_MS,
         )
 
@@ -283,7 +283,7 @@
 
     def _read_log(self, take_over_number: int) -> None:
         def on_log_read(complete: bool) -> None:
-            if take_over_number != self._take_over_number:
+            if take_over_number != self._takeover_number:
                 return
             if not complete:
                 self._on_log_read_failed(take_over_number)
@@ -317,7 +317,7 @@
             self._start_owning()
 
     def _start_owning(self) -> None:
-        shared = domain_context.DomainContext(
+        domain_state = domain_context.DomainContext(
             ctx=self._ctx,
             token=self.token,
             job_view=self._job_view,
@@ -326,7 +326,7 @@
             policy=self._ctx.settings.policy,
             on_fenced=self.learn_token,
         )
-        domain = owned_domain.OwnedDomain(context=shared)
+        domain = owned_domain.OwnedDomain(domain=domain_state)
         self.phase = OwnershipPhase.OWNER
         self.domain = domain
         self._next_log_poll_ms = self._ctx.now_ms + LOG_POLL_PERIOD_MS
--- a/citronmount/agent/request_forwarding.py
+++ b/citronmount/agent/request_forwarding.py
@@ -17,7 +17,7 @@
 ATTEMPT_TIMEOUT_MS = 1_000
 RETRY_AFTER_MS = 1_000
 
-Respond = Callable[[jobs.RequestResult], None]
+Responder = Callable[[jobs.RequestResult], None]
 
 
 class _ForwardedRequest(msgspec.Struct, kw_only=True):
@@ -26,7 +26,7 @@
     spec: jobs.RequestSpec
     body: peer_messages.RunRequest
     vms: list[ids.VmId]
-    respond: Respond
+    respond: Responder
     due_ms: int
     repeatable: bool
     uncertain: bool = False
@@ -58,7 +58,7 @@
         self,
         body: peer_messages.RunRequest,
         vms: list[ids.VmId],
-        respond: Respond,
+        respond: Responder,
         *,
         repeatable: bool,
     ) -> None:
@@ -101,7 +101,7 @@
         """
         call = self._ctx.new_call()
 
-        def answered(message: peer_messages.ForwardAnswer | None) -> None:
+        def handle_answer(message: peer_messages.ForwardAnswer | None) -> None:
             if message is None:
                 self._view.record_unanswered_call(to, self._ctx.now_ms)
             on_answer(None if message is None else _result(message, body))
@@ -109,7 +109,9 @@
         forward = peer_messages.Forward(
             call=call, body=body, timeout_ms=timeout_ms
         )
-        self._ctx.call_peer(to, call, forward, answered, timeout_ms=timeout_ms)
+        self._ctx.call_peer(
+            to, call, forward, handle_answer, timeout_ms=timeout_ms
+        )
 
     def _send_to_next_vm(self, forwarded: _ForwardedRequest) -> None:
         to = forwarded.vms.pop(0)
@@ -122,10 +124,10 @@
             to,
             forwarded.body,
             int(timeout_ms),
-            lambda result: self._answered(forwarded, result),
+            lambda result: self._handle_answer(forwarded, result),
         )
 
-    def _answered(
+    def _handle_answer(
         self, forwarded: _ForwardedRequest, result: jobs.RequestResult | None
     ) -> None:
         in_time = self._ctx.now_ms < forwarded.due_ms
--- a/citronmount/agent/request_handler.py
+++ b/citronmount/agent/request_handler.py
@@ -29,7 +29,7 @@
 
 MAX_REMOTE_VMS = 4
 
-Respond = Callable[[jobs.RequestResult], None]
+Responder = Callable[[jobs.RequestResult], None]
 
 
 class _OpenRequest(msgspec.Struct, kw_only=True):
@@ -37,7 +37,7 @@
 
     caller_id: ids.RequestId
     spec: jobs.RequestSpec
-    responders: list[Respond]
+    responders: list[Responder]
     claim: records.KeyClaimed | None = None
 
 
@@ -73,7 +73,7 @@
         self._runners: dict[ids.RunnerId, messages.ListedTarget] = {}
         self._open: dict[ids.RequestId, _OpenRequest] = {}
         self._open_by_key: dict[str, ids.RequestId] = {}
-        self._claiming: dict[str, list[tuple[jobs.RequestSpec, Respond]]] = {}
+        self._claiming: dict[str, list[tuple[jobs.RequestSpec, Responder]]] = {}
         self._forwarding = request_forwarding.RequestForwarding(
             ctx=ctx, view=view
         )
@@ -110,7 +110,7 @@
     def submit(
         self,
         spec: jobs.RequestSpec,
-        respond: Respond,
+        respond: Responder,
         *,
         claimed: bool = False,
         offered: bool = False,
@@ -161,7 +161,7 @@
         own = self._ctx.settings.failure_domain
         return bool(self._runners) and homes.in_service(current, own)
 
-    def _submit_keyed(self, spec: jobs.RequestSpec, respond: Respond) -> None:
+    def _submit_keyed(self, spec: jobs.RequestSpec, respond: Responder) -> None:
         home = homes.home_of_key(
             self._configuration.fold.current,
             spec.account,
@@ -184,12 +184,12 @@
         self._forwarding.send(
             peer_messages.RunRequest(spec=spec),
             [ids.VmId(vm) for vm in ranked],
-            _with_id(spec.request, respond),
+            _respond_with_id(spec.request, respond),
             repeatable=True,
         )
 
     def _claim_key_and_run(
-        self, spec: jobs.RequestSpec, respond: Respond
+        self, spec: jobs.RequestSpec, respond: Responder
     ) -> None:
         if not self._view.ready:
             respond(
@@ -210,19 +210,19 @@
         self._claiming[key] = [(spec, respond)]
         self._claims.claim(
             key,
-            _digest(spec),
+            _body_digest(spec),
             lambda outcome: self._on_claim_outcome(spec, outcome),
         )
 
     def _join_pending_claim(
         self,
-        pending: list[tuple[jobs.RequestSpec, Respond]],
+        pending: list[tuple[jobs.RequestSpec, Responder]],
         spec: jobs.RequestSpec,
-        respond: Respond,
+        respond: Responder,
     ) -> None:
         """Lets a repeated call wait for the pending claim of its key."""
         first, _ = pending[0]
-        if _digest(first) != _digest(spec):
+        if _body_digest(first) != _body_digest(spec):
             code = codes.ResultCode.KEY_REUSED
             respond(request_forwarding.refusal(spec.request, code))
             return
@@ -232,22 +232,22 @@
         self,
         open_id: ids.RequestId,
         spec: jobs.RequestSpec,
-        respond: Respond,
+        respond: Responder,
     ) -> None:
         """Answers a repeated call with the result of the open request."""
         open_request = self._open[open_id]
-        if _digest(open_request.spec) != _digest(spec):
+        if _body_digest(open_request.spec) != _body_digest(spec):
             code = codes.ResultCode.KEY_REUSED
             respond(request_forwarding.refusal(spec.request, code))
             return
-        open_request.responders.append(_with_id(spec.request, respond))
+        open_request.responders.append(_respond_with_id(spec.request, respond))
 
     def _on_claim_outcome(
         self, spec: jobs.RequestSpec, outcome: claims_lib.ClaimOutcome
     ) -> None:
         pending = self._claiming.pop(_key_of(spec))
         responders = [
-            _with_id(each.request, respond) for each, respond in pending
+            _respond_with_id(each.request, respond) for each, respond in pending
         ]
 
         def respond_all(result: jobs.RequestResult) -> None:
@@ -263,12 +263,12 @@
             )
             self._run_claimed(spec, respond_all, outcome.claim)
         else:
-            self._answer_refused_claim(spec, respond_all, outcome)
+            self._answer_rejected_claim(spec, respond_all, outcome)
 
     def _run_claimed(
         self,
         spec: jobs.RequestSpec,
-        respond: Respond,
+        respond: Responder,
         claim: records.KeyClaimed,
     ) -> None:
         if self._can_run_here():
@@ -278,15 +278,15 @@
         self._add_open_request(request_id, spec, respond, claim)
         self._finish_remotely(request_id)
 
-    def _answer_refused_claim(
+    def _answer_rejected_claim(
         self,
         spec: jobs.RequestSpec,
-        respond: Respond,
+        respond: Responder,
         outcome: claims_lib.ClaimOutcome,
     ) -> None:
         """Answers a call whose claim was not granted."""
         holder = outcome.holder
-        if holder is not None and holder.body_digest != _digest(spec):
+        if holder is not None and holder.body_digest != _body_digest(spec):
             code = codes.ResultCode.KEY_REUSED
             respond(request_forwarding.refusal(spec.request, code))
         elif outcome.result is not None:
@@ -294,7 +294,7 @@
         elif holder is None:
             code = codes.ResultCode.NOT_DURABLE
             respond(request_forwarding.refusal(spec.request, code))
-        elif self._can_ask_holder(holder.vm):
+        elif self._is_live_peer(holder.vm):
             self._forwarding.send(
                 peer_messages.RunRequest(spec=spec),
                 [holder.vm],
@@ -304,7 +304,7 @@
         else:
             respond(request_forwarding.outcome_unknown(spec.request))
 
-    def _can_ask_holder(self, vm: ids.VmId) -> bool:
+    def _is_live_peer(self, vm: ids.VmId) -> bool:
         """Returns whether the holder of a claim can be asked for its outcome.
 
         It can if it is another VM that is alive.
@@ -312,7 +312,7 @@
         own = vm == self._ctx.settings.vm
         return not own and self._view.is_alive(vm, self._ctx.now_ms)
 
-    def _run_remotely(self, spec: jobs.RequestSpec, respond: Respond) -> None:
+    def _run_remotely(self, spec: jobs.RequestSpec, respond: Responder) -> None:
         """Forwards a request to VMs of other failure domains in service."""
         current = self._configuration.fold.current
         vms = [
@@ -330,14 +330,14 @@
         self._forwarding.send(
             peer_messages.RunRequest(spec=spec, claimed=True),
             [ids.VmId(vm) for vm in ranked[:MAX_REMOTE_VMS]],
-            _with_id(spec.request, respond),
+            _respond_with_id(spec.request, respond),
             repeatable=spec.idempotent,
         )
 
     def _run(
         self,
         spec: jobs.RequestSpec,
-        respond: Respond,
+        respond: Responder,
         *,
         claim: records.KeyClaimed | None,
         offered: bool,
@@ -350,7 +350,7 @@
         if refusal is not None:
             if claim is not None:
                 self._claims.record_result(claim, refusal)
-            respond(_for_caller(refusal, spec.request))
+            respond(_with_request_id(refusal, spec.request))
             return
         self._add_open_request(request_id, spec, respond, claim)
 
@@ -361,7 +361,7 @@
         self,
         request_id: ids.RequestId,
         spec: jobs.RequestSpec,
-        respond: Respond,
+        respond: Responder,
         claim: records.KeyClaimed | None,
     ) -> None:
         self._open[request_id] = _OpenRequest(
@@ -377,10 +377,10 @@
         """Forwards an open request and answers it with the result."""
         spec = self._open[request_id].spec
 
-        def answered(result: jobs.RequestResult) -> None:
-            self._answer(_for_caller(result, request_id))
+        def handle_answer(result: jobs.RequestResult) -> None:
+            self._answer(_with_request_id(result, request_id))
 
-        self._run_remotely(spec, answered)
+        self._run_remotely(spec, handle_answer)
 
     def _send(self, decision: request_decisions.Send) -> None:
         open_request = self._open.get(decision.request)
@@ -412,7 +412,7 @@
             timeout_ms=decision.timeout_ms,
         )
 
-        def answered(event: events.RunnerAnswered) -> None:
+        def handle_answer(event: events.RunnerAnswered) -> None:
             self.router.record_answer(
                 decision.request,
                 decision.runner,
@@ -422,7 +422,7 @@
                 attempt=decision.attempt,
             )
 
-        self._ctx.call_runner(call, answered)
+        self._ctx.call_runner(call, handle_answer)
 
     def _offer(self, decision: request_decisions.Offer) -> None:
         open_request = self._open[decision.request]
@@ -437,12 +437,14 @@
             offered=True,
         )
 
-        def answered(result: jobs.RequestResult | None) -> None:
+        def handle_answer(result: jobs.RequestResult | None) -> None:
             self.router.record_peer_answer(
                 decision.request, result, self._ctx.now_ms
             )
 
-        self._forwarding.call(decision.vm, body, decision.timeout_ms, answered)
+        self._forwarding.call(
+            decision.vm, body, decision.timeout_ms, handle_answer
+        )
 
     def _finish(self, result: jobs.RequestResult) -> None:
         out_of_service = result.code is codes.ResultCode.FAILURE_DOMAIN_OUT
@@ -458,7 +460,8 @@
         if open_request.claim is not None:
             self._open_by_key.pop(open_request.claim.key, None)
             self._claims.record_result(
-                open_request.claim, _for_caller(result, open_request.caller_id)
+                open_request.claim,
+                _with_request_id(result, open_request.caller_id),
             )
         self._ctx.trace(
             timeline.EventKind.REQUEST_ANSWERED,
@@ -467,23 +470,23 @@
             code=int(result.code),
         )
         for respond in open_request.responders:
-            respond(_for_caller(result, open_request.caller_id))
+            respond(_with_request_id(result, open_request.caller_id))
 
 
 def _key_of(spec: jobs.RequestSpec) -> str:
     return f"request/{spec.account}/{spec.idempotency_key}"
 
 
-def _digest(spec: jobs.RequestSpec) -> str:
+def _body_digest(spec: jobs.RequestSpec) -> str:
     body = spec.payload.encode()
     return hashlib.blake2b(body, digest_size=8).hexdigest()
 
 
-def _for_caller(
+def _with_request_id(
     result: jobs.RequestResult, request: ids.RequestId
 ) -> jobs.RequestResult:
     return msgspec.structs.replace(result, request=request)
 
 
-def _with_id(request: ids.RequestId, respond: Respond) -> Respond:
-    return lambda result: respond(_for_caller(result, request))
+def _respond_with_id(request: ids.RequestId, respond: Responder) -> Responder:
+    return lambda result: respond(_with_request_id(result, request))
--- a/citronmount/agent/tests/test_agent.py
+++ b/citronmount/agent/tests/test_agent.py
@@ -216,7 +216,7 @@
         )
         self.assertEqual(found, {codes.ResultCode.DONE: 60})
 
-    def test_jobs_are_accepted_by_peers_while_the_log_is_down(self):
+    def test_jobs_accepted_while_the_log_is_down_reach_it_later(self):
         self.harness.services.down.add(harness_services.LOG)
         self.submit_gang(0)
         self.clock.run_until_ms(10_000)
--- a/citronmount/agent/token_check.py
+++ b/citronmount/agent/token_check.py
@@ -83,7 +83,7 @@
         self._open_probes = len(targets)
         call = messages.WorkerCall(token=self._token, known_sequence=1 << 60)
         for target in targets:
-            self._ctx.call_worker(target, call, self._answered)
+            self._ctx.call_worker(target, call, self._handle_answer)
 
     def _next_targets(self) -> list[messages.ListedTarget]:
         offset = self._next_worker
@@ -93,7 +93,7 @@
         first = offset % len(self._workers) if self._workers else 0
         return list(itertools.islice(cycle, first, first + count))
 
-    def _answered(self, answer: messages.WorkerAnswer | None) -> None:
+    def _handle_answer(self, answer: messages.WorkerAnswer | None) -> None:
         self._open_probes -= 1
         if answer is not None and answer.token > self._token:
             self._fenced = True
