--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -32,6 +32,7 @@
 
 __all__ = ["Agent"]
 
+# Claims older than this must be in the log by now.
 RECENT_CLAIMS_MS = 600_000
 
 
@@ -188,7 +189,11 @@
         return emitted
 
     def _detect_pause(self, now_ms: int) -> None:
-        """Steps down as owner if the process was paused."""
+        """Steps down as owner if the process was paused.
+
+        The pause also held back heartbeats of peers, so their suspicion
+        timers restart and a takeover waits for new heartbeats.
+        """
         last_event_ms = self._last_event_ms
         self._last_event_ms = now_ms
         if last_event_ms is None:
@@ -296,7 +301,7 @@
             self.ownership.domain.set_workers(self._workers)
 
     def _update_assignments(self) -> None:
-        """Reassigns workers and slots after candidates or workers changed."""
+        """Updates the workers and runner slots that this VM uses."""
         candidates = self.view.candidates(
             self.settings.failure_domain, self._ctx.now_ms
         )
--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -174,7 +174,7 @@
     def _claim_and_begin(
         self, entry: job_table.JobEntry, attempt: attempts.Attempt
     ) -> None:
-        """Begins an attempt of a non-idempotent job under a durable claim."""
+        """Claims a non-idempotent job; begins its attempt if this is granted."""
         job = entry.spec.job
 
         def handle_claim_outcome(outcome: claims.ClaimOutcome) -> None:
--- a/citronmount/agent/attempts.py
+++ b/citronmount/agent/attempts.py
@@ -1,4 +1,4 @@
-"""Drives one attempt to run a gang through reserve, start, run and stop."""
+"""Drives one attempt of a gang: reserves, starts, watches and stops it."""
 
 from collections.abc import Callable
 import enum
@@ -54,7 +54,7 @@
 
 
 class _Proof(enum.Enum):
-    """Whether a member that can't run any more ran; `LOST` if unknown."""
+    """Whether a member that has ended ever ran; `LOST` if unknown."""
 
     NEVER_RAN = "never_ran"
     RAN = "ran"
@@ -70,11 +70,11 @@
     started: bool = False
     start_sent: bool = False
     checkpointed: bool = False
-    confirmed_sequence: int = -1
+    confirmed_sequence: int = -1  # Of the report in its last answer.
     exit_code: int | None = None
     proof: _Proof | None = None
     in_flight: bool = False
-    retry_ms: int = 0
+    retry_ms: int = 0  # Monotonic time from which calls are repeated.
 
 
 class Attempt:
@@ -101,10 +101,10 @@
         """Initializes an attempt without sending any call.
 
         Args:
-            ctx: Clock, settings and calls shared by the parts of the agent.
+            ctx: The shared context.
             attempt: The id of the attempt.
             number: The number of the attempt within the job, from 1.
-            token: The scheduler's fencing token.
+            token: The owner's fencing token.
             spec: The job.
             placement: The workers and the number of tasks at each.
             targets: The addresses of the workers in the placement.
@@ -160,7 +160,7 @@
         self._check_reserved()
 
     def adopt(self) -> None:
-        """Takes over an attempt that an earlier owner has started."""
+        """Adopts an attempt that an earlier owner has started."""
         self._gang.all_reserved()
         for member in self._members.values():
             member.reserved = True
@@ -183,10 +183,10 @@
         culprits: tuple[ids.WorkerId, ...] = (),
         grace_ms: int = 0,
     ) -> None:
-        """Stops the attempt before its tasks have finished, once.
+        """Stops the attempt before its tasks have finished.
 
         Args:
-            reason: Why the attempt ends; the first call's reason counts.
+            reason: Why the attempt ends; later calls have no effect.
             culprits: Workers that caused the attempt to fail.
             grace_ms: Time for tasks to write a checkpoint; 0 means none.
         """
@@ -245,7 +245,7 @@
         """Handles a worker's report that doesn't list the attempt.
 
         The attempt stops if it is being adopted, or if the worker had started
-        it and the report is newer than the last answer to a call.
+        it and the report is newer than the worker's last answer to it.
 
         Args:
             worker: The worker.
@@ -360,9 +360,7 @@
             ttl_ms=self._ctx.settings.reservation_ttl_ms,
         )
 
-        def handle_reserve_results(
-            results: tuple[messages.ActResult, ...],
-        ) -> None:
+        def handle_reserved(results: tuple[messages.ActResult, ...]) -> None:
             if self.phase is not gang.GangPhase.RESERVING:
                 return
             if results[0].outcome is not messages.ActOutcome.DONE:
@@ -371,9 +369,7 @@
             member.reserved = True
             self._check_reserved()
 
-        self._call(
-            worker, (act,), handle_reserve_results, retry_ms=CALL_RETRY_MS
-        )
+        self._call(worker, (act,), handle_reserved, retry_ms=CALL_RETRY_MS)
 
     def _check_reserved(self) -> None:
         in_time = self._ctx.now_ms < self._reserved_until_ms() - START_MARGIN_MS
@@ -391,9 +387,7 @@
             attempt=self.attempt, ttl_ms=self._ctx.settings.lease_ttl_ms
         )
 
-        def handle_start_results(
-            results: tuple[messages.ActResult, ...],
-        ) -> None:
+        def handle_started(results: tuple[messages.ActResult, ...]) -> None:
             outcome = results[0].outcome
             if outcome is messages.ActOutcome.DONE:
                 member.started = True
@@ -405,7 +399,7 @@
                 reason = decisions.AttemptEnd.REFUSED
             self.stop(reason, culprits=(worker,))
 
-        self._call(worker, (act,), handle_start_results, retry_ms=CALL_RETRY_MS)
+        self._call(worker, (act,), handle_started, retry_ms=CALL_RETRY_MS)
 
     def _check_started(self) -> None:
         complete = all(member.started for member in self._members.values())
@@ -456,26 +450,18 @@
     def _checkpoint(self, worker: ids.WorkerId, member: _Member) -> None:
         member.checkpointed = True
 
-        def handle_checkpoint_results(
-            results: tuple[messages.ActResult, ...],
-        ) -> None:
+        def handle_saved(results: tuple[messages.ActResult, ...]) -> None:
             self._progress = max(self._progress, results[0].progress)
             if member.proof is None:
                 self._send_stop(worker, member)
 
         act = messages.Checkpoint(attempt=self.attempt)
         self._call(
-            worker,
-            (act,),
-            handle_checkpoint_results,
-            retry_ms=0,
-            timeout_ms=self._grace_ms,
+            worker, (act,), handle_saved, retry_ms=0, timeout_ms=self._grace_ms
         )
 
     def _send_stop(self, worker: ids.WorkerId, member: _Member) -> None:
-        def handle_stop_results(
-            results: tuple[messages.ActResult, ...],
-        ) -> None:
+        def handle_stopped(results: tuple[messages.ActResult, ...]) -> None:
             outcome = results[0].outcome
             if outcome is messages.ActOutcome.NEVER_RAN:
                 member.proof = _Proof.NEVER_RAN
@@ -484,7 +470,7 @@
             self._check_stopped()
 
         act = messages.Stop(attempt=self.attempt)
-        self._call(worker, (act,), handle_stop_results, retry_ms=STOP_RETRY_MS)
+        self._call(worker, (act,), handle_stopped, retry_ms=STOP_RETRY_MS)
 
     def _check_stopped(self) -> None:
         proofs = [member.proof for member in self._members.values()]
@@ -493,6 +479,7 @@
         self._finish(ran=self._has_run(proofs))
 
     def _has_run(self, proofs: list[_Proof | None]) -> bool | None:
+        """Returns whether any member ran, or None if that is unknown."""
         if _Proof.RAN in proofs:
             return True
         if not self._gang_state.may_have_run or _Proof.LOST not in proofs:
--- a/citronmount/agent/call_router.py
+++ b/citronmount/agent/call_router.py
@@ -38,7 +38,14 @@
 
 
 class _RoutedCall(msgspec.Struct, kw_only=True):
-    """A call that is to be served by the owner of a failure domain."""
+    """A call that is to be served by the owner of a failure domain.
+
+    Attributes:
+        due_ms: Monotonic time at which the call times out.
+        in_flight: Whether a forwarded copy awaits its answer.
+        uncertain: Whether a forwarded copy was not answered, so that an owner
+            may have executed the call.
+    """
 
     failure_domain: ids.FailureDomainId
     body: DomainCall
@@ -50,7 +57,7 @@
 
 
 class CallRouter:
-    """Routes each call to the owner it concerns and answers it once.
+    """Routes each call to the owner of its failure domain; answers it once.
 
     Calls are retried until their deadline. All of them are idempotent, since
     the id of a job is fixed before its first submission is forwarded.
@@ -73,7 +80,7 @@
             view: Determines the owner of each failure domain.
             configuration: Provides the configuration in force.
             ownership: Provides the local failure domain while this VM owns it.
-            tracker: The free capacity of each failure domain.
+            tracker: Tracks the free capacity of each failure domain.
             requests: Handles short requests.
         """
         self._ctx = ctx
--- a/citronmount/agent/capacity_tracker.py
+++ b/citronmount/agent/capacity_tracker.py
@@ -29,7 +29,7 @@
         """Initializes a tracker without recent submissions.
 
         Args:
-            ctx: Clock, settings and calls shared by the parts of the agent.
+            ctx: The shared context.
             view: The membership view, with the heartbeats of owners.
             ownership: This VM's failure domain, if it owns it.
         """
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -39,7 +39,18 @@
 
 
 class _PendingClaim(msgspec.Struct, kw_only=True):
-    """A claim that is neither granted nor rejected yet."""
+    """A claim that is neither granted nor rejected yet.
+
+    Attributes:
+        due_ms: Monotonic time at which the claim is rejected.
+        quorum: The number of granted votes needed.
+        undecided: Voters that have not voted yet.
+        grants: Voters that have granted the claim.
+        in_log: Claims of the key in the log that were not freed, in order.
+        holder: A conflicting claim, if known.
+        result: The final answer of a conflicting claim's work, if known.
+        closed: Whether the claim was granted or rejected.
+    """
 
     claim: records.KeyClaimed
     on_outcome: Callable[[ClaimOutcome], None]
@@ -57,10 +68,10 @@
 class Claims:
     """Claims keys of the local failure domain by majority vote.
 
-    The voters are the VMs of the key's home failure domain and the log, which
-    votes for the first claim by offset. Any two majorities share a voter, also
-    if the set of VMs differs by one, so at most one claim of a key is granted.
-    A granted claim is durable before the work is sent.
+    The voters are the VMs of that failure domain and the log, which votes for
+    the first claim by offset. Any two majorities share a voter, also if the
+    set of VMs differs by one, so at most one claim of a key is granted. A
+    granted claim is durable before the work is sent.
     """
 
     def __init__(
@@ -175,7 +186,7 @@
         Args:
             claim: The claim.
             result: The answer. One that proves that the work was not run
-                frees the key.
+                frees the claim.
         """
         record = records.KeyResult(
             record=ids.RecordId(self._ctx.unique_id()),
@@ -288,7 +299,7 @@
         pending.on_outcome(ClaimOutcome(granted=True, claim=pending.claim))
 
     def _reject(self, pending: _PendingClaim) -> None:
-        """Rejects a claim and frees its key, since no work was sent."""
+        """Rejects a claim and frees it, since no work was sent."""
         if pending.closed:
             return
         self._close(pending)
--- a/citronmount/agent/configuration_manager.py
+++ b/citronmount/agent/configuration_manager.py
@@ -1,4 +1,4 @@
-"""Configuration of one VM: polls the log, publishes changes, asks peers."""
+"""Reads, publishes and adopts the configuration of one VM."""
 
 from collections.abc import Callable
 
@@ -59,7 +59,7 @@
         Args:
             ctx: The shared context.
             view: Determines which VM appends snapshots.
-            outbox: Receives whether the log answers.
+            outbox: Updated with whether the log is available.
             on_change: Called with every new version in force.
         """
         self.fold = fold.ConfigurationFold()
@@ -103,9 +103,10 @@
     def catch_up_with(
         self, peer: ids.VmId, heartbeat: peer_messages.Heartbeat
     ) -> None:
-        """Reads the log, or asks a peer, if the peer's version is newer.
+        """Polls the log at once if a peer's version is newer.
 
-        A VM without a trusted configuration does so on every heartbeat.
+        If the log is unavailable, the snapshot of a ready peer is requested
+        too. A VM without a trusted configuration does both on every heartbeat.
 
         Args:
             peer: The sender of the heartbeat.
--- a/citronmount/agent/context.py
+++ b/citronmount/agent/context.py
@@ -29,7 +29,8 @@
     """Time, outgoing effects and the handlers of open calls.
 
     The handler of every call is invoked exactly once: with the answer, or
-    with None if the call timed out.
+    with None if the call timed out. Handlers of runner calls always get the
+    event instead.
     """
 
     def __init__(self, *, settings: settings_lib.AgentSettings) -> None:
--- a/citronmount/agent/domain_context.py
+++ b/citronmount/agent/domain_context.py
@@ -24,7 +24,7 @@
     """State and services of an owned failure domain.
 
     Attributes:
-        ctx: Clock, settings and calls shared by the parts of the agent.
+        ctx: The shared context.
         token: The owner's fencing token, which the workers have seen.
         job_view: Jobs, intents, results and claims folded from the log.
         outbox: Writes records durably.
@@ -64,7 +64,7 @@
         """Initializes a failure domain without workers and jobs.
 
         Args:
-            ctx: Clock, settings and calls shared by the parts of the agent.
+            ctx: The shared context.
             token: The owner's fencing token.
             job_view: Jobs, intents, results and claims folded from the log.
             outbox: Writes records durably.
@@ -117,7 +117,7 @@
         attempt = self.attempt_by_job.get(job)
         return None if attempt is None else self.attempts.get(attempt)
 
-    def write_record(self, record: records.Record) -> None:
+    def record(self, record: records.Record) -> None:
         """Folds a record into the job view and writes it to the stream.
 
         Args:
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -21,10 +21,10 @@
 class Drain:
     """Drains the VM and exits the process.
 
-    The VM first stops reporting readiness but still serves calls, so that the
-    load balancer can redirect traffic. After that it refuses new calls,
-    finishes open ones, and replicates records that are not in the log yet to
-    a peer.
+    For `LAME_DUCK_MS`, the VM no longer reports readiness but still serves
+    calls, so that the load balancer can redirect traffic. After that it
+    refuses new calls, finishes open ones, and replicates records that are not
+    in the log yet to a peer.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         )
 
     def _may_step_down(self) -> bool:
-        """Returns whether the VM may stop scheduling its failure domain.
+        """Returns whether the VM may step down as owner.
 
         If there is another candidate, the VM waits until that one has taken
         over; otherwise until all attempts are running. Either wait ends at
--- a/citronmount/agent/fencing.py
+++ b/citronmount/agent/fencing.py
@@ -23,7 +23,7 @@
         settings: Settings with the VM id and incarnation of the process.
 
     Returns:
-        A token with the number of take-overs in the high bits and a digest of
+        A token with the number of takeovers in the high bits and a digest of
         VM id and incarnation in the low 24 bits.
     """
     process = f"{settings.vm}\0{settings.incarnation}".encode()
--- a/citronmount/agent/heartbeats.py
+++ b/citronmount/agent/heartbeats.py
@@ -12,7 +12,7 @@
 
 
 class HeartbeatSender:
-    """Sends the VM's heartbeats and the state that they carry.
+    """Sends the VM's heartbeats and the attempts whose leases must lapse.
 
     VMs of the same failure domain receive them more often than VMs of other
     failure domains, which limits the traffic of large systems.
--- a/citronmount/agent/homes.py
+++ b/citronmount/agent/homes.py
@@ -104,11 +104,11 @@
 ) -> list[ids.FailureDomainId]:
     """Ranks the failure domains that may schedule a job, preferred first.
 
-    Failure domains whose share of the account's allowance is too small are
-    excluded, unless no other remains. Those that could ever hold the gang come
-    first, among them those with a guarantee of the account, then those where
-    the job fits now, then those with the most free capacity after their
-    queues. The local failure domain wins ties.
+    For a trial account, failure domains whose share of its allowance is too
+    small are excluded, unless no other remains. The criteria of the order are,
+    by decreasing weight: the gang could ever fit, the account has a guarantee
+    there, the job fits now, the most capacity is free after queued jobs, and
+    the failure domain is the local one.
 
     Args:
         current: The configuration in force.
--- a/citronmount/agent/job_call_handler.py
+++ b/citronmount/agent/job_call_handler.py
@@ -86,7 +86,7 @@
     def status(
         self, job: ids.JobId, wait_ms: int, respond: job_table.Responder
     ) -> None:
-        """Answers with a job's status, on its final result or a time-out.
+        """Answers with a job's status once it has ended or the wait is over.
 
         Args:
             job: The job.
@@ -135,7 +135,7 @@
         Args:
             job: The job.
             respond: Called with the final status, or with the current one if
-                the tasks have not stopped within the call time-out.
+                the tasks have not stopped within the call timeout.
         """
         entry = self._domain.table.entries.get(job)
         if entry is None:
@@ -181,7 +181,7 @@
         respond(peer_messages.Failure(result=result))
 
     def _moved_away(self, job: ids.JobId, move: int) -> bool:
-        """Returns whether a submission is a late copy of a job moved away."""
+        """Returns whether a job was moved away and this move is not newer."""
         outgoing = self._domain.job_view.outgoing_move(job)
         return outgoing is not None and move <= outgoing.number
 
@@ -202,8 +202,8 @@
     def _admission_refusal(self, spec: jobs.JobSpec) -> jobs.JobResult | None:
         """Returns why the scheduler refuses a job, or None.
 
-        The job is removed from the queue again: it enters it for good once
-        its acceptance is durable.
+        The scheduler queues the job if it admits it. The job is then removed
+        again, because it may be queued only once its acceptance is durable.
         """
         refusal = self._domain.scheduler.submit(spec, self._domain.ctx.now_ms)
         if refusal is None:
--- a/citronmount/agent/job_completion.py
+++ b/citronmount/agent/job_completion.py
@@ -17,9 +17,9 @@
     """Ends and cancels jobs.
 
     A final result is reported to callers only after its record is durable. A
-    result other than `DONE` also waits until workers confirm that the owner's
-    fencing token is still the highest: any later owner then reads the record
-    and does not run the job again.
+    result other than `DONE` also waits until a worker confirms that the
+    owner's fencing token is still the highest: any later owner then reads the
+    record and does not run the job again.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         *,
         domain: domain_context.DomainContext,
     ) -> None:
-        """Initializes the part for a failure domain.
+        """Initializes for an owned failure domain.
 
         Args:
             domain: Shared state of the owned failure domain.
@@ -98,9 +98,10 @@
         self._domain.table.remove_ended(ended)
 
     def remove_ended_jobs(self) -> None:
-        """Closes jobs that already have a final result in the job view.
+        """Removes jobs that already have a final result in the job view.
 
-        An earlier owner may have recorded it after this VM took over the job.
+        An earlier owner may have recorded it after this VM took over. A job
+        with an attempt is removed once the attempt has stopped.
         """
         finished = [
             job
--- a/citronmount/agent/job_moves.py
+++ b/citronmount/agent/job_moves.py
@@ -24,7 +24,7 @@
         domain: domain_context.DomainContext,
         completion: job_completion.JobCompletion,
     ) -> None:
-        """Initializes the part for a failure domain.
+        """Initializes for an owned failure domain.
 
         Args:
             domain: Shared state of the owned failure domain.
@@ -51,8 +51,8 @@
     def movable_jobs(self) -> list[jobs.JobSpec]:
         """Returns the queued jobs that may be moved, in queue order.
 
-        Not among them are jobs that may have run, that are not idempotent or
-        for which capacity is being freed by evictions.
+        Excluded are jobs that may have run, are not idempotent, are cancelled
+        or ending, or wait for evictions to free their capacity.
         """
         entries = (
             self._domain.table.entries.get(job)
@@ -71,7 +71,7 @@
     def unconfirmed_moves(
         self,
     ) -> list[tuple[jobs.JobSpec, records.JobMoved]]:
-        """Returns the recorded moves that the receiver has not answered yet."""
+        """Returns the recorded moves that are not confirmed yet."""
         return [
             (self._domain.table.entries[job].spec, moved)
             for job, moved in self._domain.job_view.moved.items()
@@ -91,7 +91,7 @@
 
         Args:
             job: A queued job.
-            to: The failure domain that shall schedule it.
+            to: The failure domain that schedules it from then on.
             on_released: Called once the move is durable and no later owner of
                 this failure domain can start the job.
         """
@@ -125,7 +125,7 @@
 
         Args:
             job: The job.
-            to: The failure domain that the job was offered to.
+            to: The failure domain that the job was submitted to.
             accepted: Whether that failure domain has accepted the job. False
                 only if its answer proves that it never will; the job is then
                 queued here again.
@@ -149,7 +149,11 @@
             self._completion.execute_cancel(entry)
 
     def revert_unsent_moves(self) -> None:
-        """Reverts moves that a fenced owner has recorded but not sent."""
+        """Reverts moves of jobs that this owner schedules.
+
+        A fenced owner has recorded them. It has not submitted the jobs to the
+        other failure domains, because its token was not confirmed.
+        """
         unsent = [
             moved.job
             for moved in self._domain.job_view.moved.values()
@@ -164,7 +168,7 @@
         self, job: ids.JobId, to: ids.FailureDomainId
     ) -> None:
         """Records that another failure domain has accepted a job."""
-        self._domain.write_record(
+        self._domain.record(
             records.JobMoved(
                 record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
@@ -181,7 +185,7 @@
             job: The job.
             number: The number of the move.
         """
-        self._domain.write_record(
+        self._domain.record(
             records.JobMoved(
                 record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
@@ -197,7 +201,7 @@
         Args:
             job: The job.
         """
-        self._domain.write_record(
+        self._domain.record(
             records.JobMoved(
                 record=ids.RecordId(self._domain.ctx.unique_id()),
                 job=job,
--- a/citronmount/agent/job_rebuilder.py
+++ b/citronmount/agent/job_rebuilder.py
@@ -26,7 +26,7 @@
         manager: attempt_manager.AttemptManager,
         reports: worker_reports.WorkerReports,
     ) -> None:
-        """Initializes the part for a failure domain.
+        """Initializes for an owned failure domain.
 
         Args:
             domain: Shared state of the owned failure domain.
--- a/citronmount/agent/job_submission.py
+++ b/citronmount/agent/job_submission.py
@@ -36,10 +36,10 @@
         tracker: capacity_tracker.CapacityTracker,
         route: Route,
     ) -> None:
-        """Initializes the part.
+        """Initializes without submissions.
 
         Args:
-            ctx: Clock, settings and calls shared by the parts of the agent.
+            ctx: The shared context.
             configuration: The configuration in force.
             tracker: Tracks the free capacity of each failure domain.
             route: Sends a call to the owner of a failure domain.
@@ -146,7 +146,7 @@
     def _validation_error(
         self, spec: jobs.JobSpec
     ) -> tuple[codes.ResultCode | None, str]:
-        """Returns the code and detail of a job's first fault, or None."""
+        """Returns code and detail of a job's first fault, or None and ""."""
         if not self._configuration.usable:
             return codes.ResultCode.NO_CONFIGURATION, ""
         current = self._configuration.fold.current
--- a/citronmount/agent/joining.py
+++ b/citronmount/agent/joining.py
@@ -1,4 +1,4 @@
-"""Synchronizes a started VM before it owns, renews leases or votes."""
+"""Synchronizes a started VM before it may own, renew leases and vote."""
 
 from citronmount.agent import configuration_manager
 from citronmount.agent import context
--- a/citronmount/agent/lease_renewer.py
+++ b/citronmount/agent/lease_renewer.py
@@ -54,7 +54,7 @@
         """Initializes a lease renewer without workers.
 
         Args:
-            ctx: Clock, settings and calls shared by the parts of the agent.
+            ctx: The shared context.
             view: The membership view, which assigns workers to VMs.
             on_report: Called with changed reports if this VM is the owner.
             on_worker_lost: Called with each worker whose leases must have
@@ -70,6 +70,7 @@
         self._on_token = on_token
         self._renewed: dict[ids.WorkerId, _RenewedWorker] = {}
         self._owner_alive_ms = 0
+        # None in place of a report means that the worker is lost.
         self._unacknowledged: dict[ids.WorkerId, messages.Report | None] = {}
         self._sending = False
 
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -40,11 +40,11 @@
 class Mover:
     """Moves queued jobs of the owned failure domain to other ones.
 
-    All queued jobs are moved while the failure domain is out of service. In
-    service, only jobs are moved that have waited for `MIN_WAIT_MS` and do not
-    fit here. The home of a job keeps a pointer to its new failure domain, so
-    the job's id stays valid. A move is durable, and the owner's fencing token
-    confirmed, before the job is submitted to the other owner.
+    While the failure domain is out of service, all movable jobs are moved; in
+    service, only those that are still queued after `MIN_WAIT_MS`. The home of
+    a job keeps a pointer to its new failure domain, so the job's id stays
+    valid. A move is durable, and the owner's fencing token confirmed, before
+    the job is submitted to the other owner.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
 
         Args:
             ctx: The shared context.
-            outbox: Provides whether the log answers.
+            outbox: Provides whether the log is available.
             ownership: Provides the owned failure domain.
             calls: Routes submissions to other owners.
             tracker: Provides the free capacity of each failure domain.
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -47,7 +47,16 @@
 
 
 class _Write(msgspec.Struct, kw_only=True):
-    """A record whose append to the log is not confirmed yet."""
+    """A record whose append to the log is not confirmed yet.
+
+    Attributes:
+        since_ms: Monotonic time at which the write was requested.
+        limit_ms: Time after which an undecided outcome is reported, if any.
+        sent: Whether the record may be in the log.
+        asked_peers: Whether replicas were requested and no peer has failed to
+            answer since.
+        acks: Peers that hold a replica.
+    """
 
     stream: ids.StreamName
     record: records.Record
@@ -77,10 +86,10 @@
     """Writes records durably, in order within each stream.
 
     A write that the log has not answered within `log_patience_ms` is
-    replicated to the memory of two peers, or of one if no more are reachable,
-    and is appended to the log when it answers again. Appends are retried with
-    the same record ids, so a lost answer leads to a duplicate that the folds
-    ignore.
+    sent to up to three peers. It is durable once two of them, or the only one
+    reachable, hold it in memory, and is appended to the log when that answers
+    again. Appends are retried with the same record ids, so a lost answer
+    leads to a duplicate that the folds ignore.
     """
 
     def __init__(
@@ -221,7 +230,7 @@
         self._flush(stream)
 
     def _check_time_limits(self, write: _Write) -> None:
-        """Replicates an overdue write and ends one past its time limit."""
+        """Replicates an overdue write; reports one past its time limit."""
         age_ms = self._ctx.now_ms - write.since_ms
         log_timeout_ms = self._ctx.settings.log_patience_ms
         replication_due = not self.log_available or age_ms >= log_timeout_ms
@@ -251,7 +260,7 @@
     def _responsive_peers(self) -> list[ids.VmId]:
         """Returns live peers except those that left the last call unanswered.
 
-        A peer is used again once a heartbeat of it arrives.
+        A peer is used again once another heartbeat arrives from it.
         """
         return [
             peer
--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -36,33 +36,35 @@
     def __init__(
         self,
         *,
-        domain: domain_context.DomainContext,
+        domain_ctx: domain_context.DomainContext,
     ) -> None:
         """Initializes an owned failure domain without workers.
 
         Args:
-            domain: State and services shared by its parts.
+            domain_ctx: State and services shared by its parts.
         """
-        completion = job_completion.JobCompletion(domain=domain)
-        self._domain = domain
+        completion = job_completion.JobCompletion(domain=domain_ctx)
+        self._domain = domain_ctx
         self._attempt_manager = attempt_manager.AttemptManager(
-            domain=domain, completion=completion
+            domain=domain_ctx, completion=completion
+        )
+        self.moves = job_moves.JobMoves(
+            domain=domain_ctx, completion=completion
         )
-        self.moves = job_moves.JobMoves(domain=domain, completion=completion)
         self.job_calls = job_call_handler.JobCallHandler(
-            domain=domain, completion=completion, moves=self.moves
+            domain=domain_ctx, completion=completion, moves=self.moves
         )
         self.reports = worker_reports.WorkerReports(
-            domain=domain, manager=self._attempt_manager
+            domain=domain_ctx, manager=self._attempt_manager
         )
         self.rebuilder = job_rebuilder.JobRebuilder(
-            domain=domain,
+            domain=domain_ctx,
             completion=completion,
             moves=self.moves,
             manager=self._attempt_manager,
             reports=self.reports,
         )
-        domain.on_worker_answer = self.reports.handle_answer
+        domain_ctx.on_worker_answer = self.reports.handle_answer
 
     @property
     def token(self) -> ids.FenceToken:
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -113,7 +113,7 @@
         """Delays taking over, so that heartbeats of peers can arrive first.
 
         Args:
-            due_ms: Earliest monotonic time of a take-over.
+            due_ms: Earliest monotonic time of a takeover.
         """
         self._earliest_takeover_ms = max(self._earliest_takeover_ms, due_ms)
 
@@ -145,7 +145,7 @@
             self._back_off()
 
     def _back_off(self) -> None:
-        """Doubles the take-over delay while two VMs keep fencing each other."""
+        """Doubles the takeover delay while two VMs keep fencing each other."""
         since_fenced_ms = self._ctx.now_ms - self._last_fenced_ms
         if since_fenced_ms > BACKOFF_RESET_MS:
             self._backoff_ms = INITIAL_BACKOFF_MS
@@ -154,7 +154,7 @@
         self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_MS)
 
     def tick(self) -> None:
-        """Starts or continues a take-over, steps down, or acts as owner."""
+        """Starts or continues a takeover, steps down, or acts as owner."""
         self.step_down_if_fenced()
         owner = self._view.owner(
             self._ctx.settings.failure_domain, self._ctx.now_ms
@@ -296,8 +296,8 @@
     def _on_log_read_failed(self, take_over_number: int) -> None:
         """Retries reading the log and finally continues without it.
 
-        After `MAX_LOG_READ_ATTEMPTS` attempts, peers must hold the durable
-        records that the log lacks.
+        After `MAX_LOG_READ_ATTEMPTS` attempts, the takeover relies on peers
+        for the durable records that could not be read from the log.
         """
         self._log_read_attempts += 1
         if self._log_read_attempts < MAX_LOG_READ_ATTEMPTS:
@@ -317,7 +317,7 @@
             self._start_owning()
 
     def _start_owning(self) -> None:
-        domain_state = domain_context.DomainContext(
+        domain_ctx = domain_context.DomainContext(
             ctx=self._ctx,
             token=self.token,
             job_view=self._job_view,
@@ -326,7 +326,7 @@
             policy=self._ctx.settings.policy,
             on_fenced=self.learn_token,
         )
-        domain = owned_domain.OwnedDomain(domain=domain_state)
+        domain = owned_domain.OwnedDomain(domain_ctx=domain_ctx)
         self.phase = OwnershipPhase.OWNER
         self.domain = domain
         self._next_log_poll_ms = self._ctx.now_ms + LOG_POLL_PERIOD_MS
--- a/citronmount/agent/request_forwarding.py
+++ b/citronmount/agent/request_forwarding.py
@@ -21,7 +21,14 @@
 
 
 class _ForwardedRequest(msgspec.Struct, kw_only=True):
-    """A request being forwarded, with the VMs not tried yet."""
+    """A request being forwarded.
+
+    Attributes:
+        vms: The VMs not tried yet, in order of preference.
+        due_ms: Monotonic time at which the request times out.
+        repeatable: Whether the next VM may be tried after a timeout.
+        uncertain: Whether a VM did not answer and may have run the request.
+    """
 
     spec: jobs.RequestSpec
     body: peer_messages.RunRequest
@@ -35,11 +42,11 @@
 class RequestForwarding:
     """Forwards a request to the first of several VMs that accepts it.
 
-    The next VM is tried after a refusal that proves that the request was not
-    run. It is also tried after a timeout if the request may be sent twice,
-    either because it is idempotent or because its key is not claimed yet and
-    only one VM can claim it. After a timeout, a later refusal no longer proves
-    that the request was not run.
+    The next VM is tried after a refusal that allows a retry and proves that
+    the request was not run. It is also tried after a timeout if the request
+    may be sent twice, either because it is idempotent or because its key is
+    not claimed yet and only one VM can claim it. After a timeout, a later
+    refusal no longer proves that the request was not run.
     """
 
     def __init__(
--- a/citronmount/agent/request_handler.py
+++ b/citronmount/agent/request_handler.py
@@ -33,7 +33,12 @@
 
 
 class _OpenRequest(msgspec.Struct, kw_only=True):
-    """A request that has not been answered yet."""
+    """A request that has not been answered yet.
+
+    Attributes:
+        caller_id: The request id that the caller has chosen.
+        claim: The granted claim of the request's key, if it was claimed here.
+    """
 
     caller_id: ids.RequestId
     spec: jobs.RequestSpec
@@ -45,8 +50,8 @@
     """Accepts short requests from callers and peers and answers each once.
 
     A request that is not idempotent and has a key is run only after its key
-    is claimed in its home failure domain. One without a key is run by the VM
-    that received it from the caller, and is sent to at most one runner.
+    is claimed in its home failure domain. One without a key is not claimed
+    and is sent to at most one runner.
     """
 
     def __init__(
@@ -284,7 +289,11 @@
         respond: Responder,
         outcome: claims_lib.ClaimOutcome,
     ) -> None:
-        """Answers a call whose claim was not granted."""
+        """Answers a call whose claim was rejected.
+
+        While the result of the conflicting claim is unknown, the call is
+        forwarded to the VM that made that claim, if it is alive.
+        """
         holder = outcome.holder
         if holder is not None and holder.body_digest != _body_digest(spec):
             code = codes.ResultCode.KEY_REUSED
@@ -305,10 +314,6 @@
             respond(request_forwarding.outcome_unknown(spec.request))
 
     def _is_live_peer(self, vm: ids.VmId) -> bool:
-        """Returns whether the holder of a claim can be asked for its outcome.
-
-        It can if it is another VM that is alive.
-        """
         own = vm == self._ctx.settings.vm
         return not own and self._view.is_alive(vm, self._ctx.now_ms)
 
--- a/citronmount/agent/settings.py
+++ b/citronmount/agent/settings.py
@@ -33,7 +33,7 @@
         call_timeout_ms: Time limit for a caller's call within the system.
         reclaim_grace_ms: Upper bound of the grace period of an eviction.
         drain_limit_ms: Time after which a drain no longer waits for another
-            VM to take over.
+            VM to take over or for attempts to run.
         retention_ms: Retention time of the log.
         claim_lifetime_ms: Retention time of claims of idempotency keys.
     """
--- a/citronmount/agent/stream_reader.py
+++ b/citronmount/agent/stream_reader.py
@@ -15,7 +15,10 @@
 class StreamReader:
     """Folds the job stream into the job view, each record once and in order.
 
-    Requests that arrive during a read share the following read.
+    Calls of `read_to_end` during a read share the following read.
+
+    Attributes:
+        listeners: Called with each record read, after it is folded.
     """
 
     def __init__(
--- a/citronmount/agent/token_check.py
+++ b/citronmount/agent/token_check.py
@@ -65,7 +65,7 @@
         self._probe()
 
     def tick(self) -> None:
-        """Sends new probes if none of the last ones was answered."""
+        """Probes again while callbacks wait and no probe is open."""
         if self._ctx.now_ms >= self._next_probe_ms:
             self._probe()
 
--- a/citronmount/agent/worker_reports.py
+++ b/citronmount/agent/worker_reports.py
@@ -28,7 +28,7 @@
         domain: domain_context.DomainContext,
         manager: attempt_manager.AttemptManager,
     ) -> None:
-        """Initializes the part for a failure domain.
+        """Initializes for an owned failure domain.
 
         Args:
             domain: Shared state of the owned failure domain.
@@ -223,10 +223,10 @@
         )
 
     def send_forget_calls(self) -> None:
-        """Lets workers drop ended attempts from their reports.
+        """Tells workers to drop ended attempts from their reports.
 
-        It waits until the outbox is empty, so that the results are durable in
-        the log before workers forget them.
+        Nothing is sent until the outbox is empty, so that the results are
+        durable in the log before workers forget them.
         """
         if (
             not self._domain.forgettable_attempts
--- a/citronmount/leases/__init__.py
+++ b/citronmount/leases/__init__.py
@@ -1,1 +1,1 @@
-"""State machine of gangs that run under leases at targets."""
+"""State machine of gangs that run on workers under leases."""
--- a/citronmount/membership/membership_view.py
+++ b/citronmount/membership/membership_view.py
@@ -216,7 +216,7 @@
     def owner(
         self, failure_domain: ids.FailureDomainId, now_ms: int
     ) -> ids.VmId | None:
-        """Returns the VM that should schedule a failure domain.
+        """Returns the VM that should own a failure domain.
 
         Args:
             failure_domain: The failure domain.
--- a/citronmount/state/records.py
+++ b/citronmount/state/records.py
@@ -102,7 +102,7 @@
         record: The record id.
         job: The id of the job.
         spec: The job.
-        token: The fencing token of the scheduler.
+        token: The fencing token of the owner.
         attempt: The id of the attempt.
         number: The number of the attempt within the job.
         placement: The workers and the number of tasks at each.
@@ -124,7 +124,7 @@
         record: The record id.
         job: The id of the job.
         account: The client account of the job.
-        token: The fencing token of the scheduler.
+        token: The fencing token of the owner.
         result: The result.
         attempts: The number of attempts made.
         body_digest: Digest of the job's content, so that a submission with
@@ -143,7 +143,7 @@
 
 
 class JobCancelled(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A caller has cancelled a job, which must end as cancelled.
+    """A caller has cancelled a job, which gets no further attempt.
 
     Attributes:
         record: The record id.
@@ -174,13 +174,13 @@
 
 
 class KeyClaimed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The exclusive right of a VM to run the work of an idempotency key.
+    """A VM claims the exclusive right to run the work of a key.
 
-    With it, a request that is not idempotent may be sent to one target.
+    Once the claim is granted, the work may be sent to one target.
 
     Attributes:
         record: The record id.
-        key: The idempotency key with its account.
+        key: The key, qualified by its account or job.
         body_digest: Digest of the body, so that another body under the same
             key is refused.
         vm: The VM that holds the claim.
@@ -195,14 +195,14 @@
 
 
 class KeyResult(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The final answer to a request that is not idempotent.
+    """The final answer of claimed work.
 
     Attributes:
         record: The record id.
-        key: The idempotency key with its account.
-        claim: The record id of the claim under which the request was run.
+        key: The key, qualified by its account or job.
+        claim: The record id of the claim under which the work was sent.
         result: The answer that every retry gets. A result that proves that
-            the request was not run frees the claim.
+            the work was not run frees the claim.
     """
 
     record: ids.RecordId
@@ -225,7 +225,7 @@
         cancelled: Those of the accepted jobs that callers have cancelled.
         moved: The last move of each moved job.
         ended: Recent final results.
-        claims: Claims younger than the key lifetime.
+        claims: Claims younger than the claim lifetime.
         key_results: Answers to requests under those claims.
     """
 
