--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -39,9 +39,9 @@
 class Agent:
     """Makes all decisions of one VM, without I/O and without a clock.
 
-    The shell calls `handle` with each event and carries out the effects that
-    it returns. It must answer every effect with a call id by exactly one
-    event with the same id.
+    The shell, which does all I/O, calls `handle` with each event and carries
+    out the effects that it returns. It must answer every effect with a call
+    id by exactly one event with the same id.
     """
 
     def __init__(self, *, settings: settings_lib.AgentSettings) -> None:
--- a/citronmount/agent/attempt_manager.py
+++ b/citronmount/agent/attempt_manager.py
@@ -174,7 +174,7 @@
     def _claim_and_begin(
         self, entry: job_table.JobEntry, attempt: attempts.Attempt
     ) -> None:
-        """Claims a non-idempotent job; begins its attempt if this is granted."""
+        """Claims a non-idempotent job; begins its attempt if granted."""
         job = entry.spec.job
 
         def handle_claim_outcome(outcome: claims.ClaimOutcome) -> None:
--- a/citronmount/agent/domain_context.py
+++ b/citronmount/agent/domain_context.py
@@ -24,7 +24,7 @@
     """State and services of an owned failure domain.
 
     Attributes:
-        ctx: The shared context.
+        ctx: The context shared by the whole agent.
         token: The owner's fencing token, which the workers have seen.
         job_view: Jobs, intents, results and claims folded from the log.
         outbox: Writes records durably.
@@ -32,7 +32,7 @@
         on_fenced: Called when a worker has seen a higher token.
         on_worker_answer: Called with every answer of a worker.
         failure_domain: The failure domain.
-        stream: The log stream of the failure domain's jobs.
+        stream: The job stream of the failure domain.
         scheduler: Decides which jobs to place, evict and end.
         configuration: The configuration in force.
         table: Jobs without a final result.
@@ -64,7 +64,7 @@
         """Initializes a failure domain without workers and jobs.
 
         Args:
-            ctx: The shared context.
+            ctx: The context shared by the whole agent.
             token: The owner's fencing token.
             job_view: Jobs, intents, results and claims folded from the log.
             outbox: Writes records durably.
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -88,7 +88,7 @@
         if not self.refusing or self._exited:
             return
         if self._ownership.domain is not None:
-            self._ownership.domain.table.answer_all()
+            self._ownership.domain.table.answer_all_waiters()
         open_work = (
             open_tickets
             or self._calls.has_open_work()
@@ -96,7 +96,7 @@
         )
         if open_work or self._just_resumed() or not self._may_step_down():
             return
-        if self._outbox.streams():
+        if self._outbox.unappended_streams():
             self._replicate_unappended()
         else:
             self._exit()
@@ -141,7 +141,7 @@
         if not peers or self._replicating:
             return
         self._replicating = True
-        streams = self._outbox.streams()
+        streams = self._outbox.unappended_streams()
         unacknowledged = set(streams)
 
         def handle_acknowledgement(
--- a/citronmount/agent/job_table.py
+++ b/citronmount/agent/job_table.py
@@ -158,7 +158,7 @@
         for waiter in self._waiters.pop(job, []):
             waiter.responder(answer)
 
-    def answer_due(self, now_ms: int) -> None:
+    def answer_due_waiters(self, now_ms: int) -> None:
         """Answers waiters whose time is up with the current status.
 
         Args:
@@ -177,7 +177,7 @@
             for waiter in due:
                 waiter.responder(answer)
 
-    def answer_all(self) -> None:
+    def answer_all_waiters(self) -> None:
         """Answers all waiters with the current status of their jobs."""
         for job in list(self._waiters):
             answer = peer_messages.JobAnswer(status=self.entries[job].status())
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -145,7 +145,7 @@
     def store_replicas(
         self, stream: ids.StreamName, entries: tuple[records.Record, ...]
     ) -> None:
-        """Keeps another VM's records in memory until the log has them.
+        """Keeps another VM's records in memory and later appends them.
 
         Args:
             stream: The stream.
@@ -173,7 +173,7 @@
         )
         return tuple(itertools.chain(own, replicas))
 
-    def streams(self) -> list[ids.StreamName]:
+    def unappended_streams(self) -> list[ids.StreamName]:
         """Returns the streams with records that may not be in the log."""
         names = {
             name
--- a/citronmount/agent/owned_domain.py
+++ b/citronmount/agent/owned_domain.py
@@ -166,7 +166,7 @@
         self._attempt_manager.requeue_held_jobs()
         if domain.placement_enabled:
             self.decide()
-        domain.table.answer_due(domain.ctx.now_ms)
+        domain.table.answer_due_waiters(domain.ctx.now_ms)
         self.reports.send_forget_calls()
         self.reports.trace_quarantine()
         domain.token_check.tick()
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -66,7 +66,7 @@
         Args:
             ctx: The shared context.
             view: Determines which VM should own the failure domain.
-            job_view: The folded state of the job stream.
+            job_view: The job view of the failure domain.
             outbox: Writes records durably.
             reader: Reads the job stream.
             claims: Claims idempotency keys.
@@ -128,7 +128,7 @@
         self.phase = OwnershipPhase.FOLLOWER
         self._takeover_number += 1
         if self.domain is not None:
-            self.domain.table.answer_all()
+            self.domain.table.answer_all_waiters()
         self.domain = None
         self._higher_token = None
         self._ctx.trace(
--- a/citronmount/state/job_views.py
+++ b/citronmount/state/job_views.py
@@ -1,4 +1,4 @@
-"""State of a failure domain's jobs, folded from its log stream."""
+"""Job view: a failure domain's jobs, folded from its job stream."""
 
 import collections
 
@@ -38,7 +38,7 @@
         """Initializes an empty view.
 
         Args:
-            failure_domain: The failure domain of the stream.
+            failure_domain: The failure domain of the job stream.
         """
         self._failure_domain = failure_domain
         self.next_offset = ids.Offset(0)
