--- a/citronmount/agent/request_handler.py
+++ b/citronmount/agent/request_handler.py
@@ -50,8 +50,8 @@
     """Accepts short requests from callers and peers and answers each once.
 
     A request that is not idempotent and has a key is run only after its key
-    is claimed in its home failure domain. One without a key is not claimed
-    and is sent to at most one runner.
+    is claimed in its home failure domain. One without a key is not claimed;
+    it is not sent again once it may have run.
     """
 
     def __init__(
