--- a/citronmount/clients/http_client.py
+++ b/citronmount/clients/http_client.py
@@ -212,7 +212,7 @@
             path: The path of the resource.
             answer_type: The type of the answer.
             timeout_ms: The time limit of the call.
-            params: The query parameters.
+            params: The query parameters; not sent if `revalidate` is true.
             revalidate: Whether to cache the answer with its ETag and to make
                 the next request conditional (RFC 9110, section 13).
 
--- a/citronmount/clients/messages.py
+++ b/citronmount/clients/messages.py
@@ -1,6 +1,6 @@
 """Messages of the log service, the VM list and the targets.
 
-The formats follow the users' brief; `citronmount.standins` serves them.
+The users specified these formats; `citronmount.standins` serves them.
 """
 
 import enum
@@ -66,7 +66,9 @@
 
 
 class ListedVm(msgspec.Struct, frozen=True, kw_only=True):
-    """A VM of the system in the platform's list, which may be out of date.
+    """A VM that runs the daemon, in the platform's list.
+
+    The list may be out of date.
 
     Attributes:
         vm: The VM.
@@ -111,7 +113,7 @@
     """A snapshot of the platform's list of VMs and targets.
 
     Attributes:
-        vms: The VMs of the system.
+        vms: The VMs that run the daemon.
         workers: Targets with accelerators, which run jobs.
         runners: Targets with slots, which run short requests.
     """
@@ -134,7 +136,7 @@
             rebuild its state.
         placement: The placement of the whole gang.
         tasks: The number of the gang's tasks on this worker.
-        number: The number of the attempt.
+        number: The number of the attempt, counted from 1 for each job.
         ttl_ms: Lifetime of the reservation, by the worker's clock.
     """
 
@@ -223,7 +225,21 @@
 
 
 class ActOutcome(enum.Enum):
-    """The outcome of one act on a worker."""
+    """The outcome of one act on a worker.
+
+    Attributes:
+        DONE: The act took effect, now or before.
+        STALE_TOKEN: The call's token is lower than one that the worker has
+            seen; nothing was done.
+        NO_CAPACITY: The worker lacks the resources for a `Reserve`.
+        LEAVING: The worker is leaving and refuses a `Reserve`.
+        NOT_RESERVED: There is no live reservation for a `Start`.
+        NOT_RUNNING: The attempt of a `Checkpoint` or `Throttle` is not running.
+        STOPPED_BEFORE: The attempt of a `Reserve` was stopped or has ended.
+        NEVER_RAN: No task of the stopped attempt ever ran on the worker.
+        RAN: Tasks of the stopped attempt had started on the worker.
+        FAILED_TO_START: The tasks of a `Start` could not be started.
+    """
 
     DONE = "done"
     STALE_TOKEN = "stale_token"
@@ -258,7 +274,7 @@
 
     Attributes:
         attempt: The attempt.
-        number: The number of the attempt.
+        number: The number of the attempt, counted from 1 for each job.
         state: The state of the lease on this worker.
         spec: The job, from the reservation.
         placement: The placement of the whole gang.
@@ -349,7 +365,7 @@
     Attributes:
         request: The id of the answered request.
         outcome: The outcome of the request.
-        payload: The whole result.
+        payload: The complete result.
         free_slots: The number of free slots at the time of the answer.
     """
 
--- a/citronmount/clients/platform_api.py
+++ b/citronmount/clients/platform_api.py
@@ -1,4 +1,7 @@
-"""Typed calls of the log service, the VM list and the targets."""
+"""Typed calls to the log service, the VM list and the targets.
+
+The Deferreds that they return fail with `http_client.NoAnswerError`.
+"""
 
 from twisted.internet import defer
 
@@ -66,7 +69,7 @@
         timeout_ms: The time limit of the call.
 
     Returns:
-        A Deferred that fires with the records.
+        A Deferred that fires with a page of records.
     """
     return http.get(
         address,
--- a/citronmount/clients/tests/test_platform_api.py
+++ b/citronmount/clients/tests/test_platform_api.py
@@ -133,7 +133,9 @@
         answer = reactor_loop.run(_wait(self._run(_request_spec("q1"))))
         self.assertIs(messages.RunnerOutcome.LEAVING, answer.outcome)
 
-    def test_unchanged_list_is_cached_and_a_changed_one_is_not(self) -> None:
+    def test_unchanged_list_is_cached_and_a_changed_one_read_again(
+        self,
+    ) -> None:
         address = self.settings.vm_list_address
         first, second = (
             reactor_loop.run(
