--- a/citronmount/service/bodies.py
+++ b/citronmount/service/bodies.py
@@ -31,7 +31,7 @@
 _MAX_NAME_LENGTH = 256
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_NAME_LENGTH)]
-Key = Annotated[str, msgspec.Meta(max_length=_MAX_NAME_LENGTH)]
+OptionalName = Annotated[str, msgspec.Meta(max_length=_MAX_NAME_LENGTH)]
 Amount = Annotated[int, msgspec.Meta(ge=0, le=_MAX_AMOUNT)]
 
 
@@ -56,7 +56,7 @@
 class JobBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A submitted job; the fields are those of `jobs.JobSpec`."""
+    """A submitted job; its fields mean the same as in `jobs.JobSpec`."""
 
     account: Name
     tasks: Annotated[int, msgspec.Meta(ge=1, le=_MAX_TASKS)] = 1
@@ -66,11 +66,13 @@
     deadline_ms: int | None = None
     urgent: bool = False
     idempotent: bool = True
-    idempotency_key: Key = ""
+    idempotency_key: OptionalName = ""
     command: str = ""
 
     def to_spec(self, submitted_ms: int) -> jobs.JobSpec:
-        """Returns the specification of the job, with an empty id.
+        """Returns the specification of the job.
+
+        Its id is empty; the agent assigns it with the home failure domain.
 
         Args:
             submitted_ms: Unix time at which the job was submitted.
@@ -97,14 +99,14 @@
 class RequestBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A short request; the fields are those of `jobs.RequestSpec`."""
+    """A short request; its fields mean the same as in `jobs.RequestSpec`."""
 
     account: Name
-    request: Key = ""
+    request: OptionalName = ""
     payload: str = ""
     timeout_ms: Annotated[int, msgspec.Meta(ge=1, le=_MAX_TIMEOUT_MS)] = 5_000
     idempotent: bool = True
-    idempotency_key: Key = ""
+    idempotency_key: OptionalName = ""
 
     def to_spec(self, generated_id: str) -> jobs.RequestSpec:
         """Returns the specification of the request.
@@ -202,7 +204,8 @@
         name: The name of the result code.
         detail: Human-readable details.
         version: The version in force after the call.
-        faults: All faults of the sheet.
+        faults: Faults of the sheet, at most `sheet_faults.MAX_FAULTS`; `detail`
+            says how many there are.
     """
 
     code: int
@@ -227,18 +230,21 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """A VM as another VM, or itself, sees it.
+    """One VM in the membership view of a VM.
+
+    A VM's own entry shows its present state.
 
     Attributes:
         vm: The VM.
         failure_domain: The failure domain of the VM.
-        listed: Whether the platform lists it as live.
-        alive: Whether its heartbeats arrive.
-        ready: Whether it reports that it accepts work.
-        draining: Whether it reports that it is stopping.
+        listed: Whether the platform lists the VM as live.
+        alive: Whether a heartbeat arrived within the suspicion time.
+        ready: Whether its last heartbeat says that it accepts new work.
+        draining: Whether its last heartbeat says that it is draining.
         owner: Whether, in this view, it owns its failure domain and so
             schedules the jobs there.
-        config_version: The configuration version in force on the VM.
+        config_version: The configuration version in force on the VM; 0 if no
+            heartbeat has arrived.
     """
 
     vm: ids.VmId
--- a/citronmount/service/tests/fakes.py
+++ b/citronmount/service/tests/fakes.py
@@ -18,7 +18,7 @@
 
 
 class FakeStateMachine:
-    """Records events and answers calls and events as the test sets."""
+    """Records events and returns the answers and effects that a test sets."""
 
     def __init__(self, answer: AnswerFunction = lambda body: None) -> None:
         self.answer = answer
--- a/citronmount/service/tests/test_event_loop.py
+++ b/citronmount/service/tests/test_event_loop.py
@@ -122,7 +122,7 @@
                 self.http.pending.pop().errback(_no_answer(sent))
                 self.assertIs(sent, self.state_machine.events[-1].sent)
 
-    def test_event_dispatched_by_an_effect_is_queued(self) -> None:
+    def test_event_dispatched_by_an_effect_waits_for_all_effects(self) -> None:
         order = []
 
         def send(to: str, message: peer_messages.PeerMessage) -> bool:
@@ -142,7 +142,7 @@
         self.assertEqual([("a", 1), ("b", 1)], order)
         self.assertEqual(2, len(self.state_machine.of_type(events.Tick)))
 
-    def test_caller_that_leaves_is_dispatched_once_and_gets_no_answer(
+    def test_cancelled_call_is_reported_and_late_replies_are_ignored(
         self,
     ) -> None:
         body = peer_messages.GetJob(job=ids.JobId("kr-a/1"))
--- a/citronmount/service/tests/test_http_api.py
+++ b/citronmount/service/tests/test_http_api.py
@@ -267,7 +267,7 @@
                 status, body = self._send(method, path)
                 self.assertEqual((expected, 2002), (status, body["code"]))
 
-    def test_readiness_names_what_is_missing(self) -> None:
+    def test_vm_that_is_not_ready_gives_the_reason(self) -> None:
         self.state_machine.ready = False
         self.assertEqual(3008, self._send("GET", "/v1/ready")[1]["code"])
         self.state_machine.configuration = configuration_lib.Configuration()
@@ -277,7 +277,7 @@
         self.state_machine.draining = True
         self.assertEqual(3003, self._send("GET", "/v1/ready")[1]["code"])
 
-    def test_drain_turns_readiness_off(self) -> None:
+    def test_drain_is_dispatched_and_a_draining_vm_is_not_ready(self) -> None:
         self.assertEqual(202, self._send("POST", "/v1/drain")[0])
         self.assertEqual(
             1, len(self.state_machine.of_type(events.DrainRequested))
--- a/citronmount/service/tests/test_http_server.py
+++ b/citronmount/service/tests/test_http_server.py
@@ -15,7 +15,10 @@
 
 
 class _Echo(resource.Resource):
-    """Answers with the request body, at once or once `wait` fires."""
+    """Answers with the request body, at once or when `wait` fires.
+
+    If `close` is set, the answer closes the connection.
+    """
 
     isLeaf = True  # noqa: N815
 
--- a/citronmount/service/tests/test_listening.py
+++ b/citronmount/service/tests/test_listening.py
@@ -86,6 +86,7 @@
 
     def _make_tls_settings(self) -> tuple[bytes, settings_lib.ListenSettings]:
         certificate, key = _make_self_signed()
+        # An unquoted colon would end the path in an endpoint description.
         certificate_path = self.directory / "a:certificate.pem"
         key_path = self.directory / "a:key.pem"
         certificate_path.write_bytes(certificate)
--- a/citronmount/service/vm_state_machine.py
+++ b/citronmount/service/vm_state_machine.py
@@ -29,7 +29,10 @@
 
     @property
     def configuration(self) -> configuration_lib.Configuration | None:
-        """The configuration in force, or None if none can be trusted."""
+        """The configuration in force.
+
+        None until the log or a peer has provided it.
+        """
 
     @property
     def ready(self) -> bool:
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -99,6 +99,7 @@
         self._register_gauges()
 
     def _receive_peer_message(self, sender: ids.VmId, message: object) -> None:
+        # `peers` is created before `runtime`, which needs it.
         self.runtime.receive_peer_message(sender, message)
 
     def _record_event(self, event: timeline_events.TimelineEvent) -> None:
@@ -107,8 +108,8 @@
         logs.log_event(self._logger, event)
 
     def _account_class(self, account: str) -> str:
-        content = self.state_machine.configuration
-        accounts = () if content is None else content.accounts
+        configuration = self.state_machine.configuration
+        accounts = () if configuration is None else configuration.accounts
         return next(
             (a.account_class.value for a in accounts if a.name == account),
             "unknown",
