--- a/citronmount/bench/faults/agents.py
+++ b/citronmount/bench/faults/agents.py
@@ -1,6 +1,6 @@
-"""Makes the agents that the fault matrix drives."""
+"""Creates the agents that the fault matrix runs."""
 
-from citronmount.agent import agent as agent_lib
+from citronmount.agent import agent
 from citronmount.agent import settings
 from citronmount.clients import messages
 
@@ -9,18 +9,18 @@
 
 def make_agent(
     vm: messages.ListedVm, incarnation_ms: int, retention_ms: int
-) -> agent_lib.Agent:
-    """Makes the agent of a VM.
+) -> agent.Agent:
+    """Creates the agent of a VM.
 
     Args:
         vm: The VM's entry in the platform's list.
-        incarnation_ms: Wall-clock time of its start.
-        retention_ms: How long the log keeps records.
+        incarnation_ms: Incarnation of the VM, its start time as Unix time.
+        retention_ms: Retention time of the log.
 
     Returns:
-        An agent that has handled nothing yet.
+        An agent that has handled no event yet.
     """
-    return agent_lib.Agent(
+    return agent.Agent(
         settings=settings.AgentSettings(
             vm=vm.vm,
             failure_domain=vm.failure_domain,
--- a/citronmount/bench/faults/availability.py
+++ b/citronmount/bench/faults/availability.py
@@ -1,4 +1,4 @@
-"""How many short requests succeed while a single VM dies."""
+"""Measures the availability of short requests while a single VM is killed."""
 
 import collections
 import random
@@ -8,30 +8,30 @@
 from citronmount.bench import harness as harness_lib
 from citronmount.bench import harness_site
 from citronmount.bench.faults import agents
-from citronmount.bench.faults import callers as callers_lib
-from citronmount.bench.faults import evidence as evidence_lib
 from citronmount.bench.faults import matrix
 from citronmount.bench.faults import registry
+from citronmount.bench.faults import run_history
+from citronmount.bench.faults import simulated_clients
 from citronmount.peers import peer_messages
 
 __all__ = ["Availability", "measure"]
 
 _WARM_UP_MS = 9_000
 _DEATH_MS = 5_000
-_ABSENCE_MS = 8_000
-_LEAST_REST_MS = 16_000
-_SERVICE_MS = (10, 20, 30)
+_DOWN_TIME_MS = 8_000
+_MIN_COMPLETION_MS = 16_000
+_SERVICE_TIMES_MS = (10, 20, 30)
 
 
 class Availability(msgspec.Struct, frozen=True, kw_only=True):
-    """Answers of requests of one kind, over the death of each VM in turn.
+    """Outcomes of idempotent or other requests, over runs that kill one VM.
 
     Attributes:
-        idempotent: Whether the requests might be repeated.
-        requests: How many there were.
-        first: Answers to the first try, by code or ``none``.
-        last: Answers after the caller's own retries.
-        violations: Promises broken on the way.
+        idempotent: Whether the requests are idempotent.
+        requests: Number of requests.
+        first: Outcomes of the first try, counted by result code or ``none``.
+        last: Outcomes of the last try, after the client's own retries.
+        violations: Number of property violations, over requests of all kinds.
     """
 
     idempotent: bool
@@ -44,15 +44,15 @@
 def measure(
     *, requests: int = 4_000, gap_ms: int = 5, seeds: tuple[int, ...] = (1, 2)
 ) -> tuple[Availability, ...]:
-    """Kills each VM of a site in turn under a load of short requests.
+    """Kills each VM of a site in a run of its own, under short requests.
 
     Args:
-        requests: Requests of both kinds in each run.
-        gap_ms: Time between two requests.
-        seeds: Each VM is killed once for every seed.
+        requests: Number of requests of both kinds together in each run.
+        gap_ms: Virtual time between two requests.
+        seeds: Seeds; there is one run for each VM and seed.
 
     Returns:
-        The counts for idempotent requests, then for the others.
+        The outcomes of idempotent requests, then those of the others.
     """
     first: dict[bool, collections.Counter] = collections.defaultdict(
         collections.Counter
@@ -60,31 +60,33 @@
     last: dict[bool, collections.Counter] = collections.defaultdict(
         collections.Counter
     )
-    broken = 0
+    violations = 0
     vms = [vm.vm for vm in harness_site.make_site().view.vms]
     for number, vm in enumerate(vms):
         for seed in seeds:
-            seen = _run(vm, 100 * seed + number, requests, gap_ms)
-            broken += len(matrix.check_promises(seen))
-            for case in seen.callers.requests.values():
-                kind = next(iter(case.specs.values())).idempotent
-                first[kind][_name(case.told[0].body)] += 1
-                last[kind][_name(case.told[-1].body)] += 1
+            history = _run_with_vm_death(
+                vm, 100 * seed + number, requests, gap_ms
+            )
+            violations += len(matrix.check_properties(history))
+            for request in history.clients.requests.values():
+                idempotent = next(iter(request.specs.values())).idempotent
+                first[idempotent][_code_name(request.told[0].body)] += 1
+                last[idempotent][_code_name(request.told[-1].body)] += 1
     return tuple(
         Availability(
-            idempotent=kind,
-            requests=first[kind].total(),
-            first=dict(sorted(first[kind].items())),
-            last=dict(sorted(last[kind].items())),
-            violations=broken,
+            idempotent=idempotent,
+            requests=first[idempotent].total(),
+            first=dict(sorted(first[idempotent].items())),
+            last=dict(sorted(last[idempotent].items())),
+            violations=violations,
         )
-        for kind in (True, False)
+        for idempotent in (True, False)
     )
 
 
-def _run(
+def _run_with_vm_death(
     vm: str, seed: int, requests: int, gap_ms: int
-) -> evidence_lib.Evidence:
+) -> run_history.RunHistory:
     harness = harness_lib.Harness(
         site=harness_site.make_site(workers_each=3),
         make_agent=lambda listed, incarnation_ms: agents.make_agent(
@@ -92,28 +94,30 @@
         ),
         seed=seed,
     )
-    seen = evidence_lib.Evidence(harness=harness)
-    harness.watchers.append(seen.watch)
-    harness.arrivals.append(seen.arrive)
-    callers = callers_lib.Callers(harness=harness, rng=random.Random(seed))
+    history = run_history.RunHistory(harness=harness)
+    harness.watchers.append(history.observe_item)
+    harness.arrivals.append(history.observe_arrival)
+    clients = simulated_clients.SimulatedClients(
+        harness=harness, rng=random.Random(seed)
+    )
     harness.start_all()
     harness.run_until_ms(_WARM_UP_MS)
     for index in range(requests):
-        harness.clock.after_ms(index * gap_ms, _send, callers, index)
+        harness.clock.after_ms(index * gap_ms, _send, clients, index)
     harness.clock.after_ms(_DEATH_MS, harness.kill, vm)
-    harness.clock.after_ms(_DEATH_MS + _ABSENCE_MS, harness.start, vm)
-    harness.run_until_ms(_WARM_UP_MS + requests * gap_ms + _LEAST_REST_MS)
-    seen.finish(callers, _WARM_UP_MS + _DEATH_MS + _ABSENCE_MS)
-    return seen
+    harness.clock.after_ms(_DEATH_MS + _DOWN_TIME_MS, harness.start, vm)
+    harness.run_until_ms(_WARM_UP_MS + requests * gap_ms + _MIN_COMPLETION_MS)
+    history.observe_end(clients, _WARM_UP_MS + _DEATH_MS + _DOWN_TIME_MS)
+    return history
 
 
-def _send(callers: callers_lib.Callers, index: int) -> None:
-    callers.request(
+def _send(clients: simulated_clients.SimulatedClients, index: int) -> None:
+    clients.send_request(
         harness_site.PAYING,
         idempotent=index % 2 == 0,
-        service_ms=_SERVICE_MS[index % len(_SERVICE_MS)],
+        service_ms=_SERVICE_TIMES_MS[index % len(_SERVICE_TIMES_MS)],
     )
 
 
-def _name(body: peer_messages.Answer | None) -> str:
+def _code_name(body: peer_messages.Answer | None) -> str:
     return "none" if body is None else body.result.code.name.lower()
--- a/citronmount/bench/faults/fault_kinds.py
+++ b/citronmount/bench/faults/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The faults, each brought about when a step is seen and healed later."""
+"""The kinds of faults, each injected at a step and healed later."""
 
 from typing import Any
 
@@ -15,42 +15,44 @@
 
 _SHORT_RETENTION_MS = 16_000
 _HOUR_MS = 60 * 60 * 1_000
-_RENEWED_PAST_MS = 11_000
+_LONGER_THAN_LEASE_MS = 11_000
 
 
 @registry.fault("vm-dies")
-def _vm_dies(cell: Any, hit: Any) -> None:
-    vm = hit.process.vm.vm
-    cell.kill_soon(vm, cell.rng.choice([0, 0, 1]))
-    cell.heal_after(cell.rng.randint(500, 15_000), cell.harness.start, vm)
+def _vm_dies(cell: Any, injection: Any) -> None:
+    vm = injection.process.vm.vm
+    cell.kill_after(vm, cell.rng.choice([0, 0, 1]))
+    cell.schedule_heal(cell.rng.randint(500, 15_000), cell.harness.start, vm)
 
 
 @registry.fault("all-vms-of-domain-die")
-def _all_die(cell: Any, hit: Any) -> None:
-    for vm in cell.vms_in(hit.process.vm.failure_domain):
+def _all_vms_of_domain_die(cell: Any, injection: Any) -> None:
+    for vm in cell.vms_in(injection.process.vm.failure_domain):
         cell.harness.kill(vm)
-        cell.heal_after(cell.rng.randint(500, 6_000), cell.harness.start, vm)
+        cell.schedule_heal(cell.rng.randint(500, 6_000), cell.harness.start, vm)
 
 
 @registry.fault("vms-replaced-in-turn")
-def _replaced_in_turn(cell: Any, hit: Any) -> None:
-    for index, vm in enumerate(cell.vms_in(hit.process.vm.failure_domain)):
-        cell.after(index * 5_000, cell.harness.kill, vm)
-        cell.heal_after(index * 5_000 + 500, cell.harness.start, vm)
+def _vms_replaced_in_turn(cell: Any, injection: Any) -> None:
+    for index, vm in enumerate(
+        cell.vms_in(injection.process.vm.failure_domain)
+    ):
+        cell.schedule(index * 5_000, cell.harness.kill, vm)
+        cell.schedule_heal(index * 5_000 + 500, cell.harness.start, vm)
 
 
 @registry.fault("process-paused")
-def _paused(cell: Any, hit: Any) -> None:
-    vm = hit.process.vm.vm
+def _process_paused(cell: Any, injection: Any) -> None:
+    vm = injection.process.vm.vm
     cell.harness.pause(vm)
-    pause_ms = cell.rng.choice([2_500, _RENEWED_PAST_MS, 14_000])
-    cell.heal_after(pause_ms, cell.harness.resume, vm)
+    pause_ms = cell.rng.choice([2_500, _LONGER_THAN_LEASE_MS, 14_000])
+    cell.schedule_heal(pause_ms, cell.harness.resume, vm)
 
 
 @registry.fault("log-down")
-def _log_down(cell: Any, hit: Any) -> None:
+def _log_down(cell: Any, injection: Any) -> None:
     cell.harness.services.down.add(harness_services.LOG)
-    cell.heal_after(
+    cell.schedule_heal(
         cell.rng.randint(3_000, 20_000),
         cell.harness.services.down.discard,
         harness_services.LOG,
@@ -58,33 +60,35 @@
 
 
 @registry.fault("log-slow")
-def _log_slow(cell: Any, hit: Any) -> None:
+def _log_slow(cell: Any, injection: Any) -> None:
     cell.harness.services.log_delay_ms = cell.rng.choice([300, 900, 2_500])
 
     def heal() -> None:
         cell.harness.services.log_delay_ms = 1
 
-    cell.heal_after(cell.rng.randint(3_000, 15_000), heal)
+    cell.schedule_heal(cell.rng.randint(3_000, 15_000), heal)
 
 
 @registry.fault("append-answer-lost")
-def _answer_lost(cell: Any, hit: Any) -> None:
+def _append_answer_lost(cell: Any, injection: Any) -> None:
     cell.harness.services.lose_append_answers = True
 
     def heal() -> None:
         cell.harness.services.lose_append_answers = False
 
-    cell.heal_after(cell.rng.randint(300, 8_000), heal)
+    cell.schedule_heal(cell.rng.randint(300, 8_000), heal)
 
 
 @registry.fault("retention-passed", retention_ms=_SHORT_RETENTION_MS)
-def _retention(cell: Any, hit: Any) -> None:
-    """Replaces a failure domain's VMs after the first records are gone."""
-    domain = hit.process.vm.failure_domain
+def _retention_passed(cell: Any, injection: Any) -> None:
+    """Replaces a domain's VMs after its first log records have expired."""
+    domain = injection.process.vm.failure_domain
     vms = cell.vms_in(domain)
     for index, vm in enumerate(vms):
-        cell.after(_SHORT_RETENTION_MS + index * 3_000, cell.harness.kill, vm)
-        cell.heal_after(
+        cell.schedule(
+            _SHORT_RETENTION_MS + index * 3_000, cell.harness.kill, vm
+        )
+        cell.schedule_heal(
             _SHORT_RETENTION_MS + index * 3_000 + 1_000,
             cell.harness.start,
             vm,
@@ -92,21 +96,21 @@
 
 
 @registry.fault("vm-list-stale")
-def _stale_list(cell: Any, hit: Any) -> None:
+def _vm_list_stale(cell: Any, injection: Any) -> None:
     normal_ms = cell.harness.services.platform.lag_ms
     cell.harness.services.platform.lag_ms = normal_ms + 15_000
 
     def heal() -> None:
         cell.harness.services.platform.lag_ms = normal_ms
 
-    cell.heal_after(cell.rng.randint(5_000, 15_000), heal)
+    cell.schedule_heal(cell.rng.randint(5_000, 15_000), heal)
 
 
 @registry.fault("target-dies")
-def _target_dies(cell: Any, hit: Any) -> None:
-    name = cell.target_near(hit)
+def _target_dies(cell: Any, injection: Any) -> None:
+    name = cell.affected_target(injection)
     cell.harness.services.crash_target(name, refuses=cell.rng.random() < 0.5)
-    cell.heal_after(
+    cell.schedule_heal(
         cell.rng.randint(3_000, 15_000),
         cell.harness.services.restore_target,
         name,
@@ -114,21 +118,21 @@
 
 
 @registry.fault("target-fails-starts")
-def _fails_starts(cell: Any, hit: Any) -> None:
-    model = cell.harness.services.workers[cell.worker_near(hit)]
+def _target_fails_starts(cell: Any, injection: Any) -> None:
+    model = cell.harness.services.workers[cell.affected_worker(injection)]
     model.fail_every_start = True
 
     def heal() -> None:
         model.fail_every_start = False
 
-    cell.heal_after(cell.rng.randint(3_000, 15_000), heal)
+    cell.schedule_heal(cell.rng.randint(3_000, 15_000), heal)
 
 
 @registry.fault("target-leaving")
-def _leaving(cell: Any, hit: Any) -> None:
-    name = cell.target_near(hit)
+def _target_leaving(cell: Any, injection: Any) -> None:
+    name = cell.affected_target(injection)
     cell.harness.services.set_leaving(name, True)
-    cell.heal_after(
+    cell.schedule_heal(
         cell.rng.randint(6_000, 12_000),
         cell.harness.services.set_leaving,
         name,
@@ -138,13 +142,21 @@
 
 def _link_fault(
     cell: Any,
-    hit: Any,
-    least_ms: int,
-    most_ms: int,
+    injection: Any,
+    min_duration_ms: int,
+    max_duration_ms: int,
     **fields: Any,
 ) -> None:
-    """Makes every link of the process faulty for a while."""
-    vm = hit.process.vm.vm
+    """Adds a fault to every link of the process, except to clients.
+
+    Args:
+        cell: The cell.
+        injection: The injection at the step.
+        min_duration_ms: Least duration of the fault.
+        max_duration_ms: Greatest duration of the fault.
+        **fields: Fields of `harness_network.LinkFault`.
+    """
+    vm = injection.process.vm.vm
     link = harness_network.LinkFault(
         matches=lambda source, target: (
             vm in (source, target) and target != harness_network.CALLERS
@@ -152,54 +164,54 @@
         **fields,
     )
     cell.harness.network.faults.append(link)
-    duration_ms = cell.rng.randint(least_ms, most_ms)
+    duration_ms = cell.rng.randint(min_duration_ms, max_duration_ms)
     now_ms = cell.harness.clock.now_ms
-    cell.evidence.impaired.append((vm, now_ms, now_ms + duration_ms))
-    cell.heal_after(duration_ms, cell.harness.network.faults.remove, link)
+    cell.history.link_faults.append((vm, now_ms, now_ms + duration_ms))
+    cell.schedule_heal(duration_ms, cell.harness.network.faults.remove, link)
 
 
 @registry.fault("message-lost")
-def _lost(cell: Any, hit: Any) -> None:
-    certain = cell.rng.random() < 0.5
-    if certain:
-        _link_fault(cell, hit, 200, 1_500, loss=1.0)
+def _message_lost(cell: Any, injection: Any) -> None:
+    all_lost = cell.rng.random() < 0.5
+    if all_lost:
+        _link_fault(cell, injection, 200, 1_500, loss=1.0)
     else:
-        _link_fault(cell, hit, 2_000, 8_000, loss=0.3)
+        _link_fault(cell, injection, 2_000, 8_000, loss=0.3)
 
 
 @registry.fault("message-late")
-def _late(cell: Any, hit: Any) -> None:
-    _link_fault(cell, hit, 500, 8_000, delay_ms=(200, 4_000))
+def _message_late(cell: Any, injection: Any) -> None:
+    _link_fault(cell, injection, 500, 8_000, delay_ms=(200, 4_000))
 
 
 @registry.fault("message-doubled")
-def _doubled(cell: Any, hit: Any) -> None:
-    _link_fault(cell, hit, 500, 8_000, copies=1.0, delay_ms=(0, 300))
+def _message_doubled(cell: Any, injection: Any) -> None:
+    _link_fault(cell, injection, 500, 8_000, copies=1.0, delay_ms=(0, 300))
 
 
 @registry.fault("messages-reordered")
-def _reordered(cell: Any, hit: Any) -> None:
-    _link_fault(cell, hit, 500, 8_000, delay_ms=(0, 120))
+def _messages_reordered(cell: Any, injection: Any) -> None:
+    _link_fault(cell, injection, 500, 8_000, delay_ms=(0, 120))
 
 
 @registry.fault("vms-cut-apart")
-def _cut_apart(cell: Any, hit: Any) -> None:
-    """Cuts the VMs of one failure domain off from each other.
+def _vms_cut_apart(cell: Any, injection: Any) -> None:
+    """Cuts the links between the VMs of one failure domain.
 
-    Both still reach the workers and the platform, so that each may think that
-    it is the owner.
+    All of them still reach the workers and the platform, so that more than one
+    may act as the owner.
     """
-    vms = set(cell.vms_in(hit.process.vm.failure_domain))
+    vms = set(cell.vms_in(injection.process.vm.failure_domain))
     one_way = cell.rng.random() < 0.5
     link = harness_network.LinkFault(
         matches=lambda source, target: (
             {source, target} <= vms
-            and (not one_way or source == hit.process.vm.vm)
+            and (not one_way or source == injection.process.vm.vm)
         ),
         loss=1.0,
     )
     cell.harness.network.faults.append(link)
-    cell.heal_after(
+    cell.schedule_heal(
         cell.rng.randint(4_000, 18_000),
         cell.harness.network.faults.remove,
         link,
@@ -212,57 +224,59 @@
     def heal() -> None:
         cell.harness.network.cuts -= pairs
 
-    cell.heal_after(cell.rng.randint(4_000, 18_000), heal)
+    cell.schedule_heal(cell.rng.randint(4_000, 18_000), heal)
 
 
-def _others(cell: Any, domain: str) -> list[str]:
-    return [d for d in cell.domains if d != domain]
+def _other_domains(cell: Any, domain: str) -> list[str]:
+    return [other for other in cell.domains if other != domain]
 
 
 @registry.fault("domain-cut-one-way")
-def _cut_one_way(cell: Any, hit: Any) -> None:
-    domain = hit.process.vm.failure_domain
+def _domain_cut_one_way(cell: Any, injection: Any) -> None:
+    domain = injection.process.vm.failure_domain
     outward = cell.rng.random() < 0.5
     _cut(
         cell,
         {
             (domain, other) if outward else (other, domain)
-            for other in _others(cell, domain)
+            for other in _other_domains(cell, domain)
         },
     )
 
 
 @registry.fault("domain-cut-both-ways")
-def _cut_both_ways(cell: Any, hit: Any) -> None:
-    domain = hit.process.vm.failure_domain
-    others = _others(cell, domain)
+def _domain_cut_both_ways(cell: Any, injection: Any) -> None:
+    domain = injection.process.vm.failure_domain
+    others = _other_domains(cell, domain)
     _cut(
         cell,
-        {(domain, o) for o in others} | {(o, domain) for o in others},
+        {(domain, other) for other in others}
+        | {(other, domain) for other in others},
     )
 
 
 @registry.fault("domain-cut-from-platform")
-def _cut_from_platform(cell: Any, hit: Any) -> None:
-    domain = hit.process.vm.failure_domain
-    there = harness_network.PLATFORM
-    _cut(cell, {(domain, there), (there, domain)})
+def _domain_cut_from_platform(cell: Any, injection: Any) -> None:
+    domain = injection.process.vm.failure_domain
+    platform = harness_network.PLATFORM
+    _cut(cell, {(domain, platform), (platform, domain)})
 
 
 @registry.fault("regions-cut")
-def _regions_cut(cell: Any, hit: Any) -> None:
-    """Cuts the last failure domain off from all, the platform included."""
+def _regions_cut(cell: Any, injection: Any) -> None:
+    """Cuts the last failure domain off from all others and the platform."""
     region = cell.domains[-1]
     others = [*cell.domains[:-1], harness_network.PLATFORM]
     _cut(
         cell,
-        {(region, o) for o in others} | {(o, region) for o in others},
+        {(region, other) for other in others}
+        | {(other, region) for other in others},
     )
 
 
 @registry.fault("operators-racing")
-def _racing(cell: Any, hit: Any) -> None:
-    base = cell.callers.version
+def _operators_racing(cell: Any, injection: Any) -> None:
+    base_version = cell.clients.version
     for index in range(3):
         allowances = (
             configuration.Allowance(
@@ -272,68 +286,68 @@
         content = msgspec.structs.replace(
             cell.site.configuration, allowances=allowances
         )
-        cell.callers.publish(content, base)
-    cell.heal_after(100, lambda: None)
+        cell.clients.publish(content, base_version)
+    cell.schedule_heal(100, lambda: None)
 
 
 @registry.fault("clock-jump")
-def _clock_jump(cell: Any, hit: Any) -> None:
-    process = hit.process
+def _clock_jump(cell: Any, injection: Any) -> None:
+    process = injection.process
     process.wall_skew_ms += cell.rng.choice([-_HOUR_MS, -5_000, _HOUR_MS])
 
     def heal() -> None:
         process.wall_skew_ms = 0
 
-    cell.heal_after(cell.rng.randint(2_000, 10_000), heal)
+    cell.schedule_heal(cell.rng.randint(2_000, 10_000), heal)
 
 
 @registry.fault("configuration-out-and-back")
-def _out_and_back(cell: Any, hit: Any) -> None:
-    domain = hit.process.vm.failure_domain
-    cell.set_domain(domain, states.FailureDomainState.OUT)
-    cell.heal_after(
+def _configuration_out_and_back(cell: Any, injection: Any) -> None:
+    domain = injection.process.vm.failure_domain
+    cell.set_domain_state(domain, states.FailureDomainState.OUT)
+    cell.schedule_heal(
         cell.rng.randint(6_000, 10_000),
-        cell.set_domain,
+        cell.set_domain_state,
         domain,
         states.FailureDomainState.IN,
     )
 
 
 @registry.fault("burst-of-small")
-def _burst_small(cell: Any, hit: Any) -> None:
+def _burst_of_small(cell: Any, injection: Any) -> None:
     for index in range(40):
-        cell.callers.submit(
-            f"small-{hit.number}-{index}",
+        cell.clients.submit(
+            f"small-{injection.number}-{index}",
             cell.rng.choice([harness_site.PAYING, harness_site.TRIAL]),
             run_ms=cell.rng.randint(200, 900),
         )
     for _ in range(40):
-        cell.callers.request(
+        cell.clients.send_request(
             harness_site.PAYING,
             idempotent=cell.rng.random() < 0.5,
             service_ms=cell.rng.randint(5, 60),
         )
-    cell.heal_after(2_000, lambda: None)
+    cell.schedule_heal(2_000, lambda: None)
 
 
 @registry.fault("burst-of-large")
-def _burst_large(cell: Any, hit: Any) -> None:
+def _burst_of_large(cell: Any, injection: Any) -> None:
     for index in range(6):
-        cell.callers.submit(
-            f"large-{hit.number}-{index}",
+        cell.clients.submit(
+            f"large-{injection.number}-{index}",
             cell.rng.choice([harness_site.PAYING, harness_site.TRIAL]),
             tasks=2,
             accelerators=8,
             run_ms=cell.rng.randint(1_000, 3_000),
         )
-    cell.heal_after(8_000, lambda: None)
+    cell.schedule_heal(8_000, lambda: None)
 
 
 @registry.fault("cancellation-wave")
-def _wave(cell: Any, hit: Any) -> None:
+def _cancellation_wave(cell: Any, injection: Any) -> None:
     for index in range(20):
-        cell.callers.submit(
-            f"wave-{hit.number}-{index}",
+        cell.clients.submit(
+            f"wave-{injection.number}-{index}",
             harness_site.TRIAL,
             tasks=2,
             accelerators=4,
@@ -342,25 +356,30 @@
 
     def cancel_all() -> None:
         for domain in cell.domains:
-            cell.callers.cancel_all(harness_site.TRIAL, domain)
+            cell.clients.cancel_all(harness_site.TRIAL, domain)
 
-    cell.after(cell.rng.randint(5, 1_500), cancel_all)
-    cell.heal_after(3_000, cancel_all)
+    cell.schedule(cell.rng.randint(5, 1_500), cancel_all)
+    cell.schedule_heal(3_000, cancel_all)
 
 
 @registry.fault("misdeclared-sizes")
-def _misdeclared(cell: Any, hit: Any) -> None:
-    cases = [(1.0, 6_000), (9_000.0, 500), (0.001, 3_000), (1e9, 800)]
-    for index, (declared_s, run_ms) in enumerate(cases):
-        cell.callers.submit(
-            f"wrong-{hit.number}-{index}",
+def _misdeclared_sizes(cell: Any, injection: Any) -> None:
+    declared_and_actual = [
+        (1.0, 6_000),
+        (9_000.0, 500),
+        (0.001, 3_000),
+        (1e9, 800),
+    ]
+    for index, (declared_s, run_ms) in enumerate(declared_and_actual):
+        cell.clients.submit(
+            f"wrong-{injection.number}-{index}",
             harness_site.PAYING,
             tasks=2,
             accelerators=4,
             run_ms=run_ms,
             declared_s=declared_s,
         )
-    cell.callers.submit(
-        f"wrong-{hit.number}-never", harness_site.TRIAL, tasks=500
+    cell.clients.submit(
+        f"wrong-{injection.number}-never", harness_site.TRIAL, tasks=500
     )
-    cell.heal_after(1_000, lambda: None)
+    cell.schedule_heal(1_000, lambda: None)
--- a/citronmount/bench/faults/matrix.py
+++ b/citronmount/bench/faults/matrix.py
@@ -1,4 +1,4 @@
-"""Runs cells of the fault matrix and sums them up."""
+"""Runs cells of the fault matrix and summarizes their results."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -10,14 +10,14 @@
 
 from citronmount.bench import harness_site
 from citronmount.bench.faults import agents
-from citronmount.bench.faults import cell as cell_lib
-from citronmount.bench.faults import evidence as evidence_lib
+from citronmount.bench.faults import answer_checks
+from citronmount.bench.faults import execution_checks
 from citronmount.bench.faults import fault_kinds
-from citronmount.bench.faults import promises
-from citronmount.bench.faults import promises_of_answers
-from citronmount.bench.faults import promises_of_operation
-from citronmount.bench.faults import promises_of_work
+from citronmount.bench.faults import matrix_cell
+from citronmount.bench.faults import operation_checks
+from citronmount.bench.faults import property_checks
 from citronmount.bench.faults import registry
+from citronmount.bench.faults import run_history
 from citronmount.bench.faults import steps
 from citronmount.bench.faults import timeline_check
 
@@ -25,30 +25,30 @@
     "CellResult",
     "Plan",
     "Summary",
-    "all_pairs",
-    "all_singles",
-    "check_promises",
+    "check_properties",
+    "fault_pair_plans",
     "run_cell",
     "run_pair",
+    "single_fault_plans",
     "summarize",
 ]
 
-_PAIR_SAMPLES = 5
-_REGISTERED = (
+_SAMPLES_PER_PAIR = 5
+_REGISTERING_MODULES = (
     fault_kinds,
     steps,
-    promises_of_answers,
-    promises_of_operation,
-    promises_of_work,
+    answer_checks,
+    operation_checks,
+    execution_checks,
 )
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """Which faults strike at which steps, and the seed.
+    """The faults of a cell, the steps at which they are injected, and the seed.
 
     Attributes:
-        strikes: Pairs of names of a fault and a step.
-        seed: The seed.
+        strikes: Pairs of the name of a fault and the name of its step.
+        seed: Seed of all random number generators.
     """
 
     strikes: tuple[tuple[str, str], ...]
@@ -56,45 +56,49 @@
 
     @property
     def command(self) -> str:
-        """The command that runs the cell again."""
-        options = " ".join(f"--fault {f} --step {s}" for f, s in self.strikes)
+        """The command that reproduces the cell."""
+        options = " ".join(
+            f"--fault {fault} --step {step}" for fault, step in self.strikes
+        )
         return (
             f"python -m citronmount.bench.faults {options} --seed {self.seed}"
         )
 
 
 class CellResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The verdict on one cell.
+    """The result of one cell.
 
     Attributes:
-        plan: What was run.
-        reached: Whether every step was seen, so that every fault struck.
-        violations: Promises broken, from what targets and callers saw.
-        contradictions: What the time line alone shows to be wrong.
-        virtual_ms: How long the run was.
+        plan: The plan of the cell.
+        reached: Whether every step occurred, so that every fault was injected.
+        violations: Properties that did not hold, judged from the history that
+            targets and clients saw.
+        contradictions: Inconsistencies that the timeline alone shows.
+        virtual_ms: Duration of the run in virtual time.
     """
 
     plan: Plan
     reached: bool
-    violations: tuple[promises.Violation, ...]
+    violations: tuple[property_checks.Violation, ...]
     contradictions: tuple[str, ...]
     virtual_ms: int
 
     @property
     def held(self) -> bool:
-        """Whether the faults struck and every promise held."""
-        broken = self.violations or self.contradictions
-        return self.reached and not broken
+        """Whether every fault was injected and every property held."""
+        findings = self.violations or self.contradictions
+        return self.reached and not findings
 
 
 class Summary(msgspec.Struct, frozen=True, kw_only=True):
     """Counts over many cells.
 
     Attributes:
-        run: Cells run.
-        held: Cells in which every promise held.
-        not_reached: Cells in which a step was not seen.
-        failed: The cells that did not hold.
+        run: Number of cells run.
+        held: Number of cells in which every fault was injected and every
+            property held.
+        not_reached: Number of cells in which a step did not occur.
+        failed: Results of the cells that did not hold.
     """
 
     run: int
@@ -107,19 +111,20 @@
     plan: Plan,
     *,
     make_agent: Callable[..., object] = agents.make_agent,
-    prepare: Callable[[cell_lib.Cell], None] = lambda cell: None,
-) -> tuple[CellResult, cell_lib.Cell]:
+    prepare: Callable[[matrix_cell.Cell], None] = lambda cell: None,
+) -> tuple[CellResult, matrix_cell.Cell]:
     """Runs one cell.
 
     Args:
-        plan: The faults, steps and seed.
-        make_agent: Makes the agents.
+        plan: The plan of the cell.
+        make_agent: Creates an agent from the VM's list entry, its incarnation
+            and the log's retention time in ms.
         prepare: Called with the cell before it runs.
 
     Returns:
-        The verdict and the cell, whose time line can be read.
+        The result and the cell, whose timeline can be read.
     """
-    cell = cell_lib.Cell(
+    cell = matrix_cell.Cell(
         plan=tuple(
             (registry.FAULTS[fault], registry.STEPS[step])
             for fault, step in plan.strikes
@@ -133,65 +138,68 @@
     timeline = [event for _, event in cell.harness.timeline]
     result = CellResult(
         plan=plan,
-        reached=len(cell.hits) == len(plan.strikes),
-        violations=check_promises(cell.evidence),
+        reached=len(cell.injections) == len(plan.strikes),
+        violations=check_properties(cell.history),
         contradictions=tuple(timeline_check.check(timeline)),
         virtual_ms=cell.harness.clock.now_ms,
     )
     return result, cell
 
 
-def check_promises(
-    evidence: evidence_lib.Evidence,
-) -> tuple[promises.Violation, ...]:
-    """Checks every promise.
+def check_properties(
+    history: run_history.RunHistory,
+) -> tuple[property_checks.Violation, ...]:
+    """Checks every property.
 
     Args:
-        evidence: What was seen of a whole run.
+        history: History of a completed run.
 
     Returns:
         All violations.
     """
-    return tuple(promises.check(evidence))
+    return tuple(property_checks.check(history))
 
 
-def all_singles(seed: int) -> Iterator[Plan]:
-    """Returns every fault at every step.
+def single_fault_plans(seed: int) -> Iterator[Plan]:
+    """Returns the plans that inject every fault at every step.
 
     Args:
-        seed: The seed from which those of the cells derive.
+        seed: Seed from which the seeds of the cells are derived.
     """
     return (
-        _plan(((fault, step),), seed)
+        _derive_plan(((fault, step),), seed)
         for fault, step in itertools.product(registry.FAULTS, registry.STEPS)
     )
 
 
-def all_pairs(seed: int) -> Iterator[tuple[Plan, ...]]:
-    """Returns every pair of faults, each with a few samples of steps.
+def fault_pair_plans(seed: int) -> Iterator[tuple[Plan, ...]]:
+    """Yields plans for every pair of faults at sampled steps.
 
     Args:
-        seed: The seed of the samples.
+        seed: Seed of the samples.
 
     Yields:
-        Plans of one pair; a later one is for when an earlier one did not
-        reach both steps, because one fault kept the other's step away.
+        The plans of one pair. A later plan serves only if both steps did not
+        occur in the earlier ones, because one fault prevented the step of the
+        other.
     """
     pairs = itertools.combinations_with_replacement(registry.FAULTS, 2)
     for pair in pairs:
         rng = random.Random(f"{seed} {pair}")
-        yield tuple(_pair_plan(pair, rng, seed) for _ in range(_PAIR_SAMPLES))
+        yield tuple(
+            _sample_pair_plan(pair, rng, seed) for _ in range(_SAMPLES_PER_PAIR)
+        )
 
 
 def run_pair(plans: tuple[Plan, ...]) -> list[CellResult]:
-    """Runs the samples of a pair up to the first that reaches both steps.
+    """Runs the plans of a pair up to the first that reaches both steps.
 
     Args:
-        plans: The samples of one pair.
+        plans: The sampled plans of one pair.
 
     Returns:
-        The verdict on that sample, after those of unreached ones in which a
-        promise was broken.
+        The results of plans that missed a step but broke a property, then the
+        result of the first plan that reached both steps, or of the last plan.
     """
     results = []
     for plan in plans:
@@ -203,22 +211,26 @@
     return [*results, result]
 
 
-def _pair_plan(pair: tuple[str, str], rng: random.Random, seed: int) -> Plan:
-    first = rng.choice(list(registry.STEPS))
-    family = registry.STEPS[first].family
-    fitting = [
+def _sample_pair_plan(
+    pair: tuple[str, str], rng: random.Random, seed: int
+) -> Plan:
+    first_step = rng.choice(list(registry.STEPS))
+    family = registry.STEPS[first_step].family
+    compatible_steps = [
         step.name
         for step in registry.STEPS.values()
         if step.family in (family, "job", "request")
     ]
-    return _plan(((pair[0], first), (pair[1], rng.choice(fitting))), seed)
+    return _derive_plan(
+        ((pair[0], first_step), (pair[1], rng.choice(compatible_steps))), seed
+    )
 
 
 def summarize(results: list[CellResult]) -> Summary:
-    """Counts the verdicts.
+    """Summarizes the results of cells.
 
     Args:
-        results: Verdicts on cells.
+        results: Results of the cells.
     """
     return Summary(
         run=len(results),
@@ -228,6 +240,8 @@
     )
 
 
-def _plan(strikes: tuple[tuple[str, str], ...], seed: int) -> Plan:
-    text = f"{seed} {strikes}"
-    return Plan(strikes=strikes, seed=zlib.crc32(text.encode()) % 1_000_000)
+def _derive_plan(strikes: tuple[tuple[str, str], ...], seed: int) -> Plan:
+    plan_text = f"{seed} {strikes}"
+    return Plan(
+        strikes=strikes, seed=zlib.crc32(plan_text.encode()) % 1_000_000
+    )
--- a/citronmount/bench/faults/registry.py
+++ b/citronmount/bench/faults/registry.py
@@ -1,4 +1,4 @@
-"""Registries of faults, of steps and of sabotages."""
+"""Registries of the faults and steps of the matrix."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,12 +9,12 @@
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault.
+    """One kind of fault.
 
     Attributes:
-        name: Its name on the command line.
-        inject: Brings it about; gets the cell and where the step was seen.
-        retention_ms: How long the log keeps records in such a cell.
+        name: Name on the command line.
+        inject: Injects the fault, given the cell and the injection.
+        retention_ms: Retention time of the log in cells with this fault.
     """
 
     name: str
@@ -23,11 +23,12 @@
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True):
-    """One step of the life of a job, request, change, take-over or drain.
+    """One step in processing a job, request, change, take-over or drain.
 
     Attributes:
-        name: Its name on the command line, ``family.step``.
-        seen: Whether an event or effect of a process is this step.
+        name: Name on the command line, ``family.step``.
+        seen: Whether an event or effect is this step, given the cell, the
+            process and the event or effect.
     """
 
     name: str
@@ -35,7 +36,7 @@
 
     @property
     def family(self) -> str:
-        """The part before the dot."""
+        """The part of the name before the dot."""
         return self.name.partition(".")[0]
 
 
@@ -48,14 +49,14 @@
 def fault(
     name: str, *, retention_ms: int = DAY_MS
 ) -> Callable[[Callable[[Any, Any], None]], Callable[[Any, Any], None]]:
-    """Registers a function that brings about a fault.
+    """Registers a function that injects a fault.
 
     Args:
-        name: Its name on the command line.
-        retention_ms: How long the log keeps records in such a cell.
+        name: Name on the command line.
+        retention_ms: Retention time of the log in cells with this fault.
 
     Returns:
-        The decorator.
+        A decorator for a function of the cell and the injection.
     """
 
     def register(inject: Callable[[Any, Any], None]) -> Any:
@@ -73,10 +74,11 @@
     """Registers a predicate that recognizes a step.
 
     Args:
-        name: Its name on the command line, ``family.step``.
+        name: Name on the command line, ``family.step``.
 
     Returns:
-        The decorator.
+        A decorator for a predicate of the cell, the process and the event or
+        effect.
     """
 
     def register(seen: Callable[[Any, Any, Any], bool]) -> Any:
--- a/citronmount/bench/faults/sabotage.py
+++ b/citronmount/bench/faults/sabotage.py
@@ -1,8 +1,8 @@
-"""Breaks each promise on purpose, to prove that the matrix can fail.
+"""Breaks each checked property on purpose, to prove that checks can fail.
 
-Every sabotage replaces one rule of the system by its absence, either between
-an agent and its shell or at one public method. Nothing outside the bench uses
-them.
+Each sabotage removes one rule of the system, either by changing what passes
+between an agent and its harness or by replacing a method. It is used only in
+the bench.
 """
 
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from citronmount.agent import agent as agent_lib
+from citronmount.agent import agent
 from citronmount.agent import attempts
 from citronmount.agent import claims
 from citronmount.agent import effects
@@ -20,8 +20,8 @@
 from citronmount.agent import homes
 from citronmount.agent import owned_domain
 from citronmount.bench.faults import agents
-from citronmount.bench.faults import cell as cell_lib
 from citronmount.bench.faults import matrix
+from citronmount.bench.faults import matrix_cell
 from citronmount.clients import messages
 from citronmount.config import configuration
 from citronmount.core import decisions
@@ -34,22 +34,24 @@
     "ANY",
     "SABOTAGES",
     "Sabotage",
-    "broken_promises",
-    "caught_by",
-    "without",
+    "broken_properties",
+    "run_control",
+    "run_until_caught",
 ]
 
 
 class Sabotage(msgspec.Struct, frozen=True, kw_only=True):
-    """One rule that is taken out.
+    """One rule of the system that is removed.
 
     Attributes:
-        name: What is missing.
-        promise: The promise that must be reported as broken, or `ANY`.
-        strikes: The cell in which it shows.
-        seeds: Seeds that are tried in turn.
-        trial_run_ms: Run time of the trials, long enough for it to show.
-        apply: Puts the sabotage in place; gives the maker of agents.
+        name: Name of the sabotage.
+        promise: Name of the property that must be reported as broken, or `ANY`.
+        strikes: Faults and steps of the cell in which the violation occurs.
+        seeds: Seeds to try in turn.
+        trial_run_ms: Run time of the trial jobs, long enough for the violation
+            to occur.
+        apply: Returns a context in which the rule is missing. It gives the
+            function that creates agents.
     """
 
     name: str
@@ -75,14 +77,15 @@
     """Registers a sabotage.
 
     Args:
-        name: What is missing.
-        promise: The promise that must be reported as broken.
-        *strikes: The cell in which it shows.
-        seeds: How many seeds are tried.
-        trial_run_ms: Run time of the trials.
+        name: Name of the sabotage.
+        promise: Name of the property that must be reported as broken.
+        *strikes: Faults and steps of the cell in which the violation occurs.
+        seeds: Number of seeds to try.
+        trial_run_ms: Run time of the trial jobs.
 
     Returns:
-        The decorator of a generator function that yields the agent maker.
+        A decorator for a generator function that removes the rule, yields the
+        function that creates agents, and restores the rule.
     """
 
     def register(function: Callable[[], Iterator[Any]]) -> Any:
@@ -99,100 +102,105 @@
     return register
 
 
-def caught_by(name: str) -> matrix.CellResult | None:
-    """Runs the cells of a sabotage until the matrix catches it.
+def run_until_caught(name: str) -> matrix.CellResult | None:
+    """Runs the cells of a sabotage until a check reports its property.
 
     Args:
-        name: The sabotage.
+        name: Name of the sabotage.
 
     Returns:
-        The verdict that names the promise, or None if every cell held.
+        The first result that reports the property as broken, or None.
     """
-    entry = SABOTAGES[name]
-    with entry.apply() as make_agent:
-        for seed in entry.seeds:
-            result = _run(entry, seed, make_agent)
-            if entry.promise in broken_promises(result):
+    spec = SABOTAGES[name]
+    with spec.apply() as make_agent:
+        for seed in spec.seeds:
+            result = _run(spec, seed, make_agent)
+            if spec.promise in broken_properties(result):
                 return result
     return None
 
 
-def broken_promises(result: matrix.CellResult) -> set[str]:
-    """Returns the promises that a verdict names, and `ANY` if there are some.
+def broken_properties(result: matrix.CellResult) -> set[str]:
+    """Returns the names of the broken properties of a result.
+
+    `ANY` is added if there is a violation or a contradiction in the timeline.
 
     Args:
-        result: The verdict.
+        result: The result of a cell.
     """
-    names = {violation.promise for violation in result.violations}
-    if names or result.contradictions:
-        names.add(ANY)
-    return names
+    broken = {violation.promise for violation in result.violations}
+    if broken or result.contradictions:
+        broken.add(ANY)
+    return broken
 
 
-def without(name: str, seed: int) -> matrix.CellResult:
-    """Runs the cell of a sabotage on the agents as they are.
+def run_control(name: str, seed: int) -> matrix.CellResult:
+    """Runs the cell of a sabotage with all rules in place.
 
     Args:
-        name: The sabotage.
-        seed: The seed.
-
-    Returns:
-        The verdict.
+        name: Name of the sabotage.
+        seed: Seed of the cell.
     """
     return _run(SABOTAGES[name], seed, agents.make_agent)
 
 
 def _run(
-    entry: Sabotage, seed: int, make_agent: Callable[..., Any]
+    spec: Sabotage, seed: int, make_agent: Callable[..., Any]
 ) -> matrix.CellResult:
-    def prepare(cell: cell_lib.Cell) -> None:
-        cell.trial_run_ms = entry.trial_run_ms
+    def prepare(cell: matrix_cell.Cell) -> None:
+        cell.trial_run_ms = spec.trial_run_ms
 
-    plan = matrix.Plan(strikes=entry.strikes, seed=seed)
+    plan = matrix.Plan(strikes=spec.strikes, seed=seed)
     return matrix.run_cell(plan, make_agent=make_agent, prepare=prepare)[0]
 
 
-class _Between:
-    """Sits between an agent and its shell and changes what passes."""
+class _AgentWrapper:
+    """Wraps an agent and transforms the events that it handles."""
 
-    def __init__(self, inner: agent_lib.Agent) -> None:
+    def __init__(self, inner: agent.Agent) -> None:
         self.inner = inner
 
     def handle(
         self, event: events.Event, now_ms: int, wall_ms: int
     ) -> list[effects.Effect]:
-        return self.inner.handle(self.change(event), now_ms, wall_ms)
+        return self.inner.handle(self.transform_event(event), now_ms, wall_ms)
 
-    def change(self, event: events.Event) -> events.Event:
+    def transform_event(self, event: events.Event) -> events.Event:
         return event
 
 
-def _maker(between: type[_Between]) -> Callable[..., _Between]:
-    return lambda *args: between(agents.make_agent(*args))
+def _wrapped_agent_factory(
+    wrapper: type[_AgentWrapper],
+) -> Callable[..., _AgentWrapper]:
+    return lambda *args: wrapper(agents.make_agent(*args))
 
 
 @contextlib.contextmanager
 def _replaced(owner: Any, name: str, value: Any) -> Iterator[None]:
-    before = getattr(owner, name)
+    original = getattr(owner, name)
     setattr(owner, name, value)
     try:
         yield
     finally:
-        setattr(owner, name, before)
+        setattr(owner, name, original)
 
 
 @sabotage("no-evictions", "guarantee-reclaimable", seeds=2)
 def _no_evictions() -> Iterator[Callable[..., Any]]:
     decide = scheduler.DomainScheduler.decide
 
-    def without(self: Any, now_ms: int) -> list[decisions.Decision]:
+    def decide_without_evictions(
+        self: Any, now_ms: int
+    ) -> list[decisions.Decision]:
         return [
             decision
             for decision in decide(self, now_ms)
             if not isinstance(decision, decisions.EvictJob)
         ]
 
-    with _replaced(scheduler.DomainScheduler, "decide", without):
+    with _replaced(
+        scheduler.DomainScheduler, "decide", decide_without_evictions
+    ):
         yield agents.make_agent
 
 
@@ -202,21 +210,23 @@
     ("target-dies", "job.renew"),
     trial_run_ms=40_000,
 )
-def _lost_members() -> Iterator[Callable[..., Any]]:
+def _lost_members_ignored() -> Iterator[Callable[..., Any]]:
     report = attempts.Attempt.report
 
-    def living(self: Any, worker: Any, lease: messages.LeaseReport) -> None:
+    def report_unless_lapsed(
+        self: Any, worker: Any, lease: messages.LeaseReport
+    ) -> None:
         if lease.state is not states.LeaseState.LAPSED:
             report(self, worker, lease)
 
-    def nothing(self: Any, *args: Any) -> None:
+    def do_nothing(self: Any, *args: Any) -> None:
         pass
 
     with contextlib.ExitStack() as stack:
         for name, value in (
-            ("report", living),
-            ("absent", nothing),
-            ("worker_lost", nothing),
+            ("report", report_unless_lapsed),
+            ("absent", do_nothing),
+            ("worker_lost", do_nothing),
         ):
             stack.enter_context(_replaced(attempts.Attempt, name, value))
         yield agents.make_agent
@@ -229,7 +239,7 @@
     ("burst-of-small", "change.fold"),
 )
 def _out_ignored() -> Iterator[Callable[..., Any]]:
-    def opened(
+    def with_all_domains_in(
         content: configuration.Configuration,
     ) -> configuration.Configuration:
         domains = tuple(
@@ -242,13 +252,13 @@
 
     with contextlib.ExitStack() as stack:
         for owner in (scheduler.DomainScheduler, owned_domain.OwnedDomain):
-            inner = owner.set_configuration
+            original = owner.set_configuration
             stack.enter_context(
                 _replaced(
                     owner,
                     "set_configuration",
-                    lambda self, content, inner=inner: inner(
-                        self, opened(content)
+                    lambda self, content, original=original: original(
+                        self, with_all_domains_in(content)
                     ),
                 )
             )
@@ -258,17 +268,20 @@
         yield agents.make_agent
 
 
-class _MixedAnswers(_Between):
-    """Takes the last answer of any runner for the answer to a request."""
+class _MixedUpAnswers(_AgentWrapper):
+    """Replaces each answer of a runner by the previous answer of any runner."""
 
-    def __init__(self, inner: agent_lib.Agent) -> None:
+    def __init__(self, inner: agent.Agent) -> None:
         super().__init__(inner)
-        self.last = ""
+        self.previous_payload = ""
 
-    def change(self, event: events.Event) -> events.Event:
+    def transform_event(self, event: events.Event) -> events.Event:
         if not isinstance(event, events.RunnerAnswered) or not event.answer:
             return event
-        payload, self.last = self.last, event.answer.payload
+        payload, self.previous_payload = (
+            self.previous_payload,
+            event.answer.payload,
+        )
         if not payload:
             return event
         answer = msgspec.structs.replace(event.answer, payload=payload)
@@ -276,14 +289,14 @@
 
 
 @sabotage("answers-mixed-up", "own-whole-answer", seeds=1)
-def _mixed_answers() -> Iterator[Callable[..., Any]]:
-    yield _maker(_MixedAnswers)
+def _answers_mixed_up() -> Iterator[Callable[..., Any]]:
+    yield _wrapped_agent_factory(_MixedUpAnswers)
 
 
-class _SilenceIsRefusal(_Between):
-    """Takes a runner's silence for the proof that nothing ran."""
+class _SilenceAsRefusal(_AgentWrapper):
+    """Treats a missing answer of a runner as proof that nothing ran."""
 
-    def change(self, event: events.Event) -> events.Event:
+    def transform_event(self, event: events.Event) -> events.Event:
         if not isinstance(event, events.RunnerAnswered) or event.answer:
             return event
         return msgspec.structs.replace(event, sent=False)
@@ -292,8 +305,8 @@
 @sabotage(
     "silence-is-refusal", "not-run-is-true", ("message-lost", "request.send")
 )
-def _silence() -> Iterator[Callable[..., Any]]:
-    yield _maker(_SilenceIsRefusal)
+def _silence_is_refusal() -> Iterator[Callable[..., Any]]:
+    yield _wrapped_agent_factory(_SilenceAsRefusal)
 
 
 @sabotage(
@@ -302,8 +315,8 @@
     ("process-paused", "request.send"),
     seeds=40,
 )
-def _no_claims() -> Iterator[Callable[..., Any]]:
-    def granted(
+def _claims_always_granted() -> Iterator[Callable[..., Any]]:
+    def grant_claim(
         self: Any, key: str, digest: str, on_outcome: Callable[..., None]
     ) -> None:
         claim = records.KeyClaimed(
@@ -315,22 +328,22 @@
         )
         on_outcome(claims.ClaimOutcome(granted=True, claim=claim))
 
-    with _replaced(claims.Claims, "claim", granted):
+    with _replaced(claims.Claims, "claim", grant_claim):
         yield agents.make_agent
 
 
-class _LeavingUnseen(_Between):
-    """Never learns that a target leaves."""
+class _LeavingHidden(_AgentWrapper):
+    """Hides from the agent that a target is leaving."""
 
-    def change(self, event: events.Event) -> events.Event:
+    def transform_event(self, event: events.Event) -> events.Event:
         match event:
             case events.PlatformListed(view=view) if view is not None:
                 return msgspec.structs.replace(
                     event,
                     view=msgspec.structs.replace(
                         view,
-                        workers=_all_up(view.workers),
-                        runners=_all_up(view.runners),
+                        workers=_with_state_up(view.workers),
+                        runners=_with_state_up(view.runners),
                     ),
                 )
             case events.RunnerAnswered(answer=answer) if (
@@ -344,22 +357,24 @@
                 return event
 
 
-def _all_up(
+def _with_state_up(
     targets: tuple[messages.ListedTarget, ...],
 ) -> tuple[messages.ListedTarget, ...]:
     up = states.TargetState.UP
-    return tuple(msgspec.structs.replace(t, state=up) for t in targets)
+    return tuple(
+        msgspec.structs.replace(target, state=up) for target in targets
+    )
 
 
 @sabotage(
     "leaving-unseen", "leaving-target", ("target-leaving", "request.answer")
 )
 def _leaving_unseen() -> Iterator[Callable[..., Any]]:
-    yield _maker(_LeavingUnseen)
+    yield _wrapped_agent_factory(_LeavingHidden)
 
 
-class _ExitsAtOnce(_Between):
-    """Stops without finishing anything."""
+class _ImmediateExit(_AgentWrapper):
+    """Exits when a drain is requested, without finishing open work."""
 
     def handle(
         self, event: events.Event, now_ms: int, wall_ms: int
@@ -370,18 +385,18 @@
 
 
 @sabotage("exit-at-once", "graceful-stop", ("log-slow", "drain.request"))
-def _exits_at_once() -> Iterator[Callable[..., Any]]:
-    yield _maker(_ExitsAtOnce)
+def _exit_at_once() -> Iterator[Callable[..., Any]]:
+    yield _wrapped_agent_factory(_ImmediateExit)
 
 
-class _AnyBase(_Between):
-    """Folds every change, whatever version its operator had seen."""
+class _BaseVersionIgnored(_AgentWrapper):
+    """Accepts every change, whatever base version it names."""
 
-    def change(self, event: events.Event) -> events.Event:
+    def transform_event(self, event: events.Event) -> events.Event:
         if not isinstance(event, events.LogRead) or event.page is None:
             return event
         version = self.inner.configuration.fold.current.version
-        changed = []
+        rebased_entries = []
         for entry in event.page.records:
             change = records.decode(entry.data)
             if isinstance(change, records.ConfigurationChange):
@@ -390,8 +405,10 @@
                 )
                 version += 1
                 entry = msgspec.structs.replace(entry, data=data)
-            changed.append(entry)
-        page = msgspec.structs.replace(event.page, records=tuple(changed))
+            rebased_entries.append(entry)
+        page = msgspec.structs.replace(
+            event.page, records=tuple(rebased_entries)
+        )
         return msgspec.structs.replace(event, page=page)
 
 
@@ -400,24 +417,24 @@
     "configuration-in-force",
     ("operators-racing", "change.publish"),
 )
-def _any_base() -> Iterator[Callable[..., Any]]:
-    yield _maker(_AnyBase)
+def _base_version_ignored() -> Iterator[Callable[..., Any]]:
+    yield _wrapped_agent_factory(_BaseVersionIgnored)
 
 
 @sabotage("tokens-ignored", ANY, ("vms-cut-apart", "job.start"))
 def _tokens_ignored() -> Iterator[Callable[..., Any]]:
     call = worker_lib.WorkerModel.call
 
-    def unfenced(
+    def call_unfenced(
         self: Any, body: messages.WorkerCall, now_ms: int
     ) -> messages.WorkerAnswer:
         token = max(self.token, body.token)
-        raised = msgspec.structs.replace(body, token=token)
-        answer = call(self, raised, now_ms)
+        accepted_body = msgspec.structs.replace(body, token=token)
+        answer = call(self, accepted_body, now_ms)
         report = answer.report and msgspec.structs.replace(
             answer.report, token=body.token
         )
         return msgspec.structs.replace(answer, token=body.token, report=report)
 
-    with _replaced(worker_lib.WorkerModel, "call", unfenced):
+    with _replaced(worker_lib.WorkerModel, "call", call_unfenced):
         yield agents.make_agent
--- a/citronmount/bench/faults/steps.py
+++ b/citronmount/bench/faults/steps.py
@@ -1,4 +1,8 @@
-"""The steps at which faults strike, recognized by what passes."""
+"""The steps at which faults are injected.
+
+A step is recognized by an event that a process receives or an effect that its
+agent requests.
+"""
 
 from typing import Any
 
@@ -15,7 +19,7 @@
 
 
 def _call_of(item: Any, kind: type) -> Any:
-    """Returns the caller's call of a kind that an event brings, if any."""
+    """Returns the client's call that an event carries, if it is of a kind."""
     if isinstance(item, events.CallArrived) and isinstance(item.body, kind):
         return item.body
     return None
@@ -24,10 +28,12 @@
 def _appends(item: Any, *kinds: type) -> bool:
     if not isinstance(item, effects.AppendLog):
         return False
-    return any(isinstance(records.decode(d), kinds) for _, d in item.records)
+    return any(
+        isinstance(records.decode(data), kinds) for _, data in item.records
+    )
 
 
-def _acts(item: Any, *kinds: type) -> bool:
+def _includes_act(item: Any, *kinds: type) -> bool:
     return isinstance(item, effects.CallWorker) and any(
         isinstance(act, kinds) for act in item.body.acts
     )
@@ -44,37 +50,37 @@
 
 
 def _in_focus(cell: Any, process: Any) -> bool:
-    return process.vm.failure_domain == cell.focus
+    return process.vm.failure_domain == cell.focus_domain
 
 
 @registry.step("job.submit")
-def _submit(cell: Any, process: Any, item: Any) -> bool:
+def _is_job_submit(cell: Any, process: Any, item: Any) -> bool:
     return _call_of(item, peer_messages.SubmitJob) is not None
 
 
 @registry.step("job.accept")
-def _accept(cell: Any, process: Any, item: Any) -> bool:
+def _is_job_accept(cell: Any, process: Any, item: Any) -> bool:
     return _appends(item, records.JobAccepted)
 
 
 @registry.step("job.intent")
-def _intent(cell: Any, process: Any, item: Any) -> bool:
+def _is_job_intent(cell: Any, process: Any, item: Any) -> bool:
     return _appends(item, records.AttemptIntended)
 
 
 @registry.step("job.reserve")
-def _reserve(cell: Any, process: Any, item: Any) -> bool:
-    return _acts(item, messages.Reserve)
+def _is_job_reserve(cell: Any, process: Any, item: Any) -> bool:
+    return _includes_act(item, messages.Reserve)
 
 
 @registry.step("job.start")
-def _start(cell: Any, process: Any, item: Any) -> bool:
-    return _acts(item, messages.Start)
+def _is_job_start(cell: Any, process: Any, item: Any) -> bool:
+    return _includes_act(item, messages.Start)
 
 
 @registry.step("job.renew")
-def _renew(cell: Any, process: Any, item: Any) -> bool:
-    if not _acts(item, messages.Renew):
+def _is_job_renew(cell: Any, process: Any, item: Any) -> bool:
+    if not _includes_act(item, messages.Renew):
         return False
     return any(
         lease.state is states.LeaseState.RUNNING
@@ -83,7 +89,7 @@
 
 
 @registry.step("job.report")
-def _report(cell: Any, process: Any, item: Any) -> bool:
+def _is_job_report(cell: Any, process: Any, item: Any) -> bool:
     if not isinstance(item, events.WorkerAnswered) or item.answer is None:
         return False
     report = item.answer.report
@@ -93,95 +99,95 @@
 
 
 @registry.step("job.evict")
-def _evict(cell: Any, process: Any, item: Any) -> bool:
-    return _traces(item, timeline_events.EventKind.JOB_EVICTING) or _acts(
-        item, messages.Checkpoint
-    )
+def _is_job_evict(cell: Any, process: Any, item: Any) -> bool:
+    return _traces(
+        item, timeline_events.EventKind.JOB_EVICTING
+    ) or _includes_act(item, messages.Checkpoint)
 
 
 @registry.step("job.end")
-def _end(cell: Any, process: Any, item: Any) -> bool:
+def _is_job_end(cell: Any, process: Any, item: Any) -> bool:
     return _appends(item, records.JobEnded)
 
 
 @registry.step("job.cancel")
-def _cancel(cell: Any, process: Any, item: Any) -> bool:
+def _is_job_cancel(cell: Any, process: Any, item: Any) -> bool:
     return _call_of(item, peer_messages.CancelJob) is not None
 
 
 @registry.step("request.arrive")
-def _arrive(cell: Any, process: Any, item: Any) -> bool:
+def _is_request_arrive(cell: Any, process: Any, item: Any) -> bool:
     return _call_of(item, peer_messages.RunRequest) is not None
 
 
 @registry.step("request.claim")
-def _claim(cell: Any, process: Any, item: Any) -> bool:
-    claims = _sends(item, peer_messages.ClaimKey)
-    return claims or _appends(item, records.KeyClaimed)
+def _is_request_claim(cell: Any, process: Any, item: Any) -> bool:
+    sends_claim = _sends(item, peer_messages.ClaimKey)
+    return sends_claim or _appends(item, records.KeyClaimed)
 
 
 @registry.step("request.send")
-def _send(cell: Any, process: Any, item: Any) -> bool:
+def _is_request_send(cell: Any, process: Any, item: Any) -> bool:
     return isinstance(item, effects.CallRunner) and not item.spec.idempotent
 
 
 @registry.step("request.answer")
-def _answer(cell: Any, process: Any, item: Any) -> bool:
+def _is_request_answer(cell: Any, process: Any, item: Any) -> bool:
     return isinstance(item, events.RunnerAnswered)
 
 
 @registry.step("change.publish")
-def _publish(cell: Any, process: Any, item: Any) -> bool:
+def _is_change_publish(cell: Any, process: Any, item: Any) -> bool:
     return _call_of(item, peer_messages.PublishConfiguration) is not None
 
 
 @registry.step("change.append")
-def _append(cell: Any, process: Any, item: Any) -> bool:
+def _is_change_append(cell: Any, process: Any, item: Any) -> bool:
     return _appends(item, records.ConfigurationChange)
 
 
 @registry.step("change.fold")
-def _fold(cell: Any, process: Any, item: Any) -> bool:
+def _is_change_fold(cell: Any, process: Any, item: Any) -> bool:
     if not isinstance(item, events.LogRead) or item.page is None:
         return False
     return any(
-        isinstance(records.decode(r.data), records.ConfigurationChange)
-        and r.offset > 0
-        for r in item.page.records
+        isinstance(records.decode(entry.data), records.ConfigurationChange)
+        and entry.offset > 0
+        for entry in item.page.records
     )
 
 
 @registry.step("relay.ask")
-def _relay(cell: Any, process: Any, item: Any) -> bool:
-    asks = _sends(item, peer_messages.StateRequest)
-    return asks and item.message.stream == records.CONFIG_STREAM
+def _is_relay_ask(cell: Any, process: Any, item: Any) -> bool:
+    requests_state = _sends(item, peer_messages.StateRequest)
+    return requests_state and item.message.stream == records.CONFIG_STREAM
 
 
 @registry.step("takeover.suspect")
-def _suspect(cell: Any, process: Any, item: Any) -> bool:
-    taken = timeline_events.EventKind.OWNERSHIP_TAKEN
-    return _in_focus(cell, process) and _traces(item, taken)
+def _is_takeover_suspect(cell: Any, process: Any, item: Any) -> bool:
+    ownership_taken = timeline_events.EventKind.OWNERSHIP_TAKEN
+    return _in_focus(cell, process) and _traces(item, ownership_taken)
 
 
 @registry.step("takeover.fence")
-def _fence(cell: Any, process: Any, item: Any) -> bool:
+def _is_takeover_fence(cell: Any, process: Any, item: Any) -> bool:
     if not _in_focus(cell, process) or not isinstance(item, effects.CallWorker):
         return False
-    seen = cell.harness.services.workers[item.worker].token
-    return item.body.token > seen
+    worker_token = cell.harness.services.workers[item.worker].token
+    return item.body.token > worker_token
 
 
 @registry.step("takeover.rebuild")
-def _rebuild(cell: Any, process: Any, item: Any) -> bool:
-    reads = isinstance(item, effects.ReadLog) and item.stream.startswith(
-        "jobs."
-    )
-    asks = _sends(item, peer_messages.StateRequest)
-    return _in_focus(cell, process) and (reads or asks)
+def _is_takeover_rebuild(cell: Any, process: Any, item: Any) -> bool:
+    reads_job_log = isinstance(
+        item, effects.ReadLog
+    ) and item.stream.startswith("jobs.")
+    requests_state = _sends(item, peer_messages.StateRequest)
+    return _in_focus(cell, process) and (reads_job_log or requests_state)
 
 
 @registry.step("takeover.place")
-def _place(cell: Any, process: Any, item: Any) -> bool:
+def _is_takeover_place(cell: Any, process: Any, item: Any) -> bool:
     return _in_focus(cell, process) and (
         _traces(item, timeline_events.EventKind.JOB_PLACED)
         or _appends(item, records.AttemptIntended)
@@ -189,18 +195,18 @@
 
 
 @registry.step("drain.request")
-def _drain(cell: Any, process: Any, item: Any) -> bool:
+def _is_drain_request(cell: Any, process: Any, item: Any) -> bool:
     return isinstance(item, events.DrainRequested)
 
 
 @registry.step("drain.handover")
-def _handover(cell: Any, process: Any, item: Any) -> bool:
-    left = timeline_events.EventKind.OWNERSHIP_LEFT
-    return process.draining and _traces(item, left)
+def _is_drain_handover(cell: Any, process: Any, item: Any) -> bool:
+    ownership_left = timeline_events.EventKind.OWNERSHIP_LEFT
+    return process.draining and _traces(item, ownership_left)
 
 
 @registry.step("drain.finish")
-def _finish(cell: Any, process: Any, item: Any) -> bool:
+def _is_drain_finish(cell: Any, process: Any, item: Any) -> bool:
     return isinstance(item, effects.Exit)
 
 
@@ -211,7 +217,7 @@
         item: An event or effect.
 
     Returns:
-        Its name, or None if it concerns no target.
+        Name of the target, or None if it concerns no target.
     """
     match item:
         case effects.CallWorker() | events.WorkerAnswered():
--- a/citronmount/bench/faults/tests/test_sabotage.py
+++ b/citronmount/bench/faults/tests/test_sabotage.py
@@ -2,7 +2,7 @@
 
 from citronmount.bench.faults import sabotage
 
-_NINE = {
+_SABOTAGED_PROPERTIES = {
     "guarantee-reclaimable",
     "gang-whole",
     "domain-out",
@@ -16,17 +16,17 @@
 
 
 class SabotageTest(unittest.TestCase):
-    def test_every_promise_has_a_sabotage(self):
-        promises = {s.promise for s in sabotage.SABOTAGES.values()}
-        self.assertEqual(_NINE, promises - {sabotage.ANY})
+    def test_every_listed_property_has_a_sabotage(self):
+        properties = {entry.promise for entry in sabotage.SABOTAGES.values()}
+        self.assertEqual(_SABOTAGED_PROPERTIES, properties - {sabotage.ANY})
 
-    def test_the_matrix_catches_each(self):
+    def test_checks_catch_each_sabotage_and_pass_without_it(self):
         for name, entry in sabotage.SABOTAGES.items():
             with self.subTest(name=name, promise=entry.promise):
-                result = sabotage.caught_by(name)
+                result = sabotage.run_until_caught(name)
                 self.assertIsNotNone(result)
-                control = sabotage.without(name, result.plan.seed)
-                broken = sabotage.broken_promises(control)
+                control = sabotage.run_control(name, result.plan.seed)
+                broken = sabotage.broken_properties(control)
                 self.assertNotIn(entry.promise, broken)
 
 
--- a/citronmount/bench/faults/timeline_check.py
+++ b/citronmount/bench/faults/timeline_check.py
@@ -1,4 +1,4 @@
-"""A second checker that reads nothing but the time line."""
+"""An independent checker that reads only the timeline of a run."""
 
 import collections
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 __all__ = ["check"]
 
-PARTIAL_GANG_MS = 12_000
+PARTIAL_GANG_BOUND_MS = 12_000
 
 _Kind = timeline_events.EventKind
 _Checker = Callable[
@@ -21,25 +21,25 @@
 
 
 def check(timeline: Iterable[timeline_events.TimelineEvent]) -> list[str]:
-    """Checks what a merged time line alone can tell.
+    """Finds contradictions in a merged timeline.
 
     Args:
-        timeline: Events of all processes and targets, each process's own in
-            their order.
+        timeline: Events of all processes and targets. The events of each
+            process are in the order in which they happened.
 
     Returns:
         One line for each contradiction.
     """
     merged = list(timeline)
     checkers: tuple[_Checker, ...] = (
-        _keys_run_once,
+        _keys_start_once,
         _members_start_once,
-        _gangs_are_whole,
-        _done_is_done,
-        _refused_never_ran,
-        _one_result,
-        _versions_rise,
-        _domains_out_are_quiet,
+        _gangs_run_together,
+        _done_jobs_finished,
+        _refused_jobs_never_start,
+        _results_never_change,
+        _versions_never_decrease,
+        _no_reservations_in_domains_out,
     )
     return [
         f"{event.physical_ms} {event.process} {event.kind.value}: {text}"
@@ -48,59 +48,72 @@
     ]
 
 
-def _keys_run_once(
+def _keys_start_once(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
-    seen: set[str] = set()
+    started_keys: set[str] = set()
     for event in timeline:
         if event.kind is _Kind.RUNNER_STARTED and event.job:
-            if event.job in seen:
-                yield event, f"key {event.job} runs again"
-            seen.add(event.job)
+            if event.job in started_keys:
+                yield event, f"key {event.job} is run a second time"
+            started_keys.add(event.job)
 
 
 def _members_start_once(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
-    seen: set[tuple[str, str]] = set()
+    started_members: set[tuple[str, str]] = set()
     for event in timeline:
         if event.kind is _Kind.TASK_STARTED:
             member = (event.attempt, event.target)
-            if member in seen:
-                yield event, f"{event.attempt} starts again"
-            seen.add(member)
+            if member in started_members:
+                yield (
+                    event,
+                    f"attempt {event.attempt} starts a second time here",
+                )
+            started_members.add(member)
 
 
-def _gangs_are_whole(
+def _gangs_run_together(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
-    """Follows how many tasks of each attempt run or have finished."""
+    """Finds attempts of which only some tasks ran for too long.
+
+    A gang is complete while all its tasks run or have finished.
+    """
     tasks = _tasks_of_jobs(timeline)
-    active: collections.Counter = collections.Counter()
+    running_or_finished: collections.Counter = collections.Counter()
     running: collections.Counter = collections.Counter()
-    partial_since: dict[str, int] = {}
+    partial_since_ms: dict[str, int] = {}
     for event in timeline:
         if event.kind not in (_Kind.TASK_STARTED, _Kind.TASK_ENDED):
             continue
         if event.kind is _Kind.TASK_STARTED:
-            active[event.attempt] += event.count
+            running_or_finished[event.attempt] += event.count
             running[event.attempt] += event.count
         elif running[event.attempt]:
             running[event.attempt] -= event.count
             if event.detail != states.LeaseState.FINISHED.value:
-                active[event.attempt] -= event.count
-        whole = active[event.attempt] == tasks.get(event.job)
-        since = partial_since.pop(event.attempt, event.physical_ms)
-        if event.physical_ms - since > PARTIAL_GANG_MS:
-            yield event, f"{event.attempt} ran in part since {since}"
-        if running[event.attempt] and not whole:
-            partial_since[event.attempt] = since
+                running_or_finished[event.attempt] -= event.count
+        complete = running_or_finished[event.attempt] == tasks.get(event.job)
+        since_ms = partial_since_ms.pop(event.attempt, event.physical_ms)
+        if event.physical_ms - since_ms > PARTIAL_GANG_BOUND_MS:
+            yield (
+                event,
+                f"attempt {event.attempt} ran partially since {since_ms} ms",
+            )
+        if running[event.attempt] and not complete:
+            partial_since_ms[event.attempt] = since_ms
 
 
 def _tasks_of_jobs(
     timeline: list[timeline_events.TimelineEvent],
 ) -> dict[str, int]:
-    """Returns the gang sizes, from acceptances or else from reservations."""
+    """Returns the gang size of each job.
+
+    It is read from the acceptance, or else from the largest reservation of an
+    attempt.
+    """
     reserved: dict[tuple[str, str], dict[str, int]] = collections.defaultdict(
         dict
     )
@@ -110,88 +123,106 @@
             accepted[event.job] = event.count
         elif event.kind is _Kind.TASK_RESERVED:
             reserved[event.job, event.attempt][event.target] = event.count
-    largest: dict[str, int] = {}
+    max_reserved: dict[str, int] = {}
     for (job, _), members in reserved.items():
-        largest[job] = max(largest.get(job, 0), sum(members.values()))
-    return largest | accepted
+        max_reserved[job] = max(max_reserved.get(job, 0), sum(members.values()))
+    return max_reserved | accepted
 
 
-def _done_is_done(
+def _done_jobs_finished(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     tasks = _tasks_of_jobs(timeline)
     finished: collections.Counter = collections.Counter()
-    best: dict[str, int] = {}
+    max_finished: dict[str, int] = {}
     for event in timeline:
         if event.kind is _Kind.TASK_ENDED:
             if event.detail == states.LeaseState.FINISHED.value:
                 finished[event.attempt] += event.count
                 count = finished[event.attempt]
-                best[event.job] = max(best.get(event.job, 0), count)
+                max_finished[event.job] = max(
+                    max_finished.get(event.job, 0), count
+                )
         elif event.kind is _Kind.JOB_ENDED:
-            done = event.code == codes.ResultCode.DONE
-            if done and best.get(event.job, 0) != tasks.get(event.job):
-                yield event, f"{event.job} is not done whole"
+            is_done = event.code == codes.ResultCode.DONE
+            if is_done and max_finished.get(event.job, 0) != tasks.get(
+                event.job
+            ):
+                yield (
+                    event,
+                    f"job {event.job} is done, but not all its tasks finished",
+                )
 
 
-def _refused_never_ran(
+def _refused_jobs_never_start(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
-    proven: dict[str, timeline_events.TimelineEvent] = {}
+    not_run: dict[str, timeline_events.TimelineEvent] = {}
     started: set[str] = set()
     for event in timeline:
         match event.kind:
             case _Kind.JOB_ENDED if _proves_not_run(event.code):
-                proven[event.job] = event
+                not_run[event.job] = event
             case _Kind.TASK_STARTED:
                 started.add(event.job)
-    for job in sorted(proven.keys() & started):
-        yield proven[job], f"{job} was started"
+    for job in sorted(not_run.keys() & started):
+        yield not_run[job], f"job {job} ended as not run, but was started"
 
 
 def _proves_not_run(code: int) -> bool:
     return codes.info(codes.ResultCode(code)).proves_not_run
 
 
-def _one_result(
+def _results_never_change(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     results: dict[str, int] = {}
     for event in timeline:
         if event.kind is _Kind.JOB_ENDED:
-            first = results.setdefault(event.job, event.code)
-            if first != event.code:
-                yield event, f"{event.job} ended before with {first}"
+            first_code = results.setdefault(event.job, event.code)
+            if first_code != event.code:
+                yield (
+                    event,
+                    f"job {event.job} ended before with code {first_code}",
+                )
 
 
-def _versions_rise(
+def _versions_never_decrease(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     highest: dict[str, int] = {}
     for event in timeline:
         if event.kind is _Kind.CONFIGURATION_IN_FORCE:
-            before = highest.get(event.process, 0)
-            if event.version < before:
-                yield event, f"version {before} was in force before"
-            highest[event.process] = max(before, event.version)
+            previous = highest.get(event.process, 0)
+            if event.version < previous:
+                yield event, f"higher version {previous} was in force before"
+            highest[event.process] = max(previous, event.version)
 
 
-def _domains_out_are_quiet(
+def _no_reservations_in_domains_out(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
-    """No start in a failure domain that every VM of it knows to be out.
+    """Finds reservations in a domain that all its VMs know to be out.
 
-    The detail of a version in force names the failure domains that are out.
+    The detail of a CONFIGURATION_IN_FORCE event lists the failure domains that
+    are out of service.
     """
-    out: dict[str, frozenset[str]] = {}
-    vms: dict[str, set[str]] = collections.defaultdict(set)
+    domains_out: dict[str, frozenset[str]] = {}
+    vms_of_domain: dict[str, set[str]] = collections.defaultdict(set)
     for event in timeline:
         match event.kind:
             case _Kind.CONFIGURATION_IN_FORCE:
-                out[event.process] = frozenset(event.detail.split(","))
-                vms[event.process.partition(".")[0]].add(event.process)
+                domains_out[event.process] = frozenset(event.detail.split(","))
+                vms_of_domain[event.process.partition(".")[0]].add(
+                    event.process
+                )
             case _Kind.TASK_RESERVED:
                 domain = event.failure_domain
-                known = [domain in out[vm] for vm in vms[domain]]
-                if known and all(known):
-                    yield event, f"{event.job} is reserved, {domain} is out"
+                known_out = [
+                    domain in domains_out[vm] for vm in vms_of_domain[domain]
+                ]
+                if known_out and all(known_out):
+                    yield (
+                        event,
+                        f"job {event.job} is reserved, but {domain} is out",
+                    )
