--- a/citronmount/service/tests/test_api_inputs.py
+++ b/citronmount/service/tests/test_http_api_inputs.py
@@ -1,4 +1,4 @@
-"""Properties of the HTTP API for arbitrary input."""
+"""Property tests of the HTTP API with arbitrary input."""
 
 import unittest
 
@@ -13,9 +13,9 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.peers import peer_messages
-from citronmount.service import api as api_lib
+from citronmount.service import event_loop
+from citronmount.service import http_api
 from citronmount.service import rate_limiter
-from citronmount.service import runtime as runtime_lib
 from citronmount.service.tests import fakes
 from citronmount.telemetry import metrics_registry
 from citronmount.telemetry import timeline_store
@@ -50,7 +50,7 @@
         ("GET", "/v1/timeline"),
     )
 )
-_QUERY = strategies.dictionaries(
+_QUERIES = strategies.dictionaries(
     strategies.sampled_from(
         ("account", "limit", "base_version", "failure_domain", "wait_ms")
     ),
@@ -78,27 +78,27 @@
             return peer_messages.JobAnswer(status=_STATUS)
 
 
-def _client() -> testing.StubTreq:
+def _make_client() -> testing.StubTreq:
     state_machine = fakes.FakeStateMachine(_answer)
     metrics = metrics_registry.MetricsRegistry()
     timeline = timeline_store.TimelineStore(max_events=1)
-    runtime = runtime_lib.Runtime(
+    runtime = event_loop.Runtime(
         reactor=task.Clock(),
         state_machine=state_machine,
         peers=fakes.FakePeers(),
         http=fakes.FakeHttp(),
-        addresses=runtime_lib.Addresses(log="", vm_list=""),
+        addresses=event_loop.Addresses(log="", vm_list=""),
         on_trace=timeline.add,
         metrics=metrics,
     )
-    api = api_lib.Api(
+    api = http_api.Api(
         vm=ids.VmId("v1"),
         failure_domain=ids.FailureDomainId("kr-a"),
         runtime=runtime,
         state_machine=state_machine,
         timeline=timeline,
         metrics=metrics,
-        limit=rate_limiter.RateLimiter(rate_per_s=1, burst=1_000_000),
+        account_limiter=rate_limiter.RateLimiter(rate_per_s=1, burst=1_000_000),
         now_ms=lambda: 0,
         wall_ms=lambda: 0,
     )
@@ -106,16 +106,16 @@
 
 
 class InputTest(unittest.TestCase):
-    """No input brings a traceback or an answer without a code."""
+    """Arbitrary input never causes a traceback or an internal error."""
 
     def setUp(self) -> None:
-        self.http = _client()
+        self.http = _make_client()
 
     @hypothesis.settings(
         derandomize=True, max_examples=150, deadline=None, database=None
     )
-    @hypothesis.given(route=_ROUTES, query=_QUERY, body=_BODIES)
-    def test_every_answer_is_json_and_no_fault_of_the_system(
+    @hypothesis.given(route=_ROUTES, query=_QUERIES, body=_BODIES)
+    def test_every_answer_is_json_without_an_internal_error(
         self,
         route: tuple[str, str],
         query: dict[str, str],
@@ -129,6 +129,6 @@
         answer.addCallback(lambda r: r.content().addCallback(results.append))
         answer.addCallback(lambda _: results.append(None))
         self.http.flush()
-        found = msgspec.json.decode(results[0])
-        code = found.get("code", codes.ResultCode.OK)
-        self.assertNotEqual(9, code // 1_000, found)
+        decoded = msgspec.json.decode(results[0])
+        code = decoded.get("code", codes.ResultCode.OK)
+        self.assertNotEqual(9, code // 1_000, decoded)
