--- a/citronmount/bench/faults/agents.py
+++ b/citronmount/bench/faults/agents.py
@@ -14,8 +14,8 @@
 
     Args:
         vm: The VM's entry in the platform's list.
-        incarnation_ms: Incarnation of the VM, its start time as Unix time.
-        retention_ms: Retention time of the log.
+        incarnation_ms: Incarnation of the VM: the Unix time of its start in ms.
+        retention_ms: Retention time of the log in ms.
 
     Returns:
         An agent that has handled no event yet.
--- a/citronmount/bench/faults/availability.py
+++ b/citronmount/bench/faults/availability.py
@@ -17,7 +17,7 @@
 __all__ = ["Availability", "measure"]
 
 _WARM_UP_MS = 9_000
-_DEATH_MS = 5_000
+_KILL_DELAY_MS = 5_000
 _DOWN_TIME_MS = 8_000
 _MIN_COMPLETION_MS = 16_000
 _SERVICE_TIMES_MS = (10, 20, 30)
@@ -54,37 +54,39 @@
     Returns:
         The outcomes of idempotent requests, then those of the others.
     """
-    first: dict[bool, collections.Counter] = collections.defaultdict(
+    first_outcomes: dict[bool, collections.Counter] = collections.defaultdict(
         collections.Counter
     )
-    last: dict[bool, collections.Counter] = collections.defaultdict(
+    last_outcomes: dict[bool, collections.Counter] = collections.defaultdict(
         collections.Counter
     )
     violations = 0
     vms = [vm.vm for vm in harness_site.make_site().view.vms]
-    for number, vm in enumerate(vms):
+    for vm_index, vm in enumerate(vms):
         for seed in seeds:
-            history = _run_with_vm_death(
-                vm, 100 * seed + number, requests, gap_ms
-            )
+            history = _run_and_kill(vm, 100 * seed + vm_index, requests, gap_ms)
             violations += len(matrix.check_properties(history))
             for request in history.clients.requests.values():
                 idempotent = next(iter(request.specs.values())).idempotent
-                first[idempotent][_code_name(request.told[0].body)] += 1
-                last[idempotent][_code_name(request.told[-1].body)] += 1
+                first_outcomes[idempotent][
+                    _code_name(request.told[0].body)
+                ] += 1
+                last_outcomes[idempotent][
+                    _code_name(request.told[-1].body)
+                ] += 1
     return tuple(
         Availability(
             idempotent=idempotent,
-            requests=first[idempotent].total(),
-            first=dict(sorted(first[idempotent].items())),
-            last=dict(sorted(last[idempotent].items())),
+            requests=first_outcomes[idempotent].total(),
+            first=dict(sorted(first_outcomes[idempotent].items())),
+            last=dict(sorted(last_outcomes[idempotent].items())),
             violations=violations,
         )
         for idempotent in (True, False)
     )
 
 
-def _run_with_vm_death(
+def _run_and_kill(
     vm: str, seed: int, requests: int, gap_ms: int
 ) -> run_history.RunHistory:
     harness = harness_lib.Harness(
@@ -104,10 +106,10 @@
     harness.run_until_ms(_WARM_UP_MS)
     for index in range(requests):
         harness.clock.after_ms(index * gap_ms, _send, clients, index)
-    harness.clock.after_ms(_DEATH_MS, harness.kill, vm)
-    harness.clock.after_ms(_DEATH_MS + _DOWN_TIME_MS, harness.start, vm)
+    harness.clock.after_ms(_KILL_DELAY_MS, harness.kill, vm)
+    harness.clock.after_ms(_KILL_DELAY_MS + _DOWN_TIME_MS, harness.start, vm)
     harness.run_until_ms(_WARM_UP_MS + requests * gap_ms + _MIN_COMPLETION_MS)
-    history.observe_end(clients, _WARM_UP_MS + _DEATH_MS + _DOWN_TIME_MS)
+    history.observe_end(clients, _WARM_UP_MS + _KILL_DELAY_MS + _DOWN_TIME_MS)
     return history
 
 
--- a/citronmount/bench/faults/fault_kinds.py
+++ b/citronmount/bench/faults/fault_kinds.py
@@ -97,45 +97,45 @@
 
 @registry.fault("vm-list-stale")
 def _vm_list_stale(cell: Any, injection: Any) -> None:
-    normal_ms = cell.harness.services.platform.lag_ms
-    cell.harness.services.platform.lag_ms = normal_ms + 15_000
+    normal_lag_ms = cell.harness.services.platform.lag_ms
+    cell.harness.services.platform.lag_ms = normal_lag_ms + 15_000
 
     def heal() -> None:
-        cell.harness.services.platform.lag_ms = normal_ms
+        cell.harness.services.platform.lag_ms = normal_lag_ms
 
     cell.schedule_heal(cell.rng.randint(5_000, 15_000), heal)
 
 
 @registry.fault("target-dies")
 def _target_dies(cell: Any, injection: Any) -> None:
-    name = cell.affected_target(injection)
-    cell.harness.services.crash_target(name, refuses=cell.rng.random() < 0.5)
+    target = cell.affected_target(injection)
+    cell.harness.services.crash_target(target, refuses=cell.rng.random() < 0.5)
     cell.schedule_heal(
         cell.rng.randint(3_000, 15_000),
         cell.harness.services.restore_target,
-        name,
+        target,
     )
 
 
 @registry.fault("target-fails-starts")
 def _target_fails_starts(cell: Any, injection: Any) -> None:
-    model = cell.harness.services.workers[cell.affected_worker(injection)]
-    model.fail_every_start = True
+    worker = cell.harness.services.workers[cell.affected_worker(injection)]
+    worker.fail_every_start = True
 
     def heal() -> None:
-        model.fail_every_start = False
+        worker.fail_every_start = False
 
     cell.schedule_heal(cell.rng.randint(3_000, 15_000), heal)
 
 
 @registry.fault("target-leaving")
 def _target_leaving(cell: Any, injection: Any) -> None:
-    name = cell.affected_target(injection)
-    cell.harness.services.set_leaving(name, True)
+    target = cell.affected_target(injection)
+    cell.harness.services.set_leaving(target, True)
     cell.schedule_heal(
         cell.rng.randint(6_000, 12_000),
         cell.harness.services.set_leaving,
-        name,
+        target,
         False,
     )
 
@@ -157,17 +157,19 @@
         **fields: Fields of `harness_network.LinkFault`.
     """
     vm = injection.process.vm.vm
-    link = harness_network.LinkFault(
+    link_fault = harness_network.LinkFault(
         matches=lambda source, target: (
             vm in (source, target) and target != harness_network.CALLERS
         ),
         **fields,
     )
-    cell.harness.network.faults.append(link)
+    cell.harness.network.faults.append(link_fault)
     duration_ms = cell.rng.randint(min_duration_ms, max_duration_ms)
     now_ms = cell.harness.clock.now_ms
     cell.history.link_faults.append((vm, now_ms, now_ms + duration_ms))
-    cell.schedule_heal(duration_ms, cell.harness.network.faults.remove, link)
+    cell.schedule_heal(
+        duration_ms, cell.harness.network.faults.remove, link_fault
+    )
 
 
 @registry.fault("message-lost")
@@ -203,22 +205,22 @@
     """
     vms = set(cell.vms_in(injection.process.vm.failure_domain))
     one_way = cell.rng.random() < 0.5
-    link = harness_network.LinkFault(
+    link_fault = harness_network.LinkFault(
         matches=lambda source, target: (
             {source, target} <= vms
             and (not one_way or source == injection.process.vm.vm)
         ),
         loss=1.0,
     )
-    cell.harness.network.faults.append(link)
+    cell.harness.network.faults.append(link_fault)
     cell.schedule_heal(
         cell.rng.randint(4_000, 18_000),
         cell.harness.network.faults.remove,
-        link,
+        link_fault,
     )
 
 
-def _cut(cell: Any, pairs: set[tuple[str, str]]) -> None:
+def _cut_links(cell: Any, pairs: set[tuple[str, str]]) -> None:
     cell.harness.network.cuts |= pairs
 
     def heal() -> None:
@@ -235,7 +237,7 @@
 def _domain_cut_one_way(cell: Any, injection: Any) -> None:
     domain = injection.process.vm.failure_domain
     outward = cell.rng.random() < 0.5
-    _cut(
+    _cut_links(
         cell,
         {
             (domain, other) if outward else (other, domain)
@@ -248,7 +250,7 @@
 def _domain_cut_both_ways(cell: Any, injection: Any) -> None:
     domain = injection.process.vm.failure_domain
     others = _other_domains(cell, domain)
-    _cut(
+    _cut_links(
         cell,
         {(domain, other) for other in others}
         | {(other, domain) for other in others},
@@ -259,18 +261,18 @@
 def _domain_cut_from_platform(cell: Any, injection: Any) -> None:
     domain = injection.process.vm.failure_domain
     platform = harness_network.PLATFORM
-    _cut(cell, {(domain, platform), (platform, domain)})
+    _cut_links(cell, {(domain, platform), (platform, domain)})
 
 
 @registry.fault("regions-cut")
 def _regions_cut(cell: Any, injection: Any) -> None:
     """Cuts the last failure domain off from all others and the platform."""
-    region = cell.domains[-1]
+    last_domain = cell.domains[-1]
     others = [*cell.domains[:-1], harness_network.PLATFORM]
-    _cut(
+    _cut_links(
         cell,
-        {(region, other) for other in others}
-        | {(other, region) for other in others},
+        {(last_domain, other) for other in others}
+        | {(other, last_domain) for other in others},
     )
 
 
--- a/citronmount/bench/faults/matrix.py
+++ b/citronmount/bench/faults/matrix.py
@@ -34,6 +34,7 @@
 ]
 
 _SAMPLES_PER_PAIR = 5
+# Importing these modules registers all faults, steps and property checks.
 _REGISTERING_MODULES = (
     fault_kinds,
     steps,
@@ -71,8 +72,8 @@
     Attributes:
         plan: The plan of the cell.
         reached: Whether every step occurred, so that every fault was injected.
-        violations: Properties that did not hold, judged from the history that
-            targets and clients saw.
+        violations: Properties that did not hold, judged from what targets and
+            clients observed.
         contradictions: Inconsistencies that the timeline alone shows.
         virtual_ms: Duration of the run in virtual time.
     """
@@ -179,9 +180,8 @@
         seed: Seed of the samples.
 
     Yields:
-        The plans of one pair. A later plan serves only if both steps did not
-        occur in the earlier ones, because one fault prevented the step of the
-        other.
+        The plans of one pair, to be run in order until one reaches both steps.
+        A plan misses a step when one fault prevents the step of the other.
     """
     pairs = itertools.combinations_with_replacement(registry.FAULTS, 2)
     for pair in pairs:
--- a/citronmount/bench/faults/matrix_cell.py
+++ b/citronmount/bench/faults/matrix_cell.py
@@ -36,6 +36,7 @@
 _REQUEST_COUNT = 40
 _LOAD_BEFORE_DRAIN_MS = 50
 _TRIGGERED_FAMILIES = frozenset({"takeover", "drain", "relay"})
+# Steps that occur often; a cell lets a random number of occurrences pass.
 _FREQUENT_STEPS = frozenset(
     {
         "job.submit",
@@ -261,17 +262,23 @@
             self._content, self.history.log_version(), vms_of_other_domain[0]
         )
         if state is states.FailureDomainState.IN:
-            self._publish_if_stale(publication, domain)
+            self._republish_if_stale(publication, domain)
 
-    def _publish_if_stale(
+    def _republish_if_stale(
         self,
         publication: client_observations.PublicationObservation,
         domain: ids.FailureDomainId,
     ) -> None:
-        """Publishes again if the change was based on a stale version."""
+        """Publishes again if the change was based on a stale version.
+
+        Waits until the outcome of the first publication is known.
+        """
         if not publication.done:
             self.schedule(
-                _CHECK_INTERVAL_MS, self._publish_if_stale, publication, domain
+                _CHECK_INTERVAL_MS,
+                self._republish_if_stale,
+                publication,
+                domain,
             )
             return
         body = publication.told[-1].body
@@ -422,6 +429,7 @@
         )
 
     def _schedule_family_events(self) -> None:
+        """Schedules the events that steps of rare families depend on."""
         wait_ms = TRIGGER_MS - WARM_UP_MS
         if {"change", "relay"} & self._families:
             last_domain = self.site.failure_domains[-1]
@@ -439,7 +447,7 @@
                 wait_ms + 8_000, self.set_domain_state, last_domain, in_service
             )
         if "relay" in self._families:
-            self.schedule(wait_ms, self._cut_from_platform)
+            self.schedule(wait_ms, self._cut_focus_domain_from_platform)
         if "takeover" in self._families:
             self.schedule(wait_ms, self._kill_owner)
         if "drain" in self._families:
@@ -448,7 +456,7 @@
             )
             self.schedule(wait_ms, self._drain_owner)
 
-    def _cut_from_platform(self) -> None:
+    def _cut_focus_domain_from_platform(self) -> None:
         platform = harness_network.PLATFORM
         pairs = {
             (str(self.focus_domain), platform),
@@ -461,7 +469,7 @@
 
         self.schedule_heal(9_000, heal)
 
-    def _owner(self) -> ids.VmId:
+    def _focus_domain_owner(self) -> ids.VmId:
         """Returns the VM that owns the focus domain, or else its first VM."""
         owners = run_history.owners_at(self.harness, self.harness.clock.now_ms)
         domain_owners = [
@@ -493,7 +501,7 @@
         )
 
     def _kill_owner(self) -> None:
-        owner = self._owner()
+        owner = self._focus_domain_owner()
         self.schedule(200, self._submit_to_focus_domain)
         self.harness.kill(owner)
         self.schedule_heal(9_000, self.harness.start, owner)
@@ -505,11 +513,11 @@
                 harness_site.PAYING,
                 idempotent=idempotent,
                 service_ms=400,
-                vm=self._owner(),
+                vm=self._focus_domain_owner(),
             )
 
     def _drain_owner(self) -> None:
-        owner = self._owner()
+        owner = self._focus_domain_owner()
         self.schedule(200, self._submit_to_focus_domain)
         self.harness.drain(owner)
         self.schedule_heal(100, lambda: None)
--- a/citronmount/bench/faults/sabotage.py
+++ b/citronmount/bench/faults/sabotage.py
@@ -111,11 +111,11 @@
     Returns:
         The first result that reports the property as broken, or None.
     """
-    spec = SABOTAGES[name]
-    with spec.apply() as make_agent:
-        for seed in spec.seeds:
-            result = _run(spec, seed, make_agent)
-            if spec.promise in broken_properties(result):
+    sabotage_spec = SABOTAGES[name]
+    with sabotage_spec.apply() as make_agent:
+        for seed in sabotage_spec.seeds:
+            result = _run(sabotage_spec, seed, make_agent)
+            if sabotage_spec.promise in broken_properties(result):
                 return result
     return None
 
@@ -145,12 +145,12 @@
 
 
 def _run(
-    spec: Sabotage, seed: int, make_agent: Callable[..., Any]
+    sabotage_spec: Sabotage, seed: int, make_agent: Callable[..., Any]
 ) -> matrix.CellResult:
     def prepare(cell: matrix_cell.Cell) -> None:
-        cell.trial_run_ms = spec.trial_run_ms
+        cell.trial_run_ms = sabotage_spec.trial_run_ms
 
-    plan = matrix.Plan(strikes=spec.strikes, seed=seed)
+    plan = matrix.Plan(strikes=sabotage_spec.strikes, seed=seed)
     return matrix.run_cell(plan, make_agent=make_agent, prepare=prepare)[0]
 
 
@@ -177,6 +177,7 @@
 
 @contextlib.contextmanager
 def _replaced(owner: Any, name: str, value: Any) -> Iterator[None]:
+    """Replaces an attribute while the context is active."""
     original = getattr(owner, name)
     setattr(owner, name, value)
     try:
--- a/citronmount/bench/faults/simulated_clients.py
+++ b/citronmount/bench/faults/simulated_clients.py
@@ -115,7 +115,7 @@
             urgent: Whether it is urgent.
 
         Returns:
-            The observation, updated while the job is followed.
+            The observation, updated with each outcome.
         """
         command = {
             "run_ms": run_ms,
@@ -163,7 +163,7 @@
         self._call(body, on_outcome)
 
     def cancel(self, name: str) -> None:
-        """Cancels a job, as soon as it is accepted, until a VM confirms it.
+        """Cancels a job once it is accepted, and retries until a VM answers.
 
         Args:
             name: The client's name of the job.
--- a/citronmount/bench/faults/steps.py
+++ b/citronmount/bench/faults/steps.py
@@ -45,11 +45,11 @@
     )
 
 
-def _traces(item: Any, kind: timeline_events.EventKind) -> bool:
+def _traces_event(item: Any, kind: timeline_events.EventKind) -> bool:
     return isinstance(item, effects.Trace) and item.event.kind is kind
 
 
-def _in_focus(cell: Any, process: Any) -> bool:
+def _in_focus_domain(cell: Any, process: Any) -> bool:
     return process.vm.failure_domain == cell.focus_domain
 
 
@@ -100,7 +100,7 @@
 
 @registry.step("job.evict")
 def _is_job_evict(cell: Any, process: Any, item: Any) -> bool:
-    return _traces(
+    return _traces_event(
         item, timeline_events.EventKind.JOB_EVICTING
     ) or _includes_act(item, messages.Checkpoint)
 
@@ -166,12 +166,16 @@
 @registry.step("takeover.suspect")
 def _is_takeover_suspect(cell: Any, process: Any, item: Any) -> bool:
     ownership_taken = timeline_events.EventKind.OWNERSHIP_TAKEN
-    return _in_focus(cell, process) and _traces(item, ownership_taken)
+    return _in_focus_domain(cell, process) and _traces_event(
+        item, ownership_taken
+    )
 
 
 @registry.step("takeover.fence")
 def _is_takeover_fence(cell: Any, process: Any, item: Any) -> bool:
-    if not _in_focus(cell, process) or not isinstance(item, effects.CallWorker):
+    if not _in_focus_domain(cell, process) or not isinstance(
+        item, effects.CallWorker
+    ):
         return False
     worker_token = cell.harness.services.workers[item.worker].token
     return item.body.token > worker_token
@@ -183,13 +187,13 @@
         item, effects.ReadLog
     ) and item.stream.startswith("jobs.")
     requests_state = _sends(item, peer_messages.StateRequest)
-    return _in_focus(cell, process) and (reads_job_log or requests_state)
+    return _in_focus_domain(cell, process) and (reads_job_log or requests_state)
 
 
 @registry.step("takeover.place")
 def _is_takeover_place(cell: Any, process: Any, item: Any) -> bool:
-    return _in_focus(cell, process) and (
-        _traces(item, timeline_events.EventKind.JOB_PLACED)
+    return _in_focus_domain(cell, process) and (
+        _traces_event(item, timeline_events.EventKind.JOB_PLACED)
         or _appends(item, records.AttemptIntended)
     )
 
@@ -202,7 +206,7 @@
 @registry.step("drain.handover")
 def _is_drain_handover(cell: Any, process: Any, item: Any) -> bool:
     ownership_left = timeline_events.EventKind.OWNERSHIP_LEFT
-    return process.draining and _traces(item, ownership_left)
+    return process.draining and _traces_event(item, ownership_left)
 
 
 @registry.step("drain.finish")
--- a/citronmount/bench/faults/timeline_check.py
+++ b/citronmount/bench/faults/timeline_check.py
@@ -77,9 +77,9 @@
 def _gangs_run_together(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
-    """Finds attempts of which only some tasks ran for too long.
+    """Finds attempts that ran incompletely for longer than the bound.
 
-    A gang is complete while all its tasks run or have finished.
+    An attempt is complete while all its tasks run or have finished.
     """
     tasks = _tasks_of_jobs(timeline)
     running_or_finished: collections.Counter = collections.Counter()
--- a/citronmount/service/agent_state_machine.py
+++ b/citronmount/service/agent_state_machine.py
@@ -38,7 +38,7 @@
 
     @property
     def configuration(self) -> configuration_lib.Configuration | None:
-        """The configuration in force, or None if none can be trusted."""
+        """The configuration in force, or None until log or peer provide it."""
         manager = self._agent.configuration
         return manager.fold.current if manager.fold.trusted else None
 
@@ -59,13 +59,13 @@
             now_ms: Monotonic time.
 
         Returns:
-            One entry per VM, sorted by name.
+            One entry per VM, sorted by VM id.
         """
         view = self._agent.view
         others = (
             _peer_member(view, peer, now_ms) for peer in view.peers.values()
         )
-        return tuple(sorted((self._own_member(now_ms), *others), key=_vm_name))
+        return tuple(sorted((self._own_member(now_ms), *others), key=_vm_id))
 
     def fragmentation(self) -> float:
         """Returns the share of free accelerators that queued work cannot use.
@@ -109,5 +109,5 @@
     )
 
 
-def _vm_name(member: bodies.Member) -> str:
+def _vm_id(member: bodies.Member) -> str:
     return member.vm
--- a/citronmount/service/bodies.py
+++ b/citronmount/service/bodies.py
@@ -56,7 +56,7 @@
 class JobBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A submitted job; the fields are those of `jobs.JobSpec`."""
+    """A submitted job; its fields have the meaning they have in `JobSpec`."""
 
     account: Name
     tasks: Annotated[int, msgspec.Meta(ge=1, le=_MAX_TASKS)] = 1
@@ -70,7 +70,9 @@
     command: str = ""
 
     def to_spec(self, submitted_ms: int) -> jobs.JobSpec:
-        """Returns the specification of the job, with an empty id.
+        """Returns the specification of the job.
+
+        Its id is empty; the agent assigns it with the home failure domain.
 
         Args:
             submitted_ms: Unix time at which the job was submitted.
@@ -97,7 +99,7 @@
 class RequestBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A short request; the fields are those of `jobs.RequestSpec`."""
+    """A short request; its fields have the meaning they have in `RequestSpec`."""
 
     account: Name
     request: Key = ""
@@ -202,7 +204,7 @@
         name: The name of the result code.
         detail: Human-readable details.
         version: The version in force after the call.
-        faults: All faults of the sheet.
+        faults: The first faults of the sheet; `detail` counts all of them.
     """
 
     code: int
@@ -227,18 +229,19 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """A VM as another VM, or itself, sees it.
+    """One VM in the membership view of a VM.
 
     Attributes:
         vm: The VM.
         failure_domain: The failure domain of the VM.
-        listed: Whether the platform lists it as live.
-        alive: Whether its heartbeats arrive.
-        ready: Whether it reports that it accepts work.
-        draining: Whether it reports that it is stopping.
+        listed: Whether the platform lists the VM as live.
+        alive: Whether a heartbeat arrived within the suspicion time.
+        ready: Whether its last heartbeat says that it accepts new work.
+        draining: Whether its last heartbeat says that it is draining.
         owner: Whether, in this view, it owns its failure domain and so
             schedules the jobs there.
-        config_version: The configuration version in force on the VM.
+        config_version: The configuration version in force on the VM; 0 if no
+            heartbeat has arrived.
     """
 
     vm: ids.VmId
--- a/citronmount/service/daemon.py
+++ b/citronmount/service/daemon.py
@@ -115,6 +115,7 @@
     def start() -> None:
         defer.ensureDeferred(serve(reactor, settings)).addBoth(finish)
 
+    # Discards Twisted's own log; the daemon logs with structlog.
     logger.globalLogBeginner.beginLoggingTo(
         [], discardBuffer=True, redirectStandardIO=False
     )
@@ -153,7 +154,7 @@
 ) -> None:
     """Runs the daemon of one VM.
 
-    The exit status is 0 after a planned stop, 1 after an error and 2 for
+    The exit status is 0 after a completed drain, 1 after an error and 2 for
     invalid settings.
     """
     if on_platform:
--- a/citronmount/service/event_loop.py
+++ b/citronmount/service/event_loop.py
@@ -91,7 +91,7 @@
             peers: Sends messages to other VMs.
             http: Calls the platform's services and the targets.
             addresses: The addresses of the platform's services.
-            on_trace: Called with each event that the state machine traces.
+            on_trace: Called with each timeline event of the state machine.
             metrics: Receives durations and counters.
             now_ns: Returns the monotonic time in nanoseconds.
             wall_ns: Returns the Unix time in nanoseconds.
@@ -146,7 +146,7 @@
 
         Returns:
             A Deferred that fires with the answer. Cancel it when the caller
-            has disconnected.
+            has disconnected; this dispatches `events.CallerLeft`.
         """
         ticket = ids.TicketId(f"t{next(self._tickets)}")
         answer = defer.Deferred(lambda _: self._drop_call(ticket))
--- a/citronmount/service/http_api.py
+++ b/citronmount/service/http_api.py
@@ -43,7 +43,7 @@
 
 
 class _RefusedError(errors.CitronmountError):
-    """Raised to refuse a call before it reaches the state machine."""
+    """Raised to answer a request with a result code."""
 
     def __init__(
         self,
@@ -136,7 +136,8 @@
     async def get_job(self, request: http.Request, job: str) -> bytes:
         """Returns the status of a job.
 
-        With ``wait_ms`` the answer waits up to that long for the job to end.
+        With ``wait_ms``, waits up to that many ms, at most `MAX_WAIT_MS`, for
+        the job to end.
         """
         wait_ms = _optional_number(request, "wait_ms", 0, MAX_WAIT_MS)
         call = peer_messages.GetJob(job=ids.JobId(job), wait_ms=wait_ms)
@@ -144,7 +145,7 @@
 
     @app.route("/v1/jobs", methods=["GET"])
     async def list_jobs(self, request: http.Request) -> bytes:
-        """Returns the jobs of one failure domain or of all."""
+        """Returns jobs, of one account or all, in one failure domain or all."""
         domain = _query_text(request, "failure_domain")
         call = peer_messages.ListJobs(
             failure_domain=ids.FailureDomainId(domain),
@@ -185,11 +186,11 @@
     @app.route("/v1/configuration", methods=["GET"])
     def get_configuration(self, request: http.Request) -> bytes:
         """Returns the configuration in force on this VM."""
-        content = self._state_machine.configuration
-        if content is None:
+        configuration = self._state_machine.configuration
+        if configuration is None:
             raise _RefusedError(codes.ResultCode.NO_CONFIGURATION)
         body = bodies.ConfigurationBody(
-            version=content.version, content=content
+            version=configuration.version, content=configuration
         )
         return self._send(request, codes.ResultCode.OK, body)
 
@@ -229,7 +230,7 @@
 
     @app.route("/v1/drain", methods=["POST"])
     def drain(self, request: http.Request) -> bytes:
-        """Starts to drain this VM, which ends with a planned stop."""
+        """Starts a drain of this VM, after which the process exits."""
         self._runtime.dispatch(events.DrainRequested())
         return self._send_code(request, codes.ResultCode.ACCEPTED, "draining")
 
@@ -248,8 +249,9 @@
     def _not_ready_code(self) -> codes.ResultCode:
         if self._state_machine.draining:
             return codes.ResultCode.DRAINING
-        current = self._state_machine.configuration
-        if current is None or current.version == 0:
+        configuration = self._state_machine.configuration
+        # Version 0 is the empty configuration before the first accepted change.
+        if configuration is None or configuration.version == 0:
             return codes.ResultCode.NO_CONFIGURATION
         return codes.ResultCode.REBUILDING
 
@@ -261,7 +263,7 @@
 
     @app.route("/v1/membership", methods=["GET"])
     def membership(self, request: http.Request) -> bytes:
-        """Returns the VMs that this VM knows, as it sees them."""
+        """Returns the membership view of this VM."""
         members = self._state_machine.members(self._now_ms())
         body = bodies.MembersBody(vm=self._vm, members=members)
         return self._send(request, codes.ResultCode.OK, body)
@@ -312,12 +314,12 @@
     def _refuse_sheet(
         self, request: http.Request, parsed: sheet.Sheet
     ) -> bytes:
-        content = self._state_machine.configuration
+        configuration = self._state_machine.configuration
         code = codes.ResultCode.CONFIGURATION_INVALID
         count = len(parsed.faults) + parsed.further_faults
         body = _publish_body(
             jobs.JobResult(code=code, detail=f"{count} faults in the sheet"),
-            ids.Version(0) if content is None else content.version,
+            ids.Version(0) if configuration is None else configuration.version,
             tuple(str(fault) for fault in parsed.faults),
         )
         return self._send(request, code, body)
@@ -359,7 +361,11 @@
 
 
 def _read_sheet(request: http.Request) -> bytes:
-    """Returns the sheet; parsing a larger one would block the event loop."""
+    """Returns the sheet, of at most `MAX_SHEET_BYTES`.
+
+    It is parsed in the reactor thread, so a larger sheet would block the event
+    loop.
+    """
     data = request.content.read(MAX_SHEET_BYTES + 1)
     if len(data) > MAX_SHEET_BYTES:
         detail = f"expected a sheet of at most {MAX_SHEET_BYTES} bytes"
--- a/citronmount/service/http_server.py
+++ b/citronmount/service/http_server.py
@@ -87,7 +87,7 @@
 
 
 class ApiFactory(policies.WrappingFactory):
-    """Tracks open connections, so that a shutdown can wait for them."""
+    """Limits the open connections and lets a shutdown wait for them."""
 
     def __init__(self, wrapped: http.HTTPFactory) -> None:
         """Initializes the factory.
@@ -144,6 +144,8 @@
         await all_closed
         if abort_call.active():
             abort_call.cancel()
+        # Twisted unregisters a connection before it notifies the HTTP protocol
+        # of the loss; the next reactor iteration comes after both.
         await task.deferLater(clock, 0)
 
     def _abort_all(self) -> None:
--- a/citronmount/service/http_status.py
+++ b/citronmount/service/http_status.py
@@ -6,6 +6,7 @@
 
 __all__ = ["status_of"]
 
+# The thousands digit of a result code is its family; see `codes.ResultCode`.
 _CODES_PER_FAMILY = 1_000
 _STATUS_BY_FAMILY = {
     1: http.OK,
--- a/citronmount/service/settings.py
+++ b/citronmount/service/settings.py
@@ -106,10 +106,11 @@
 
 
 class CurveSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Keys that authenticate and encrypt the sockets between VMs.
+    """ZeroMQ CURVE keys that secure the sockets between VMs.
 
     Attributes:
-        enabled: Whether CURVE is used; to be disabled only in tests.
+        enabled: Whether CURVE authenticates and encrypts the connections;
+            disable it only in tests.
         public_key: The VM's own public key; required if enabled.
         secret_key: The VM's own secret key; required if enabled.
         allowed_public_keys: Public keys of the peers that may connect;
@@ -148,13 +149,14 @@
     """Periods and lifetimes.
 
     Attributes:
-        tick_ms: Period of the agent's ticks.
+        tick_ms: Period at which the agent checks its time limits.
         heartbeat_ms: Period of heartbeats between VMs.
         suspicion_ms: Time without a heartbeat after which a VM is considered
             dead.
         lease_ttl_ms: Lifetime of a running lease that is not renewed.
         renew_period_ms: Period of lease renewal.
-        reservation_ttl_ms: Lifetime of a reservation.
+        reservation_ttl_ms: Lifetime of a reservation on a worker, within which
+            the attempt must start.
         config_poll_ms: Period of polling the configuration stream.
         reclaim_grace_ms: Time that evicted tasks have to save their work.
     """
--- a/citronmount/service/settings_faults.py
+++ b/citronmount/service/settings_faults.py
@@ -30,7 +30,7 @@
 
 
 class SettingError(errors.InvalidInputError):
-    """Raised for each fault that keeps a daemon from starting.
+    """Raised, in an exception group, for each fault of a settings file.
 
     Attributes:
         fault: The fault.
--- a/citronmount/service/settings_reader.py
+++ b/citronmount/service/settings_reader.py
@@ -33,7 +33,8 @@
 
     Args:
         path: The TOML file.
-        schema: A struct type with one field of a struct type per section.
+        schema: The struct type of the settings. Each field is a section and
+            has a struct type.
 
     Returns:
         The settings and no faults, or None and all faults, sorted by key.
@@ -128,6 +129,11 @@
 def _value_faults(
     key: str, value: object, field_type: object
 ) -> Iterator[FaultRow]:
+    """Yields the faults of one value.
+
+    The value is first converted without constraints, so that a wrong type gets
+    another result code than a value out of range.
+    """
     unconstrained = _without_constraints(field_type)
     try:
         msgspec.convert(value, unconstrained, strict=True)
--- a/citronmount/service/vm_state_machine.py
+++ b/citronmount/service/vm_state_machine.py
@@ -29,7 +29,7 @@
 
     @property
     def configuration(self) -> configuration_lib.Configuration | None:
-        """The configuration in force, or None if none can be trusted."""
+        """The configuration in force, or None until log or peer provide it."""
 
     @property
     def ready(self) -> bool:
--- a/citronmount/service/wiring.py
+++ b/citronmount/service/wiring.py
@@ -107,8 +107,8 @@
         logs.log_event(self._logger, event)
 
     def _account_class(self, account: str) -> str:
-        content = self.state_machine.configuration
-        accounts = () if content is None else content.accounts
+        configuration = self.state_machine.configuration
+        accounts = () if configuration is None else configuration.accounts
         return next(
             (a.account_class.value for a in accounts if a.name == account),
             "unknown",
