--- a/citronmount/bench/faults/matrix_cell.py
+++ b/citronmount/bench/faults/matrix_cell.py
@@ -94,7 +94,7 @@
         harness: The harness that runs the site.
         clients: Simulated clients and operators.
         history: History of the run, which the checks read.
-        focus_domain: Failure domain in which take-overs and drains happen.
+        focus_domain: Failure domain in which takeovers and drains happen.
         injections: The faults injected so far.
         healed_ms: Virtual time at which the last fault ends.
         trial_run_ms: Run time of the trial jobs that fill the pool.
@@ -429,7 +429,7 @@
         )
 
     def _schedule_family_events(self) -> None:
-        """Schedules the events that steps of rare families depend on."""
+        """Schedules the events without which some families have no steps."""
         wait_ms = TRIGGER_MS - WARM_UP_MS
         if {"change", "relay"} & self._families:
             last_domain = self.site.failure_domains[-1]
@@ -484,7 +484,8 @@
     def _submit_to_focus_domain(self) -> None:
         """Submits a job whose home is the focus domain.
 
-        The domain then has no owner or a new one.
+        It is called shortly after the owner was killed or drained, so that the
+        domain has no owner or a new one.
         """
         name = next(
             name
--- a/citronmount/bench/faults/operation_checks.py
+++ b/citronmount/bench/faults/operation_checks.py
@@ -1,4 +1,4 @@
-"""Checks of configuration changes, leaving targets, drains and take-overs."""
+"""Checks of configuration changes, leaving targets, drains and takeovers."""
 
 import collections
 from collections.abc import Iterator
@@ -218,9 +218,9 @@
 ) -> Iterator[tuple[int, str]]:
     """Every failure domain has a rebuilt owner again after the last fault.
 
-    The bound is `property_checks.TAKE_OVER_BOUND_MS`.
+    The bound is `property_checks.TAKEOVER_BOUND_MS`.
     """
-    due_ms = history.healed_ms + property_checks.TAKE_OVER_BOUND_MS
+    due_ms = history.healed_ms + property_checks.TAKEOVER_BOUND_MS
     if history.ended_ms < due_ms:
         return
     owners = run_history.owners_at(history.harness, due_ms)
--- a/citronmount/bench/faults/registry.py
+++ b/citronmount/bench/faults/registry.py
@@ -23,7 +23,7 @@
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True):
-    """One step in processing a job, request, change, take-over or drain.
+    """One step in processing a job, request, change, takeover or drain.
 
     Attributes:
         name: Name on the command line, ``family.step``.
--- a/citronmount/bench/faults/tests/test_matrix.py
+++ b/citronmount/bench/faults/tests/test_matrix.py
@@ -89,7 +89,7 @@
         self.assertEqual(1_200, not_idempotent.requests)
         self.assertEqual(0, idempotent.violations)
 
-    def test_killed_owner_is_replaced_within_the_take_over_bound(self):
+    def test_killed_owner_is_replaced_within_the_takeover_bound(self):
         for seed in range(3):
             strikes = (("misdeclared-sizes", "takeover.suspect"),)
             plan = matrix.Plan(strikes=strikes, seed=seed)
@@ -103,7 +103,7 @@
                 and at_ms > killed_ms
             ]
             self.assertLess(
-                rebuild_times_ms[0], property_checks.TAKE_OVER_BOUND_MS
+                rebuild_times_ms[0], property_checks.TAKEOVER_BOUND_MS
             )
 
 
