--- a/citronmount/config/__init__.py
+++ b/citronmount/config/__init__.py
@@ -1,1 +1,1 @@
-"""The sheet of the operators and its fold into versions."""
+"""The configuration of accounts and guarantees, and its CSV sheet."""
--- a/citronmount/config/configuration.py
+++ b/citronmount/config/configuration.py
@@ -1,4 +1,8 @@
-"""The accepted configuration as every process folds it from the log."""
+"""Data model of the configuration.
+
+Every process derives the same versions from the configuration stream of the
+log, see `configuration_fold`.
+"""
 
 import msgspec
 
@@ -19,8 +23,9 @@
     """A failure domain and whether tasks may start in it.
 
     Attributes:
-        name: The failure domain.
-        state: In or out of service.
+        name: Name of the failure domain.
+        state: In or out of service. No task starts in a failure domain that
+            is out of service.
     """
 
     name: ids.FailureDomainId
@@ -31,8 +36,9 @@
     """A client account.
 
     Attributes:
-        name: The account.
-        account_class: Paying or trial.
+        name: Name of the account.
+        account_class: Paying accounts may hold guarantees, trial accounts an
+            allowance.
     """
 
     name: ids.AccountId
@@ -40,15 +46,16 @@
 
 
 class Guarantee(msgspec.Struct, frozen=True, kw_only=True):
-    """A shape that an account can always reclaim.
+    """Capacity for gangs of one shape that an account can always reclaim.
 
     Attributes:
         account: The paying account.
-        failure_domain: Where it holds, or None for anywhere.
-        copies: How many gangs of the shape at once.
-        tasks: Tasks of one gang.
+        failure_domain: The failure domain that provides the capacity, or
+            None if any of them may.
+        copies: Number of gangs of the shape that may run at once.
+        tasks: Number of tasks of one gang.
         per_task: Resources of one task.
-        adjacency: The smallest enclosure that must hold one gang.
+        adjacency: The smallest scope that must hold all tasks of one gang.
     """
 
     account: ids.AccountId
@@ -60,11 +67,11 @@
 
 
 class Allowance(msgspec.Struct, frozen=True, kw_only=True):
-    """The most accelerators that a trial account may use at once.
+    """Limit on the accelerators that a trial account may use at once.
 
     Attributes:
         account: The trial account.
-        accelerators: The bound over all failure domains.
+        accelerators: Maximum number over all failure domains.
     """
 
     account: ids.AccountId
@@ -75,7 +82,7 @@
     """One version of the configuration.
 
     Attributes:
-        version: Counts accepted changes; 0 is the empty configuration.
+        version: Number of accepted changes; 0 is the empty configuration.
         failure_domains: All failure domains, sorted by name.
         accounts: All client accounts, sorted by name.
         guarantees: All guarantees, in the order of the sheet.
--- a/citronmount/config/configuration_fold.py
+++ b/citronmount/config/configuration_fold.py
@@ -1,4 +1,4 @@
-"""Folds the configuration stream into versions."""
+"""Fold of the configuration stream into configuration versions."""
 
 import collections
 import enum
@@ -10,30 +10,39 @@
 
 __all__ = ["ChangeOutcome", "ConfigurationFold"]
 
-REMEMBERED_CHANGES = 256
+MAX_REMEMBERED_CHANGES = 256
 
 
 class ChangeOutcome(enum.Enum):
-    """What the fold decided about a change."""
+    """Whether the fold accepted a change."""
 
     ACCEPTED = "accepted"
     STALE_BASE = "stale_base"
 
 
 class ConfigurationFold:
-    """The configuration of one process, folded from the log or from a peer.
+    """The configuration that one process folds from the log or a peer.
 
-    Every process folds the same records in the same order to the same
-    versions. A change is accepted if its base version equals the folded
-    version at its offset, so of two racing operators exactly one wins.
+    Every process folds the same records in the same order and so derives the
+    same versions. A change is accepted if its base version equals the version
+    folded up to its offset. Of two operators who publish concurrently on the
+    same base, exactly one succeeds.
 
     Notes:
-        The log arbitrates as in optimistic concurrency control (Kung and
-        Robinson, ACM TODS 1981), with validation at the offset of the write.
+        This is optimistic concurrency control (Kung and Robinson, ACM TODS
+        1981) whose validation happens at the offset of the write in the log.
+
+    Attributes:
+        current: The configuration in force.
+        next_offset: The offset from which to read the stream next.
+        trusted: Whether `current` is known to include every change before
+            `next_offset`: the stream was read from offset 0, or a snapshot of
+            the log or of a peer covered the records not read.
+        last_snapshot: The offset of the last snapshot, -1 before the first.
     """
 
     def __init__(self) -> None:
-        """Initializes an empty fold that is not yet trustworthy."""
+        """Initializes an empty fold that is not yet trusted."""
         self.current = configuration.Configuration()
         self.next_offset = ids.Offset(0)
         self.trusted = False
@@ -41,80 +50,87 @@
         self._accepted: collections.OrderedDict[ids.RecordId, None] = (
             collections.OrderedDict()
         )
-        self._outcomes: collections.OrderedDict[ids.RecordId, ChangeOutcome] = (
-            collections.OrderedDict()
-        )
-        self._search: list[tuple[ids.Offset, records.Record]] = []
+        self._rejections: collections.OrderedDict[
+            ids.RecordId, ChangeOutcome
+        ] = collections.OrderedDict()
+        self._records_after_gap: list[tuple[ids.Offset, records.Record]] = []
 
-    def outcome(self, record: ids.RecordId) -> ChangeOutcome | None:
-        """Returns what became of a change.
+    def outcome(self, record_id: ids.RecordId) -> ChangeOutcome | None:
+        """Returns whether a change was accepted.
 
         Args:
-            record: The record id of the change.
+            record_id: The record id of the change.
 
         Returns:
-            The outcome, or None if the change has not been folded or was
-            folded long ago.
+            The outcome, or None if the change has not been folded or its
+            outcome was dropped: only the last `MAX_REMEMBERED_CHANGES`
+            accepted and as many rejected changes are remembered.
         """
-        if record in self._accepted:
+        if record_id in self._accepted:
             return ChangeOutcome.ACCEPTED
-        return self._outcomes.get(record)
+        return self._rejections.get(record_id)
 
     def fold_page(self, page: messages.LogPage) -> bool:
-        """Folds one page that was read from `next_offset` on.
+        """Folds one page of the configuration stream.
 
         Args:
-            page: The page.
+            page: The page, read from `next_offset` on.
 
         Returns:
             Whether the version in force has changed.
         """
-        before = self.current.version
+        old_version = self.current.version
         decoded = [
             (entry.offset, record)
             for entry in page.records
             if entry.offset >= self.next_offset
             and (record := records.decode(entry.data)) is not None
         ]
-        if page.oldest > self.next_offset or self._search:
+        if page.oldest > self.next_offset or self._records_after_gap:
             self._fold_after_gap(decoded)
         else:
             self._fold_in_order(decoded)
         if page.records:
-            last = page.records[-1].offset
-            self.next_offset = max(self.next_offset, ids.Offset(last + 1))
+            last_offset = page.records[-1].offset
+            self.next_offset = max(
+                self.next_offset, ids.Offset(last_offset + 1)
+            )
         elif page.oldest > self.next_offset:
             self.next_offset = page.oldest
-        if not self._search and page.oldest == 0:
+        if not self._records_after_gap and page.oldest == 0:
             self.trusted = True
-        return self.current.version != before
+        return self.current.version != old_version
 
     def adopt(self, snapshot: records.ConfigurationSnapshot) -> bool:
-        """Takes over a peer's configuration if it is newer.
+        """Adopts a peer's configuration if it is newer.
+
+        An untrusted fold adopts any version.
 
         Args:
-            snapshot: The peer's folded configuration.
+            snapshot: Snapshot of the peer's fold.
 
         Returns:
             Whether the version in force has changed.
         """
-        newer = snapshot.content.version > self.current.version
-        if newer or not self.trusted:
-            self._replace(snapshot)
+        is_newer = snapshot.content.version > self.current.version
+        if is_newer or not self.trusted:
+            self._apply_snapshot(snapshot)
         self.trusted = True
-        return newer
+        return is_newer
 
-    def snapshot(self, record: ids.RecordId) -> records.ConfigurationSnapshot:
+    def snapshot(
+        self, record_id: ids.RecordId
+    ) -> records.ConfigurationSnapshot:
         """Returns the folded configuration as a record.
 
         Args:
-            record: The id of the new record.
+            record_id: The id of the new record.
 
         Returns:
-            The snapshot; it carries the version and the last folded offset.
+            The snapshot, with the version and the last folded offset.
         """
         return records.ConfigurationSnapshot(
-            record=record,
+            record=record_id,
             as_of=ids.Offset(self.next_offset - 1),
             content=self.current,
             recent=tuple(self._accepted),
@@ -130,10 +146,10 @@
                 self.last_snapshot = offset
 
     def _fold_change(self, change: records.ConfigurationChange) -> None:
-        if change.record in self._accepted or change.record in self._outcomes:
+        if change.record in self._accepted or change.record in self._rejections:
             return
         if change.base_version != self.current.version:
-            self._remember(change.record, ChangeOutcome.STALE_BASE)
+            self._add_rejection(change.record, ChangeOutcome.STALE_BASE)
             return
         content = change.content
         self.current = configuration.Configuration(
@@ -144,39 +160,51 @@
             allowances=content.allowances,
         )
         self._accepted[change.record] = None
-        while len(self._accepted) > REMEMBERED_CHANGES:
+        while len(self._accepted) > MAX_REMEMBERED_CHANGES:
             self._accepted.popitem(last=False)
 
-    def _remember(self, record: ids.RecordId, outcome: ChangeOutcome) -> None:
-        self._outcomes[record] = outcome
-        while len(self._outcomes) > REMEMBERED_CHANGES:
-            self._outcomes.popitem(last=False)
+    def _add_rejection(
+        self, record_id: ids.RecordId, outcome: ChangeOutcome
+    ) -> None:
+        self._rejections[record_id] = outcome
+        while len(self._rejections) > MAX_REMEMBERED_CHANGES:
+            self._rejections.popitem(last=False)
 
     def _fold_after_gap(
         self, decoded: list[tuple[ids.Offset, records.Record]]
     ) -> None:
-        """Looks for a snapshot that closes the gap left by retention."""
-        self._search.extend(decoded)
-        first = self._search[0][0] if self._search else None
-        usable = [
+        """Looks for a snapshot that covers the records lost to retention.
+
+        Records are held back until such a snapshot is read, and those after
+        its offset are then folded in order. The snapshot must include every
+        offset before the first record held back, and its version must not be
+        older than the one in force.
+        """
+        self._records_after_gap.extend(decoded)
+        first_offset = (
+            self._records_after_gap[0][0] if self._records_after_gap else None
+        )
+        candidates = [
             (offset, record)
-            for offset, record in self._search
+            for offset, record in self._records_after_gap
             if isinstance(record, records.ConfigurationSnapshot)
-            and first is not None
-            and record.as_of + 1 >= first
+            and first_offset is not None
+            and record.as_of + 1 >= first_offset
             and record.content.version >= self.current.version
         ]
-        if not usable:
+        if not candidates:
             return
-        offset, snapshot = max(usable, key=lambda pair: pair[1].as_of)
-        self._replace(snapshot)
+        offset, snapshot = max(candidates, key=lambda pair: pair[1].as_of)
+        self._apply_snapshot(snapshot)
         self.last_snapshot = offset
-        tail = [pair for pair in self._search if pair[0] > snapshot.as_of]
-        self._search = []
+        tail = [
+            pair for pair in self._records_after_gap if pair[0] > snapshot.as_of
+        ]
+        self._records_after_gap = []
         self.trusted = True
         self._fold_in_order(tail)
 
-    def _replace(self, snapshot: records.ConfigurationSnapshot) -> None:
+    def _apply_snapshot(self, snapshot: records.ConfigurationSnapshot) -> None:
         self.current = snapshot.content
         self._accepted = collections.OrderedDict.fromkeys(snapshot.recent)
         self.next_offset = max(self.next_offset, ids.Offset(snapshot.as_of + 1))
--- a/citronmount/config/names.py
+++ b/citronmount/config/names.py
@@ -1,22 +1,22 @@
-"""Names of client accounts, failure domains and regions."""
+"""Validation of the names of accounts, failure domains and regions."""
 
 import unicodedata
 
 __all__ = ["MAX_CHARACTERS", "is_valid", "normalize"]
 
 MAX_CHARACTERS = 64
-_RESERVED = frozenset("/#")
-_HIDDEN_CATEGORIES = frozenset("CZ")
+_SEPARATORS = frozenset("/#")
+_INVISIBLE_CATEGORIES = frozenset("CZ")
 
 
 def normalize(text: str) -> str:
-    r"""Returns a name in the one form in which names are compared.
+    r"""Returns the canonical form of a name, in which names are compared.
 
     Args:
-        text: A name as somebody typed it.
+        text: A name as entered by a person.
 
     Returns:
-        The name without surrounding space, in Unicode form NFC.
+        The name without surrounding whitespace, in Unicode form NFC.
 
     Example:
         >>> normalize(" Cafe\u0301 ") == "Caf\u00e9"
@@ -29,16 +29,17 @@
 
 
 def is_valid(name: str) -> bool:
-    """Tells whether a normalized name may be used.
+    """Checks whether a normalized name is valid.
 
-    Names may hold any visible character and single spaces, but neither ``/``
-    nor ``#``, which separate the parts of job and attempt ids.
+    A valid name has 1 to `MAX_CHARACTERS` characters, each of them visible or
+    an ASCII space. ``/`` and ``#`` are not valid because they separate the
+    parts of job and attempt ids.
 
     Args:
-        name: A name made by `normalize`.
+        name: A name returned by `normalize`.
 
     Returns:
-        Whether it is valid.
+        Whether the name is valid.
 
     Example:
         >>> is_valid("한빛 마트"), is_valid("a/b"), is_valid("")
@@ -47,10 +48,10 @@
     if not 1 <= len(name) <= MAX_CHARACTERS:
         return False
     if name.isascii():
-        return name.isprintable() and _RESERVED.isdisjoint(name)
-    return all(_is_visible(char) for char in name)
+        return name.isprintable() and _SEPARATORS.isdisjoint(name)
+    return all(_is_allowed(character) for character in name)
 
 
-def _is_visible(char: str) -> bool:
-    hidden = unicodedata.category(char)[0] in _HIDDEN_CATEGORIES
-    return char == " " or not (hidden or char in _RESERVED)
+def _is_allowed(character: str) -> bool:
+    invisible = unicodedata.category(character)[0] in _INVISIBLE_CATEGORIES
+    return character == " " or not (invisible or character in _SEPARATORS)
--- a/citronmount/config/pool_file.py
+++ b/citronmount/config/pool_file.py
@@ -1,4 +1,4 @@
-"""Reads a pool file: the targets of all failure domains, in TOML."""
+"""Reads pool files, which describe a site's workers and runners in TOML."""
 
 import itertools
 import os
@@ -16,7 +16,7 @@
 
 __all__ = ["Pool", "load"]
 
-_NO_ADDRESS = "0.0.0.0:0"
+_PLACEHOLDER_ADDRESS = "0.0.0.0:0"
 _MAX_TARGETS = 10_000
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -25,11 +25,11 @@
 
 
 class Pool(msgspec.Struct, frozen=True, kw_only=True):
-    """The targets of a platform.
+    """All targets of a site.
 
     Attributes:
-        workers: Targets with accelerators, for jobs.
-        runners: Targets with slots, for short requests.
+        workers: Targets with accelerators, which run jobs.
+        runners: Targets with slots, which run short requests.
     """
 
     workers: tuple[messages.ListedTarget, ...]
@@ -47,7 +47,7 @@
     memory_gb: Amount
 
 
-class _Runners(
+class _RunnerGroup(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
     failure_domain: Name
@@ -60,7 +60,7 @@
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
     racks: tuple[_Rack, ...] = ()
-    runners: tuple[_Runners, ...] = ()
+    runners: tuple[_RunnerGroup, ...] = ()
 
 
 def load(path: str | os.PathLike[str]) -> Pool:
@@ -70,41 +70,50 @@
         path: A TOML file with ``[[racks]]`` and ``[[runners]]`` tables.
 
     Returns:
-        The targets, without addresses.
+        The targets. Their addresses are placeholders, as a pool file has
+        none.
 
     Raises:
-        errors.InvalidInputError: If the file is malformed.
+        errors.InvalidInputError: If the file cannot be read, is not valid
+            TOML, has a missing, unknown or ill-typed key, or gives two racks
+            the same name.
     """
-    file = os.fspath(path)
+    file_name = os.fspath(path)
     try:
-        tables = tomllib.loads(pathlib.Path(path).read_text("utf-8-sig"))
+        document = tomllib.loads(pathlib.Path(path).read_text("utf-8-sig"))
     except OSError as error:
-        raise _error(file, codes.ResultCode.SETTING_FILE, error) from error
+        raise _make_error(
+            file_name, codes.ResultCode.SETTING_FILE, error
+        ) from error
     except (ValueError, RecursionError) as error:
-        raise _error(file, codes.ResultCode.SETTING_SYNTAX, error) from error
+        raise _make_error(
+            file_name, codes.ResultCode.SETTING_SYNTAX, error
+        ) from error
     try:
-        pool = msgspec.convert(tables, _PoolFile, strict=True)
+        pool = msgspec.convert(document, _PoolFile, strict=True)
     except msgspec.ValidationError as error:
-        raise _error(file, codes.ResultCode.SETTING_TYPE, error) from error
-    names = [rack.rack for rack in pool.racks]
-    if len(names) != len(set(names)):
-        message = "two racks have the same name"
-        raise _error(file, codes.ResultCode.SETTING_RANGE, message)
-    return Pool(workers=_workers(pool), runners=_runners(pool))
-
-
-def _error(
-    file: str, code: codes.ResultCode, detail: object
+        raise _make_error(
+            file_name, codes.ResultCode.SETTING_TYPE, error
+        ) from error
+    rack_names = [rack.rack for rack in pool.racks]
+    if len(rack_names) != len(set(rack_names)):
+        message = "expected a different name for each rack"
+        raise _make_error(file_name, codes.ResultCode.SETTING_RANGE, message)
+    return Pool(workers=_expand_workers(pool), runners=_expand_runners(pool))
+
+
+def _make_error(
+    file_name: str, code: codes.ResultCode, detail: object
 ) -> errors.InvalidInputError:
-    message = f"{file}: {code.name}: {detail}"
+    message = f"{file_name}: {code.name}: {detail}"
     return errors.InvalidInputError(message, code=code)
 
 
-def _workers(pool: _PoolFile) -> tuple[messages.ListedTarget, ...]:
+def _expand_workers(pool: _PoolFile) -> tuple[messages.ListedTarget, ...]:
     return tuple(
         messages.ListedTarget(
             name=f"{rack.rack}-w{number}",
-            address=_NO_ADDRESS,
+            address=_PLACEHOLDER_ADDRESS,
             failure_domain=ids.FailureDomainId(rack.failure_domain),
             rack=ids.RackId(rack.rack),
             capacity=jobs.Resources(
@@ -118,17 +127,17 @@
     )
 
 
-def _runners(pool: _PoolFile) -> tuple[messages.ListedTarget, ...]:
-    groups = itertools.chain.from_iterable(
+def _expand_runners(pool: _PoolFile) -> tuple[messages.ListedTarget, ...]:
+    expanded_groups = itertools.chain.from_iterable(
         itertools.repeat(group, group.runners) for group in pool.runners
     )
     return tuple(
         messages.ListedTarget(
             name=f"{group.failure_domain}-runner{number}",
-            address=_NO_ADDRESS,
+            address=_PLACEHOLDER_ADDRESS,
             failure_domain=ids.FailureDomainId(group.failure_domain),
             slots=group.slots,
             connections=group.connections,
         )
-        for number, group in enumerate(groups, start=1)
+        for number, group in enumerate(expanded_groups, start=1)
     )
--- a/citronmount/config/sheet.py
+++ b/citronmount/config/sheet.py
@@ -1,4 +1,4 @@
-"""Reads and writes the sheet that operators publish."""
+"""Reads and writes sheets: configurations as CSV for spreadsheets."""
 
 from collections.abc import Hashable
 import csv
@@ -35,14 +35,14 @@
 
 
 class Sheet(msgspec.Struct, frozen=True, kw_only=True):
-    """What was read from a sheet.
+    """A sheet after parsing and validation.
 
     Attributes:
-        file: The name of the sheet.
-        configuration: Its content, or None if there are faults.
-        guarantee_rows: The row of each guarantee of the configuration.
-        faults: What is wrong, in the order of the rows.
-        further_faults: How many more faults there are than are listed.
+        file: Name of the sheet.
+        configuration: Content of the sheet, or None if it has faults.
+        guarantee_rows: Row number of each guarantee of the configuration.
+        faults: Faults of the sheet, sorted by row.
+        further_faults: Number of faults beyond those listed.
     """
 
     file: str
@@ -59,7 +59,7 @@
         path: A CSV file in UTF-8.
 
     Returns:
-        The configuration, or every fault.
+        The sheet, with its configuration or its faults.
 
     Raises:
         OSError: If the file cannot be read.
@@ -73,10 +73,10 @@
 
     Args:
         data: CSV in UTF-8.
-        file: The name that faults are listed under.
+        file: Name of the sheet in its faults.
 
     Returns:
-        The configuration, or every fault.
+        The sheet, with its configuration or its faults.
 
     Example:
         >>> str(parse(b"kind;name\n").faults[0])[:22]
@@ -90,33 +90,33 @@
 
     Args:
         stream: CSV in UTF-8.
-        file: The name that faults are listed under.
+        file: Name of the sheet in its faults.
 
     Returns:
-        The configuration, or every fault.
+        The sheet, with its configuration or its faults.
     """
     faults = sheet_faults.FaultList(file=file)
     faulty_names: set[str] = set()
-    items = _read_items(stream, faults, faulty_names)
-    _check_references(items, faulty_names, faults)
-    found = faults.sorted()
-    if found:
+    numbered_items = _read_items(stream, faults, faulty_names)
+    _check_references(numbered_items, faulty_names, faults)
+    sorted_faults = faults.sorted_by_row()
+    if sorted_faults:
         return Sheet(
             file=file,
             configuration=None,
-            faults=found,
-            further_faults=faults.further,
+            faults=sorted_faults,
+            further_faults=faults.further_count,
         )
-    guarantees = _of_type(items, configuration_lib.Guarantee)
+    guarantees = _filter_by_type(numbered_items, configuration_lib.Guarantee)
     return Sheet(
         file=file,
-        configuration=_configuration(items),
+        configuration=_build_configuration(numbered_items),
         guarantee_rows=tuple(row for row, _ in guarantees),
     )
 
 
 def load(path: str | os.PathLike[str]) -> configuration_lib.Configuration:
-    """Reads a sheet file that must have no fault.
+    """Reads a sheet file that has to be valid.
 
     Args:
         path: A CSV file in UTF-8.
@@ -125,13 +125,14 @@
         The configuration.
 
     Raises:
-        ExceptionGroup: Of `sheet_faults.SheetError`, one a fault.
+        ExceptionGroup: If the sheet has faults; holds one
+            `sheet_faults.SheetError` for each of them.
         OSError: If the file cannot be read.
     """
     sheet = read(path)
     if sheet.configuration is None:
         raise ExceptionGroup(
-            f"{sheet.file}: {len(sheet.faults)} faults",
+            f"{sheet.file}: the sheet has {len(sheet.faults)} faults",
             [sheet_faults.SheetError(fault) for fault in sheet.faults],
         )
     return sheet.configuration
@@ -141,10 +142,10 @@
     """Writes a configuration as a sheet.
 
     Args:
-        configuration: Any version.
+        configuration: The configuration. Its version is not written.
 
     Returns:
-        CSV text that `parse` reads back to the same content.
+        CSV text from which `parse` reads the same content.
     """
     text = io.StringIO()
     writer = csv.DictWriter(
@@ -152,8 +153,12 @@
     )
     writer.writeheader()
     writer.writerows(
-        {"kind": "failure_domain", "name": d.name, "state": d.state.value}
-        for d in configuration.failure_domains
+        {
+            "kind": "failure_domain",
+            "name": domain.name,
+            "state": domain.state.value,
+        }
+        for domain in configuration.failure_domains
     )
     writer.writerows(
         {
@@ -196,44 +201,50 @@
 def _read_items(
     stream: BinaryIO, faults: sheet_faults.FaultList, faulty_names: set[str]
 ) -> list[tuple[int, sheet_kinds.Item]]:
-    """Returns the items of all rows, as long as they fit into a record.
+    """Returns the valid items of all rows with their row numbers.
+
+    Items stop being collected at `MAX_CONFIGURATION_BYTES`, so that a
+    configuration fits into one record of the log and memory stays bounded.
 
     Args:
         stream: The bytes of the sheet.
-        faults: Gets what is wrong.
-        faulty_names: Gets the names of rows at fault, in bounded number.
+        faults: Receives the faults.
+        faulty_names: Receives the names in faulty rows, at most
+            `sheet_faults.MAX_FAULTS`.
     """
-    items: list[tuple[int, sheet_kinds.Item]] = []
+    numbered_items: list[tuple[int, sheet_kinds.Item]] = []
     first_rows: dict[Hashable, int] = {}
     size_bytes = 0
     rows_seen = False
-    for row, cells in sheet_rows.rows(stream, faults):
+    for row, cells in sheet_rows.read_rows(stream, faults):
         rows_seen = True
         item = _read_row(row, cells, faults)
         if item is None and len(faulty_names) < sheet_faults.MAX_FAULTS:
             faulty_names.add(names.normalize(cells[1]))
         if item is None or size_bytes > MAX_CONFIGURATION_BYTES:
             continue
-        first = first_rows.setdefault(_identity(item), row)
-        if first != row:
-            message = f"row {first} states the same"
+        first_row = first_rows.setdefault(_duplicate_key(item), row)
+        if first_row != row:
+            message = f"row {first_row} already defines this entry"
             faults.add(row, _CODES.SHEET_DUPLICATE, message)
             continue
         size_bytes += len(_ENCODER.encode(item))
         if size_bytes > MAX_CONFIGURATION_BYTES:
-            message = "the rows up to here exceed the size of a configuration"
+            message = (
+                "the rows up to here exceed the maximum configuration size"
+            )
             faults.add(row, _CODES.SHEET_TOO_LARGE, message)
             continue
-        items.append((row, item))
-    if not rows_seen and not faults.any():
+        numbered_items.append((row, item))
+    if not rows_seen and not faults.has_faults():
         faults.add(1, _CODES.SHEET_EMPTY, "the sheet has only a header")
-    return items
+    return numbered_items
 
 
 def _read_row(
     row: int, cells: list[str], faults: sheet_faults.FaultList
 ) -> sheet_kinds.Item | None:
-    kind = sheet_kinds.kind_of(cells[0])
+    kind = sheet_kinds.find_kind(cells[0])
     if kind is None:
         expected = " or ".join(sheet_kinds.kind_names())
         message = f"kind: expected {expected}, found {cells[0][:40]!r}"
@@ -242,8 +253,11 @@
     return kind.read(row, cells, faults)
 
 
-def _identity(item: sheet_kinds.Item) -> Hashable:
-    """Returns what no two rows of the same kind may share."""
+def _duplicate_key(item: sheet_kinds.Item) -> Hashable:
+    """Returns a key that no two rows may have in common.
+
+    Two guarantees that differ only in their copies are duplicates.
+    """
     if isinstance(item, configuration_lib.Guarantee):
         return msgspec.structs.replace(item, copies=0)
     if isinstance(item, configuration_lib.Allowance):
@@ -251,43 +265,59 @@
     return type(item), item.name
 
 
-def _of_type(
-    items: list[tuple[int, sheet_kinds.Item]], kind: type[msgspec.Struct]
+def _filter_by_type(
+    numbered_items: list[tuple[int, sheet_kinds.Item]],
+    item_type: type[msgspec.Struct],
 ) -> list[tuple[int, sheet_kinds.Item]]:
-    return [(row, item) for row, item in items if isinstance(item, kind)]
+    return [
+        (row, item)
+        for row, item in numbered_items
+        if isinstance(item, item_type)
+    ]
 
 
 def _check_references(
-    items: list[tuple[int, sheet_kinds.Item]],
+    numbered_items: list[tuple[int, sheet_kinds.Item]],
     faulty_names: set[str],
     faults: sheet_faults.FaultList,
 ) -> None:
-    """Checks that rows name rows that exist and suit them.
+    """Checks the accounts and failure domains that rows refer to.
 
-    Names of rows at fault count as defined, so that one fault is not
-    reported twice.
+    They have to be defined by other rows, and accounts have to be of the
+    class that the row is for. Names in faulty rows count as defined, so that
+    one mistake is not reported twice.
     """
-    classes = {
+    account_classes = {
         account.name: account.account_class
-        for _, account in _of_type(items, configuration_lib.Account)
+        for _, account in _filter_by_type(
+            numbered_items, configuration_lib.Account
+        )
     }
-    domains = {
+    defined_domains = {
         domain.name
-        for _, domain in _of_type(items, configuration_lib.FailureDomain)
+        for _, domain in _filter_by_type(
+            numbered_items, configuration_lib.FailureDomain
+        )
     }
-    wanted = {
+    required_classes = {
         configuration_lib.Guarantee: states.AccountClass.PAYING,
         configuration_lib.Allowance: states.AccountClass.TRIAL,
     }
-    for row, item in items:
-        if type(item) in wanted and item.account not in faulty_names:
+    for row, item in numbered_items:
+        if type(item) in required_classes and item.account not in faulty_names:
             _check_account(
-                row, item.account, classes, wanted[type(item)], faults
+                row,
+                item.account,
+                account_classes,
+                required_classes[type(item)],
+                faults,
             )
-    known = domains | faulty_names | {None}
-    for row, guarantee in _of_type(items, configuration_lib.Guarantee):
+    known_domains = defined_domains | faulty_names | {None}
+    for row, guarantee in _filter_by_type(
+        numbered_items, configuration_lib.Guarantee
+    ):
         domain = guarantee.failure_domain
-        if domain not in known:
+        if domain not in known_domains:
             message = f"failure_domain: no row defines {domain!r}"
             faults.add(row, _CODES.SHEET_UNKNOWN_REFERENCE, message)
 
@@ -295,34 +325,41 @@
 def _check_account(
     row: int,
     name: str,
-    classes: dict[str, states.AccountClass],
-    wanted: states.AccountClass,
+    account_classes: dict[str, states.AccountClass],
+    required_class: states.AccountClass,
     faults: sheet_faults.FaultList,
 ) -> None:
-    if name not in classes:
+    if name not in account_classes:
         message = f"name: no row defines the client account {name!r}"
         faults.add(row, _CODES.SHEET_UNKNOWN_REFERENCE, message)
-    elif classes[name] is not wanted:
-        found = classes[name].value
-        message = f"name: {name!r} is {found}, the row is for {wanted.value}"
+    elif account_classes[name] is not required_class:
+        found_class = account_classes[name].value
+        message = (
+            f"name: {name!r} is {found_class}, but the row requires "
+            f"{required_class.value}"
+        )
         faults.add(row, _CODES.SHEET_CLASS_CONFLICT, message)
 
 
-def _configuration(
-    items: list[tuple[int, sheet_kinds.Item]],
+def _build_configuration(
+    numbered_items: list[tuple[int, sheet_kinds.Item]],
 ) -> configuration_lib.Configuration:
-    def of(kind: type[msgspec.Struct]) -> list[sheet_kinds.Item]:
-        return [item for _, item in _of_type(items, kind)]
+    def items_of_type(
+        item_type: type[msgspec.Struct],
+    ) -> list[sheet_kinds.Item]:
+        return [item for _, item in _filter_by_type(numbered_items, item_type)]
 
     by_name = operator.attrgetter("name")
     by_account = operator.attrgetter("account")
     return configuration_lib.Configuration(
         failure_domains=tuple(
-            sorted(of(configuration_lib.FailureDomain), key=by_name)
+            sorted(items_of_type(configuration_lib.FailureDomain), key=by_name)
+        ),
+        accounts=tuple(
+            sorted(items_of_type(configuration_lib.Account), key=by_name)
         ),
-        accounts=tuple(sorted(of(configuration_lib.Account), key=by_name)),
-        guarantees=tuple(of(configuration_lib.Guarantee)),
+        guarantees=tuple(items_of_type(configuration_lib.Guarantee)),
         allowances=tuple(
-            sorted(of(configuration_lib.Allowance), key=by_account)
+            sorted(items_of_type(configuration_lib.Allowance), key=by_account)
         ),
     )
--- a/citronmount/config/sheet_diff.py
+++ b/citronmount/config/sheet_diff.py
@@ -1,4 +1,4 @@
-"""What changes for whom between two configurations."""
+"""Differences between two configurations, by account or failure domain."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class ChangeKind(enum.Enum):
-    """How an entry differs."""
+    """How an entry differs between the configurations."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -21,7 +21,7 @@
 
 
 class Subject(enum.Enum):
-    """What kind of entry differs."""
+    """Kind of entry that differs."""
 
     FAILURE_DOMAIN = "failure_domain"
     CLIENT_ACCOUNT = "client_account"
@@ -34,11 +34,11 @@
 
     Attributes:
         name: The client account or failure domain concerned.
-        subject: The kind of the entry.
-        kind: How it differs.
-        before: Its old value, empty if added.
-        after: Its new value, empty if removed.
-        shape: The shape of a guarantee, otherwise empty.
+        subject: Kind of the entry.
+        kind: How the entry differs.
+        before: Old value, empty if added.
+        after: New value, empty if removed.
+        shape: Shape of a guarantee as text, empty for other entries.
     """
 
     name: str
@@ -49,9 +49,9 @@
     shape: str = ""
 
     def __str__(self) -> str:
-        """Returns one line for a person."""
-        what = f"{self.subject.value} {self.shape}".strip()
-        line = f"{self.name}: {what} {self.kind.value}"
+        """Returns the change as one line of text."""
+        entry = f"{self.subject.value} {self.shape}".strip()
+        line = f"{self.name}: {entry} {self.kind.value}"
         if self.kind is ChangeKind.CHANGED:
             return f"{line}: {self.before} -> {self.after}"
         return f"{line}: {self.before or self.after}"
@@ -67,15 +67,15 @@
 
     Args:
         old: The configuration in force.
-        new: The one that would replace it.
+        new: The configuration that would replace it.
 
     Returns:
-        The changes, sorted by name; the version is not compared.
+        The changes, sorted by name. Versions are not compared.
     """
-    old_entries = _entries(old)
-    new_entries = _entries(new)
+    old_entries = _entries_by_subject(old)
+    new_entries = _entries_by_subject(new)
     changes = itertools.chain.from_iterable(
-        _changes(subject, old_entries[subject], new_entries[subject])
+        _diff_entries(subject, old_entries[subject], new_entries[subject])
         for subject in Subject
     )
     return tuple(
@@ -83,7 +83,9 @@
     )
 
 
-def _changes(subject: Subject, old: Entries, new: Entries) -> Iterator[Change]:
+def _diff_entries(
+    subject: Subject, old: Entries, new: Entries
+) -> Iterator[Change]:
     for key in old.keys() | new.keys():
         before = old.get(key, "")
         after = new.get(key, "")
@@ -93,20 +95,20 @@
         yield Change(
             name=name,
             subject=subject,
-            kind=_kind(before, after),
+            kind=_change_kind(before, after),
             before=before,
             after=after,
             shape=shape,
         )
 
 
-def _kind(before: str, after: str) -> ChangeKind:
+def _change_kind(before: str, after: str) -> ChangeKind:
     if not before:
         return ChangeKind.ADDED
     return ChangeKind.CHANGED if after else ChangeKind.REMOVED
 
 
-def _entries(
+def _entries_by_subject(
     configuration: configuration_lib.Configuration,
 ) -> dict[Subject, Entries]:
     return {
@@ -119,7 +121,7 @@
             for account in configuration.accounts
         },
         Subject.GUARANTEE: {
-            (guarantee.account, _shape(guarantee)): (
+            (guarantee.account, _format_shape(guarantee)): (
                 f"{guarantee.copies} copies"
             )
             for guarantee in configuration.guarantees
@@ -131,9 +133,9 @@
     }
 
 
-def _shape(guarantee: configuration_lib.Guarantee) -> str:
+def _format_shape(guarantee: configuration_lib.Guarantee) -> str:
     per_task = guarantee.per_task
-    extras = [
+    other_resources = [
         f"{amount} {unit}"
         for amount, unit in (
             (per_task.cores, "cores"),
@@ -141,7 +143,7 @@
         )
         if amount
     ]
-    size = f"{guarantee.tasks} x {per_task.accelerators} accelerators"
-    where = guarantee.failure_domain or "any failure domain"
-    sizes = ", ".join((size, *extras))
-    return f"({sizes} in one {guarantee.adjacency.value}, {where})"
+    gang_size = f"{guarantee.tasks} x {per_task.accelerators} accelerators"
+    location = guarantee.failure_domain or "any failure domain"
+    resources = ", ".join((gang_size, *other_resources))
+    return f"({resources} in one {guarantee.adjacency.value}, {location})"
--- a/citronmount/config/sheet_faults.py
+++ b/citronmount/config/sheet_faults.py
@@ -1,4 +1,4 @@
-"""Faults found in a sheet."""
+"""Validation faults of a sheet."""
 
 import msgspec
 
@@ -11,13 +11,14 @@
 
 
 class SheetFault(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault of a sheet.
+    """One validation fault of a sheet.
 
     Attributes:
-        file: The sheet.
-        row: The row as a spreadsheet counts it; the header is row 1.
-        code: A 5xxx result code.
-        message: What is wrong, with the column if there is one.
+        file: Name of the sheet.
+        row: Row number as in a spreadsheet; the header is usually row 1.
+        code: Result code in the 5xxx range.
+        message: Description for a person, with the column if only one is
+            concerned.
     """
 
     file: str
@@ -26,62 +27,62 @@
     message: str
 
     def __str__(self) -> str:
-        """Returns one line for a person."""
+        """Returns the fault as one line of text."""
         return f"{self.file}:{self.row}: {self.code.name}: {self.message}"
 
 
 class SheetError(errors.InvalidInputError):
-    """A sheet that cannot become a configuration.
+    """Raised for each fault of a sheet that has to be valid.
 
     Attributes:
-        fault: What is wrong.
+        fault: The fault.
     """
 
     def __init__(self, fault: SheetFault) -> None:
         """Initializes the error.
 
         Args:
-            fault: What is wrong.
+            fault: The fault.
         """
         super().__init__(str(fault), code=fault.code)
         self.fault = fault
 
 
 class FaultList:
-    """Gathers the faults of a sheet in bounded memory.
+    """Collects the first `MAX_FAULTS` faults of a sheet.
 
     Attributes:
-        further: How many faults came after the bound was reached.
+        further_count: Number of faults dropped beyond that limit.
     """
 
     def __init__(self, *, file: str) -> None:
         """Initializes an empty list.
 
         Args:
-            file: The sheet that the faults belong to.
+            file: Name of the sheet.
         """
-        self.further = 0
+        self.further_count = 0
         self._file = file
         self._faults: list[SheetFault] = []
 
     def add(self, row: int, code: codes.ResultCode, message: str) -> None:
-        """Adds a fault, or only counts it beyond the bound.
+        """Adds a fault, or only counts it beyond `MAX_FAULTS`.
 
         Args:
-            row: The row at fault.
-            code: What is wrong.
-            message: What is wrong, for a person.
+            row: Number of the row.
+            code: Result code in the 5xxx range.
+            message: Description for a person.
         """
         if len(self._faults) >= MAX_FAULTS:
-            self.further += 1
+            self.further_count += 1
             return
         fault = SheetFault(file=self._file, row=row, code=code, message=message)
         self._faults.append(fault)
 
-    def any(self) -> bool:
-        """Returns whether there is any fault."""
+    def has_faults(self) -> bool:
+        """Returns whether any fault was added."""
         return bool(self._faults)
 
-    def sorted(self) -> tuple[SheetFault, ...]:
-        """Returns the faults in the order of their rows."""
+    def sorted_by_row(self) -> tuple[SheetFault, ...]:
+        """Returns the collected faults, sorted by row."""
         return tuple(sorted(self._faults, key=lambda fault: fault.row))
--- a/citronmount/config/sheet_feasibility.py
+++ b/citronmount/config/sheet_feasibility.py
@@ -1,4 +1,4 @@
-"""Checks that the guarantees of a sheet fit together into a pool."""
+"""Checks whether a pool can satisfy all guarantees of a sheet at once."""
 
 import msgspec
 
@@ -12,15 +12,16 @@
 
 
 def check(sheet: sheet_lib.Sheet, pool: pool_file.Pool) -> sheet_lib.Sheet:
-    """Adds a fault for every guarantee that has no place.
+    """Adds a fault for every guarantee that the pool cannot satisfy.
 
     Args:
-        sheet: A sheet that was read.
-        pool: The targets that it has to fit.
+        sheet: The sheet as it was read.
+        pool: The pool; only its workers matter.
 
     Returns:
-        The sheet, refused if any guarantee does not fit. A sheet that has
-        faults already is returned as it is.
+        The same sheet if all guarantees are feasible together or the sheet
+        already has faults. Otherwise a copy without configuration that lists
+        one fault for each infeasible guarantee.
     """
     if sheet.configuration is None:
         return sheet
@@ -29,7 +30,7 @@
             file=sheet.file,
             row=sheet.guarantee_rows[index],
             code=codes.ResultCode.SHEET_DOES_NOT_FIT,
-            message="the pool cannot hold this guarantee beside the others",
+            message="the pool cannot satisfy this guarantee and the others",
         )
         for index in guarantee_feasibility.infeasible_guarantees(
             sheet.configuration, pool.workers
--- a/citronmount/config/sheet_kinds.py
+++ b/citronmount/config/sheet_kinds.py
@@ -1,4 +1,4 @@
-"""What each kind of sheet row says, in a registry by kind."""
+"""Registry of the kinds of sheet rows and how each of them is parsed."""
 
 from collections.abc import Callable
 import enum
@@ -16,13 +16,13 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["Item", "Kind", "MAX_NUMBER", "kind_names", "kind_of"]
+__all__ = ["MAX_NUMBER", "Item", "Kind", "find_kind", "kind_names"]
 
 MAX_NUMBER = 100_000
-_SHOWN_CHARACTERS = 40
+_MAX_SHOWN_CHARACTERS = 40
 _INTEGER = re.compile(r"[0-9]{1,9}(?:\.0{1,6})?", re.ASCII)
 
-_INDEXES = {column: i for i, column in enumerate(sheet_rows.HEADER)}
+_COLUMN_INDEXES = {column: i for i, column in enumerate(sheet_rows.HEADER)}
 
 EnumT = TypeVar("EnumT", bound=enum.Enum)
 Item = (
@@ -33,8 +33,15 @@
 )
 
 
-class _Cells:
-    """The cells of one row by column, with conversions that note faults."""
+class _RowCells:
+    """Typed access to the cells of one row; invalid cells add faults.
+
+    A method that adds a fault still returns a value, so that one pass over a
+    row finds all of its faults.
+
+    Attributes:
+        valid: Whether no cell has been invalid so far.
+    """
 
     def __init__(
         self,
@@ -48,106 +55,110 @@
         self._faults = faults
 
     def name(self, column: str) -> str:
-        """Returns a name."""
+        """Returns the normalized name in a cell."""
         name = names.normalize(self._text(column))
         if not names.is_valid(name):
             expected = (
                 f"1 to {names.MAX_CHARACTERS} visible characters without "
                 "'/' and '#'"
             )
-            self._fault(codes.ResultCode.SHEET_NAME, column, expected)
+            self._add_fault(codes.ResultCode.SHEET_NAME, column, expected)
         return name
 
     def optional_name(self, column: str) -> str | None:
-        """Returns a name, or None for an empty cell."""
+        """Returns the normalized name in a cell, or None if it is empty."""
         return self.name(column) if self._text(column) else None
 
-    def number(self, column: str, low: int) -> int:
-        """Returns a whole number; an empty cell is 0 if that is allowed."""
+    def number(self, column: str, minimum: int) -> int:
+        """Returns the whole number in a cell.
+
+        An empty cell counts as 0 if `minimum` is 0.
+        """
         text = self._text(column)
-        if not text and low == 0:
+        if not text and minimum == 0:
             return 0
-        valid = _INTEGER.fullmatch(text) is not None
-        number = int(text.partition(".")[0]) if valid else -1
-        if not low <= number <= MAX_NUMBER:
-            expected = f"a whole number from {low} to {MAX_NUMBER}"
-            self._fault(codes.ResultCode.SHEET_NUMBER, column, expected)
+        is_number = _INTEGER.fullmatch(text) is not None
+        number = int(text.partition(".")[0]) if is_number else -1
+        if not minimum <= number <= MAX_NUMBER:
+            expected = f"a whole number from {minimum} to {MAX_NUMBER}"
+            self._add_fault(codes.ResultCode.SHEET_NUMBER, column, expected)
         return number
 
     def choice(
         self, column: str, choices: type[EnumT], code: codes.ResultCode
     ) -> EnumT | None:
-        """Returns a member of an enumeration."""
+        """Returns the enumeration member that a cell names in any case."""
         try:
             return choices(self._text(column).lower())
         except ValueError:
             expected = " or ".join(member.value for member in choices)
-            self._fault(code, column, expected)
+            self._add_fault(code, column, expected)
             return None
 
     def _text(self, column: str) -> str:
-        return self._cells[_INDEXES[column]]
+        return self._cells[_COLUMN_INDEXES[column]]
 
-    def _fault(
+    def _add_fault(
         self, code: codes.ResultCode, column: str, expected: str
     ) -> None:
         self.valid = False
-        found = self._text(column)[:_SHOWN_CHARACTERS]
+        found = self._text(column)[:_MAX_SHOWN_CHARACTERS]
         shown = repr(found) if found else "an empty cell"
         message = f"{column}: expected {expected}, found {shown}"
         self._faults.add(self._row, code, message)
 
 
 class Kind(msgspec.Struct, frozen=True, kw_only=True):
-    """How rows of one kind are read.
+    """A kind of sheet row.
 
     Attributes:
-        name: The text of the kind column.
-        surplus: Indexes of the columns that do not apply.
-        parse: Makes the item; its value counts only if no fault was noted.
+        name: Value of the kind column.
+        surplus: Indexes of the columns that must be empty in such a row.
+        parse: Converts the cells of a row. The result is valid only if no
+            cell added a fault.
     """
 
     name: str
     surplus: tuple[int, ...]
-    parse: Callable[[_Cells], Item]
+    parse: Callable[[_RowCells], Item]
 
     def read(
         self, row: int, cells: list[str], faults: sheet_faults.FaultList
     ) -> Item | None:
-        """Reads one row.
+        """Parses one row.
 
         Args:
             row: The number of the row.
             cells: Its cells, one for each column of the header.
-            faults: Gets what is wrong.
+            faults: Receives the faults of the row.
 
         Returns:
-            The item, or None if the row is at fault.
+            The item, or None if the row has faults.
         """
-        surplus = [i for i in self.surplus if cells[i]]
-        for index in surplus:
+        filled = [index for index in self.surplus if cells[index]]
+        for index in filled:
             column = sheet_rows.HEADER[index]
             message = f"{column}: does not apply to {self.name}, leave it empty"
             faults.add(row, codes.ResultCode.SHEET_NOT_EMPTY, message)
-        typed = _Cells(row, cells, faults)
-        item = self.parse(typed)
-        return item if typed.valid and not surplus else None
+        row_cells = _RowCells(row, cells, faults)
+        item = self.parse(row_cells)
+        return item if row_cells.valid and not filled else None
 
 
 _KINDS: dict[str, Kind] = {}
 
 
-def kind_of(text: str) -> Kind | None:
+def find_kind(text: str) -> Kind | None:
     """Returns the kind that a cell names.
 
     Args:
-        text: The cell, in any case.
+        text: The cell, in upper or lower case.
 
     Returns:
-        The kind, or None if there is no such kind.
+        The kind, or None if no kind has this name.
 
     Example:
-        >>> kind_of("Guarantee").name
+        >>> find_kind("Guarantee").name
         'guarantee'
     """
     return _KINDS.get(text.lower())
@@ -158,17 +169,24 @@
     return tuple(_KINDS)
 
 
-def _kind(
+def _register_kind(
     name: str, *columns: str
-) -> Callable[[Callable[[_Cells], Item]], Callable[[_Cells], Item]]:
-    """Registers how rows of a kind are read."""
+) -> Callable[[Callable[[_RowCells], Item]], Callable[[_RowCells], Item]]:
+    """Registers the decorated function as the parser of a kind of row.
+
+    Args:
+        name: Value of the kind column.
+        *columns: The columns that apply besides ``kind`` and ``name``.
+    """
 
-    def register(parse: Callable[[_Cells], Item]) -> Callable[[_Cells], Item]:
-        applying = {"kind", "name", *columns}
+    def register(
+        parse: Callable[[_RowCells], Item],
+    ) -> Callable[[_RowCells], Item]:
+        applicable = {"kind", "name", *columns}
         surplus = tuple(
             index
-            for column, index in _INDEXES.items()
-            if column not in applying
+            for column, index in _COLUMN_INDEXES.items()
+            if column not in applicable
         )
         _KINDS[name] = Kind(name=name, surplus=surplus, parse=parse)
         return parse
@@ -176,8 +194,8 @@
     return register
 
 
-@_kind("failure_domain", "state")
-def _failure_domain(cells: _Cells) -> configuration.FailureDomain:
+@_register_kind("failure_domain", "state")
+def _parse_failure_domain(cells: _RowCells) -> configuration.FailureDomain:
     return configuration.FailureDomain(
         name=ids.FailureDomainId(cells.name("name")),
         state=cells.choice(
@@ -186,8 +204,8 @@
     )
 
 
-@_kind("client_account", "class")
-def _account(cells: _Cells) -> configuration.Account:
+@_register_kind("client_account", "class")
+def _parse_account(cells: _RowCells) -> configuration.Account:
     return configuration.Account(
         name=ids.AccountId(cells.name("name")),
         account_class=cells.choice(
@@ -196,7 +214,7 @@
     )
 
 
-@_kind(
+@_register_kind(
     "guarantee",
     "failure_domain",
     "copies",
@@ -206,7 +224,7 @@
     "memory_gb",
     "adjacency",
 )
-def _guarantee(cells: _Cells) -> configuration.Guarantee:
+def _parse_guarantee(cells: _RowCells) -> configuration.Guarantee:
     return configuration.Guarantee(
         account=ids.AccountId(cells.name("name")),
         failure_domain=cells.optional_name("failure_domain"),
@@ -223,8 +241,8 @@
     )
 
 
-@_kind("allowance", "accelerators")
-def _allowance(cells: _Cells) -> configuration.Allowance:
+@_register_kind("allowance", "accelerators")
+def _parse_allowance(cells: _RowCells) -> configuration.Allowance:
     return configuration.Allowance(
         account=ids.AccountId(cells.name("name")),
         accelerators=cells.number("accelerators", 0),
--- a/citronmount/config/sheet_rows.py
+++ b/citronmount/config/sheet_rows.py
@@ -1,4 +1,4 @@
-"""Reads CSV rows one at a time in bounded memory."""
+"""Reads the CSV rows of a sheet one at a time in bounded memory."""
 
 from collections.abc import Iterator
 import csv
@@ -9,7 +9,7 @@
 from citronmount.config import sheet_faults
 from citronmount.core import codes
 
-__all__ = ["HEADER", "Row", "rows"]
+__all__ = ["HEADER", "Row", "read_rows"]
 
 HEADER = (
     "kind",
@@ -25,13 +25,13 @@
     "adjacency",
 )
 
-_COLUMNS = len(HEADER)
+_COLUMN_COUNT = len(HEADER)
 _MAX_LINE_CHARACTERS = 65_536
 _MAX_LINES_PER_ROW = 100
 _MAX_ROWS = 1_048_576
-_SHOWN_CHARACTERS = 40
-_UTF_16_MARKS = (b"\xff\xfe", b"\xfe\xff")
-_FORMULA = re.compile("[=+@#]")
+_MAX_SHOWN_CHARACTERS = 40
+_UTF_16_BYTE_ORDER_MARKS = (b"\xff\xfe", b"\xfe\xff")
+_FORMULA_CHARACTER = re.compile("[=+@#]")
 _FORMULA_STARTS = ("=", "+", "@")
 _FORMULA_ERRORS = (
     "#REF!",
@@ -43,17 +43,23 @@
     "#NULL!",
 )
 
-_PLAIN = re.compile("[!-~]+")
+_VISIBLE_ASCII = re.compile("[!-~]+")
 
 Row = tuple[int, list[str]]
 
 
 class _TooLargeError(Exception):
-    """A line or row that would take unbounded memory."""
+    """Raised for a line or row that is longer than allowed."""
 
 
-class _Lines:
-    """Iterates over the lines of a text with bounds on lines and rows."""
+class _BoundedLines:
+    """Iterates over lines, limiting the lengths of lines and CSV rows.
+
+    A quoted cell may hold line breaks, so a row may extend over several lines.
+
+    Attributes:
+        number: Number of lines read so far.
+    """
 
     def __init__(self, text: io.TextIOBase) -> None:
         self.number = 0
@@ -76,18 +82,22 @@
         return line
 
     def end_row(self) -> None:
-        """Starts to count the lines of the next row."""
+        """Resets the line count for the next row."""
         self._lines_in_row = 0
 
 
-def rows(stream: BinaryIO, faults: sheet_faults.FaultList) -> Iterator[Row]:
-    """Yields the rows below the header that have the right form.
+def read_rows(
+    stream: BinaryIO, faults: sheet_faults.FaultList
+) -> Iterator[Row]:
+    """Yields the well-formed rows below the header.
 
-    Cells lose surrounding space. Blank rows are passed over but counted.
+    Whitespace around cells is removed. Blank rows are skipped, but they count
+    in the row numbers. Only form is checked here: encoding, size, CSV syntax,
+    header, number of cells, and formulas and their error values.
 
     Args:
         stream: The bytes of the sheet.
-        faults: Gets the faults of form.
+        faults: Receives the faults of form.
 
     Yields:
         The number of the row and its cells, one for each column of `HEADER`.
@@ -96,16 +106,16 @@
         stream, encoding="utf-8-sig", errors="surrogateescape", newline=""
     )
     try:
-        yield from _rows_below_header(_Lines(text), faults)
+        yield from _rows_below_header(_BoundedLines(text), faults)
     finally:
         text.detach()
 
 
 def _rows_below_header(
-    lines: _Lines, faults: sheet_faults.FaultList
+    lines: _BoundedLines, faults: sheet_faults.FaultList
 ) -> Iterator[Row]:
     header_seen = False
-    for number, cells in _numbered(lines, faults):
+    for number, cells in _read_csv_rows(lines, faults):
         if not any(cells):
             continue
         if not header_seen:
@@ -114,14 +124,16 @@
             header_seen = True
             continue
         if _check_cells(number, cells, faults):
-            yield number, cells[:_COLUMNS]
-    if not header_seen and not faults.any():
+            yield number, cells[:_COLUMN_COUNT]
+    if not header_seen and not faults.has_faults():
         message = "the sheet has no header"
         faults.add(1, codes.ResultCode.SHEET_EMPTY, message)
 
 
-def _numbered(lines: _Lines, faults: sheet_faults.FaultList) -> Iterator[Row]:
-    """Yields every row that is valid CSV, with stripped cells."""
+def _read_csv_rows(
+    lines: _BoundedLines, faults: sheet_faults.FaultList
+) -> Iterator[Row]:
+    """Yields the number and the stripped cells of every valid CSV row."""
     reader = csv.reader(lines, strict=True)
     for number in range(1, _MAX_ROWS + 1):
         lines.end_row()
@@ -134,32 +146,41 @@
             faults.add(number, codes.ResultCode.SHEET_COLUMNS, message)
             continue
         except _TooLargeError:
-            message = f"line {lines.number} makes the row too long"
+            message = (
+                f"line {lines.number} exceeds the maximum length of a line "
+                "or row"
+            )
             faults.add(number, codes.ResultCode.SHEET_TOO_LARGE, message)
             return
-        plain = _PLAIN.fullmatch("".join(cells)) is not None
-        yield number, cells if plain else [cell.strip() for cell in cells]
+        needs_no_strip = _VISIBLE_ASCII.fullmatch("".join(cells)) is not None
+        yield (
+            number,
+            cells if needs_no_strip else [cell.strip() for cell in cells],
+        )
     faults.add(
         _MAX_ROWS,
         codes.ResultCode.SHEET_TOO_LARGE,
-        f"at most {_MAX_ROWS} rows are read",
+        f"expected at most {_MAX_ROWS} rows",
     )
 
 
 def _check_header(
     number: int, cells: list[str], faults: sheet_faults.FaultList
 ) -> bool:
-    raw = "".join(cells).encode("utf-8", "surrogateescape")
-    if raw.startswith(_UTF_16_MARKS) or b"\0" in raw:
-        message = "the sheet seems to be UTF-16; export it as UTF-8"
+    header_bytes = "".join(cells).encode("utf-8", "surrogateescape")
+    if (
+        header_bytes.startswith(_UTF_16_BYTE_ORDER_MARKS)
+        or b"\0" in header_bytes
+    ):
+        message = "the sheet appears to be UTF-16; export it as UTF-8"
         faults.add(number, codes.ResultCode.SHEET_ENCODING, message)
         return False
-    if not _is_utf_8("".join(cells)):
+    if not _is_valid_utf_8("".join(cells)):
         message = "the header is not valid UTF-8"
         faults.add(number, codes.ResultCode.SHEET_ENCODING, message)
         return False
-    names = tuple(cell.lower() for cell in cells[:_COLUMNS])
-    if names == HEADER and not any(cells[_COLUMNS:]):
+    columns = tuple(cell.lower() for cell in cells[:_COLUMN_COUNT])
+    if columns == HEADER and not any(cells[_COLUMN_COUNT:]):
         return True
     hint = " (separate cells by commas)" if ";" in cells[0] else ""
     expected = ",".join(HEADER)
@@ -171,16 +192,16 @@
 def _check_cells(
     number: int, cells: list[str], faults: sheet_faults.FaultList
 ) -> bool:
-    if len(cells) < _COLUMNS or any(cells[_COLUMNS:]):
-        message = f"expected {_COLUMNS} cells, found {len(cells)}"
+    if len(cells) < _COLUMN_COUNT or any(cells[_COLUMN_COUNT:]):
+        message = f"expected {_COLUMN_COUNT} cells, found {len(cells)}"
         faults.add(number, codes.ResultCode.SHEET_COLUMNS, message)
         return False
-    joined = "".join(cells)
-    if not joined.isascii() and not _is_utf_8(joined):
+    row_text = "".join(cells)
+    if not row_text.isascii() and not _is_valid_utf_8(row_text):
         message = "a cell is not valid UTF-8"
         faults.add(number, codes.ResultCode.SHEET_ENCODING, message)
         return False
-    if _FORMULA.search(joined) is None:
+    if _FORMULA_CHARACTER.search(row_text) is None:
         return True
     formulas = [
         (column, cell)
@@ -188,13 +209,13 @@
         if cell.startswith(_FORMULA_STARTS) or cell in _FORMULA_ERRORS
     ]
     for column, cell in formulas:
-        shown = cell[:_SHOWN_CHARACTERS]
-        message = f"{column}: {shown!r} is a formula, export its value"
+        shown = cell[:_MAX_SHOWN_CHARACTERS]
+        message = f"{column}: {shown!r} is a formula; export its value"
         faults.add(number, codes.ResultCode.SHEET_FORMULA, message)
     return not formulas
 
 
-def _is_utf_8(text: str) -> bool:
+def _is_valid_utf_8(text: str) -> bool:
     try:
         text.encode("utf-8")
     except UnicodeEncodeError:
--- a/citronmount/config/sheet_warnings.py
+++ b/citronmount/config/sheet_warnings.py
@@ -1,4 +1,4 @@
-"""Content of a sheet that is valid but hardly meant."""
+"""Warnings on valid content of a sheet that is probably a mistake."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -14,8 +14,8 @@
 _CHECKS: list[_Check] = []
 
 
-def _check(check: _Check) -> _Check:
-    """Registers a check."""
+def _register_check(check: _Check) -> _Check:
+    """Registers a function that yields warnings."""
     _CHECKS.append(check)
     return check
 
@@ -23,56 +23,59 @@
 def warnings(
     configuration: configuration_lib.Configuration,
 ) -> tuple[str, ...]:
-    """Returns what an operator should look at before publishing.
+    """Returns what an operator should review before publishing a sheet.
 
     Args:
         configuration: The content of a valid sheet.
 
     Returns:
-        One line for each warning.
+        One line of text for each warning.
     """
-    found = (check(configuration) for check in _CHECKS)
-    return tuple(itertools.chain.from_iterable(found))
+    results = (check(configuration) for check in _CHECKS)
+    return tuple(itertools.chain.from_iterable(results))
 
 
-@_check
-def _nothing_in_service(
+@_register_check
+def _check_domains_in_service(
     configuration: configuration_lib.Configuration,
 ) -> Iterator[str]:
     if not any(
         domain.state is states.FailureDomainState.IN
         for domain in configuration.failure_domains
     ):
-        yield "no failure domain is in service, nothing can start"
+        yield "no failure domain is in service, so no task can start"
 
 
-@_check
-def _trial_without_allowance(
+@_register_check
+def _check_trial_allowances(
     configuration: configuration_lib.Configuration,
 ) -> Iterator[str]:
-    allowed = {
+    accounts_with_allowance = {
         allowance.account
         for allowance in configuration.allowances
         if allowance.accelerators
     }
     for account in configuration.accounts:
-        trial = account.account_class is states.AccountClass.TRIAL
-        if trial and account.name not in allowed:
-            yield f"{account.name}: a trial without allowance can run no job"
+        is_trial = account.account_class is states.AccountClass.TRIAL
+        if is_trial and account.name not in accounts_with_allowance:
+            yield (
+                f"{account.name}: a trial account without an allowance cannot "
+                "run jobs"
+            )
 
 
-@_check
-def _guarantee_out_of_service(
+@_register_check
+def _check_guarantees_in_service(
     configuration: configuration_lib.Configuration,
 ) -> Iterator[str]:
-    out = {
+    out_of_service = {
         domain.name
         for domain in configuration.failure_domains
         if domain.state is states.FailureDomainState.OUT
     }
     for guarantee in configuration.guarantees:
-        if guarantee.failure_domain in out:
+        if guarantee.failure_domain in out_of_service:
             yield (
-                f"{guarantee.account}: a guarantee is tied to "
+                f"{guarantee.account}: a guarantee requires "
                 f"{guarantee.failure_domain}, which is out of service"
             )
--- a/citronmount/config/tests/test_pool_file.py
+++ b/citronmount/config/tests/test_pool_file.py
@@ -12,16 +12,18 @@
 
 
 class PoolFileTest(unittest.TestCase):
-    def test_examples_have_the_sizes_of_the_sites(self):
+    def test_example_pools_have_the_expected_sizes(self):
         for name, cores in (("hanbit", 64), ("perchero", 32)):
             pool = pool_file.load(_EXAMPLES / name / "pool.toml")
             self.assertEqual((len(pool.workers), len(pool.runners)), (25, 25))
-            self.assertEqual({w.capacity.cores for w in pool.workers}, {cores})
-            self.assertEqual({r.slots for r in pool.runners}, {8})
-            names = {t.name for t in (*pool.workers, *pool.runners)}
+            self.assertEqual(
+                {worker.capacity.cores for worker in pool.workers}, {cores}
+            )
+            self.assertEqual({runner.slots for runner in pool.runners}, {8})
+            names = {target.name for target in (*pool.workers, *pool.runners)}
             self.assertEqual(len(names), 50)
 
-    def test_faults_have_a_code_and_a_place(self):
+    def test_errors_have_a_code_and_name_the_file(self):
         valid = (_EXAMPLES / "hanbit" / "pool.toml").read_text("utf-8")
         cases = (
             (b"\xff", "SETTING_SYNTAX"),
@@ -31,11 +33,11 @@
         )
         with tempfile.TemporaryDirectory() as directory:
             path = pathlib.Path(directory) / "pool.toml"
-            for data, name in cases:
+            for data, code_name in cases:
                 path.write_bytes(data)
                 with self.assertRaises(errors.InvalidInputError) as caught:
                     pool_file.load(path)
-                self.assertEqual(caught.exception.code.name, name)
+                self.assertEqual(caught.exception.code.name, code_name)
                 self.assertIn(str(path), str(caught.exception))
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
@@ -51,12 +53,14 @@
         ),
         strategies.binary(max_size=20),
     )
-    def test_any_file_is_read_or_refused(self, table, entries, junk):
+    def test_arbitrary_files_load_or_raise_a_setting_error(
+        self, table, entries, suffix
+    ):
         lines = [f"{key} = {value}" for key, value in entries.items()]
         text = "\n".join((f"[[{table}]]", *lines, ""))
         with tempfile.TemporaryDirectory() as directory:
             path = pathlib.Path(directory) / "pool.toml"
-            for data in (text.encode(), text.encode() + junk):
+            for data in (text.encode(), text.encode() + suffix):
                 path.write_bytes(data)
                 try:
                     pool_file.load(path)
--- a/citronmount/config/tests/test_sheet_diff.py
+++ b/citronmount/config/tests/test_sheet_diff.py
@@ -18,13 +18,13 @@
             self.assertIn(before, text)
             text = text.replace(before, after)
         new = sheet.parse(text.encode()).configuration
-        return [str(c) for c in sheet_diff.diff(self.old, new)]
+        return [str(change) for change in sheet_diff.diff(self.old, new)]
 
-    def test_same_content_has_no_changes(self):
+    def test_equal_configurations_have_no_changes(self):
         self.assertEqual(self.changes(), [])
 
-    def test_each_kind_of_change_names_whom_it_concerns(self):
-        added = "client_account,new,paying,,,,,,,,"
+    def test_each_change_names_its_account_or_failure_domain(self):
+        added_row = "client_account,new,paying,,,,,,,,"
         allowance = "16 accelerators -> 8 accelerators"
         shape = (
             "(4 x 8 accelerators, 32 cores, 64 GB in one rack, "
@@ -35,7 +35,7 @@
                 ("kr-b,,in", "kr-b,,out"),
                 ("allowance,nuri-trial,,,,,,16", "allowance,nuri-trial,,,,,,8"),
                 ("hana-mart,,,,1,4,8", "hana-mart,,,,2,4,8"),
-                ("client_account,nuri", f"{added}\nclient_account,nuri"),
+                ("client_account,nuri", f"{added_row}\nclient_account,nuri"),
             ),
             [
                 f"hana-mart: guarantee {shape} changed: 1 copies -> 2 copies",
--- a/citronmount/config/tests/test_sheet_warnings.py
+++ b/citronmount/config/tests/test_sheet_warnings.py
@@ -16,10 +16,10 @@
         content = sheet.parse(text.encode()).configuration
         return sheet_warnings.warnings(content)
 
-    def test_examples_have_none(self):
+    def test_the_example_sheet_has_no_warnings(self):
         self.assertEqual(self.warnings(), ())
 
-    def test_each_warning_names_whom_it_concerns(self):
+    def test_each_warning_starts_with_its_subject(self):
         cases = (
             ((",,in,", ",,out,"), (), "no failure domain"),
             (("nuri-trial,,,,,,16", "nuri-trial,,,,,,0"), (), "nuri-trial: "),
@@ -31,8 +31,8 @@
         )
         for *replacements, expected in cases:
             with self.subTest(expected=expected):
-                (found,) = self.warnings(*filter(None, replacements))
-                self.assertTrue(found.startswith(expected), found)
+                (warning,) = self.warnings(*filter(None, replacements))
+                self.assertTrue(warning.startswith(expected), warning)
 
 
 if __name__ == "__main__":
