--- a/citronmount/cli/__init__.py
+++ b/citronmount/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line tool."""
+"""The command-line tool."""
--- a/citronmount/cli/bench_command.py
+++ b/citronmount/cli/bench_command.py
@@ -1,4 +1,4 @@
-"""The command that runs a bench on virtual time."""
+"""The command that runs a benchmark in virtual time."""
 
 from collections.abc import Iterator
 import importlib
@@ -18,49 +18,52 @@
 __all__ = ["bench"]
 
 
-class _Benches(click.ParamType):
-    """The name of a registered bench."""
+class _BenchName(click.ParamType):
+    """Parameter type: the name of a registered bench."""
 
     name = "NAME"
 
     def shell_complete(
         self, ctx: click.Context, param: click.Parameter, incomplete: str
     ) -> list[shell_completion.CompletionItem]:
-        """Completes the name."""
+        """Returns the names of benches that start with the typed text."""
         return [
             shell_completion.CompletionItem(name)
-            for name in _registry().names()
+            for name in _load_registry().names()
             if name.startswith(incomplete)
         ]
 
 
-def _module(name: str) -> types.ModuleType:
-    """Imports a module that no other command needs."""
+def _import_module(name: str) -> types.ModuleType:
+    """Imports a module of citronmount late, as no other command needs it.
+
+    Commands and completions so start faster.
+    """
     return importlib.import_module(f"citronmount.{name}")
 
 
-def _registry() -> types.ModuleType:
-    _module("bench.suite").load()
-    return _module("bench.registry")
+def _load_registry() -> types.ModuleType:
+    _import_module("bench.suite").load()
+    return _import_module("bench.registry")
 
 
 @click.command()
-@click.argument("name", type=_Benches())
+@click.argument("name", type=_BenchName())
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--policy",
     "policies",
     multiple=True,
-    help="Compare only these policies; repeat it for several.",
+    help="Run only this policy; repeat for several. Default: all policies.",
 )
 @click.option(
     "--plot",
     "plot_path",
     type=click.Path(dir_okay=False, writable=True),
-    help="Also write a plot; the ending chooses the format, such as .svg.",
+    help="Also write a plot; the file extension selects its format.",
 )
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def bench(
     name: str,
     seed: int,
@@ -68,40 +71,40 @@
     plot_path: str | None,
     as_json: bool,
 ) -> None:
-    """Run the bench NAME for each policy on virtual time."""
-    registry = _registry()
+    """Run the bench NAME with each policy in virtual time."""
+    registry = _load_registry()
     unknown = set(policies) - set(registry.POLICIES)
     if unknown:
         known = ", ".join(registry.POLICIES)
-        raise click.UsageError(f"unknown policy; there are {known}")
-    with progress.notes() as note:
-        note(f"running {name}, seed {seed}")
+        raise click.UsageError(f"unknown policy; expected one of {known}")
+    with progress.status_line() as show_status:
+        show_status(f"running {name}, seed {seed}")
         report = registry.get(name)(seed, policies or registry.POLICIES)
     if plot_path is not None:
-        _module("cli.bench_plot").write(report, plot_path)
+        _import_module("cli.bench_plot").write(report, plot_path)
     if as_json:
-        click.echo(_module("bench.report").encode(report))
+        click.echo(_import_module("bench.report").encode(report))
         return
-    for line in _lines(report):
+    for line in _format_report(report):
         click.echo(line)
 
 
-def _lines(report: "report_lib.BenchReport") -> Iterator[str]:
-    """Yields a report as text for people."""
+def _format_report(report: "report_lib.BenchReport") -> Iterator[str]:
+    """Yields the lines of a report as text."""
     for policy, metrics in report.metrics.items():
         yield policy
-        for work, times in metrics.completion_time_s.items():
+        for work_class, percentiles in metrics.completion_time_s.items():
             yield (
-                f"  completion {work}: {times.count} samples, "
-                f"p50 {times.p50} s, p99 {times.p99} s"
+                f"  completion {work_class}: {percentiles.count} samples, "
+                f"p50 {percentiles.p50} s, p99 {percentiles.p99} s"
             )
         if metrics.fragmentation is not None:
             yield f"  fragmentation {metrics.fragmentation}"
         if metrics.work_done_ratio is not None:
             yield f"  work done ratio {metrics.work_done_ratio}"
     for bar in report.bars:
-        mark = "met" if bar.met else "missed"
+        outcome = "met" if bar.met else "missed"
         yield (
-            f"{mark}: {bar.name}, {bar.policy}: {bar.measured} "
+            f"{outcome}: {bar.name}, {bar.policy}: {bar.measured} "
             f"against {bar.bound}"
         )
--- a/citronmount/cli/bench_plot.py
+++ b/citronmount/cli/bench_plot.py
@@ -1,4 +1,4 @@
-"""Plots the report of a bench, one panel a measure and one bar a policy."""
+"""Plots a bench report: one panel per measure, one bar per policy."""
 
 from collections.abc import Callable
 import importlib
@@ -13,42 +13,51 @@
 
 __all__ = ["panels", "write"]
 
-COLUMNS = 2
+PANELS_PER_ROW = 2
 PANEL_WIDTH_IN = 5.0
 PANEL_HEIGHT_IN = 2.4
 TIME_UNIT = "(s)"
-LOG_SPREAD = 20
+LOG_SCALE_MIN_RATIO = 20
 
 Panels = dict[str, dict[str, float]]
 
 
 def panels(report: report_lib.BenchReport) -> Panels:
-    """Returns the figures that are plotted.
+    """Returns the values to plot.
 
     Args:
         report: The report of one bench.
 
     Returns:
-        The value of each policy, by the title of the panel. Measures that a
-        policy does not have are left out.
+        The values by policy, for each panel by its title. Policies without a
+        value for a measure are left out, as are panels without values.
     """
-    works = sorted(
+    work_classes = sorted(
         set(
             itertools.chain.from_iterable(
                 metrics.completion_time_s for metrics in report.metrics.values()
             )
         )
     )
-    found = {
-        f"{work}: completion {name} {TIME_UNIT}": _values(
-            report, lambda m, w=work, n=name: _percentile(m, w, n)
+    values_by_title = {
+        f"{work_class}: completion {percentile} {TIME_UNIT}": _values_by_policy(
+            report,
+            lambda metrics, work_class=work_class, percentile=percentile: (
+                _percentile(metrics, work_class, percentile)
+            ),
         )
-        for work in works
-        for name in ("p50", "p99")
+        for work_class in work_classes
+        for percentile in ("p50", "p99")
+    }
+    values_by_title["fragmentation"] = _values_by_policy(
+        report, lambda metrics: metrics.fragmentation
+    )
+    values_by_title["work done ratio"] = _values_by_policy(
+        report, lambda metrics: metrics.work_done_ratio
+    )
+    return {
+        title: values for title, values in values_by_title.items() if values
     }
-    found["fragmentation"] = _values(report, lambda m: m.fragmentation)
-    found["work done ratio"] = _values(report, lambda m: m.work_done_ratio)
-    return {title: values for title, values in found.items() if values}
 
 
 def write(report: report_lib.BenchReport, path: str | os.PathLike[str]) -> None:
@@ -56,30 +65,30 @@
 
     Args:
         report: The report of one bench.
-        path: The file; its ending chooses the format.
+        path: The file; its extension selects the format.
 
     Raises:
-        errors.InvalidInputError: If matplotlib is missing or the file cannot
-            be written.
+        errors.InvalidInputError: If matplotlib is not installed, or the file
+            cannot be written or its format is unknown.
     """
     try:
-        figure_lib = importlib.import_module("matplotlib.figure")
+        figure_module = importlib.import_module("matplotlib.figure")
     except ImportError as error:
         raise errors.InvalidInputError(
-            "plots need matplotlib: install citronmount[plots]",
+            "plots require matplotlib: install citronmount[plots]",
             code=codes.ResultCode.INVALID_REQUEST,
         ) from error
-    drawn = panels(report)
-    rows = max(1, math.ceil(len(drawn) / COLUMNS))
-    size = (PANEL_WIDTH_IN * COLUMNS, PANEL_HEIGHT_IN * rows)
-    figure = figure_lib.Figure(figsize=size, layout="constrained")
+    panels_by_title = panels(report)
+    rows = max(1, math.ceil(len(panels_by_title) / PANELS_PER_ROW))
+    size = (PANEL_WIDTH_IN * PANELS_PER_ROW, PANEL_HEIGHT_IN * rows)
+    figure = figure_module.Figure(figsize=size, layout="constrained")
     figure.suptitle(f"{report.bench}, seed {report.seed}")
-    axes = figure.subplots(rows, COLUMNS, squeeze=False).flat
-    for axis, panel in itertools.zip_longest(axes, drawn.items()):
+    axes = figure.subplots(rows, PANELS_PER_ROW, squeeze=False).flat
+    for axis, panel in itertools.zip_longest(axes, panels_by_title.items()):
         if panel is None:
             axis.set_visible(False)
         else:
-            _draw(axis, *panel)
+            _draw_panel(axis, *panel)
     try:
         figure.savefig(path)
     except (OSError, ValueError) as error:
@@ -88,32 +97,35 @@
         ) from error
 
 
-def _draw(axis: typing.Any, title: str, values: dict[str, float]) -> None:
-    """Draws one panel, widely spread times on a logarithmic scale."""
+def _draw_panel(axis: typing.Any, title: str, values: dict[str, float]) -> None:
+    """Draws one panel; times that differ widely get a logarithmic scale."""
     axis.barh(list(values), list(values.values()))
     axis.invert_yaxis()
     axis.set_title(title, fontsize="medium")
-    low, high = min(values.values()), max(values.values())
-    if title.endswith(TIME_UNIT) and 0 < low * LOG_SPREAD < high:
+    smallest, largest = min(values.values()), max(values.values())
+    if (
+        title.endswith(TIME_UNIT)
+        and 0 < smallest * LOG_SCALE_MIN_RATIO < largest
+    ):
         axis.set_xscale("log")
 
 
-def _values(
+def _values_by_policy(
     report: report_lib.BenchReport,
-    measure: Callable[[report_lib.PolicyMetrics], float | None],
+    get_value: Callable[[report_lib.PolicyMetrics], float | None],
 ) -> dict[str, float]:
-    measured = {
-        policy: measure(metrics) for policy, metrics in report.metrics.items()
+    values = {
+        policy: get_value(metrics) for policy, metrics in report.metrics.items()
     }
     return {
-        policy: value for policy, value in measured.items() if value is not None
+        policy: value for policy, value in values.items() if value is not None
     }
 
 
 def _percentile(
     metrics: report_lib.PolicyMetrics,
-    work: str,
-    name: typing.Literal["p50", "p99"],
+    work_class: str,
+    percentile: typing.Literal["p50", "p99"],
 ) -> float | None:
-    times = metrics.completion_time_s.get(work)
-    return None if times is None else getattr(times, name)
+    percentiles = metrics.completion_time_s.get(work_class)
+    return None if percentiles is None else getattr(percentiles, percentile)
--- a/citronmount/cli/calls.py
+++ b/citronmount/cli/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the HTTP API and their answers, as the command line has them."""
+"""HTTP API calls and replies, independent of the HTTP library."""
 
 import msgspec
 
@@ -13,11 +13,12 @@
 
     Attributes:
         method: The HTTP method.
-        path: The path, whose segments are not yet percent-encoded.
-        query: The query.
-        body: The body.
-        idempotent: Whether it may be sent to a second server.
-        timeout_ms: How long to wait for the answer.
+        path: Path segments, not yet percent-encoded.
+        query: Query parameters, not yet percent-encoded.
+        body: The request body.
+        idempotent: Whether the call may be sent to another server after its
+            outcome on the first is unknown.
+        timeout_ms: Time limit for the whole call, with connecting.
     """
 
     method: str
@@ -29,12 +30,12 @@
 
 
 class Reply(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer of a server.
+    """The reply of a server.
 
     Attributes:
-        server: The server that answered.
+        server: The server that replied.
         status: The HTTP status.
-        body: The body.
+        body: The response body.
     """
 
     server: str
@@ -43,17 +44,17 @@
 
 
 class NoAnswerError(errors.UnreachableError):
-    """A server that gave no answer.
+    """Raised when a server gave no readable reply.
 
     Attributes:
-        sent: Whether any byte of the call may have reached it.
+        sent: Whether any byte of the call may have reached the server.
     """
 
     def __init__(self, message: str, *, sent: bool) -> None:
         """Initializes the error.
 
         Args:
-            message: What went wrong.
+            message: The server and the cause.
             sent: Whether any byte of the call may have reached the server.
         """
         code = (
--- a/citronmount/cli/client.py
+++ b/citronmount/cli/client.py
@@ -1,4 +1,4 @@
-"""Typed calls of the HTTP API with fail-over between servers."""
+"""Typed calls of the HTTP API with failover between servers."""
 
 from collections.abc import Iterable
 import typing
@@ -13,9 +13,9 @@
 
 __all__ = ["Client", "RefusedError"]
 
-RETRY_PAUSE_MS = 1_000
+DEFAULT_RETRY_PAUSE_MS = 1_000
 
-_ELSEWHERE = frozenset(
+_FAILOVER_CODES = frozenset(
     {
         codes.ResultCode.NO_CONFIGURATION,
         codes.ResultCode.DRAINING,
@@ -26,175 +26,182 @@
 
 
 class RefusedError(errors.CitronmountError):
-    """A call that a server refused.
+    """Raised when a server refused a call.
 
     Attributes:
-        refusal: The body of the answer.
+        result: The body of the reply.
     """
 
-    def __init__(self, refusal: bodies.ResultBody) -> None:
+    def __init__(self, result: bodies.ResultBody) -> None:
         """Initializes the error.
 
         Args:
-            refusal: The body of the answer.
+            result: The body of the reply.
         """
         super().__init__(
-            f"{refusal.name} ({refusal.code}): {refusal.detail}",
-            code=codes.ResultCode(refusal.code),
+            f"{result.name} ({result.code}): {result.detail}",
+            code=codes.ResultCode(result.code),
         )
-        self.refusal = refusal
+        self.result = result
 
 
-class _Sender(typing.Protocol):
-    """What a client needs of a transport."""
+class _Transport(typing.Protocol):
+    """Interface of the transport that a client requires."""
 
     async def send(self, server: str, call: calls.Call) -> calls.Reply:
-        """Sends a call to one server."""
+        """Sends a call to one server and returns its reply."""
 
     async def sleep(self, pause_ms: int) -> None:
-        """Waits."""
+        """Waits for a time without blocking the reactor."""
 
 
 class Client:
-    """Calls one of several equal servers.
+    """Calls one of several equivalent servers.
 
-    A call goes to the next server if it cannot have taken effect: the
-    connection was not opened, or the server refused it because of its own
-    state. After a connection broke, only idempotent calls do.
+    A call fails over to the next server if it cannot have taken effect: the
+    connection was not opened, or the server refused the call because of its
+    own state. If the call may have been received but no reply came, only
+    idempotent calls fail over.
     """
 
-    def __init__(self, *, servers: Iterable[str], transport: _Sender) -> None:
+    def __init__(
+        self, *, servers: Iterable[str], transport: _Transport
+    ) -> None:
         """Initializes the client.
 
         Args:
-            servers: ``ip:port`` of each, in order of preference.
-            transport: Carries the calls.
+            servers: ``ip:port`` of each server, in order of preference.
+            transport: Sends the calls.
         """
         self.servers = tuple(servers)
         self._transport = transport
 
-    async def call(self, call: calls.Call, kind: type[_T]) -> _T:
-        """Calls the first server that can serve it.
+    async def call(self, call: calls.Call, result_type: type[_T]) -> _T:
+        """Calls the servers in order until one serves the call.
 
         Args:
             call: The call.
-            kind: The type of a good answer.
+            result_type: Type of the body of a successful reply.
 
         Returns:
-            The answer.
+            The decoded body.
 
         Raises:
             RefusedError: If a server refused the call.
-            ExceptionGroup: Of `NoAnswerError`, if no server answered.
+            ExceptionGroup: Of `calls.NoAnswerError`, if no server replied or
+                a call that is not idempotent may have been received.
         """
         failures: list[calls.NoAnswerError] = []
-        refused: RefusedError | None = None
+        last_refusal: RefusedError | None = None
         for server in self.servers:
             try:
-                return await self.call_server(server, call, kind)
+                return await self.call_server(server, call, result_type)
             except calls.NoAnswerError as failure:
                 failures.append(failure)
                 if failure.sent and not call.idempotent:
                     break
             except RefusedError as failure:
-                if failure.code not in _ELSEWHERE:
+                if failure.code not in _FAILOVER_CODES:
                     raise
-                refused = failure
-        if refused is not None:
-            raise refused
+                last_refusal = failure
+        if last_refusal is not None:
+            raise last_refusal
         raise ExceptionGroup("no server answered", failures)
 
-    async def call_patiently(
-        self, call: calls.Call, kind: type[_T], patience_ms: int
+    async def call_with_retries(
+        self, call: calls.Call, result_type: type[_T], pause_budget_ms: int
     ) -> _T:
-        """Calls again after refusals and failures that may pass.
+        """Calls with retries after refusals and failures that may be temporary.
 
         Args:
             call: The call.
-            kind: The type of a good answer.
-            patience_ms: The pauses that may be made in all.
+            result_type: Type of the body of a successful reply.
+            pause_budget_ms: Total length of the pauses between retries.
 
         Returns:
-            The answer.
+            The decoded body.
 
         Raises:
-            RefusedError: If the refusal is final or the patience is at its
-                end.
-            ExceptionGroup: Of `NoAnswerError`, if the call is not idempotent
-                or the patience is at its end.
+            RefusedError: If the refusal is permanent or the budget is used up.
+            ExceptionGroup: Of `calls.NoAnswerError`, if the call is not
+                idempotent or the budget is used up.
         """
         while True:
             try:
-                return await self.call(call, kind)
+                return await self.call(call, result_type)
             except RefusedError as failure:
-                if patience_ms <= 0 or not codes.info(failure.code).retry:
+                if pause_budget_ms <= 0 or not codes.info(failure.code).retry:
                     raise
-                pause_ms = failure.refusal.retry_after_ms or RETRY_PAUSE_MS
+                pause_ms = (
+                    failure.result.retry_after_ms or DEFAULT_RETRY_PAUSE_MS
+                )
             except ExceptionGroup:
-                if patience_ms <= 0 or not call.idempotent:
+                if pause_budget_ms <= 0 or not call.idempotent:
                     raise
-                pause_ms = RETRY_PAUSE_MS
-            pause_ms = min(pause_ms, patience_ms)
-            patience_ms -= pause_ms
+                pause_ms = DEFAULT_RETRY_PAUSE_MS
+            pause_ms = min(pause_ms, pause_budget_ms)
+            pause_budget_ms -= pause_ms
             await self._transport.sleep(pause_ms)
 
     async def call_server(
-        self, server: str, call: calls.Call, kind: type[_T]
+        self, server: str, call: calls.Call, result_type: type[_T]
     ) -> _T:
         """Calls one server.
 
         Args:
             server: ``ip:port``.
             call: The call.
-            kind: The type of a good answer.
+            result_type: Type of the body of a successful reply.
 
         Returns:
-            The answer.
+            The decoded body.
 
         Raises:
             RefusedError: If the server refused the call.
-            NoAnswerError: If it gave no answer that can be read.
+            calls.NoAnswerError: If it gave no readable reply.
         """
         reply = await self._transport.send(server, call)
         try:
-            return msgspec.json.decode(reply.body, type=kind)
+            return msgspec.json.decode(reply.body, type=result_type)
         except msgspec.DecodeError:
-            raise _refusal(reply) from None
+            raise _error_from_reply(reply) from None
 
     async def configuration(self) -> bodies.ConfigurationBody:
         """Returns the configuration in force.
 
         Returns:
-            The configuration; version 0 is empty.
+            The configuration and its version; version 0 is empty.
 
         Raises:
             RefusedError: If no server has a configuration.
-            ExceptionGroup: If no server answered.
+            ExceptionGroup: Of `calls.NoAnswerError`, if no server replied.
         """
         call = calls.Call(method="GET", path=("v1", "configuration"))
         return await self.call(call, bodies.ConfigurationBody)
 
-    async def in_force(
+    async def find_in_force(
         self, content: configuration_lib.Configuration
     ) -> bodies.ConfigurationBody | None:
-        """Tells whether a content is the configuration in force.
+        """Returns the configuration in force if it has the given content.
 
         Args:
-            content: The content; its version is ignored.
+            content: The content to compare; its version is ignored.
 
         Returns:
-            The configuration in force if it has the same content.
+            The configuration in force, or None if its content differs.
         """
-        found = await self.configuration()
-        same = msgspec.structs.replace(content, version=found.version)
-        return found if found.content == same else None
+        in_force = await self.configuration()
+        expected = msgspec.structs.replace(content, version=in_force.version)
+        return in_force if in_force.content == expected else None
 
 
-def _refusal(reply: calls.Reply) -> Exception:
+def _error_from_reply(reply: calls.Reply) -> Exception:
     try:
         return RefusedError(
             msgspec.json.decode(reply.body, type=bodies.ResultBody)
         )
     except (msgspec.DecodeError, ValueError):
-        message = f"{reply.server}: HTTP status {reply.status}, not readable"
+        message = (
+            f"{reply.server}: unreadable reply, HTTP status {reply.status}"
+        )
         return calls.NoAnswerError(message, sent=True)
--- a/citronmount/cli/explain_command.py
+++ b/citronmount/cli/explain_command.py
@@ -1,4 +1,4 @@
-"""The command that explains jobs from the VMs' log lines."""
+"""The command that explains from the VMs' logs why jobs were late."""
 
 import collections
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 __all__ = ["explain"]
 
-_SHOWN = (
+_SHOWN_FIELDS = (
     "verdict",
     "run",
     "workers",
@@ -31,74 +31,92 @@
 
 @click.command()
 @click.argument("logs", nargs=-1, required=True, type=click.File("r"))
-@click.option("--job", default="", help="Tell all about this job.")
+@click.option(
+    "--job", default="", help="Show the log lines and phases of this job."
+)
 @click.option("--priority", type=int, help="Only jobs of this priority.")
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def explain(
     logs: tuple[typing.TextIO, ...],
     job: str,
     priority: int | None,
     as_json: bool,
 ) -> None:
-    """Tell from the log lines of VMs why jobs were late.
+    """Explain from the log lines of VMs why jobs were late.
 
-    LOGS are files with the lines of any VMs; - is standard input. Without
-    --job, count the late jobs by what they lost most of their time on.
+    LOGS are log files of any number of VMs; - is standard input. Without
+    --job, count the late jobs by the phase that delayed them most.
     """
-    found = job_history.job_histories(line for log in logs for line in log)
+    histories = job_history.job_histories(line for log in logs for line in log)
     if job:
-        if job not in found:
+        if job not in histories:
             raise click.BadParameter(f"no line names the job {job}")
-        _tell(found[job], as_json)
+        _print_history(histories[job], as_json)
         return
-    late = [
-        story
-        for story in job_history.late_jobs(found)
-        if priority is None or story.priority == priority
+    late_histories = [
+        history
+        for history in job_history.late_jobs(histories)
+        if priority is None or history.priority == priority
     ]
-    _count(late, as_json)
+    _print_delay_counts(late_histories, as_json)
 
 
-def _tell(story: job_history.JobHistory, as_json: bool) -> None:
-    lines = [dict(line.fields) for line in story.lines]
-    spent = {p.value: round(ms) for p, ms in story.phase_durations_ms().items()}
-    value = {"job": story.job, "lines": lines, "spent_ms": spent}
-    first_s = story.lines[0].time_s
+def _print_history(history: job_history.JobHistory, as_json: bool) -> None:
+    lines = [dict(line.fields) for line in history.lines]
+    durations_ms = {
+        phase.value: round(duration_ms)
+        for phase, duration_ms in history.phase_durations_ms().items()
+    }
+    value = {"job": history.job, "lines": lines, "spent_ms": durations_ms}
+    first_s = history.lines[0].time_s
     text = [
-        f"{line.time_s - first_s:8.3f} s  {line.event}  {_facts(line)}"
-        for line in story.lines
+        f"{line.time_s - first_s:8.3f} s  {line.event}  {_format_fields(line)}"
+        for line in history.lines
+    ]
+    text += [
+        f"{duration_ms:8d} ms  {phase}"
+        for phase, duration_ms in durations_ms.items()
     ]
-    text += [f"{ms:8d} ms  {phase}" for phase, ms in spent.items()]
-    output.emit_lines(value, text, as_json=as_json)
+    output.print_lines(value, text, as_json=as_json)
 
 
-def _facts(line: job_history.LogLine) -> str:
-    known = ((name, line.fields.get(name)) for name in _SHOWN)
-    return " ".join(f"{name}={value}" for name, value in known if value)
+def _format_fields(line: job_history.LogLine) -> str:
+    known_fields = ((name, line.fields.get(name)) for name in _SHOWN_FIELDS)
+    return " ".join(f"{name}={value}" for name, value in known_fields if value)
 
 
-def _count(late: Iterable[job_history.JobHistory], as_json: bool) -> None:
-    groups: dict[str, list[job_history.JobHistory]] = collections.defaultdict(
-        list
+def _print_delay_counts(
+    late_histories: Iterable[job_history.JobHistory], as_json: bool
+) -> None:
+    histories_by_phase: dict[str, list[job_history.JobHistory]] = (
+        collections.defaultdict(list)
     )
-    for story in late:
-        phase = story.longest_delay()
-        groups[phase.value if phase else "unknown"].append(story)
-    value = {name: [s.job for s in each] for name, each in groups.items()}
+    for history in late_histories:
+        phase = history.longest_delay()
+        histories_by_phase[phase.value if phase else "unknown"].append(history)
+    value = {
+        phase_name: [history.job for history in delayed]
+        for phase_name, delayed in histories_by_phase.items()
+    }
     text = [
-        f"{len(each):4d}  {name}  {_causes(each)}\n      {_some(each)}"
-        for name, each in sorted(groups.items(), key=lambda x: -len(x[1]))
+        f"{len(delayed):4d}  {phase_name}  {_format_causes(delayed)}\n"
+        f"      {_format_job_ids(delayed)}"
+        for phase_name, delayed in sorted(
+            histories_by_phase.items(), key=lambda group: -len(group[1])
+        )
     ]
-    output.emit_lines(value, text or ["no late job"], as_json=as_json)
+    output.print_lines(value, text or ["no late jobs"], as_json=as_json)
 
 
-def _causes(found: Iterable[job_history.JobHistory]) -> str:
+def _format_causes(histories: Iterable[job_history.JobHistory]) -> str:
     counts: collections.Counter[str] = collections.Counter()
-    for story in found:
-        counts.update(set(story.count_failure_causes()))
-    return ", ".join(f"{cause} {n}" for cause, n in counts.most_common())
+    for history in histories:
+        counts.update(set(history.count_failure_causes()))
+    return ", ".join(
+        f"{cause} {count}" for cause, count in counts.most_common()
+    )
 
 
-def _some(found: list[job_history.JobHistory]) -> str:
-    return " ".join(story.job for story in found[:4])
+def _format_job_ids(histories: list[job_history.JobHistory]) -> str:
+    return " ".join(history.job for history in histories[:4])
--- a/citronmount/cli/job_text.py
+++ b/citronmount/cli/job_text.py
@@ -1,21 +1,21 @@
-"""Jobs and results as text for people."""
+"""Formats jobs and results as text."""
 
 from collections.abc import Iterator
 
 from citronmount.core import jobs
 from citronmount.service import bodies
 
-__all__ = ["line", "result_line", "table"]
+__all__ = ["format_job", "format_job_list", "format_result"]
 
 
-def line(status: jobs.JobStatus) -> str:
-    """Returns one line about a job.
+def format_job(status: jobs.JobStatus) -> str:
+    """Returns one line that describes a job.
 
     Args:
-        status: The job.
+        status: The status of the job.
 
     Returns:
-        Its id, account, state, attempts, workers and result.
+        Id, account, state, attempts, durability, workers and result.
     """
     parts = [
         f"{status.job}  {status.account}  {status.state.value}",
@@ -25,33 +25,34 @@
     if status.workers:
         parts.append(f"on {', '.join(status.workers)}")
     if status.result is not None:
-        parts.append(result_line(status.result))
+        parts.append(format_result(status.result))
     return "  ".join(parts)
 
 
-def result_line(result: jobs.JobResult | jobs.RequestResult) -> str:
-    """Returns one line about a result.
+def format_result(result: jobs.JobResult | jobs.RequestResult) -> str:
+    """Returns one line that describes a result.
 
     Args:
-        result: Of a job or a short request.
+        result: The result of a job or a short request.
 
     Returns:
-        The name and number of its code, and its detail.
+        Name and number of the result code, and the detail if there is one.
     """
     text = f"{result.code.name} ({int(result.code)})"
     return f"{text}: {result.detail}" if result.detail else text
 
 
-def table(listed: bodies.JobsBody) -> Iterator[str]:
-    """Yields one line a job and how many there are.
+def format_job_list(listed: bodies.JobsBody) -> Iterator[str]:
+    """Yields one line per job and a line with their number.
 
     Args:
-        listed: The jobs.
+        listed: The jobs listed.
 
     Yields:
-        The lines.
+        The lines. A last line names the failure domains that did not answer,
+        if there are any.
     """
-    yield from map(line, listed.jobs)
+    yield from map(format_job, listed.jobs)
     yield f"{len(listed.jobs)} of {listed.total} jobs"
     if listed.unanswered:
         yield f"no answer from {', '.join(listed.unanswered)}"
--- a/citronmount/cli/losses_command.py
+++ b/citronmount/cli/losses_command.py
@@ -1,4 +1,4 @@
-"""The command that tells what scored days lose to what."""
+"""The command that shows why scored days lost worth."""
 
 import pathlib
 
@@ -20,21 +20,22 @@
     type=click.Path(exists=True, path_type=pathlib.Path),
 )
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def losses(entries: tuple[pathlib.Path, ...], as_json: bool) -> None:
-    """Tell from journal ENTRIES what the scored days lost their worth to."""
+    """Show, by cause, the worth that the days in journal ENTRIES lost."""
     found = {path.stem: day_journal.read(path) for path in entries}
     value = {
-        name: [_told(day) for day in days] for name, (_, days) in found.items()
+        name: [_make_day_entry(day) for day in days]
+        for name, (_, days) in found.items()
     }
     lines = [
         line
         for name, (site, days) in found.items()
         for line in (f"{site} ({name})", *day_losses.table(days))
     ]
-    output.emit_lines(value, lines, as_json=as_json)
+    output.print_lines(value, lines, as_json=as_json)
 
 
-def _told(day: day_losses.Day) -> dict[str, object]:
+def _make_day_entry(day: day_losses.Day) -> dict[str, object]:
     lost = {c.value: share for c, share in day_losses.losses(day).items()}
     return {"kind": day.kind, "worth": day.worth, "lost": lost}
--- a/citronmount/cli/main.py
+++ b/citronmount/cli/main.py
@@ -7,7 +7,7 @@
 from citronmount.cli import explain_command
 from citronmount.cli import job_commands
 from citronmount.cli import losses_command
-from citronmount.cli import operate_commands
+from citronmount.cli import operator_commands
 from citronmount.cli import sheet_commands
 from citronmount.cli import timeline_command
 
@@ -21,12 +21,12 @@
     job_commands.status,
     job_commands.submit,
     losses_command.losses,
-    operate_commands.codes,
-    operate_commands.completion,
-    operate_commands.drain,
-    operate_commands.keys,
-    operate_commands.members,
-    operate_commands.version,
+    operator_commands.codes,
+    operator_commands.completion,
+    operator_commands.drain,
+    operator_commands.keys,
+    operator_commands.members,
+    operator_commands.version,
     sheet_commands.sheet,
     timeline_command.timeline,
 )
@@ -35,11 +35,11 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(citronmount.__version__, prog_name="citronmount")
 def main() -> None:
-    """Drive citronmount, a scheduler for multi-accelerator jobs.
+    """Use and operate citronmount, a scheduler for multi-accelerator jobs.
 
     Commands exit with 0 if they succeeded, 1 if they failed and 2 if their
-    input is at fault. Servers are named by --server IP:PORT or by the
-    environment variable CITRONMOUNT_SERVER, separated by spaces.
+    input is invalid. Servers are given by --server IP:PORT or, separated by
+    spaces, in the environment variable CITRONMOUNT_SERVER.
     """
 
 
--- a/citronmount/cli/operate_commands.py
+++ b/citronmount/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""The commands that look after VMs and look up tables."""
+"""The commands for operators: VMs, keys, result codes and completion."""
 
 import importlib
 
@@ -20,7 +20,7 @@
 
 
 class CodeBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A result code as JSON has it."""
+    """A result code in JSON output."""
 
     code: int
     name: str
@@ -31,48 +31,50 @@
 
 
 class KeysBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A CURVE key pair."""
+    """A CURVE key pair in JSON output."""
 
     public_key: str
     secret_key: str
 
 
 class VersionBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The version of the package."""
+    """The version of the package in JSON output."""
 
     version: str
 
 
 @click.command()
-@options.connected()
+@options.server_options()
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def drain(connection: options.Connection, as_json: bool) -> None:
-    """Stop the one VM that --server names, without cutting any request."""
+    """Stop the VM that --server names without interrupting any request."""
     if len(connection.servers) != 1:
-        raise click.UsageError("name exactly one --server to drain")
+        raise click.UsageError("expected exactly one --server to drain")
     call = calls.Call(method="POST", path=("v1", "drain"))
-    found = connection.run(lambda c: c.call(call, bodies.ResultBody))
-    text = f"{connection.servers[0]}: {found.detail}"
-    output.emit(found, text, as_json=as_json)
+    result = connection.run(lambda client: client.call(call, bodies.ResultBody))
+    text = f"{connection.servers[0]}: {result.detail}"
+    output.print_result(result, text, as_json=as_json)
 
 
 @click.command()
-@options.connected()
+@options.server_options()
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def members(connection: options.Connection, as_json: bool) -> None:
-    """Show the VMs of the system as the first server sees them."""
+    """Show the VMs of the system as known to the first server."""
     call = calls.Call(method="GET", path=("v1", "membership"))
 
-    async def main(client: client_lib.Client) -> bodies.MembersBody:
+    async def fetch_members(client: client_lib.Client) -> bodies.MembersBody:
         return await client.call(call, bodies.MembersBody)
 
-    found = connection.run(main)
-    output.emit_lines(found, map(_member_line, found.members), as_json=as_json)
+    listed = connection.run(fetch_members)
+    output.print_lines(
+        listed, map(_format_member, listed.members), as_json=as_json
+    )
 
 
-def _member_line(member: bodies.Member) -> str:
+def _format_member(member: bodies.Member) -> str:
     flags = [
         name
         for name in ("listed", "alive", "ready", "draining", "owner")
@@ -104,18 +106,18 @@
         f"{'not run' if row.proves_not_run else '':<8} {row.meaning}"
         for row in rows
     )
-    output.emit_lines(rows, lines, as_json=as_json)
+    output.print_lines(rows, lines, as_json=as_json)
 
 
 @click.command()
 @options.json_option
 def keys(as_json: bool) -> None:
-    """Make a CURVE key pair for the settings of a VM."""
+    """Generate a CURVE key pair for the settings of a VM."""
     zmq = importlib.import_module("zmq")
     public, secret = (key.decode("ascii") for key in zmq.curve_keypair())
     body = KeysBody(public_key=public, secret_key=secret)
     text = f'public_key = "{public}"\nsecret_key = "{secret}"'
-    output.emit(body, text, as_json=as_json)
+    output.print_result(body, text, as_json=as_json)
 
 
 @click.command()
@@ -123,7 +125,7 @@
 def version(as_json: bool) -> None:
     """Print the version."""
     number = citronmount.__version__
-    output.emit(VersionBody(version=number), number, as_json=as_json)
+    output.print_result(VersionBody(version=number), number, as_json=as_json)
 
 
 @click.command()
@@ -135,7 +137,7 @@
     For bash, put its output into ~/.bashrc, or run
     eval "$(citronmount completion bash)".
     """
-    kind = shell_completion.get_completion_class(shell)
-    root = context.find_root().command
-    script = kind(root, {}, PROGRAM, "_CITRONMOUNT_COMPLETE")
+    script_class = shell_completion.get_completion_class(shell)
+    root_command = context.find_root().command
+    script = script_class(root_command, {}, PROGRAM, "_CITRONMOUNT_COMPLETE")
     click.echo(script.source())
--- a/citronmount/cli/options.py
+++ b/citronmount/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Options shared by several commands."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -14,21 +14,24 @@
 from citronmount.service import settings_formats
 
 __all__ = [
-    "SHEET_PATH",
+    "INPUT_FILE",
     "Connection",
-    "author_name",
-    "connected",
+    "default_author",
     "json_option",
+    "server_options",
 ]
 
 _T = typing.TypeVar("_T")
 _Command = Callable[..., None]
 
-SHEET_PATH = click.Path(exists=True, dir_okay=False, readable=True)
+INPUT_FILE = click.Path(exists=True, dir_okay=False, readable=True)
 
 
 class _Address(click.ParamType):
-    """``ip:port``; several may be separated by spaces in the environment."""
+    """Parameter type: an address as ``ip:port``.
+
+    The environment variable may hold several, separated by spaces.
+    """
 
     name = "IP:PORT"
 
@@ -38,7 +41,7 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> str:
-        """Checks one address."""
+        """Checks one address and returns it unchanged."""
         fault = settings_formats.fault_of("address", value)
         if fault is not None:
             self.fail(f"{value!r}: expected {fault[1]}", param, ctx)
@@ -46,23 +49,23 @@
 
 
 class Connection:
-    """How the commands reach the servers.
+    """Connects commands to the servers of a system.
 
     Attributes:
-        servers: ``ip:port`` of each.
+        servers: ``ip:port`` of each server.
     """
 
     def __init__(
-        self, *, servers: tuple[str, ...], authority_pem: bytes | None
+        self, *, servers: tuple[str, ...], ca_pem: bytes | None
     ) -> None:
         """Initializes the connection.
 
         Args:
-            servers: ``ip:port`` of each.
-            authority_pem: The authority of their certificates, for TLS.
+            servers: ``ip:port`` of each server.
+            ca_pem: The CA certificate of the servers, or None for plain HTTP.
         """
         self.servers = servers
-        self._authority_pem = authority_pem
+        self._ca_pem = ca_pem
 
     def run(
         self,
@@ -70,49 +73,52 @@
     ) -> _T:
         """Runs a coroutine with a client.
 
-        The HTTP libraries are imported only now, so that commands and
-        completions without a call start fast.
+        The HTTP libraries are imported only here, so that commands and
+        completions that make no call start fast.
 
         Args:
-            main: Makes the coroutine.
+            main: Called with the client; returns the coroutine.
 
         Returns:
-            Its result.
+            The result of the coroutine.
         """
-        transport_lib = importlib.import_module("citronmount.cli.transport")
+        transport_module = importlib.import_module("citronmount.cli.transport")
 
-        def start(reactor: object) -> Coroutine[object, object, _T]:
-            transport = transport_lib.Transport(
-                reactor=reactor, authority_pem=self._authority_pem
+        def start_main(reactor: object) -> Coroutine[object, object, _T]:
+            transport = transport_module.Transport(
+                reactor=reactor, ca_pem=self._ca_pem
             )
             client = client_lib.Client(
                 servers=self.servers, transport=transport
             )
             return main(client)
 
-        return transport_lib.run(start)
+        return transport_module.run(start_main)
 
 
 def json_option(command: _Command) -> _Command:
     """Adds ``--json`` to a command, as the parameter ``as_json``.
 
     Args:
-        command: The command.
+        command: The function of the command.
 
     Returns:
-        The command with the option.
+        The function with the option.
     """
     return click.option(
-        "--json", "as_json", is_flag=True, help="Print one JSON value."
+        "--json",
+        "as_json",
+        is_flag=True,
+        help="Print the result as one JSON value.",
     )(command)
 
 
-def connected(required: bool = True) -> Callable[[_Command], _Command]:
-    """Adds the options that name servers, as the parameter ``connection``.
+def server_options(required: bool = True) -> Callable[[_Command], _Command]:
+    """Adds ``--server`` and ``--ca``, as the parameter ``connection``.
 
     Args:
-        required: Whether at least one server has to be named; otherwise the
-            parameter is None without one.
+        required: Whether at least one server has to be given. If not, the
+            parameter is None without a server.
 
     Returns:
         The decorator.
@@ -123,35 +129,35 @@
         def wrapped(
             server: tuple[str, ...], ca: str | None, **kwargs: object
         ) -> None:
-            pem = pathlib.Path(ca).read_bytes() if ca else None
-            connection = Connection(servers=server, authority_pem=pem)
+            ca_pem = pathlib.Path(ca).read_bytes() if ca else None
+            connection = Connection(servers=server, ca_pem=ca_pem)
             command(connection=connection if server else None, **kwargs)
 
-        return _server_options(required)(wrapped)
+        return _add_server_options(required)(wrapped)
 
     return decorate
 
 
-def _server_options(required: bool) -> Callable[[_Command], _Command]:
-    server = click.option(
+def _add_server_options(required: bool) -> Callable[[_Command], _Command]:
+    server_option = click.option(
         "--server",
         multiple=True,
         required=required,
         type=_Address(),
         envvar="CITRONMOUNT_SERVER",
-        help="A VM of the system; repeat it to name others to fall back on.",
+        help="A VM of the system; repeat to name others for failover.",
     )
-    authority = click.option(
+    ca_option = click.option(
         "--ca",
         type=click.Path(exists=True, dir_okay=False),
         envvar="CITRONMOUNT_CA",
-        help="PEM file of the authority of the servers' certificates.",
+        help="PEM file of the CA that signed the servers' certificates.",
     )
-    return lambda command: server(authority(command))
+    return lambda command: server_option(ca_option(command))
 
 
-def author_name() -> str:
-    """Returns the name of the user, for the record of a publication."""
+def default_author() -> str:
+    """Returns the user name, the default author of a publication."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/citronmount/cli/output.py
+++ b/citronmount/cli/output.py
@@ -1,4 +1,4 @@
-"""Prints results and errors, for people or as JSON, and sets exit codes."""
+"""Prints results and errors as text or JSON, and sets exit codes."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -14,9 +14,15 @@
 from citronmount.core import errors
 from citronmount.service import bodies
 
-__all__ = ["Exit", "emit", "emit_lines", "exit_of", "reports_errors"]
+__all__ = [
+    "Exit",
+    "exit_code_of",
+    "handle_errors",
+    "print_lines",
+    "print_result",
+]
 
-_FAMILY = 1_000
+_CODES_PER_FAMILY = 1_000
 _BAD_INPUT_FAMILIES = frozenset({2, 5, 6})
 _P = typing.ParamSpec("_P")
 
@@ -29,26 +35,26 @@
     BAD_INPUT = 2
 
 
-def emit(value: object, text: str, *, as_json: bool) -> None:
+def print_result(value: object, text: str, *, as_json: bool) -> None:
     """Prints one result on standard output.
 
     Args:
-        value: The result, which JSON can hold.
-        text: The same for a person.
-        as_json: Whether to print JSON.
+        value: The result; msgspec must be able to encode it as JSON.
+        text: The result as text.
+        as_json: Whether to print JSON instead of text.
     """
     click.echo(msgspec.json.encode(value) if as_json else text)
 
 
-def emit_lines(
+def print_lines(
     value: object, lines: Iterable[object], *, as_json: bool
 ) -> None:
     """Prints one result of several lines on standard output.
 
     Args:
-        value: The result, which JSON can hold.
-        lines: The same for a person.
-        as_json: Whether to print JSON.
+        value: The result; msgspec must be able to encode it as JSON.
+        lines: The lines of the result as text.
+        as_json: Whether to print JSON instead of text.
     """
     if as_json:
         click.echo(msgspec.json.encode(value))
@@ -57,36 +63,39 @@
         click.echo(str(line))
 
 
-def exit_of(code: codes.ResultCode) -> Exit:
-    """Returns the exit code that goes with a result code.
+def exit_code_of(code: codes.ResultCode) -> Exit:
+    """Returns the exit code that corresponds to a result code.
 
     Args:
-        code: Any result code.
+        code: The result code.
 
     Returns:
-        OK for good results, BAD_INPUT for final refusals and faults of input,
-        otherwise FAILED.
+        OK for success, BAD_INPUT for permanent refusals and invalid input,
+        FAILED for everything else.
 
     Example:
-        >>> exit_of(codes.ResultCode.QUEUE_FULL)
+        >>> exit_code_of(codes.ResultCode.QUEUE_FULL)
         <Exit.FAILED: 1>
     """
     if code is codes.ResultCode.CONFIGURATION_ACCEPTED:
         return Exit.OK
-    family = code // _FAMILY
+    family = code // _CODES_PER_FAMILY
     if family == 1:
         return Exit.OK
     return Exit.BAD_INPUT if family in _BAD_INPUT_FAMILIES else Exit.FAILED
 
 
-def reports_errors(command: Callable[_P, None]) -> Callable[_P, None]:
-    """Makes a command print the project's errors and exit accordingly.
+def handle_errors(command: Callable[_P, None]) -> Callable[_P, None]:
+    """Makes a command print expected errors and exit accordingly.
+
+    Expected are `errors.CitronmountError` and exception groups that hold
+    nothing else; other exceptions are propagated.
 
     Args:
-        command: A command with an ``as_json`` parameter.
+        command: The function of a command with an ``as_json`` parameter.
 
     Returns:
-        The command without tracebacks for expected errors.
+        The decorated function.
     """
 
     @functools.wraps(command)
@@ -94,31 +103,37 @@
         try:
             command(*args, **kwargs)
         except errors.CitronmountError as error:
-            _report([error], bool(kwargs.get("as_json")))
+            _print_errors_and_exit([error], bool(kwargs.get("as_json")))
         except ExceptionGroup as group:
-            known, unknown = group.split(errors.CitronmountError)
-            if unknown is not None:
+            expected, unexpected = group.split(errors.CitronmountError)
+            if unexpected is not None:
                 raise
-            _report(known.exceptions, bool(kwargs.get("as_json")))
+            _print_errors_and_exit(
+                expected.exceptions, bool(kwargs.get("as_json"))
+            )
 
     return wrapped
 
 
-def _report(
-    failures: Iterable[errors.CitronmountError], as_json: bool
+def _print_errors_and_exit(
+    raised: Iterable[errors.CitronmountError], as_json: bool
 ) -> typing.NoReturn:
-    listed = list(failures)
-    code = listed[0].code
+    failures = list(raised)
+    code = failures[0].code
     if as_json:
-        click.echo(msgspec.json.encode(_body(listed)))
-    for failure in listed:
-        click.echo(f"error: {failure}", err=True)
+        click.echo(msgspec.json.encode(_make_error_body(failures)))
+    for error in failures:
+        click.echo(f"error: {error}", err=True)
     click.echo(f"hint: {codes.info(code).action}", err=True)
-    raise SystemExit(exit_of(code))
-
-
-def _body(failures: list[errors.CitronmountError]) -> bodies.ResultBody:
-    first = failures[0]
-    if isinstance(first, client_lib.RefusedError):
-        return first.refusal
-    return bodies.make_result_body(first.code, "; ".join(map(str, failures)))
+    raise SystemExit(exit_code_of(code))
+
+
+def _make_error_body(
+    failures: list[errors.CitronmountError],
+) -> bodies.ResultBody:
+    first_error = failures[0]
+    if isinstance(first_error, client_lib.RefusedError):
+        return first_error.result
+    return bodies.make_result_body(
+        first_error.code, "; ".join(map(str, failures))
+    )
--- a/citronmount/cli/progress.py
+++ b/citronmount/cli/progress.py
@@ -1,4 +1,4 @@
-"""Progress of long commands on standard error, if that is a terminal."""
+"""Shows progress on standard error if it is a terminal."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -10,34 +10,34 @@
 
 import click
 
-__all__ = ["Note", "notes", "reading"]
+__all__ = ["ShowStatus", "open_with_progress", "status_line"]
 
-Note = Callable[[str], None]
+ShowStatus = Callable[[str], None]
 
 
 class _CountingFile(io.FileIO):
-    """A file that tells how many bytes were read from it."""
+    """A file that reports the number of bytes of each read."""
 
     def __init__(self, path: str, on_read: Callable[[int], None]) -> None:
         super().__init__(path)
         self._on_read = on_read
 
     def readinto(self, buffer: bytearray) -> int | None:
-        """Reads into a buffer and tells the count."""
+        """Reads into a buffer and reports the number of bytes."""
         count = super().readinto(buffer)
         self._on_read(count or 0)
         return count
 
 
 @contextlib.contextmanager
-def reading(path: str) -> Iterator[BinaryIO]:
-    """Opens a file to be read with a progress bar.
+def open_with_progress(path: str) -> Iterator[BinaryIO]:
+    """Opens a file and shows a progress bar while it is read.
 
     Args:
         path: The file.
 
     Yields:
-        The open file.
+        The open file, in binary mode.
     """
     bar = click.progressbar(
         length=os.stat(path).st_size,
@@ -50,19 +50,19 @@
 
 
 @contextlib.contextmanager
-def notes() -> Iterator[Note]:
-    """Shows the newest of several short notes on one line.
+def status_line() -> Iterator[ShowStatus]:
+    """Opens a status line, which is cleared at the end.
 
     Yields:
-        A function that shows a note.
+        A function that replaces the text of the status line.
     """
-    shown = sys.stderr.isatty()
+    is_terminal = sys.stderr.isatty()
 
-    def note(text: str) -> None:
-        if shown:
+    def show_status(text: str) -> None:
+        if is_terminal:
             click.echo(f"\r\x1b[K{text}", err=True, nl=False)
 
     try:
-        yield note
+        yield show_status
     finally:
-        note("")
+        show_status("")
--- a/citronmount/cli/publishing.py
+++ b/citronmount/cli/publishing.py
@@ -1,4 +1,4 @@
-"""Publishes a configuration and finds out what a lost answer was."""
+"""Publishes a configuration and resolves unknown outcomes."""
 
 from citronmount.cli import calls
 from citronmount.cli import client as client_lib
@@ -9,7 +9,7 @@
 from citronmount.core import ids
 from citronmount.service import bodies
 
-__all__ = ["exit_of", "publish"]
+__all__ = ["exit_code_of", "publish"]
 
 PUBLISH_TIMEOUT_MS = 30_000
 
@@ -24,21 +24,22 @@
     base_version: int,
     author: str,
 ) -> bodies.PublishBody:
-    """Publishes a configuration on top of a version.
+    """Publishes a configuration as the successor of a version.
 
-    A second copy of the change has no effect because its base is stale by
-    then, so the call is idempotent; an answer that leaves the outcome open is
-    resolved by reading the configuration in force.
+    The call is idempotent: a second copy of the change is rejected because
+    its base version is stale by then. If the outcome is unknown or the base
+    is stale, the configuration in force decides: with the same content, an
+    earlier copy of the change was accepted and only its answer was lost.
 
     Args:
-        client: Reaches the servers.
-        content: The configuration.
+        client: Calls the servers.
+        content: The configuration; its version is ignored.
         base_version: The version that it replaces.
-        author: Who publishes.
+        author: Name to record as the author of the change.
 
     Returns:
-        The answer. It is CONFIGURATION_ACCEPTED also if an answer was lost
-        and the content is found in force.
+        The answer. Its code is CONFIGURATION_ACCEPTED also if the content is
+        found in force.
     """
     call = calls.Call(
         method="PUT",
@@ -50,29 +51,30 @@
     answer = await client.call(call, bodies.PublishBody)
     if answer.code not in (_OUTCOME_UNKNOWN, _STALE_BASE):
         return answer
-    in_force = await client.in_force(content)
-    return answer if in_force is None else _accepted(in_force.version)
+    in_force = await client.find_in_force(content)
+    return answer if in_force is None else _make_accepted_body(in_force.version)
 
 
-def _accepted(version: ids.Version) -> bodies.PublishBody:
+def _make_accepted_body(version: ids.Version) -> bodies.PublishBody:
     return bodies.PublishBody(
         code=int(_ACCEPTED),
         name=_ACCEPTED.name,
-        detail="The same content is in force.",
+        detail="The configuration in force has the same content.",
         version=version,
     )
 
 
-def exit_of(answer: bodies.PublishBody) -> output.Exit:
-    """Returns the exit code of an answer.
+def exit_code_of(answer: bodies.PublishBody) -> output.Exit:
+    """Returns the exit code that corresponds to the answer to a publication.
 
     Args:
-        answer: The answer to a publication.
+        answer: The answer.
 
     Returns:
-        OK if it is in force, BAD_INPUT if the sheet is at fault.
+        OK if the configuration was accepted, BAD_INPUT if it is invalid,
+        otherwise the exit code of the result code.
     """
     code = codes.ResultCode(answer.code)
     if code is codes.ResultCode.CONFIGURATION_INVALID:
         return output.Exit.BAD_INPUT
-    return output.exit_of(code)
+    return output.exit_code_of(code)
--- a/citronmount/cli/sheet_commands.py
+++ b/citronmount/cli/sheet_commands.py
@@ -1,4 +1,4 @@
-"""The commands for sheets: check, diff, show and publish."""
+"""The commands that check, compare, show and publish sheets."""
 
 import click
 import msgspec
@@ -21,7 +21,7 @@
 
 
 class FaultBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A fault as JSON has it."""
+    """A fault in JSON output."""
 
     row: int
     code: int
@@ -30,7 +30,7 @@
 
 
 class CheckBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer of ``sheet check``."""
+    """JSON output of ``sheet check``."""
 
     file: str
     valid: bool
@@ -40,7 +40,7 @@
 
 
 class DiffBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer of ``sheet diff``."""
+    """JSON output of ``sheet diff``."""
 
     old_version: int | None
     changes: tuple[sheet_diff.Change, ...]
@@ -49,8 +49,8 @@
 _pool_option = click.option(
     "--pool",
     "pool_path",
-    type=options.SHEET_PATH,
-    help="Pool file in TOML; checks that the guarantees fit together.",
+    type=options.INPUT_FILE,
+    help="Pool file in TOML; checks that it can satisfy all guarantees.",
 )
 
 
@@ -60,36 +60,36 @@
 
 
 @sheet.command()
-@click.argument("file", type=options.SHEET_PATH)
+@click.argument("file", type=options.INPUT_FILE)
 @_pool_option
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def check(file: str, pool_path: str | None, as_json: bool) -> None:
-    """Check FILE; print every fault and exit with 2 if there is any."""
-    found = _read(file, pool_path)
-    _refuse_faults(found, as_json)
-    rows = found.configuration
+    """Check FILE; print its faults and exit with 2 if there are any."""
+    checked_sheet = _read_sheet(file, pool_path)
+    _exit_if_faulty(checked_sheet, as_json)
+    content = checked_sheet.configuration
     text = (
-        f"{file}: no faults; {len(rows.failure_domains)} failure domains, "
-        f"{len(rows.accounts)} client accounts, "
-        f"{len(rows.guarantees)} guarantees, "
-        f"{len(rows.allowances)} allowances"
+        f"{file}: no faults; {len(content.failure_domains)} failure domains, "
+        f"{len(content.accounts)} client accounts, "
+        f"{len(content.guarantees)} guarantees, "
+        f"{len(content.allowances)} allowances"
     )
-    output.emit(_check_body(found), text, as_json=as_json)
+    output.print_result(_make_check_body(checked_sheet), text, as_json=as_json)
 
 
 @sheet.command()
-@click.argument("file", type=options.SHEET_PATH)
+@click.argument("file", type=options.INPUT_FILE)
 @click.option(
     "--old",
     "old_path",
-    type=options.SHEET_PATH,
-    help="Compare with this sheet, not with the configuration in force.",
+    type=options.INPUT_FILE,
+    help="Compare with this sheet instead of the configuration in force.",
 )
 @_pool_option
-@options.connected(required=False)
+@options.server_options(required=False)
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def diff(
     file: str,
     old_path: str | None,
@@ -97,50 +97,50 @@
     connection: options.Connection | None,
     as_json: bool,
 ) -> None:
-    """Show what FILE would change for whom."""
-    found = _read(file, pool_path)
-    _refuse_faults(found, as_json)
+    """Show the changes of FILE by account and failure domain."""
+    checked_sheet = _read_sheet(file, pool_path)
+    _exit_if_faulty(checked_sheet, as_json)
     if old_path is not None:
-        version, old = None, _configuration_of(old_path, as_json)
+        version, old = None, _read_configuration(old_path, as_json)
     elif connection is not None:
         in_force = connection.run(lambda client: client.configuration())
         version, old = in_force.version, in_force.content
     else:
-        raise click.UsageError("give --server IP:PORT or --old FILE")
-    changes = sheet_diff.diff(old, found.configuration)
+        raise click.UsageError("expected --server IP:PORT or --old FILE")
+    changes = sheet_diff.diff(old, checked_sheet.configuration)
     lines = changes or ("no changes",)
     body = DiffBody(old_version=version, changes=changes)
-    output.emit_lines(body, lines, as_json=as_json)
+    output.print_lines(body, lines, as_json=as_json)
 
 
 @sheet.command()
-@options.connected()
+@options.server_options()
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def show(connection: options.Connection, as_json: bool) -> None:
     """Print the configuration in force as a sheet."""
-    found = connection.run(lambda client: client.configuration())
-    text = sheet_lib.write(found.content).rstrip("\n")
-    output.emit(found, text, as_json=as_json)
+    in_force = connection.run(lambda client: client.configuration())
+    text = sheet_lib.write(in_force.content).rstrip("\n")
+    output.print_result(in_force, text, as_json=as_json)
 
 
 @sheet.command()
-@click.argument("file", type=options.SHEET_PATH)
+@click.argument("file", type=options.INPUT_FILE)
 @click.option(
     "--base-version",
     type=click.IntRange(min=0),
-    help="The version that FILE was made from; by default the one in force.",
+    help="The version that FILE is based on; by default the one in force.",
 )
 @click.option(
     "--author",
-    default=options.author_name,
+    default=options.default_author,
     show_default="the user's name",
-    help="Who publishes, for the record.",
+    help="Name to record as the author of the change.",
 )
 @_pool_option
-@options.connected()
+@options.server_options()
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def publish(
     file: str,
     base_version: int | None,
@@ -151,66 +151,70 @@
 ) -> None:
     """Publish FILE as the new configuration.
 
-    Exits with 1 if another change came first; nothing is changed then.
+    Exits with 1 and changes nothing if another change was accepted first.
     """
-    found = _read(file, pool_path)
-    _refuse_faults(found, as_json)
-
-    async def main(client: client_lib.Client) -> bodies.PublishBody:
-        base = base_version
-        if base is None:
-            base = (await client.configuration()).version
+    checked_sheet = _read_sheet(file, pool_path)
+    _exit_if_faulty(checked_sheet, as_json)
+
+    async def publish_configuration(
+        client: client_lib.Client,
+    ) -> bodies.PublishBody:
+        effective_base = base_version
+        if effective_base is None:
+            effective_base = (await client.configuration()).version
         return await publishing.publish(
-            client, found.configuration, base, author
+            client, checked_sheet.configuration, effective_base, author
         )
 
-    answer = connection.run(main)
-    text = f"{answer.name} ({answer.code}): {answer.detail}"
-    lines = (f"{text}; version {answer.version} in force", *answer.faults)
-    output.emit_lines(answer, lines, as_json=as_json)
-    raise SystemExit(publishing.exit_of(answer))
+    answer = connection.run(publish_configuration)
+    summary = f"{answer.name} ({answer.code}): {answer.detail}"
+    lines = (f"{summary}; version {answer.version} in force", *answer.faults)
+    output.print_lines(answer, lines, as_json=as_json)
+    raise SystemExit(publishing.exit_code_of(answer))
 
 
-def _read(file: str, pool_path: str | None) -> sheet_lib.Sheet:
-    with progress.reading(file) as stream:
-        found = sheet_lib.read_stream(stream, file=file)
+def _read_sheet(file: str, pool_path: str | None) -> sheet_lib.Sheet:
+    with progress.open_with_progress(file) as stream:
+        parsed_sheet = sheet_lib.read_stream(stream, file=file)
     if pool_path is None:
-        return found
-    return sheet_feasibility.check(found, pool_file.load(pool_path))
+        return parsed_sheet
+    return sheet_feasibility.check(parsed_sheet, pool_file.load(pool_path))
 
 
-def _configuration_of(
+def _read_configuration(
     path: str, as_json: bool
 ) -> configuration_lib.Configuration:
-    found = _read(path, None)
-    _refuse_faults(found, as_json)
-    return found.configuration
+    checked_sheet = _read_sheet(path, None)
+    _exit_if_faulty(checked_sheet, as_json)
+    return checked_sheet.configuration
 
 
-def _refuse_faults(found: sheet_lib.Sheet, as_json: bool) -> None:
-    """Prints the faults and exits if there are any; warns of the rest."""
-    if found.configuration is not None:
-        for warning in sheet_warnings.warnings(found.configuration):
-            click.echo(f"{found.file}: warning: {warning}", err=True)
+def _exit_if_faulty(checked_sheet: sheet_lib.Sheet, as_json: bool) -> None:
+    """Prints the warnings of a valid sheet; otherwise its faults, and exits."""
+    if checked_sheet.configuration is not None:
+        for warning in sheet_warnings.warnings(checked_sheet.configuration):
+            click.echo(f"{checked_sheet.file}: warning: {warning}", err=True)
         return
-    output.emit_lines(_check_body(found), found.faults, as_json=as_json)
-    if found.further_faults:
-        click.echo(f"{found.further_faults} further faults", err=True)
+    output.print_lines(
+        _make_check_body(checked_sheet), checked_sheet.faults, as_json=as_json
+    )
+    if checked_sheet.further_faults:
+        click.echo(f"{checked_sheet.further_faults} further faults", err=True)
     raise SystemExit(output.Exit.BAD_INPUT)
 
 
-def _check_body(found: sheet_lib.Sheet) -> CheckBody:
-    content = found.configuration
+def _make_check_body(checked_sheet: sheet_lib.Sheet) -> CheckBody:
+    content = checked_sheet.configuration
     return CheckBody(
-        file=found.file,
+        file=checked_sheet.file,
         valid=content is not None,
-        faults=tuple(map(_fault_body, found.faults)),
-        further_faults=found.further_faults,
+        faults=tuple(map(_make_fault_body, checked_sheet.faults)),
+        further_faults=checked_sheet.further_faults,
         warnings=sheet_warnings.warnings(content) if content else (),
     )
 
 
-def _fault_body(fault: sheet_faults.SheetFault) -> FaultBody:
+def _make_fault_body(fault: sheet_faults.SheetFault) -> FaultBody:
     return FaultBody(
         row=fault.row,
         code=int(fault.code),
--- a/citronmount/cli/tests/test_bench_plot.py
+++ b/citronmount/cli/tests/test_bench_plot.py
@@ -8,11 +8,11 @@
 
 
 def _metrics(p99, **fields):
-    times = report.Percentiles(
+    percentiles = report.Percentiles(
         count=2, mean=1.0, p50=1.0, p90=p99, p99=p99, max=p99
     )
     return report.PolicyMetrics(
-        completion_time_s={"gang": times}, wait_s={}, **fields
+        completion_time_s={"gang": percentiles}, wait_s={}, **fields
     )
 
 
@@ -27,7 +27,7 @@
 
 
 class BenchPlotTest(unittest.TestCase):
-    def test_panels_hold_what_was_measured(self):
+    def test_panels_omit_values_that_were_not_measured(self):
         self.assertEqual(
             bench_plot.panels(_REPORT),
             {
@@ -37,7 +37,7 @@
             },
         )
 
-    def test_plot_is_written_or_refused(self):
+    def test_write_creates_the_file_or_rejects_its_format(self):
         directory = self.enterContext(tempfile.TemporaryDirectory())
         path = pathlib.Path(directory) / "plot.svg"
         bench_plot.write(_REPORT, path)
--- a/citronmount/cli/tests/test_client.py
+++ b/citronmount/cli/tests/test_client.py
@@ -9,75 +9,78 @@
 _CODES = codes.ResultCode
 
 
-def _lost(sent):
+def _no_answer(sent):
     return calls.NoAnswerError("lost", sent=sent)
 
 
 class ClientTest(unittest.TestCase):
     def call(self, *, idempotent=True, kind=bodies.JobsBody, **script):
-        self.servers = fakes.Servers(**script)
+        self.servers = fakes.ScriptedServers(**script)
         client = client_lib.Client(servers=script, transport=self.servers)
         call = calls.Call(method="GET", path=("v1",), idempotent=idempotent)
-        return fakes.run(client.call(call, kind))
+        return fakes.run_to_completion(client.call(call, kind))
 
-    def test_next_server_is_asked_when_nothing_took_effect(self):
+    def test_a_call_without_effect_fails_over_to_the_next_server(self):
         good = bodies.JobsBody(jobs=(), total=0)
         for answer in (
-            _lost(sent=False),
+            _no_answer(sent=False),
             bodies.make_result_body(_CODES.DRAINING),
             bodies.make_result_body(_CODES.REBUILDING),
             bodies.make_result_body(_CODES.NO_CONFIGURATION),
         ):
             found = self.call(idempotent=False, a=answer, b=good)
             self.assertEqual(found, good)
-            self.assertEqual(self.servers.asked, ["a", "b"])
+            self.assertEqual(self.servers.called, ["a", "b"])
 
-    def test_only_idempotent_calls_go_on_after_a_broken_connection(self):
+    def test_only_idempotent_calls_fail_over_after_a_lost_connection(self):
         good = bodies.JobsBody(jobs=(), total=0)
-        self.assertEqual(self.call(a=_lost(sent=True), b=good), good)
+        self.assertEqual(self.call(a=_no_answer(sent=True), b=good), good)
         with self.assertRaises(ExceptionGroup):
-            self.call(idempotent=False, a=_lost(sent=True), b=good)
-        self.assertEqual(self.servers.asked, ["a"])
+            self.call(idempotent=False, a=_no_answer(sent=True), b=good)
+        self.assertEqual(self.servers.called, ["a"])
 
-    def call_patiently(self, answers, patience_ms, *, idempotent=True):
-        self.servers = fakes.Servers(a=answers)
+    def call_with_retries(self, answers, pause_budget_ms, *, idempotent=True):
+        self.servers = fakes.ScriptedServers(a=answers)
         client = client_lib.Client(servers="a", transport=self.servers)
         call = calls.Call(method="GET", path=("v1",), idempotent=idempotent)
-        return fakes.run(
-            client.call_patiently(call, bodies.JobsBody, patience_ms)
+        return fakes.run_to_completion(
+            client.call_with_retries(call, bodies.JobsBody, pause_budget_ms)
         )
 
-    def test_patience_waits_as_told_and_ends(self):
+    def test_retries_pause_as_requested_until_the_budget_is_used_up(self):
         good = bodies.JobsBody(jobs=(), total=0)
         busy = bodies.make_result_body(_CODES.QUEUE_FULL, retry_after_ms=300)
         self.assertEqual(
-            self.call_patiently([busy, _lost(sent=True), good], 9_000), good
+            self.call_with_retries([busy, _no_answer(sent=True), good], 9_000),
+            good,
         )
         self.assertEqual(self.servers.pauses_ms, [300, 1_000])
         with self.assertRaises(client_lib.RefusedError):
-            self.call_patiently([busy] * 9, 700)
+            self.call_with_retries([busy] * 9, 700)
         self.assertEqual(self.servers.pauses_ms, [300, 300, 100])
 
-    def test_patience_repeats_nothing_that_may_have_taken_effect(self):
+    def test_permanent_refusals_and_unknown_outcomes_are_not_retried(self):
         final = bodies.make_result_body(_CODES.UNKNOWN_ACCOUNT)
         with self.assertRaises(client_lib.RefusedError):
-            self.call_patiently([final], 9_000)
+            self.call_with_retries([final], 9_000)
         with self.assertRaises(ExceptionGroup):
-            self.call_patiently([_lost(sent=True)], 9_000, idempotent=False)
+            self.call_with_retries(
+                [_no_answer(sent=True)], 9_000, idempotent=False
+            )
 
-    def test_other_refusals_are_final(self):
+    def test_a_refusal_by_the_call_itself_does_not_fail_over(self):
         refusal = bodies.make_result_body(_CODES.UNKNOWN_ACCOUNT)
         with self.assertRaises(client_lib.RefusedError) as caught:
             self.call(a=refusal, b=bodies.JobsBody(jobs=(), total=0))
-        self.assertEqual(caught.exception.refusal, refusal)
-        self.assertEqual(self.servers.asked, ["a"])
+        self.assertEqual(caught.exception.result, refusal)
+        self.assertEqual(self.servers.called, ["a"])
 
-    def test_every_failure_is_reported(self):
+    def test_the_failure_of_every_server_is_reported(self):
         with self.assertRaises(ExceptionGroup) as caught:
-            self.call(a=_lost(sent=False), b=_lost(sent=False))
+            self.call(a=_no_answer(sent=False), b=_no_answer(sent=False))
         self.assertEqual(len(caught.exception.exceptions), 2)
 
-    def test_unreadable_answer_counts_as_none(self):
+    def test_an_unreadable_reply_counts_as_no_answer(self):
         with self.assertRaises(ExceptionGroup):
             self.call(a={"strange": 1})
 
--- a/citronmount/cli/tests/test_explain.py
+++ b/citronmount/cli/tests/test_explain.py
@@ -11,9 +11,9 @@
 
 class ExplainTest(unittest.TestCase):
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = pathlib.Path(folder.name) / "vm.log"
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = pathlib.Path(directory.name) / "vm.log"
         lines = test_job_history.gang_log_lines(0.6, 0.7, 2.7, 4.8)
         self.path.write_text("\n".join(["noise", *lines]), encoding="utf-8")
 
@@ -21,18 +21,18 @@
         runner = testing.CliRunner()
         return runner.invoke(main.main, ["explain", str(self.path), *arguments])
 
-    def test_late_jobs_are_counted_by_their_main_loss(self) -> None:
-        done = self.run_command("--priority", "0")
-        self.assertEqual(0, done.exit_code)
-        self.assertIn("1  from the last end to the final state", done.output)
-        self.assertIn(test_job_history.JOB, done.output)
-
-    def test_one_job_is_told_line_by_line(self) -> None:
-        done = self.run_command("--job", test_job_history.JOB, "--json")
-        told = json.loads(done.output)
-        self.assertEqual(5, len(told["lines"]))
-        self.assertEqual(2_000, told["spent_ms"]["the last run at work"])
-
-    def test_job_that_no_line_names_is_bad_input(self) -> None:
-        done = self.run_command("--job", "other")
-        self.assertEqual(2, done.exit_code)
+    def test_late_jobs_are_counted_by_their_longest_delay(self) -> None:
+        result = self.run_command("--priority", "0")
+        self.assertEqual(0, result.exit_code)
+        self.assertIn("1  from the last end to the final state", result.output)
+        self.assertIn(test_job_history.JOB, result.output)
+
+    def test_one_job_is_shown_line_by_line(self) -> None:
+        result = self.run_command("--job", test_job_history.JOB, "--json")
+        shown = json.loads(result.output)
+        self.assertEqual(5, len(shown["lines"]))
+        self.assertEqual(2_000, shown["spent_ms"]["the last run at work"])
+
+    def test_a_job_that_no_line_names_is_bad_input(self) -> None:
+        result = self.run_command("--job", "other")
+        self.assertEqual(2, result.exit_code)
--- a/citronmount/cli/tests/test_live.py
+++ b/citronmount/cli/tests/test_live.py
@@ -27,7 +27,7 @@
 
 
 class LiveTest(unittest.TestCase):
-    """Drives daemons and stand-ins that run as processes on loopback."""
+    """Runs commands against daemon and stand-in processes on loopback."""
 
     def setUp(self):
         pool = pool_file.load("examples/hanbit/pool.toml")
@@ -35,22 +35,24 @@
         self.servers = [vm.caller_address for vm in cluster.vms]
         self.wait_for(lambda member: member["alive"] and member["ready"])
 
-    def wait_for(self, wanted):
+    def wait_for(self, condition):
         deadline_s = time.monotonic() + _TIMEOUT_S
-        waiting = list(self.servers)
-        while waiting:
-            self.assertLess(time.monotonic(), deadline_s, waiting)
-            answer = loopback_cluster.call(waiting[0], "GET", _MEMBERSHIP)
-            members = answer.body["members"]
-            if len(members) == len(self.servers) and all(map(wanted, members)):
-                waiting.pop(0)
+        remaining = list(self.servers)
+        while remaining:
+            self.assertLess(time.monotonic(), deadline_s, remaining)
+            reply = loopback_cluster.call(remaining[0], "GET", _MEMBERSHIP)
+            members = reply.body["members"]
+            if len(members) == len(self.servers) and all(
+                map(condition, members)
+            ):
+                remaining.pop(0)
             else:
                 time.sleep(_POLL_S)
 
     def wait_for_configuration(self):
         self.wait_for(lambda member: member["config_version"] > 0)
 
-    def run_tool(self, *arguments, servers=None):
+    def run_command(self, *arguments, servers=None):
         servers = servers or self.servers
         return testing.CliRunner().invoke(
             main.main,
@@ -58,12 +60,12 @@
             env={"CITRONMOUNT_SERVER": " ".join(servers)},
         )
 
-    def check_tool(self, *arguments, **options):
-        result = self.run_tool(*arguments, **options)
+    def check_command(self, *arguments, **options):
+        result = self.run_command(*arguments, **options)
         self.assertEqual(result.exit_code, 0, result.output)
         return result.stdout
 
-    def test_examples_of_the_api_page_answer_as_it_says(self):
+    def test_the_examples_of_the_api_page_get_the_documented_status(self):
         variables = {"JOB": ""}
         for example in documents.curl_examples(pathlib.Path("docs/API.md")):
             with self.subTest(example=example):
@@ -75,24 +77,26 @@
                     self.wait_for_configuration()
         self.assertTrue(variables["JOB"])
 
-    def test_an_operator_and_a_caller_drive_the_site(self):
-        dead = ("127.0.0.1:1", *self.servers)
-        self.check_tool("sheet", "publish", _SHEET, servers=dead)
+    def test_operators_and_callers_can_use_a_site_after_failover(self):
+        unreachable_first = ("127.0.0.1:1", *self.servers)
+        self.check_command(
+            "sheet", "publish", _SHEET, servers=unreachable_first
+        )
         self.wait_for_configuration()
-        lost = self.run_tool(
+        rejected = self.run_command(
             "sheet",
             "publish",
             "examples/perchero/sheet.csv",
             "--base-version",
             "0",
         )
-        self.assertEqual(lost.exit_code, 1, lost.output)
-        self.assertIn("CONFIGURATION_STALE_BASE", lost.stdout)
+        self.assertEqual(rejected.exit_code, 1, rejected.output)
+        self.assertIn("CONFIGURATION_STALE_BASE", rejected.stdout)
         self.assertEqual(
-            self.check_tool("sheet", "diff", _SHEET), "no changes\n"
+            self.check_command("sheet", "diff", _SHEET), "no changes\n"
         )
         submitted = json.loads(
-            self.check_tool(
+            self.check_command(
                 "submit",
                 "hana-mart",
                 "rebuild",
@@ -109,17 +113,22 @@
             )
         )
         self.assertEqual(submitted["state"], "done")
-        story = self.check_tool("timeline", submitted["job"])
-        for kind in ("job_accepted", "job_started", "job_ended", "# running"):
-            self.assertIn(kind, story)
-        self.assertIn(submitted["job"], self.check_tool("status"))
-        answer = self.check_tool("request", "hana-mart", "health 1")
+        timeline = self.check_command("timeline", submitted["job"])
+        for expected in (
+            "job_accepted",
+            "job_started",
+            "job_ended",
+            "# running",
+        ):
+            self.assertIn(expected, timeline)
+        self.assertIn(submitted["job"], self.check_command("status"))
+        answer = self.check_command("request", "hana-mart", "health 1")
         self.assertTrue(answer.endswith("health 1\n"))
-        refused = self.run_tool("submit", "nobody", "x", "--json")
+        refused = self.run_command("submit", "nobody", "x", "--json")
         self.assertEqual(refused.exit_code, 2)
         self.assertEqual(json.loads(refused.stdout)["code"], 2001)
-        self.check_tool("drain", servers=self.servers[:1])
-        self.check_tool("submit", "hana-mart", "x")
+        self.check_command("drain", servers=self.servers[:1])
+        self.check_command("submit", "hana-mart", "x")
 
 
 if __name__ == "__main__":
--- a/citronmount/cli/tests/test_publishing.py
+++ b/citronmount/cli/tests/test_publishing.py
@@ -28,12 +28,16 @@
 
 class PublishingTest(unittest.TestCase):
     def publish(self, answer, in_force):
-        servers = fakes.Servers(a={"PUT": answer, "GET": in_force})
+        servers = fakes.ScriptedServers(a={"PUT": answer, "GET": in_force})
         client = client_lib.Client(servers="a", transport=servers)
-        found = fakes.run(publishing.publish(client, _CONTENT, 4, "planner"))
-        return codes.ResultCode(found.code), publishing.exit_of(found)
+        published = fakes.run_to_completion(
+            publishing.publish(client, _CONTENT, 4, "planner")
+        )
+        return codes.ResultCode(published.code), publishing.exit_code_of(
+            published
+        )
 
-    def test_open_outcomes_are_resolved_by_what_is_in_force(self):
+    def test_unknown_outcomes_are_resolved_by_the_configuration_in_force(self):
         cases = (
             (_CODES.CONFIGURATION_OUTCOME_UNKNOWN, _CONTENT, output.Exit.OK),
             (_CODES.CONFIGURATION_OUTCOME_UNKNOWN, _OTHER, output.Exit.FAILED),
@@ -42,22 +46,22 @@
         )
         for code, content, expected in cases:
             with self.subTest(code=code, expected=expected):
-                found, exit_code = self.publish(
+                answer_code, exit_code = self.publish(
                     _answer(code), _in_force(content)
                 )
                 self.assertEqual(exit_code, expected)
-                good = expected is output.Exit.OK
-                accepted = found is _CODES.CONFIGURATION_ACCEPTED
-                self.assertEqual(accepted, good)
+                succeeds = expected is output.Exit.OK
+                accepted = answer_code is _CODES.CONFIGURATION_ACCEPTED
+                self.assertEqual(accepted, succeeds)
 
-    def test_plain_answers_are_passed_on(self):
+    def test_answers_with_a_known_outcome_are_returned_unchanged(self):
         for code, expected in (
             (_CODES.CONFIGURATION_ACCEPTED, output.Exit.OK),
             (_CODES.CONFIGURATION_INVALID, output.Exit.BAD_INPUT),
         ):
-            unused = AssertionError("nothing is to be read")
-            found, exit_code = self.publish(_answer(code), unused)
-            self.assertEqual((found, exit_code), (code, expected))
+            unused = AssertionError("expected no read of the configuration")
+            answer_code, exit_code = self.publish(_answer(code), unused)
+            self.assertEqual((answer_code, exit_code), (code, expected))
 
 
 if __name__ == "__main__":
--- a/citronmount/cli/tests/test_transport.py
+++ b/citronmount/cli/tests/test_transport.py
@@ -38,13 +38,13 @@
     pass
 
 
-class _Rude(protocol.Protocol):
+class _Disconnecting(protocol.Protocol):
     def dataReceived(self, data):  # noqa: N802
         self.transport.loseConnection()
 
 
 def _certificate():
-    """Returns a key and a certificate that it has signed itself."""
+    """Returns a key and a self-signed certificate, both in PEM."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name(
         [x509.NameAttribute(x509.NameOID.COMMON_NAME, "citronmount")]
@@ -72,68 +72,67 @@
 
 
 class TransportTest(unittest.TestCase):
-    def send(
-        self, factory, *, host=_HOST, tls=None, authority_pem=None, call=_CALL
-    ):
-        """Serves a factory and sends one call to it."""
+    def send(self, factory, *, host=_HOST, tls=None, ca_pem=None, call=_CALL):
+        """Starts a server, sends one call to it and returns the reply."""
 
-        async def main(reactor):
+        async def listen_and_send(reactor):
             if tls is None:
                 port = reactor.listenTCP(0, factory, interface=host)
             else:
                 options = ssl.PrivateCertificate.loadPEM(tls).options()
                 port = reactor.listenSSL(0, factory, options, interface=host)
-            shown = f"[{host}]" if ":" in host else host
-            address = f"{shown}:{port.getHost().port}"
-            sender = transport.Transport(
-                reactor=reactor, authority_pem=authority_pem
+            url_host = f"[{host}]" if ":" in host else host
+            address = f"{url_host}:{port.getHost().port}"
+            client_transport = transport.Transport(
+                reactor=reactor, ca_pem=ca_pem
             )
             try:
-                return await sender.send(address, call)
+                return await client_transport.send(address, call)
             finally:
                 await port.stopListening()
 
-        return transport.run(main)
+        return transport.run(listen_and_send)
 
     def assert_echo(self, reply):
         self.assertEqual(reply.status, 200)
         path = b"/v1/%ED%95%9C%20%EB%B9%9B%2F1?a=x%20y%26z"
         self.assertEqual(reply.body, b"POST " + path + b" body")
 
-    def test_calls_reach_ip_numbers_of_both_kinds(self):
+    def test_calls_reach_ipv4_and_ipv6_addresses(self):
         for host in (_HOST, "::1"):
             with self.subTest(host=host):
                 site = server.Site(_Echo())
                 self.assert_echo(self.send(site, host=host))
 
-    def test_tls_trusts_the_named_authority_only(self):
+    def test_tls_trusts_only_the_given_ca(self):
         key_pem, certificate_pem = _certificate()
         _, other_pem = _certificate()
         tls = key_pem + certificate_pem
-        reply = self.send(
-            server.Site(_Echo()), tls=tls, authority_pem=certificate_pem
-        )
+        reply = self.send(server.Site(_Echo()), tls=tls, ca_pem=certificate_pem)
         self.assert_echo(reply)
         with self.assertRaises(calls.NoAnswerError):
-            self.send(server.Site(_Echo()), tls=tls, authority_pem=other_pem)
-
-    def test_no_answer_tells_whether_the_call_was_sent(self):
-        brief = msgspec.structs.replace(_CALL, timeout_ms=100)
-        for kind, call in ((_Silent, brief), (_Rude, _CALL)):
-            with self.subTest(kind=kind):
-                factory = protocol.Factory.forProtocol(kind)
+            self.send(server.Site(_Echo()), tls=tls, ca_pem=other_pem)
+
+    def test_timeouts_and_lost_connections_report_that_the_call_was_sent(self):
+        short_call = msgspec.structs.replace(_CALL, timeout_ms=100)
+        for protocol_type, call in (
+            (_Silent, short_call),
+            (_Disconnecting, _CALL),
+        ):
+            with self.subTest(kind=protocol_type):
+                factory = protocol.Factory.forProtocol(protocol_type)
                 with self.assertRaises(calls.NoAnswerError) as caught:
                     self.send(factory, call=call)
                 self.assertTrue(caught.exception.sent)
                 self.assertNotIn("Failure", str(caught.exception))
 
-    def test_refused_connection_proves_that_nothing_was_sent(self):
-        async def main(reactor):
-            sender = transport.Transport(reactor=reactor)
-            return await sender.send(f"{_HOST}:1", _CALL)
+    def test_a_refused_connection_reports_that_nothing_was_sent(self):
+        async def send_to_closed_port(reactor):
+            client_transport = transport.Transport(reactor=reactor)
+            return await client_transport.send(f"{_HOST}:1", _CALL)
 
         with self.assertRaises(calls.NoAnswerError) as caught:
-            transport.run(main)
+            transport.run(send_to_closed_port)
         self.assertFalse(caught.exception.sent)
 
 
--- a/citronmount/cli/timeline_command.py
+++ b/citronmount/cli/timeline_command.py
@@ -1,4 +1,4 @@
-"""The command that merges the time lines of several VMs."""
+"""The command that merges the timelines of several VMs."""
 
 import click
 import msgspec
@@ -17,12 +17,12 @@
 
 
 class TimelineResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer of ``timeline``.
+    """JSON output of ``timeline``.
 
     Attributes:
-        events: The events of all VMs that answered, oldest first.
-        dropped: How many older events their memories have let go.
-        unanswered: Servers that did not answer, and why.
+        events: Events of all VMs that answered, oldest first.
+        dropped: Number of older events that these VMs no longer retain.
+        unanswered: The error message of each server that did not answer.
     """
 
     events: tuple[timeline_events.TimelineEvent, ...]
@@ -35,9 +35,9 @@
 @click.option("--account", default="", help="Only events of this account.")
 @click.option("--target", default="", help="Only events of this target.")
 @click.option("--limit", type=click.IntRange(1, 10_000), default=1_000)
-@options.connected()
+@options.server_options()
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def timeline(
     job: str | None,
     account: str,
@@ -46,7 +46,7 @@
     connection: options.Connection,
     as_json: bool,
 ) -> None:
-    """Show the events of all named servers, or the life of JOB."""
+    """Show the events of all given servers, or the timeline of JOB."""
     query = {
         "job": job or "",
         "account": account,
@@ -56,43 +56,47 @@
     call = calls.Call(
         method="GET",
         path=("v1", "timeline"),
-        query={k: v for k, v in query.items() if v},
+        query={name: value for name, value in query.items() if value},
     )
-    found = connection.run(lambda client: _ask_all(client, call))
+    result = connection.run(lambda client: _collect_events(client, call))
     lines = (
-        timeline_text.draw_job(job, found.events)
+        timeline_text.format_job_timeline(job, result.events)
         if job
-        else timeline_text.draw_list(found.events)
+        else timeline_text.format_events(result.events)
     )
-    output.emit_lines(found, lines, as_json=as_json)
-    for why in found.unanswered.values():
-        click.echo(f"no events from {why}", err=True)
-    if found.dropped:
-        click.echo(f"{found.dropped} older events are gone", err=True)
-    if len(found.unanswered) == len(connection.servers):
+    output.print_lines(result, lines, as_json=as_json)
+    for message in result.unanswered.values():
+        click.echo(f"no events from {message}", err=True)
+    if result.dropped:
+        click.echo(
+            f"{result.dropped} older events are no longer retained", err=True
+        )
+    if len(result.unanswered) == len(connection.servers):
         raise SystemExit(output.Exit.FAILED)
 
 
-async def _ask_all(
+async def _collect_events(
     client: client_lib.Client, call: calls.Call
 ) -> TimelineResult:
-    parts: list[bodies.TimelineBody] = []
+    timeline_bodies: list[bodies.TimelineBody] = []
     unanswered: dict[str, str] = {}
-    with progress.notes() as note:
+    with progress.status_line() as show_status:
         for server in client.servers:
-            note(f"asking {server}")
+            show_status(f"requesting events from {server}")
             try:
-                part = await client.call_server(
+                body = await client.call_server(
                     server, call, bodies.TimelineBody
                 )
             except errors.CitronmountError as error:
                 unanswered[server] = str(error)
             else:
-                parts.append(part)
-    by_vm = {part.vm: part for part in parts}
-    merged = timeline_text.merged(part.events for part in by_vm.values())
+                timeline_bodies.append(body)
+    body_by_vm = {body.vm: body for body in timeline_bodies}
+    merged_events = timeline_text.merge_events(
+        body.events for body in body_by_vm.values()
+    )
     return TimelineResult(
-        events=tuple(merged),
-        dropped=sum(part.dropped for part in by_vm.values()),
+        events=tuple(merged_events),
+        dropped=sum(body.dropped for body in body_by_vm.values()),
         unanswered=unanswered,
     )
--- a/citronmount/cli/timeline_text.py
+++ b/citronmount/cli/timeline_text.py
@@ -1,4 +1,4 @@
-"""Draws time lines as text."""
+"""Merges timelines of several processes and formats them as text."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -11,12 +11,18 @@
 from citronmount.core import codes
 from citronmount.telemetry import timeline_events
 
-__all__ = ["Phase", "draw_job", "draw_list", "merged", "phases"]
+__all__ = [
+    "Phase",
+    "format_events",
+    "format_job_timeline",
+    "job_phases",
+    "merge_events",
+]
 
 BAR_WIDTH = 60
 
 _Kind = timeline_events.EventKind
-_PHASE_STARTS = {
+_PHASE_BY_FIRST_EVENT = {
     _Kind.JOB_ACCEPTED: "queued",
     _Kind.JOB_PLACED: "starting",
     _Kind.JOB_STARTED: "running",
@@ -28,130 +34,141 @@
 
 
 class Phase(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of a job's life.
+    """A phase of a job.
 
     Attributes:
-        name: What the job did.
-        duration_ms: How long, by the clocks of the VMs.
+        name: Name of the phase: queued, starting, running or stopping.
+        duration_ms: Duration by the clocks of the VMs, which may differ.
     """
 
     name: str
     duration_ms: int
 
 
-def merged(
-    parts: Iterable[Sequence[timeline_events.TimelineEvent]],
+def merge_events(
+    timelines: Iterable[Sequence[timeline_events.TimelineEvent]],
 ) -> list[timeline_events.TimelineEvent]:
-    """Merges the parts of several processes by hybrid logical time.
+    """Merges the events of several processes by hybrid logical time.
 
     Args:
-        parts: The events of each process.
+        timelines: The events of each process.
 
     Returns:
-        Every distinct event, oldest first.
+        The distinct events, oldest first.
     """
-    distinct = set(itertools.chain.from_iterable(parts))
-    return sorted(distinct, key=lambda e: (e.physical_ms, e.logical, e.process))
+    distinct = set(itertools.chain.from_iterable(timelines))
+    return sorted(
+        distinct,
+        key=lambda event: (event.physical_ms, event.logical, event.process),
+    )
 
 
-def draw_list(listed: Sequence[timeline_events.TimelineEvent]) -> Iterator[str]:
-    """Yields one line an event with its wall-clock time.
+def format_events(
+    events: Sequence[timeline_events.TimelineEvent],
+) -> Iterator[str]:
+    """Yields one line per event with its wall-clock time.
 
     Args:
-        listed: Events, oldest first.
+        events: The events, oldest first.
 
     Yields:
         The lines.
     """
-    width = max((len(event.process) for event in listed), default=0)
-    for event in listed:
-        when = _wall_clock(event.physical_ms)
-        subject = _subject(event, with_job=True)
-        yield _line(when, event, width, subject)
+    width = max((len(event.process) for event in events), default=0)
+    for event in events:
+        time_text = _format_wall_clock(event.physical_ms)
+        subject = _format_subject(event, with_job=True)
+        yield _format_event(time_text, event, width, subject)
 
 
-def draw_job(
-    job: str, listed: Sequence[timeline_events.TimelineEvent]
+def format_job_timeline(
+    job: str, events: Sequence[timeline_events.TimelineEvent]
 ) -> Iterator[str]:
-    """Yields the life of one job.
+    """Yields the timeline of one job.
 
     Args:
         job: The job.
-        listed: Its events, oldest first.
+        events: Its events, oldest first.
 
     Yields:
-        A title, one line an event with the time since the first, and a bar
-        of the phases.
+        A title, one line per event with the time since the first event, and
+        the phases as a bar.
     """
-    account = next((e.account for e in listed if e.account), "")
+    account = next((event.account for event in events if event.account), "")
     yield f"job {job}  account {account or 'unknown'}"
-    if not listed:
-        yield "no events; ask more VMs, or it is older than their memory"
+    if not events:
+        yield "no events; query more VMs, or its events were already dropped"
         return
-    first_ms = listed[0].physical_ms
-    width = max(len(event.process) for event in listed)
-    yield f"first event {_wall_clock(first_ms)}"
-    for event in listed:
-        since = f"+{_duration(event.physical_ms - first_ms)}".rjust(10)
-        subject = _subject(event, with_job=False)
-        yield _line(since, event, width, subject)
-    yield from _bar(phases(listed))
+    first_ms = events[0].physical_ms
+    width = max(len(event.process) for event in events)
+    yield f"first event {_format_wall_clock(first_ms)}"
+    for event in events:
+        elapsed = f"+{_format_duration(event.physical_ms - first_ms)}".rjust(10)
+        subject = _format_subject(event, with_job=False)
+        yield _format_event(elapsed, event, width, subject)
+    yield from _format_phase_bar(job_phases(events))
 
 
-def phases(listed: Sequence[timeline_events.TimelineEvent]) -> list[Phase]:
-    """Returns the phases of a job's life.
+def job_phases(events: Sequence[timeline_events.TimelineEvent]) -> list[Phase]:
+    """Returns the phases of a job.
 
     Args:
-        listed: Its events, oldest first.
+        events: Its events, oldest first.
 
     Returns:
-        The phases in order; events of tasks are passed over.
+        The phases in order; events of single tasks are ignored.
     """
-    bounds = [
+    boundaries = [
         event
-        for event in listed
-        if event.kind in _PHASE_STARTS or event.kind is _Kind.JOB_ENDED
+        for event in events
+        if event.kind in _PHASE_BY_FIRST_EVENT or event.kind is _Kind.JOB_ENDED
     ]
     return [
         Phase(
-            name=_PHASE_STARTS[begin.kind],
-            duration_ms=end.physical_ms - begin.physical_ms,
+            name=_PHASE_BY_FIRST_EVENT[start.kind],
+            duration_ms=end.physical_ms - start.physical_ms,
         )
-        for begin, end in itertools.pairwise(bounds)
-        if begin.kind in _PHASE_STARTS
+        for start, end in itertools.pairwise(boundaries)
+        if start.kind in _PHASE_BY_FIRST_EVENT
     ]
 
 
-def _bar(parts: Sequence[Phase]) -> Iterator[str]:
-    total_ms = sum(part.duration_ms for part in parts)
-    if not parts:
+def _format_phase_bar(ordered_phases: Sequence[Phase]) -> Iterator[str]:
+    total_ms = sum(phase.duration_ms for phase in ordered_phases)
+    if not ordered_phases:
         return
     yield "  ".join(
-        f"{_PHASE_MARKS[p.name]} {p.name} {_duration(p.duration_ms)}"
-        for p in parts
+        f"{_PHASE_MARKS[phase.name]} {phase.name} "
+        f"{_format_duration(phase.duration_ms)}"
+        for phase in ordered_phases
     )
     widths = [
-        max(1, round(BAR_WIDTH * part.duration_ms / max(1, total_ms)))
-        for part in parts
+        max(1, round(BAR_WIDTH * phase.duration_ms / max(1, total_ms)))
+        for phase in ordered_phases
     ]
     marks = (
-        _PHASE_MARKS[part.name] * width
-        for part, width in zip(parts, widths, strict=True)
+        _PHASE_MARKS[phase.name] * width
+        for phase, width in zip(ordered_phases, widths, strict=True)
     )
     yield f"|{'|'.join(marks)}|"
 
 
-def _line(
-    when: str, event: timeline_events.TimelineEvent, width: int, subject: str
+def _format_event(
+    time_text: str,
+    event: timeline_events.TimelineEvent,
+    width: int,
+    subject: str,
 ) -> str:
     process = event.process.ljust(width)
-    return f"{when}  {process}  {event.kind.value:<23} {subject}".rstrip()
+    return f"{time_text}  {process}  {event.kind.value:<23} {subject}".rstrip()
 
 
-def _subject(event: timeline_events.TimelineEvent, *, with_job: bool) -> str:
-    """Returns what an event is about."""
+def _format_subject(
+    event: timeline_events.TimelineEvent, *, with_job: bool
+) -> str:
+    """Returns the job, target and other details of an event as text."""
     attempt = event.attempt.rpartition("#")[2]
-    named = (
+    labeled_texts = (
         ("job", event.job if with_job else ""),
         ("attempt", attempt),
         ("request", event.request),
@@ -163,32 +180,34 @@
         ("result", _code_name(event.code)),
         ("", event.detail),
     )
-    return "  ".join(f"{label} {text}".strip() for label, text in named if text)
+    return "  ".join(
+        f"{label} {text}".strip() for label, text in labeled_texts if text
+    )
 
 
-def _code_name(number: int) -> str:
-    if not number:
+def _code_name(code: int) -> str:
+    if not code:
         return ""
     try:
-        return codes.ResultCode(number).name
+        return codes.ResultCode(code).name
     except ValueError:
-        return str(number)
+        return str(code)
 
 
-def _wall_clock(epoch_ms: int) -> str:
+def _format_wall_clock(epoch_ms: int) -> str:
     seconds, ms = divmod(epoch_ms, _MS_PER_S)
     try:
-        moment = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
+        time = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
     except (OverflowError, OSError, ValueError):
         return f"{epoch_ms} ms"
-    return f"{moment:%Y-%m-%d %H:%M:%S}.{ms:03}Z"
+    return f"{time:%Y-%m-%d %H:%M:%S}.{ms:03}Z"
 
 
-def _duration(duration_ms: int) -> str:
+def _format_duration(duration_ms: int) -> str:
     if duration_ms < _MS_PER_S:
         return f"{duration_ms} ms"
     seconds = duration_ms / _MS_PER_S
     if seconds < _S_PER_MINUTE:
         return f"{seconds:.2f} s"
-    minutes, rest = divmod(round(seconds), _S_PER_MINUTE)
-    return f"{minutes} min {rest:02} s"
+    minutes, remaining_s = divmod(round(seconds), _S_PER_MINUTE)
+    return f"{minutes} min {remaining_s:02} s"
--- a/citronmount/cli/transport.py
+++ b/citronmount/cli/transport.py
@@ -1,4 +1,4 @@
-"""Carries one call of the command line to one server over HTTP."""
+"""Sends HTTP API calls of the command line with Twisted."""
 
 from collections.abc import Coroutine
 import ipaddress
@@ -30,7 +30,7 @@
     error.ConnectingCancelledError,
     web_client.RequestNotSent,
 )
-_BROKEN = (
+_CONNECTION_LOST = (
     error.ConnectionClosed,
     web_client.ResponseFailed,
     ssl.SSL.Error,
@@ -39,8 +39,8 @@
 
 
 @zope.interface.implementer(iweb.IBodyProducer)
-class _BytesProducer:
-    """Writes a body at once."""
+class _BodyProducer:
+    """Produces a request body in one write."""
 
     def __init__(self, body: bytes) -> None:
         self.length = len(body)
@@ -64,60 +64,60 @@
 
 
 @zope.interface.implementer(iweb.IAgentEndpointFactory)
-class _IpEndpoints:
-    """Connects to IP numbers only, with TLS if there is an authority."""
+class _IpEndpointFactory:
+    """Creates endpoints for IP addresses, with TLS if a CA is given."""
 
     def __init__(
         self,
         reactor: interfaces.IReactorTCP,
-        authority: ssl.Certificate | None,
+        ca_certificate: ssl.Certificate | None,
     ) -> None:
         self._reactor = reactor
-        self._authority = authority
+        self._ca_certificate = ca_certificate
 
     def endpointForURI(  # noqa: N802
         self, uri: web_client.URI
     ) -> interfaces.IStreamClientEndpoint:
-        """Returns the endpoint of a URL."""
+        """Returns the endpoint for a URI whose host is an IP address."""
         host = uri.host.decode("ascii")
         ip = ipaddress.ip_address(host.strip("[]"))
-        kind = (
+        endpoint_type = (
             endpoints.TCP4ClientEndpoint
             if ip.version == 4
             else endpoints.TCP6ClientEndpoint
         )
-        plain = kind(self._reactor, str(ip), uri.port, CONNECT_TIMEOUT_S)
-        if self._authority is None:
-            return plain
-        trust = ssl.trustRootFromCertificates([self._authority])
-        options = ssl.optionsForClientTLS(str(ip), trustRoot=trust)
-        return endpoints.wrapClientTLS(options, plain)
+        tcp_endpoint = endpoint_type(
+            self._reactor, str(ip), uri.port, CONNECT_TIMEOUT_S
+        )
+        if self._ca_certificate is None:
+            return tcp_endpoint
+        trust_root = ssl.trustRootFromCertificates([self._ca_certificate])
+        tls_options = ssl.optionsForClientTLS(str(ip), trustRoot=trust_root)
+        return endpoints.wrapClientTLS(tls_options, tcp_endpoint)
 
 
 class Transport:
-    """Sends calls from within a reactor that `run` drives."""
+    """Sends calls; to be used within a coroutine started by `run`."""
 
     def __init__(
         self,
         *,
         reactor: interfaces.IReactorCore,
-        authority_pem: bytes | None = None,
+        ca_pem: bytes | None = None,
     ) -> None:
         """Initializes the transport.
 
         Args:
-            reactor: The reactor to connect and time with.
-            authority_pem: The certificate that must have signed those of
-                the servers; without it, calls go in clear text.
+            reactor: The reactor for connections and timers.
+            ca_pem: The CA certificate that must have signed those of the
+                servers. Without it, calls are sent over plain HTTP.
         """
-        authority = (
-            ssl.Certificate.loadPEM(authority_pem) if authority_pem else None
-        )
-        self._scheme = "https" if authority else "http"
+        ca_certificate = ssl.Certificate.loadPEM(ca_pem) if ca_pem else None
+        self._scheme = "https" if ca_certificate else "http"
         self._reactor = reactor
         self._agent = web_client.Agent.usingEndpointFactory(
             reactor,
-            _IpEndpoints(reactor, authority),
+            _IpEndpointFactory(reactor, ca_certificate),
             web_client.HTTPConnectionPool(reactor, persistent=False),
         )
 
@@ -129,59 +129,64 @@
             call: The call.
 
         Returns:
-            The answer, whatever its status.
+            The reply, whatever its status.
 
         Raises:
-            calls.NoAnswerError: If there was none.
+            calls.NoAnswerError: If the connection failed or was lost, or no
+                complete reply arrived in time.
         """
-        exchange = defer.ensureDeferred(self._exchange(server, call))
+        pending_reply = defer.ensureDeferred(self._request(server, call))
         timeout_s = call.timeout_ms / _MS_PER_S
-        exchange.addTimeout(timeout_s, self._reactor, _timed_out)
+        pending_reply.addTimeout(timeout_s, self._reactor, _raise_timeout)
         try:
-            return await exchange
+            return await pending_reply
         except _NOT_SENT as reason:
             message = f"{server}: cannot connect: {reason}"
             raise calls.NoAnswerError(message, sent=False) from reason
         except defer.TimeoutError as reason:
             message = f"{server}: no answer within {timeout_s} s"
             raise calls.NoAnswerError(message, sent=True) from reason
-        except _BROKEN as reason:
-            message = f"{server}: the connection broke: {_cause(reason)}"
+        except _CONNECTION_LOST as reason:
+            message = f"{server}: connection lost: {_first_cause(reason)}"
             raise calls.NoAnswerError(message, sent=True) from reason
 
     async def sleep(self, pause_ms: int) -> None:
-        """Waits.
+        """Waits without blocking the reactor.
 
         Args:
-            pause_ms: How long.
+            pause_ms: The time to wait.
         """
         await task.deferLater(self._reactor, pause_ms / _MS_PER_S)
 
-    async def _exchange(self, server: str, call: calls.Call) -> calls.Reply:
-        target = hyperlink.DecodedURL.from_text("/").replace(
+    async def _request(self, server: str, call: calls.Call) -> calls.Reply:
+        path_and_query = hyperlink.DecodedURL.from_text("/").replace(
             path=call.path, query=tuple(call.query.items())
         )
-        url = f"{self._scheme}://{server}{target.to_uri().to_text()}"
+        url = f"{self._scheme}://{server}{path_and_query.to_uri().to_text()}"
         response = await self._agent.request(
             call.method.encode("ascii"),
             url.encode("ascii"),
             http_headers.Headers({"Content-Type": ["application/json"]}),
-            _BytesProducer(call.body) if call.body else None,
+            _BodyProducer(call.body) if call.body else None,
         )
-        parts: list[bytes] = []
-        await treq.collect(response, parts.append)
-        body = b"".join(parts)
+        chunks: list[bytes] = []
+        await treq.collect(response, chunks.append)
+        body = b"".join(chunks)
         return calls.Reply(server=server, status=response.code, body=body)
 
 
-def _cause(reason: Exception) -> str:
-    """Returns the first cause of a broken connection, for a person."""
+def _first_cause(reason: Exception) -> str:
+    """Returns the message of the first cause of a lost connection."""
     causes = getattr(reason, "reasons", None)
     return causes[0].getErrorMessage() if causes else str(reason)
 
 
-def _timed_out(result: object, timeout_s: float) -> typing.NoReturn:
-    """Marks an exchange that was cancelled, unless it never connected."""
+def _raise_timeout(result: object, timeout_s: float) -> typing.NoReturn:
+    """Raises `defer.TimeoutError` for a cancelled request that may be sent.
+
+    A request that was cancelled while connecting keeps its own error, which
+    proves that nothing was sent.
+    """
     if isinstance(result, failure.Failure) and result.check(*_NOT_SENT):
         result.raiseException()
     raise defer.TimeoutError(timeout_s)
@@ -194,28 +199,28 @@
 ) -> _T:
     """Runs a coroutine on the reactor until it ends.
 
-    The reactor is left by `crash`, which fires no shutdown events, so that a
-    process may do this more than once.
+    The reactor is stopped with `crash`, which fires no shutdown events, so
+    that a process may call this function more than once.
 
     Args:
-        main: Makes the coroutine from the reactor.
+        main: Called with the reactor; returns the coroutine.
 
     Returns:
-        Its result.
+        The result of the coroutine.
 
     Raises:
-        KeyboardInterrupt: If the user stopped it.
+        KeyboardInterrupt: If the user interrupted it.
     """
     from twisted.internet import reactor
 
     results: list[_T | failure.Failure] = []
 
-    def end(result: _T | failure.Failure) -> None:
+    def on_end(result: _T | failure.Failure) -> None:
         results.append(result)
         reactor.crash()
 
     def start() -> None:
-        defer.ensureDeferred(main(reactor)).addBoth(end)
+        defer.ensureDeferred(main(reactor)).addBoth(on_end)
 
     reactor.callWhenRunning(start)
     reactor.run()
