--- a/citronmount/cli/bench_command.py
+++ b/citronmount/cli/bench_command.py
@@ -35,9 +35,9 @@
 
 
 def _import_module(name: str) -> types.ModuleType:
-    """Imports a module of citronmount late, as no other command needs it.
+    """Imports a module of citronmount when it is needed.
 
-    Commands and completions so start faster.
+    Other commands and completions start faster without the bench modules.
     """
     return importlib.import_module(f"citronmount.{name}")
 
--- a/citronmount/cli/calls.py
+++ b/citronmount/cli/calls.py
@@ -16,9 +16,9 @@
         path: Path segments, not yet percent-encoded.
         query: Query parameters, not yet percent-encoded.
         body: The request body.
-        idempotent: Whether the call may be sent to another server after its
-            outcome on the first is unknown.
-        timeout_ms: Time limit for the whole call, with connecting.
+        idempotent: Whether the call may be sent to another server if its
+            outcome on the first one is unknown.
+        timeout_ms: Time limit of the call, including connecting.
     """
 
     method: str
--- a/citronmount/cli/job_commands.py
+++ b/citronmount/cli/job_commands.py
@@ -5,8 +5,8 @@
 import click
 import msgspec
 
+from citronmount.cli import api_client
 from citronmount.cli import calls
-from citronmount.cli import client as client_lib
 from citronmount.cli import job_text
 from citronmount.cli import options
 from citronmount.cli import output
@@ -106,7 +106,7 @@
         method="POST", path=_JOBS_PATH, body=msgspec.json.encode(body)
     )
 
-    async def submit_job(client: client_lib.Client) -> jobs.JobStatus:
+    async def submit_job(client: api_client.Client) -> jobs.JobStatus:
         pause_budget_ms = round(retry_for_s * _MS_PER_S)
         accepted = await client.call_with_retries(
             call, jobs.JobStatus, pause_budget_ms
@@ -139,7 +139,7 @@
     """Show the state of JOB, or list jobs."""
     if job is not None:
 
-        async def fetch_status(client: client_lib.Client) -> jobs.JobStatus:
+        async def fetch_status(client: api_client.Client) -> jobs.JobStatus:
             current = await client.call(_make_status_call(job), jobs.JobStatus)
             return await _wait_until_final(client, current) if wait else current
 
@@ -248,7 +248,7 @@
 
 
 async def _list_jobs(
-    client: client_lib.Client, account: str, failure_domain: str, limit: int
+    client: api_client.Client, account: str, failure_domain: str, limit: int
 ) -> bodies.JobsBody:
     """Lists jobs; empty filters match every job."""
     query = {
@@ -270,7 +270,7 @@
 
 
 async def _wait_until_final(
-    client: client_lib.Client, status: jobs.JobStatus
+    client: api_client.Client, status: jobs.JobStatus
 ) -> jobs.JobStatus:
     """Polls a job until its state is final."""
     with progress.status_line() as show_status:
--- a/citronmount/cli/losses_command.py
+++ b/citronmount/cli/losses_command.py
@@ -22,20 +22,22 @@
 @options.json_option
 @output.handle_errors
 def losses(entries: tuple[pathlib.Path, ...], as_json: bool) -> None:
-    """Show, by cause, the worth that the days in journal ENTRIES lost."""
-    found = {path.stem: day_journal.read(path) for path in entries}
+    """Show, by cause, the worth lost by scored days in journal ENTRIES."""
+    journals = {path.stem: day_journal.read(path) for path in entries}
     value = {
         name: [_make_day_entry(day) for day in days]
-        for name, (_, days) in found.items()
+        for name, (_, days) in journals.items()
     }
     lines = [
         line
-        for name, (site, days) in found.items()
+        for name, (site, days) in journals.items()
         for line in (f"{site} ({name})", *day_losses.table(days))
     ]
     output.print_lines(value, lines, as_json=as_json)
 
 
 def _make_day_entry(day: day_losses.Day) -> dict[str, object]:
-    lost = {c.value: share for c, share in day_losses.losses(day).items()}
+    lost = {
+        cause.value: share for cause, share in day_losses.losses(day).items()
+    }
     return {"kind": day.kind, "worth": day.worth, "lost": lost}
--- a/citronmount/cli/operator_commands.py
+++ b/citronmount/cli/operator_commands.py
@@ -7,8 +7,8 @@
 import msgspec
 
 import citronmount
+from citronmount.cli import api_client
 from citronmount.cli import calls
-from citronmount.cli import client as client_lib
 from citronmount.cli import options
 from citronmount.cli import output
 from citronmount.core import codes as codes_lib
@@ -65,7 +65,7 @@
     """Show the VMs of the system as known to the first server."""
     call = calls.Call(method="GET", path=("v1", "membership"))
 
-    async def fetch_members(client: client_lib.Client) -> bodies.MembersBody:
+    async def fetch_members(client: api_client.Client) -> bodies.MembersBody:
         return await client.call(call, bodies.MembersBody)
 
     listed = connection.run(fetch_members)
--- a/citronmount/cli/options.py
+++ b/citronmount/cli/options.py
@@ -10,7 +10,7 @@
 
 import click
 
-from citronmount.cli import client as client_lib
+from citronmount.cli import api_client
 from citronmount.service import settings_formats
 
 __all__ = [
@@ -69,7 +69,7 @@
 
     def run(
         self,
-        main: Callable[[client_lib.Client], Coroutine[object, object, _T]],
+        main: Callable[[api_client.Client], Coroutine[object, object, _T]],
     ) -> _T:
         """Runs a coroutine with a client.
 
@@ -88,7 +88,7 @@
             transport = transport_module.Transport(
                 reactor=reactor, ca_pem=self._ca_pem
             )
-            client = client_lib.Client(
+            client = api_client.Client(
                 servers=self.servers, transport=transport
             )
             return main(client)
--- a/citronmount/cli/output.py
+++ b/citronmount/cli/output.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from citronmount.cli import client as client_lib
+from citronmount.cli import api_client
 from citronmount.core import codes
 from citronmount.core import errors
 from citronmount.service import bodies
@@ -132,7 +132,7 @@
     failures: list[errors.CitronmountError],
 ) -> bodies.ResultBody:
     first_error = failures[0]
-    if isinstance(first_error, client_lib.RefusedError):
+    if isinstance(first_error, api_client.RefusedError):
         return first_error.result
     return bodies.make_result_body(
         first_error.code, "; ".join(map(str, failures))
--- a/citronmount/cli/publishing.py
+++ b/citronmount/cli/publishing.py
@@ -1,10 +1,10 @@
 """Publishes a configuration and resolves unknown outcomes."""
 
+from citronmount.cli import api_client
 from citronmount.cli import calls
-from citronmount.cli import client as client_lib
 from citronmount.cli import output
 from citronmount.config import configuration as configuration_lib
-from citronmount.config import sheet as sheet_lib
+from citronmount.config import sheet
 from citronmount.core import codes
 from citronmount.core import ids
 from citronmount.service import bodies
@@ -19,7 +19,7 @@
 
 
 async def publish(
-    client: client_lib.Client,
+    client: api_client.Client,
     content: configuration_lib.Configuration,
     base_version: int,
     author: str,
@@ -28,8 +28,9 @@
 
     The call is idempotent: a second copy of the change is rejected because
     its base version is stale by then. If the outcome is unknown or the base
-    is stale, the configuration in force decides: with the same content, an
-    earlier copy of the change was accepted and only its answer was lost.
+    is stale, an earlier copy of the change may have been accepted and its
+    answer lost. The configuration in force is read then, and the publication
+    counts as accepted if the content is the same.
 
     Args:
         client: Calls the servers.
@@ -45,7 +46,7 @@
         method="PUT",
         path=("v1", "configuration"),
         query={"base_version": str(base_version), "author": author},
-        body=sheet_lib.write(content).encode("utf-8"),
+        body=sheet.write(content).encode("utf-8"),
         timeout_ms=PUBLISH_TIMEOUT_MS,
     )
     answer = await client.call(call, bodies.PublishBody)
--- a/citronmount/cli/sheet_commands.py
+++ b/citronmount/cli/sheet_commands.py
@@ -3,7 +3,7 @@
 import click
 import msgspec
 
-from citronmount.cli import client as client_lib
+from citronmount.cli import api_client
 from citronmount.cli import options
 from citronmount.cli import output
 from citronmount.cli import progress
@@ -157,7 +157,7 @@
     _exit_if_faulty(checked_sheet, as_json)
 
     async def publish_configuration(
-        client: client_lib.Client,
+        client: api_client.Client,
     ) -> bodies.PublishBody:
         effective_base = base_version
         if effective_base is None:
--- a/citronmount/cli/tests/test_client.py
+++ b/citronmount/cli/tests/test_api_client.py
@@ -1,7 +1,7 @@
 import unittest
 
+from citronmount.cli import api_client
 from citronmount.cli import calls
-from citronmount.cli import client as client_lib
 from citronmount.cli.tests import fakes
 from citronmount.core import codes
 from citronmount.service import bodies
@@ -16,7 +16,7 @@
 class ClientTest(unittest.TestCase):
     def call(self, *, idempotent=True, kind=bodies.JobsBody, **script):
         self.servers = fakes.ScriptedServers(**script)
-        client = client_lib.Client(servers=script, transport=self.servers)
+        client = api_client.Client(servers=script, transport=self.servers)
         call = calls.Call(method="GET", path=("v1",), idempotent=idempotent)
         return fakes.run_to_completion(client.call(call, kind))
 
@@ -41,7 +41,7 @@
 
     def call_with_retries(self, answers, pause_budget_ms, *, idempotent=True):
         self.servers = fakes.ScriptedServers(a=answers)
-        client = client_lib.Client(servers="a", transport=self.servers)
+        client = api_client.Client(servers="a", transport=self.servers)
         call = calls.Call(method="GET", path=("v1",), idempotent=idempotent)
         return fakes.run_to_completion(
             client.call_with_retries(call, bodies.JobsBody, pause_budget_ms)
@@ -55,13 +55,13 @@
             good,
         )
         self.assertEqual(self.servers.pauses_ms, [300, 1_000])
-        with self.assertRaises(client_lib.RefusedError):
+        with self.assertRaises(api_client.RefusedError):
             self.call_with_retries([busy] * 9, 700)
         self.assertEqual(self.servers.pauses_ms, [300, 300, 100])
 
     def test_permanent_refusals_and_unknown_outcomes_are_not_retried(self):
         final = bodies.make_result_body(_CODES.UNKNOWN_ACCOUNT)
-        with self.assertRaises(client_lib.RefusedError):
+        with self.assertRaises(api_client.RefusedError):
             self.call_with_retries([final], 9_000)
         with self.assertRaises(ExceptionGroup):
             self.call_with_retries(
@@ -70,7 +70,7 @@
 
     def test_a_refusal_by_the_call_itself_does_not_fail_over(self):
         refusal = bodies.make_result_body(_CODES.UNKNOWN_ACCOUNT)
-        with self.assertRaises(client_lib.RefusedError) as caught:
+        with self.assertRaises(api_client.RefusedError) as caught:
             self.call(a=refusal, b=bodies.JobsBody(jobs=(), total=0))
         self.assertEqual(caught.exception.result, refusal)
         self.assertEqual(self.servers.called, ["a"])
--- a/citronmount/cli/tests/test_publishing.py
+++ b/citronmount/cli/tests/test_publishing.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from citronmount.cli import client as client_lib
+from citronmount.cli import api_client
 from citronmount.cli import output
 from citronmount.cli import publishing
 from citronmount.cli.tests import fakes
@@ -29,7 +29,7 @@
 class PublishingTest(unittest.TestCase):
     def publish(self, answer, in_force):
         servers = fakes.ScriptedServers(a={"PUT": answer, "GET": in_force})
-        client = client_lib.Client(servers="a", transport=servers)
+        client = api_client.Client(servers="a", transport=servers)
         published = fakes.run_to_completion(
             publishing.publish(client, _CONTENT, 4, "planner")
         )
--- a/citronmount/cli/timeline_command.py
+++ b/citronmount/cli/timeline_command.py
@@ -3,8 +3,8 @@
 import click
 import msgspec
 
+from citronmount.cli import api_client
 from citronmount.cli import calls
-from citronmount.cli import client as client_lib
 from citronmount.cli import options
 from citronmount.cli import output
 from citronmount.cli import progress
@@ -76,7 +76,7 @@
 
 
 async def _collect_events(
-    client: client_lib.Client, call: calls.Call
+    client: api_client.Client, call: calls.Call
 ) -> TimelineResult:
     timeline_bodies: list[bodies.TimelineBody] = []
     unanswered: dict[str, str] = {}
--- a/citronmount/config/sheet_rows.py
+++ b/citronmount/config/sheet_rows.py
@@ -92,8 +92,9 @@
     """Yields the well-formed rows below the header.
 
     Whitespace around cells is removed. Blank rows are skipped, but they count
-    in the row numbers. Only form is checked here: encoding, size, CSV syntax,
-    header, number of cells, and formulas and their error values.
+    in the row numbers. Only the form is checked: encoding, size, CSV syntax,
+    header and number of cells, and that no cell holds a formula or the error
+    value of one.
 
     Args:
         stream: The bytes of the sheet.
