--- a/citronmount/cli/bench_command.py
+++ b/citronmount/cli/bench_command.py
@@ -60,7 +60,7 @@
     "--plot",
     "plot_path",
     type=click.Path(dir_okay=False, writable=True),
-    help="Also write a plot; the file extension selects its format.",
+    help="Also write a plot; its extension, such as .svg, selects the format.",
 )
 @options.json_option
 @output.handle_errors
--- a/citronmount/cli/job_commands.py
+++ b/citronmount/cli/job_commands.py
@@ -63,7 +63,7 @@
     "--retry-for-s",
     type=click.FloatRange(0, 86_400),
     default=0.0,
-    help="Retry after temporary failures, pausing this long in all.",
+    help="Retry temporary failures, with pauses of this total length.",
 )
 @_wait_option
 @options.server_options()
