--- a/citronmount/agent/agent.py
+++ b/citronmount/agent/agent.py
@@ -32,15 +32,16 @@
 
 __all__ = ["Agent"]
 
+# Claims older than this must be in the log by now.
 RECENT_CLAIMS_MS = 600_000
 
 
 class Agent:
     """Makes all decisions of one VM, without I/O and without a clock.
 
-    The shell calls `handle` with each event and carries out the effects that
-    it returns. It must answer every effect with a call id by exactly one
-    event with the same id.
+    The shell, which does all I/O, calls `handle` with each event and carries
+    out the effects that it returns. It must answer every effect with a call
+    id by exactly one event with the same id.
     """
 
     def __init__(self, *, settings: settings_lib.AgentSettings) -> None:
@@ -94,9 +95,9 @@
             configuration=self.configuration,
             workers=lambda: self._workers,
         )
-        self._make_call_handlers()
+        self._create_components()
 
-    def _make_call_handlers(self) -> None:
+    def _create_components(self) -> None:
         self.lease_renewer = lease_renewer.LeaseRenewer(
             ctx=self._ctx,
             view=self.view,
@@ -188,7 +189,11 @@
         return emitted
 
     def _detect_pause(self, now_ms: int) -> None:
-        """Steps down as owner if the process was paused."""
+        """Steps down as owner if the process was paused.
+
+        The pause also held back heartbeats of peers, so their suspicion
+        timers restart and a takeover waits for new heartbeats.
+        """
         last_event_ms = self._last_event_ms
         self._last_event_ms = now_ms
         if last_event_ms is None:
@@ -200,7 +205,7 @@
         self.view.restart_suspicion_timers(now_ms)
         self.drain.record_pause()
         self.ownership.step_down("paused")
-        self.ownership.delay_take_over(now_ms + self.settings.suspicion_ms)
+        self.ownership.delay_takeover(now_ms + self.settings.suspicion_ms)
 
     def _dispatch(self, event: events.Event) -> None:
         match event:
@@ -235,7 +240,7 @@
 
     def _on_started(self) -> None:
         self._ctx.trace(timeline_events.EventKind.VM_STARTED)
-        self.ownership.delay_take_over(
+        self.ownership.delay_takeover(
             self._ctx.now_ms + self.settings.heartbeat_ms * 2
         )
         self._tick()
@@ -247,7 +252,7 @@
         self.joining.tick()
         self.outbox.tick()
         self.claims.tick()
-        self._assign_work()
+        self._update_assignments()
         self.ownership.tick()
         self._tick_lease_renewal()
         self.mover.tick()
@@ -295,8 +300,8 @@
         if self.ownership.domain is not None:
             self.ownership.domain.set_workers(self._workers)
 
-    def _assign_work(self) -> None:
-        """Reassigns workers and slots after candidates or workers changed."""
+    def _update_assignments(self) -> None:
+        """Updates the workers and runner slots that this VM uses."""
         candidates = self.view.candidates(
             self.settings.failure_domain, self._ctx.now_ms
         )
@@ -319,8 +324,8 @@
             )
         owner = self.view.owner(self.settings.failure_domain, self._ctx.now_ms)
         rebuilding = owner == self.settings.vm and domain is None
-        reachable = None if rebuilding else owner
-        self.lease_renewer.tick(self.ownership.token, reachable)
+        report_receiver = None if rebuilding else owner
+        self.lease_renewer.tick(self.ownership.token, report_receiver)
 
     def _handle_call(self, event: events.CallArrived) -> None:
         ticket = event.ticket
@@ -441,7 +446,7 @@
     ) -> peer_messages.StateAnswer:
         fold = self.configuration.fold
         jobs_wanted = request.stream != records.CONFIG_STREAM
-        answered_view = self.job_view if jobs_wanted else self._empty_job_view()
+        job_view = self.job_view if jobs_wanted else self._empty_job_view()
         since_ms = 0
         if request.recent_claims:
             since_ms = self._ctx.wall_ms - RECENT_CLAIMS_MS
@@ -452,7 +457,7 @@
                 if fold.trusted
                 else None
             ),
-            jobs=answered_view.snapshot(
+            jobs=job_view.snapshot(
                 ids.RecordId(self._ctx.unique_id()), claims_since_ms=since_ms
             ),
             unappended=self.outbox.unappended(request.stream),
--- a/citronmount/agent/mover.py
+++ b/citronmount/agent/mover.py
@@ -40,11 +40,11 @@
 class Mover:
     """Moves queued jobs of the owned failure domain to other ones.
 
-    All queued jobs are moved while the failure domain is out of service. In
-    service, only jobs are moved that have waited for `MIN_WAIT_MS` and do not
-    fit here. The home of a job keeps a pointer to its new failure domain, so
-    the job's id stays valid. A move is durable, and the owner's fencing token
-    confirmed, before the job is submitted to the other owner.
+    While the failure domain is out of service, all movable jobs are moved; in
+    service, only those that are still queued after `MIN_WAIT_MS`. The home of
+    a job keeps a pointer to its new failure domain, so the job's id stays
+    valid. A move is durable, and the owner's fencing token confirmed, before
+    the job is submitted to the other owner.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
 
         Args:
             ctx: The shared context.
-            outbox: Provides whether the log answers.
+            outbox: Provides whether the log is available.
             ownership: Provides the owned failure domain.
             calls: Routes submissions to other owners.
             tracker: Provides the free capacity of each failure domain.
@@ -205,7 +205,7 @@
     ) -> None:
         token = self._token
 
-        def recorded(
+        def handle_recorded(
             recorded_spec: jobs.JobSpec, moved: records.JobMoved
         ) -> None:
             if token == self._token and self._ownership.domain is not None:
@@ -218,7 +218,9 @@
                 self._moves[spec.job] = move
                 self._send(move)
 
-        self._ownership.domain.moves.move_out(spec.job, destination, recorded)
+        self._ownership.domain.moves.move_out(
+            spec.job, destination, handle_recorded
+        )
 
     def _send(self, move: _Move) -> None:
         if move.in_flight or move.retry_ms > self._ctx.now_ms:
@@ -226,7 +228,7 @@
         move.in_flight = True
         token = self._token
 
-        def answered(answer: peer_messages.Answer) -> None:
+        def handle_answer(answer: peer_messages.Answer) -> None:
             move.in_flight = False
             move.retry_ms = self._ctx.now_ms + RESEND_DELAY_MS
             domain = self._ownership.domain
@@ -242,7 +244,7 @@
         body = peer_messages.SubmitJob(
             spec=move.spec, eager=move.eager, move=move.number
         )
-        self._calls.route(move.to, body, answered)
+        self._calls.route(move.to, body, handle_answer)
 
 
 def _never_accepted(answer: peer_messages.Answer) -> bool:
--- a/citronmount/agent/request_forwarding.py
+++ b/citronmount/agent/request_forwarding.py
@@ -17,16 +17,23 @@
 ATTEMPT_TIMEOUT_MS = 1_000
 RETRY_AFTER_MS = 1_000
 
-Respond = Callable[[jobs.RequestResult], None]
+Responder = Callable[[jobs.RequestResult], None]
 
 
 class _ForwardedRequest(msgspec.Struct, kw_only=True):
-    """A request being forwarded, with the VMs not tried yet."""
+    """A request being forwarded.
+
+    Attributes:
+        vms: The VMs not tried yet, in order of preference.
+        due_ms: Monotonic time at which the request times out.
+        repeatable: Whether the next VM may be tried after a timeout.
+        uncertain: Whether a VM did not answer and may have run the request.
+    """
 
     spec: jobs.RequestSpec
     body: peer_messages.RunRequest
     vms: list[ids.VmId]
-    respond: Respond
+    respond: Responder
     due_ms: int
     repeatable: bool
     uncertain: bool = False
@@ -35,11 +42,11 @@
 class RequestForwarding:
     """Forwards a request to the first of several VMs that accepts it.
 
-    The next VM is tried after a refusal that proves that the request was not
-    run. It is also tried after a timeout if the request may be sent twice,
-    either because it is idempotent or because its key is not claimed yet and
-    only one VM can claim it. After a timeout, a later refusal no longer proves
-    that the request was not run.
+    The next VM is tried after a refusal that allows a retry and proves that
+    the request was not run. It is also tried after a timeout if the request
+    may be sent twice, either because it is idempotent or because its key is
+    not claimed yet and only one VM can claim it. After a timeout, a later
+    refusal no longer proves that the request was not run.
     """
 
     def __init__(
@@ -58,7 +65,7 @@
         self,
         body: peer_messages.RunRequest,
         vms: list[ids.VmId],
-        respond: Respond,
+        respond: Responder,
         *,
         repeatable: bool,
     ) -> None:
@@ -101,7 +108,7 @@
         """
         call = self._ctx.new_call()
 
-        def answered(message: peer_messages.ForwardAnswer | None) -> None:
+        def handle_answer(message: peer_messages.ForwardAnswer | None) -> None:
             if message is None:
                 self._view.record_unanswered_call(to, self._ctx.now_ms)
             on_answer(None if message is None else _result(message, body))
@@ -109,7 +116,9 @@
         forward = peer_messages.Forward(
             call=call, body=body, timeout_ms=timeout_ms
         )
-        self._ctx.call_peer(to, call, forward, answered, timeout_ms=timeout_ms)
+        self._ctx.call_peer(
+            to, call, forward, handle_answer, timeout_ms=timeout_ms
+        )
 
     def _send_to_next_vm(self, forwarded: _ForwardedRequest) -> None:
         to = forwarded.vms.pop(0)
@@ -122,10 +131,10 @@
             to,
             forwarded.body,
             int(timeout_ms),
-            lambda result: self._answered(forwarded, result),
+            lambda result: self._handle_answer(forwarded, result),
         )
 
-    def _answered(
+    def _handle_answer(
         self, forwarded: _ForwardedRequest, result: jobs.RequestResult | None
     ) -> None:
         in_time = self._ctx.now_ms < forwarded.due_ms
