--- a/citronmount/peers/curve_keys.py
+++ b/citronmount/peers/curve_keys.py
@@ -105,5 +105,9 @@
         return trusted
 
     def close(self) -> None:
-        """Closes the socket; ZeroMQ refuses later connections."""
+        """Closes the socket.
+
+        Sockets that are still bound then accept every key, because ZeroMQ
+        does not authenticate without a handler. Close them first.
+        """
         self._authenticator.stop()
--- a/citronmount/peers/peer_link.py
+++ b/citronmount/peers/peer_link.py
@@ -18,7 +18,7 @@
 HANDSHAKE_TIMEOUT_MS = 3_000
 
 _MS_PER_S = 1_000
-_HANDSHAKE_FAILED = (
+_HANDSHAKE_FAILURE_EVENTS = (
     zmq.EVENT_HANDSHAKE_FAILED_NO_DETAIL
     | zmq.EVENT_HANDSHAKE_FAILED_PROTOCOL
     | zmq.EVENT_HANDSHAKE_FAILED_AUTH
@@ -71,8 +71,9 @@
             data: The encoded message.
 
         Returns:
-            Whether ZeroMQ accepted it. False if there is no connection or
-            the queue already holds `HIGH_WATER_MARK_MESSAGES`.
+            Whether ZeroMQ accepted it. False if there is no connection (with
+            ZMQ_IMMEDIATE, nothing is queued then) or the queue already holds
+            `HIGH_WATER_MARK_MESSAGES`.
         """
         if self._socket is None:
             return False
@@ -112,7 +113,7 @@
             socket_reader.monitor_connections(
                 self._reactor,
                 socket,
-                _HANDSHAKE_FAILED,
+                _HANDSHAKE_FAILURE_EVENTS,
                 lambda frames: self._retry_with_next_key(),
                 self._resources,
             )
--- a/citronmount/peers/peer_messages.py
+++ b/citronmount/peers/peer_messages.py
@@ -188,8 +188,8 @@
     """The answer to a call about several jobs.
 
     Attributes:
-        statuses: The statuses, oldest job first.
-        total: Number of matching jobs, including those beyond the limit.
+        statuses: By failure domain, ended jobs first; none for `CancelJobs`.
+        total: Number of matching or cancelled jobs, also beyond the limit.
         unanswered: Failure domains without an answer, whose jobs are missing.
     """
 
@@ -256,9 +256,9 @@
     Attributes:
         failure_domain: The failure domain.
         token: The owner's fencing token.
-        free_accelerators: Accelerators that no job holds.
+        free_accelerators: Unallocated accelerators of usable workers.
         queued_accelerators: Accelerators that the queued jobs request.
-        largest_gang: Accelerators of the largest gang that would fit.
+        largest_gang: All accelerators of usable workers, free or not.
     """
 
     failure_domain: ids.FailureDomainId
@@ -370,8 +370,9 @@
 
     Attributes:
         call: Id of the `ClaimKey` message that is answered.
-        granted: Whether the voter knows of no other claim on the key.
-        holder: The claim on the key that the voter has recorded, if any.
+        granted: Whether the voter is ready and knows neither another claim on
+            the key nor a release of this one.
+        holder: The other claim on the key, if the voter knows one.
         result: The final result for the key, if the voter knows it.
     """
 
@@ -382,7 +383,7 @@
 
 
 class ReleaseKey(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """Releases a claim that was never used.
+    """Releases a claim whose work was refused without being run.
 
     Attributes:
         key: The idempotency key.
@@ -401,8 +402,7 @@
     Attributes:
         call: Id of the message, which is retried until it is acknowledged.
         reports: The reports that changed.
-        lost: Workers that have not answered the lease renewer for the length
-            of a lease.
+        lost: Workers that have not answered the sender for longer than a lease.
     """
 
     call: ids.CallId
@@ -438,12 +438,12 @@
 
 
 class StateAnswer(_PeerStruct, frozen=True, kw_only=True, tag=True):
-    """A peer's state of a stream.
+    """The answer to a `StateRequest`.
 
     Attributes:
         call: Id of the request that is answered.
-        configuration: The peer's folded configuration, if it is reliable.
-        jobs: The jobs, claims and results of the failure domain.
+        configuration: The peer's folded configuration; None unless trusted.
+        jobs: The domain's jobs, claims, results; none for the config stream.
         unappended: Records that the peer stores because the log is
             unavailable and may not contain them.
         token: The highest known fencing token of the failure domain.
--- a/citronmount/peers/peer_transport.py
+++ b/citronmount/peers/peer_transport.py
@@ -19,7 +19,7 @@
 MAX_MESSAGE_BYTES = 32 << 20
 HANDSHAKE_TIMEOUT_MS = 3_000
 
-# The frame starts with the length of the sender's name in a single byte.
+# A frame starts with the length of the sender's name in a single byte.
 _MAX_NAME_BYTES = 255
 
 
@@ -36,7 +36,8 @@
             unknown or not connected, or its queue was full.
         malformed: Messages received that could not be decoded.
         keys_refused: Refused connections: the peer presented a key that is
-            not trusted here, or expected another key than this VM's.
+            not trusted here, expected another key than this VM's or broke
+            the handshake protocol in another way.
     """
 
     sent_messages: int = 0
@@ -54,13 +55,13 @@
     Each VM binds one PULL socket and connects one PUSH socket to each peer.
     Sending never blocks: without a connection or with a full queue, the
     message is dropped and counted. The protocol between the VMs tolerates the
-    loss of any message. All connections are authenticated and encrypted with
-    CURVE.
+    loss of any message. With keys, all connections are authenticated and
+    encrypted with CURVE.
 
     Attributes:
         vm: This VM.
-        address: ``ip:port`` that the transport listens on; holds the port
-            that was picked once the transport is open.
+        address: ``ip:port`` that the transport listens on. If port 0 was
+            requested, `open` replaces it by the port that was picked.
     """
 
     def __init__(
@@ -204,6 +205,7 @@
         if self._keys is not None:
             inbox.curve_server = True
             self._keys.apply_to(inbox)
+        # Untrusted keys are counted by the authenticator instead.
         socket_reader.monitor_connections(
             self._reactor,
             inbox,
@@ -235,7 +237,7 @@
 
 
 def _sender_header(vm: ids.VmId) -> bytes:
-    """Returns the start of each frame: the length of the name, the name."""
+    """Returns the header of each frame: a length byte and the VM name."""
     name = vm.encode("utf-8")
     if not 0 < len(name) <= _MAX_NAME_BYTES:
         raise ValueError("expected a VM name of 1 to 255 bytes in UTF-8")
--- a/citronmount/peers/socket_reader.py
+++ b/citronmount/peers/socket_reader.py
@@ -85,7 +85,10 @@
         self._schedule_batch()
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
-        """Stops receiving; called by the reactor when it shuts down.
+        """Stops receiving; called by the reactor.
+
+        The reactor calls it when it shuts down and after `doRead` has raised
+        an exception.
 
         Args:
             reason: Why the reactor stopped watching the descriptor; ignored.
@@ -107,12 +110,12 @@
     on_message: Callable[[list[bytes]], None],
     stack: contextlib.ExitStack,
 ) -> None:
-    """Starts to read a socket and stops when an exit stack is closed.
+    """Reads a socket until an exit stack is closed.
 
     Args:
         reactor: The reactor that watches the socket.
-        socket: An open socket. The stack must close it after the reader has
-            stopped, so its closing is pushed first.
+        socket: An open socket. If the stack also closes it, push that callback
+            before this call, so that the reader is stopped first.
         on_message: Called with the frames of each message.
         stack: Receives the callback that stops the reader.
     """
