--- a/citronmount/telemetry/bounded_sink.py
+++ b/citronmount/telemetry/bounded_sink.py
@@ -91,9 +91,11 @@
         )
 
     def write(self, text: str) -> None:
-        """Writes a line, or drops it if it exceeds the rate limit.
+        """Writes a line, or drops it.
 
-        Lines dropped earlier are reported by a line of their own before it.
+        A line is dropped if it exceeds the rate limit or if the descriptor does
+        not accept all of it at once. If lines were dropped since the last
+        report, a line with their total number is written first.
 
         Args:
             text: The line with its line break. Beyond `MAX_LINE_BYTES` it is
--- a/citronmount/telemetry/event_metrics.py
+++ b/citronmount/telemetry/event_metrics.py
@@ -1,8 +1,8 @@
 """Counters and histograms derived from log events.
 
-Every event is counted, including those whose log line is dropped. Event names
-and label values come from the code and never from callers, so the number of
-metrics is bounded.
+Every event of at least the log level is counted, including those whose line is
+dropped by a `BoundedSink`. Event names and label values come from the code and
+never from callers, so the number of metrics is bounded.
 """
 
 from collections.abc import MutableMapping
--- a/citronmount/telemetry/exposition.py
+++ b/citronmount/telemetry/exposition.py
@@ -19,7 +19,7 @@
         snapshot: The metrics to render.
 
     Returns:
-        One line per value, with its name, labels and value.
+        One line per sample, with its name, labels and value.
     """
     return "".join(f"{line}\n" for line in _lines(snapshot))
 
--- a/citronmount/telemetry/hybrid_logical_clock.py
+++ b/citronmount/telemetry/hybrid_logical_clock.py
@@ -9,6 +9,10 @@
     Local events and received messages advance it, so that the time of an
     event is greater than that of every event which may have caused it.
 
+    Attributes:
+        physical_ms: Physical part of the newest time, as Unix time in ms.
+        logical: Logical part, which orders times of the same ms.
+
     References:
         Kulkarni et al., "Logical Physical Clocks and Consistent Snapshots in
         Globally Distributed Databases", OPODIS 2014.
--- a/citronmount/telemetry/job_history.py
+++ b/citronmount/telemetry/job_history.py
@@ -1,4 +1,4 @@
-"""Reconstructs from log lines the history of jobs and where they lost time."""
+"""Reconstructs job histories from log lines and finds where time was lost."""
 
 import collections
 from collections.abc import Iterable
@@ -59,7 +59,10 @@
 
     @property
     def job(self) -> str | None:
-        """The job that the line names, directly or by unit or task, or None."""
+        """The job that the line names, directly or by unit or task, or None.
+
+        Ids of units and tasks start with the id of the job and a dot.
+        """
         for name in ("job", "unit", "task"):
             value = self.fields.get(name)
             if isinstance(value, str):
@@ -149,7 +152,7 @@
         return max(lost_ms, key=lost_ms.__getitem__, default=None)
 
     def count_failure_causes(self) -> collections.Counter[str]:
-        """Counts the runs that ended without completing, by cause."""
+        """Counts the runs that an owner ended, by cause."""
         return collections.Counter(
             str(line.fields.get("cause"))
             for line in self.lines
@@ -168,7 +171,8 @@
     def _last_unit(self) -> str:
         """Returns the unit whose run ended last, or an empty string.
 
-        The line about the end of a run names a unit or one of its tasks.
+        Each line about the end of a run names a task. The task of a single-task
+        unit has the id of the unit; tasks of a gang append an index to it.
         """
         ended = [line for line in self.lines if line.event == _RUN_ENDED]
         if not ended:
@@ -258,7 +262,10 @@
 
 
 def _is_in_first_step(unit: str) -> bool:
-    """Returns whether a unit belongs to the first step of its job."""
+    """Returns whether a unit belongs to the first step of its job.
+
+    Unit ids are ``JOB.OCCURRENCE.STEP`` or ``JOB.OCCURRENCE.STEP.INDEX``.
+    """
     return unit.split(".")[2:3] == ["0"]
 
 
--- a/citronmount/telemetry/logs.py
+++ b/citronmount/telemetry/logs.py
@@ -28,15 +28,15 @@
     stream: typing.TextIO | bounded_sink.BoundedSink | None = None,
     event_processor: structlog.typing.Processor | None = None,
 ) -> contextlib.ExitStack:
-    """Configures structlog and Twisted to log JSON lines to a single place.
+    """Configures structlog and Twisted to log JSON lines to one destination.
 
     Args:
         vm: The VM, added to each line as ``vm``.
         level: The lowest level that is written, for example ``info``.
         file_path: Path of the log file, or None to write to `stream`.
         stream: Destination without a log file; None for standard output.
-        event_processor: A structlog processor that receives every event
-            before it is rendered, or None.
+        event_processor: A structlog processor that receives every event of at
+            least `level` before it is rendered, or None.
 
     Returns:
         An exit stack that closes the log file and detaches the log from
--- a/citronmount/telemetry/metrics_registry.py
+++ b/citronmount/telemetry/metrics_registry.py
@@ -22,7 +22,8 @@
     """One histogram as it is exported.
 
     Attributes:
-        work_class: The kind of work that was timed.
+        work_class: The kind of work that was timed, for example
+            ``job.paying`` or the name of a log event.
         stage: The part of the work that was timed.
         count: Number of recorded values.
         mean_ms: Mean of the recorded values.
@@ -139,18 +140,20 @@
 def _summary(
     work_class: str, stage: str, durations: _HistogramWithSum
 ) -> HistogramSummary:
-    values = durations.histogram
-    count = values.get_total_count()
-    points_us = values.get_percentile_to_value_dict(list(PERCENTILES))
+    hdr_histogram = durations.histogram
+    count = hdr_histogram.get_total_count()
+    percentiles_us = hdr_histogram.get_percentile_to_value_dict(
+        list(PERCENTILES)
+    )
     return HistogramSummary(
         work_class=work_class,
         stage=stage,
         count=count,
         mean_ms=durations.sum_us / count / _US_PER_MS,
-        max_ms=values.get_max_value() / _US_PER_MS,
+        max_ms=hdr_histogram.get_max_value() / _US_PER_MS,
         percentiles_ms={
-            f"{percentile:g}": points_us[percentile] / _US_PER_MS
+            f"{percentile:g}": percentiles_us[percentile] / _US_PER_MS
             for percentile in PERCENTILES
         },
-        encoded=values.encode().decode("ascii"),
+        encoded=hdr_histogram.encode().decode("ascii"),
     )
--- a/citronmount/telemetry/stage_timer.py
+++ b/citronmount/telemetry/stage_timer.py
@@ -27,7 +27,10 @@
 
 
 class _StageTimes(msgspec.Struct, kw_only=True):
-    """When a job or short request reached its stages, as Unix time in ms."""
+    """When a job or short request reached its stages, as Unix time in ms.
+
+    A short request has only `started_ms`: when it was first sent.
+    """
 
     accepted_ms: int | None = None
     placed_ms: int | None = None
@@ -39,9 +42,10 @@
     """Records the duration of each stage of the work, by class of account.
 
     Stages of jobs are ``queued`` (accepted to placed), ``starting`` (placed
-    to started), ``running`` (started to ended), ``reclaim`` (eviction
+    to started), ``running`` (last started to ended), ``reclaim`` (eviction
     requested to placed again) and ``total`` (accepted to ended). Short
-    requests have the stage ``served`` (first sent to answered).
+    requests have the stage ``served`` (first sent to answered); their ids are
+    compared without the ``~`` and unique suffix that the routing VM appends.
 
     Memory is bounded: beyond `MAX_UNFINISHED` jobs and requests, the oldest
     is forgotten, and its stages that end later are not recorded. Stages that
--- a/citronmount/telemetry/tests/test_job_history.py
+++ b/citronmount/telemetry/tests/test_job_history.py
@@ -3,13 +3,13 @@
 
 from citronmount.telemetry import job_history
 
-START = "2026-12-04T10:00:0"
+TIMESTAMP_PREFIX = "2026-12-04T10:00:0"
 JOB = "5c0e7a21d94b36f8"
-FINISH = {"age_ms": 0, "slack_factor": 1.5, "margin_ms": 250}
+FINISH_FIELDS = {"age_ms": 0, "slack_factor": 1.5, "margin_ms": 250}
 
 
 def line(time_s: float, event: str, **fields: object) -> str:
-    stamp = f"{START}{time_s:.3f}Z"
+    stamp = f"{TIMESTAMP_PREFIX}{time_s:.3f}Z"
     return json.dumps({**fields, "event": event, "timestamp": stamp})
 
 
@@ -22,7 +22,7 @@
         line(placed_s, "unit_placed", unit=unit, priority=0, waited_ms=0),
         line(started_s, "run_started", unit=unit),
         line(ended_s, "run_ended", task=f"{unit}.1", kind="done"),
-        line(finished_s, "job_finished", job=JOB, **FINISH),
+        line(finished_s, "job_finished", job=JOB, **FINISH_FIELDS),
     ]
 
 
@@ -39,12 +39,12 @@
         self.assertEqual(JOB, job_history.parse_line(text).job)
 
     def test_time_is_attributed_to_phases(self) -> None:
-        spent = self.history(
+        spent_ms = self.history(
             gang_log_lines(0.6, 0.9, 2.9, 4.0)
         ).phase_durations_ms()
-        self.assertAlmostEqual(300, spent[job_history.Phase.STARTING], 3)
-        self.assertAlmostEqual(2_000, spent[job_history.Phase.LAST_RUN], 3)
-        self.assertAlmostEqual(1_100, spent[job_history.Phase.COMPLETION], 3)
+        self.assertAlmostEqual(300, spent_ms[job_history.Phase.STARTING], 3)
+        self.assertAlmostEqual(2_000, spent_ms[job_history.Phase.LAST_RUN], 3)
+        self.assertAlmostEqual(1_100, spent_ms[job_history.Phase.COMPLETION], 3)
 
     def test_job_within_its_objective_is_not_late(self) -> None:
         histories = job_history.job_histories(
@@ -81,11 +81,11 @@
         lines = gang_log_lines(0.6, 0.7, 2.7, 2.8)
         repeated = line(2.2, "run_started", unit=f"{JOB}.0.0")
         history = self.history([*lines, repeated])
-        spent = history.phase_durations_ms()
-        self.assertAlmostEqual(2_000, spent[job_history.Phase.LAST_RUN], 3)
+        spent_ms = history.phase_durations_ms()
+        self.assertAlmostEqual(2_000, spent_ms[job_history.Phase.LAST_RUN], 3)
         self.assertEqual([], job_history.late_jobs({JOB: history}))
 
-    def test_time_before_the_first_decision_is_lost(self) -> None:
+    def test_wait_for_an_owner_counts_as_lost_time(self) -> None:
         histories = job_history.job_histories(
             gang_log_lines(3.5, 3.6, 5.6, 5.7)
         )
@@ -94,9 +94,9 @@
 
     def test_job_logged_without_slack_is_judged_by_its_objective(self) -> None:
         # Log lines of an older version have no slack_factor and margin_ms.
-        old_finish = {"age_ms": 3_000, "objective_ms": 2_500}
+        old_finish_fields = {"age_ms": 3_000, "objective_ms": 2_500}
         lines = gang_log_lines(0.6, 0.7, 2.7, 2.8)[:-1]
-        lines.append(line(2.8, "job_finished", job=JOB, **old_finish))
+        lines.append(line(2.8, "job_finished", job=JOB, **old_finish_fields))
         late = job_history.late_jobs(job_history.job_histories(lines))
         self.assertEqual([JOB], [history.job for history in late])
 
@@ -105,5 +105,5 @@
             line(0.0, "job_submitted", job=JOB, verdict="not_done"),
             *gang_log_lines(0.6, 0.7, 2.7, 2.8),
         ]
-        spent = self.history(lines).phase_durations_ms()
-        self.assertAlmostEqual(500, spent[job_history.Phase.SUBMISSION], 3)
+        spent_ms = self.history(lines).phase_durations_ms()
+        self.assertAlmostEqual(500, spent_ms[job_history.Phase.SUBMISSION], 3)
--- a/citronmount/telemetry/timeline_store.py
+++ b/citronmount/telemetry/timeline_store.py
@@ -30,7 +30,7 @@
         """Returns whether all non-empty fields equal those of an event.
 
         Args:
-            event: The event to compare with. `limit` plays no part.
+            event: The event to compare with; `limit` is not considered.
         """
         return (
             self.job in ("", event.job)
--- a/citronmount/testing/code_table.py
+++ b/citronmount/testing/code_table.py
@@ -1,6 +1,7 @@
 """Generates the documentation page of result codes from their enumeration.
 
-``python -m citronmount.testing.code_table`` overwrites the page.
+``python -m citronmount.testing.code_table`` overwrites the page. Run it at the
+root of the repository.
 """
 
 from collections.abc import Iterator
--- a/citronmount/testing/documents.py
+++ b/citronmount/testing/documents.py
@@ -69,6 +69,9 @@
 def curl_examples(document: pathlib.Path) -> Iterator[CurlExample]:
     """Yields the curl examples of a document that state an HTTP status.
 
+    An example is a line that ends in ``Answers `STATUS`:``, an empty line and
+    a ``sh`` code block with one curl command.
+
     Args:
         document: A Markdown file.
 
--- a/citronmount/testing/reactor_loop.py
+++ b/citronmount/testing/reactor_loop.py
@@ -33,6 +33,7 @@
 
     Raises:
         TimeoutError: The coroutine did not end within `COROUTINE_TIMEOUT_S`.
+        Exception: The exception that the coroutine raised.
     """
     results: list[typing.Any] = []
     defer.ensureDeferred(coroutine).addBoth(results.append)
@@ -49,7 +50,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Waits until a condition holds.
+    """Waits until a condition holds, without a timeout of its own.
 
     Args:
         condition: Evaluated every `POLL_INTERVAL_S`.
