--- a/citronmount/peers/tests/test_peer_transport.py
+++ b/citronmount/peers/tests/test_peer_transport.py
@@ -19,7 +19,7 @@
     return peer_messages.Acknowledge(call=ids.CallId(str(number)))
 
 
-class _RecordingPeer:
+class _Node:
     """A transport that records the messages it receives."""
 
     def __init__(
@@ -40,16 +40,16 @@
         self.transport.open()
         case.addCleanup(self.transport.close)
 
-    def connect(self, *others: "_RecordingPeer") -> None:
-        """Makes the others the peers of this one."""
+    def connect(self, *others: "_Node") -> None:
+        """Makes the other nodes the peers of this node."""
         self.transport.set_peers(
             {other.transport.vm: other.transport.address for other in others}
         )
 
     async def send_until_received(
-        self, other: "_RecordingPeer", number: int = 0
+        self, other: "_Node", number: int = 0
     ) -> None:
-        """Repeats a message until the other peer has received one more."""
+        """Repeats a message until the other node has received one more."""
         before = len(other.received)
 
         def arrived() -> bool:
@@ -66,9 +66,7 @@
     def test_messages_arrive_with_their_sender(self) -> None:
         for shared_keys in (curve_keys.generate_keys(), None):
             with self.subTest(encrypted=shared_keys is not None):
-                a, b = (
-                    _RecordingPeer(self, name, shared_keys) for name in "ab"
-                )
+                a, b = (_Node(self, name, shared_keys) for name in "ab")
                 a.connect(a, b)
                 b.connect(a)
                 reactor_loop.run(a.send_until_received(b, 7))
@@ -80,7 +78,7 @@
         # ZeroMQ's descriptor is edge-triggered: a reader that stops after one
         # batch is not woken again for the messages that are still queued.
         shared_keys = curve_keys.generate_keys()
-        a, b = (_RecordingPeer(self, name, shared_keys) for name in "ab")
+        a, b = (_Node(self, name, shared_keys) for name in "ab")
         a.connect(b)
         reactor_loop.run(a.send_until_received(b))
         del b.received[:]
@@ -105,28 +103,28 @@
         }
         for name, peer_keys in intruder_keys.items():
             with self.subTest(name):
-                peer = _RecordingPeer(self, "a", trusted)
-                intruder = _RecordingPeer(self, "x", peer_keys)
-                intruder.connect(peer)
+                node = _Node(self, "a", trusted)
+                intruder = _Node(self, "x", peer_keys)
+                intruder.connect(node)
 
-                def refused(peer=peer, intruder=intruder) -> bool:
+                def refused(node=node, intruder=intruder) -> bool:
                     intruder.transport.send("a", _ack(1))
-                    return peer.transport.counters.keys_refused > 1
+                    return node.transport.counters.keys_refused > 1
 
                 reactor_loop.run(reactor_loop.wait_until(refused))
-                self.assertEqual([], peer.received)
+                self.assertEqual([], node.received)
 
     def test_link_finds_the_accepted_key_that_the_peer_uses(self) -> None:
         old, new = curve_keys.generate_keys(), curve_keys.generate_keys()
-        a = _RecordingPeer(self, "a", _with_accepted_key(old, new))
-        b = _RecordingPeer(self, "b", _with_accepted_key(new, old))
+        a = _Node(self, "a", _with_accepted_key(old, new))
+        b = _Node(self, "b", _with_accepted_key(new, old))
         a.connect(b)
         b.connect(a)
         reactor_loop.run(a.send_until_received(b))
         reactor_loop.run(b.send_until_received(a))
 
     def test_malformed_messages_are_dropped_and_counted(self) -> None:
-        peer = _RecordingPeer(self, "a", None)
+        node = _Node(self, "a", None)
         malformed_messages = (
             [b""],  # no header
             [b"\x01b"],  # no body
@@ -139,37 +137,37 @@
             [b"\x01b\x93\xabAcknowledge\xa1x" + b"\x91" * 100_000],
         )
         with zmq.Context() as context, context.socket(zmq.PUSH) as socket:
-            socket.connect(f"tcp://{peer.transport.address}")
+            socket.connect(f"tcp://{node.transport.address}")
             for frames in malformed_messages:
                 socket.send_multipart(frames)
             reactor_loop.run(
                 reactor_loop.wait_until(
                     lambda: (
-                        peer.transport.counters.malformed
+                        node.transport.counters.malformed
                         == len(malformed_messages)
                     )
                 )
             )
-        self.assertEqual([], peer.received)
+        self.assertEqual([], node.received)
 
     def test_reconnects_to_a_restarted_peer(self) -> None:
         shared_keys = curve_keys.generate_keys()
-        a, b = (_RecordingPeer(self, name, shared_keys) for name in "ab")
+        a, b = (_Node(self, name, shared_keys) for name in "ab")
         a.connect(b)
         reactor_loop.run(a.send_until_received(b))
         address = b.transport.address
         b.transport.close()
-        restarted = _RecordingPeer(self, "b", shared_keys, address)
+        restarted = _Node(self, "b", shared_keys, address)
         reactor_loop.run(a.send_until_received(restarted))
 
     def test_send_to_unknown_or_unconnected_peer_is_dropped(self) -> None:
-        peer = _RecordingPeer(self, "a", curve_keys.generate_keys())
-        self.assertFalse(peer.transport.send("b", _ack(1)))
-        peer.transport.set_peers({"b": "127.0.0.1:9"})
-        self.assertFalse(peer.transport.send("b", _ack(1)))
-        self.assertEqual(2, peer.transport.counters.dropped_sends)
-        peer.transport.set_peers({})
-        self.assertFalse(peer.transport.send("b", _ack(1)))
+        node = _Node(self, "a", curve_keys.generate_keys())
+        self.assertFalse(node.transport.send("b", _ack(1)))
+        node.transport.set_peers({"b": "127.0.0.1:9"})
+        self.assertFalse(node.transport.send("b", _ack(1)))
+        self.assertEqual(2, node.transport.counters.dropped_sends)
+        node.transport.set_peers({})
+        self.assertFalse(node.transport.send("b", _ack(1)))
 
 
 def _with_accepted_key(
