--- a/citronmount/peers/tests/test_peer_transport.py
+++ b/citronmount/peers/tests/test_peer_transport.py
@@ -125,22 +125,27 @@
 
     def test_malformed_messages_are_dropped_and_counted(self) -> None:
         node = _Node(self, "a", None)
-        bodies = (
-            [b""],
-            [b"\x01b"],
-            [b"\x01b\xc1"],
+        malformed_messages = (
+            [b""],  # no header
+            [b"\x01b"],  # no body
+            [b"\x01b\xc1"],  # invalid MessagePack
+            # An empty VM name, then a name that is not UTF-8.
             [b"\x00" + peer_messages.encode(_ack(1))],
             [b"\x01\xff" + peer_messages.encode(_ack(1))],
+            # Two frames, then MessagePack nested too deeply.
             [b"\x01b", peer_messages.encode(_ack(1))],
             [b"\x01b\x93\xabAcknowledge\xa1x" + b"\x91" * 100_000],
         )
         with zmq.Context() as context, context.socket(zmq.PUSH) as socket:
             socket.connect(f"tcp://{node.transport.address}")
-            for frames in bodies:
+            for frames in malformed_messages:
                 socket.send_multipart(frames)
             reactor_loop.run(
                 reactor_loop.wait_until(
-                    lambda: node.transport.counters.malformed == len(bodies)
+                    lambda: (
+                        node.transport.counters.malformed
+                        == len(malformed_messages)
+                    )
                 )
             )
         self.assertEqual([], node.received)
