--- a/citronmount/cli/tests/test_api_client.py
+++ b/citronmount/cli/tests/test_api_client.py
@@ -14,29 +14,31 @@
 
 
 class ClientTest(unittest.TestCase):
-    def call(self, *, idempotent=True, kind=bodies.JobsBody, **script):
+    def call(self, *, idempotent=True, result_type=bodies.JobsBody, **script):
         self.servers = fakes.ScriptedServers(**script)
         client = api_client.Client(servers=script, transport=self.servers)
         call = calls.Call(method="GET", path=("v1",), idempotent=idempotent)
-        return fakes.run_to_completion(client.call(call, kind))
+        return fakes.run_to_completion(client.call(call, result_type))
 
     def test_a_call_without_effect_fails_over_to_the_next_server(self):
-        good = bodies.JobsBody(jobs=(), total=0)
+        expected = bodies.JobsBody(jobs=(), total=0)
         for answer in (
             _no_answer(sent=False),
             bodies.make_result_body(_CODES.DRAINING),
             bodies.make_result_body(_CODES.REBUILDING),
             bodies.make_result_body(_CODES.NO_CONFIGURATION),
         ):
-            found = self.call(idempotent=False, a=answer, b=good)
-            self.assertEqual(found, good)
+            result = self.call(idempotent=False, a=answer, b=expected)
+            self.assertEqual(result, expected)
             self.assertEqual(self.servers.called, ["a", "b"])
 
     def test_only_idempotent_calls_fail_over_after_a_lost_connection(self):
-        good = bodies.JobsBody(jobs=(), total=0)
-        self.assertEqual(self.call(a=_no_answer(sent=True), b=good), good)
+        expected = bodies.JobsBody(jobs=(), total=0)
+        self.assertEqual(
+            self.call(a=_no_answer(sent=True), b=expected), expected
+        )
         with self.assertRaises(ExceptionGroup):
-            self.call(idempotent=False, a=_no_answer(sent=True), b=good)
+            self.call(idempotent=False, a=_no_answer(sent=True), b=expected)
         self.assertEqual(self.servers.called, ["a"])
 
     def call_with_retries(self, answers, pause_budget_ms, *, idempotent=True):
@@ -48,11 +50,13 @@
         )
 
     def test_retries_pause_as_requested_until_the_budget_is_used_up(self):
-        good = bodies.JobsBody(jobs=(), total=0)
+        expected = bodies.JobsBody(jobs=(), total=0)
         busy = bodies.make_result_body(_CODES.QUEUE_FULL, retry_after_ms=300)
         self.assertEqual(
-            self.call_with_retries([busy, _no_answer(sent=True), good], 9_000),
-            good,
+            self.call_with_retries(
+                [busy, _no_answer(sent=True), expected], 9_000
+            ),
+            expected,
         )
         self.assertEqual(self.servers.pauses_ms, [300, 1_000])
         with self.assertRaises(api_client.RefusedError):
@@ -60,9 +64,9 @@
         self.assertEqual(self.servers.pauses_ms, [300, 300, 100])
 
     def test_permanent_refusals_and_unknown_outcomes_are_not_retried(self):
-        final = bodies.make_result_body(_CODES.UNKNOWN_ACCOUNT)
+        permanent = bodies.make_result_body(_CODES.UNKNOWN_ACCOUNT)
         with self.assertRaises(api_client.RefusedError):
-            self.call_with_retries([final], 9_000)
+            self.call_with_retries([permanent], 9_000)
         with self.assertRaises(ExceptionGroup):
             self.call_with_retries(
                 [_no_answer(sent=True)], 9_000, idempotent=False
--- a/citronmount/cli/tests/test_live.py
+++ b/citronmount/cli/tests/test_live.py
@@ -71,8 +71,8 @@
             with self.subTest(example=example):
                 answer = _curl(self.servers[0], example, variables)
                 self.assertEqual(answer.status, example.status, answer)
-                found = answer.body.get("job", "")
-                variables["JOB"] = variables["JOB"] or found
+                job = answer.body.get("job", "")
+                variables["JOB"] = variables["JOB"] or job
                 if example.method == "PUT":
                     self.wait_for_configuration()
         self.assertTrue(variables["JOB"])
--- a/citronmount/cli/tests/test_transport.py
+++ b/citronmount/cli/tests/test_transport.py
@@ -43,13 +43,13 @@
         self.transport.loseConnection()
 
 
-def _certificate():
+def _self_signed_certificate():
     """Returns a key and a self-signed certificate, both in PEM."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name(
         [x509.NameAttribute(x509.NameOID.COMMON_NAME, "citronmount")]
     )
-    alternative = x509.IPAddress(ipaddress.ip_address(_HOST))
+    subject_alternative = x509.IPAddress(ipaddress.ip_address(_HOST))
     now = datetime.datetime.now(datetime.UTC)
     certificate = (
         x509.CertificateBuilder()
@@ -59,7 +59,9 @@
         .serial_number(1)
         .not_valid_before(now - datetime.timedelta(days=1))
         .not_valid_after(now + datetime.timedelta(days=1))
-        .add_extension(x509.SubjectAlternativeName([alternative]), False)
+        .add_extension(
+            x509.SubjectAlternativeName([subject_alternative]), False
+        )
         .sign(key, hashes.SHA256())
     )
     encoding = serialization.Encoding.PEM
@@ -105,8 +107,8 @@
                 self.assert_echo(self.send(site, host=host))
 
     def test_tls_trusts_only_the_given_ca(self):
-        key_pem, certificate_pem = _certificate()
-        _, other_pem = _certificate()
+        key_pem, certificate_pem = _self_signed_certificate()
+        _, other_pem = _self_signed_certificate()
         tls = key_pem + certificate_pem
         reply = self.send(server.Site(_Echo()), tls=tls, ca_pem=certificate_pem)
         self.assert_echo(reply)
