--- a/citronmount/bench/faults/__init__.py
+++ b/citronmount/bench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""The fault matrix: every fault at every step, checked against promises."""
+"""The fault matrix: each fault at each step, with checks of properties."""
--- a/citronmount/bench/faults/__main__.py
+++ b/citronmount/bench/faults/__main__.py
@@ -16,6 +16,8 @@
 
 __all__ = ["main"]
 
+# Failure domains, VMs in each and workers in each. The first three sizes differ
+# in the number of VMs, the last three only in the number of workers.
 _TRAFFIC_SIZES = (
     (3, 2, 8),
     (3, 8, 8),
@@ -38,6 +40,8 @@
 def main(argv: list[str] | None = None) -> int:
     """Runs the whole matrix, a part of it, all pairs of faults or one cell.
 
+    With ``--availability`` or ``--traffic``, measures that instead.
+
     Args:
         argv: Arguments without the program name, or None for `sys.argv`.
 
@@ -56,7 +60,7 @@
         return _run_one(args)
     results = []
     for plans in _plans(args):
-        for result in matrix.run_pair(plans):
+        for result in matrix.run_until_reached(plans):
             results.append(result)
             if not args.json and not result.held:
                 _print_result(result)
--- a/citronmount/bench/faults/answer_checks.py
+++ b/citronmount/bench/faults/answer_checks.py
@@ -84,7 +84,11 @@
 def _not_run_results_are_true(
     history: run_history.RunHistory,
 ) -> Iterator[tuple[int, str]]:
-    """Work that a result code reports as not run has never started."""
+    """Work that a result code reports as not run has never started.
+
+    Runners report a request under its id, ``~`` and a unique suffix, which the
+    VM that routed the request appended.
+    """
     start_times = {
         event.request.partition("~")[0]: at_ms
         for at_ms, event in property_checks.events_of_kind(
@@ -129,7 +133,11 @@
 def _starts_before_acceptance(
     job: client_observations.JobObservation, starts: list[int]
 ) -> Iterator[tuple[int, str]]:
-    """Finds starts before the first call that was not refused as not run."""
+    """Finds a start of a job while all submissions so far had been refused.
+
+    A refusal is an outcome whose code proves that the job did not run. A start
+    is legitimate from when the client sent the first call with another outcome.
+    """
     refusals = list(
         itertools.takewhile(
             lambda outcome: _proves_not_run(outcome.body), job.told
--- a/citronmount/bench/faults/availability.py
+++ b/citronmount/bench/faults/availability.py
@@ -29,7 +29,8 @@
     Attributes:
         idempotent: Whether the requests are idempotent.
         requests: Number of requests.
-        first: Outcomes of the first try, counted by result code or ``none``.
+        first: Outcomes of the first try, counted by result code, or by
+            ``none`` for tries without an answer.
         last: Outcomes of the last try, after the client's own retries.
         violations: Number of property violations, over requests of all kinds.
     """
@@ -44,7 +45,7 @@
 def measure(
     *, requests: int = 4_000, gap_ms: int = 5, seeds: tuple[int, ...] = (1, 2)
 ) -> tuple[Availability, ...]:
-    """Kills each VM of a site in a run of its own, under short requests.
+    """Kills each VM of a site in a run of its own while requests are sent.
 
     Args:
         requests: Number of requests of both kinds together in each run.
--- a/citronmount/bench/faults/client_observations.py
+++ b/citronmount/bench/faults/client_observations.py
@@ -1,4 +1,4 @@
-"""What the simulated clients and operators requested and were answered."""
+"""Calls of the simulated clients and operators, and their outcomes."""
 
 import msgspec
 
--- a/citronmount/bench/faults/execution_checks.py
+++ b/citronmount/bench/faults/execution_checks.py
@@ -19,7 +19,12 @@
 def _guaranteed_jobs_start(
     history: run_history.RunHistory,
 ) -> Iterator[tuple[int, str]]:
-    """A job within its guarantee starts completely within the bound."""
+    """All tasks of a job within its account's guarantee start within the bound.
+
+    The bound counts from the acceptance or from the end of the last fault. It
+    is `property_checks.RECLAIM_BOUND_MS` in a run with faults and
+    `property_checks.FAULT_FREE_RECLAIM_BOUND_MS` in a run without.
+    """
     runs = property_checks.runs_by_attempt(history)
     for job in history.clients.jobs.values():
         if not job.must_run or job.refused or job.accepted_ms is None:
@@ -124,7 +129,11 @@
 def _at_most_once(
     history: run_history.RunHistory,
 ) -> Iterator[tuple[int, str]]:
-    """Jobs and requests that are not idempotent start at most once."""
+    """Jobs and requests that are not idempotent start at most once.
+
+    The field ``job`` of a runner's event is the idempotency key, which
+    idempotent requests don't have.
+    """
     previous_runs: dict[str, str] = {}
     for at_ms, event in property_checks.events_of_kind(
         history, timeline_events.EventKind.RUNNER_STARTED
--- a/citronmount/bench/faults/fault_kinds.py
+++ b/citronmount/bench/faults/fault_kinds.py
@@ -147,7 +147,7 @@
     max_duration_ms: int,
     **fields: Any,
 ) -> None:
-    """Adds a fault to every link of the process, except to clients.
+    """Adds a fault to all links of the process; replies to clients are exempt.
 
     Args:
         cell: The cell.
@@ -200,8 +200,9 @@
 def _vms_cut_apart(cell: Any, injection: Any) -> None:
     """Cuts the links between the VMs of one failure domain.
 
-    All of them still reach the workers and the platform, so that more than one
-    may act as the owner.
+    At random, either all messages between them are lost or only those from the
+    VM of the step. All VMs still reach the workers and the platform, so that
+    more than one may act as the owner.
     """
     vms = set(cell.vms_in(injection.process.vm.failure_domain))
     one_way = cell.rng.random() < 0.5
--- a/citronmount/bench/faults/matrix.py
+++ b/citronmount/bench/faults/matrix.py
@@ -28,7 +28,7 @@
     "check_properties",
     "fault_pair_plans",
     "run_cell",
-    "run_pair",
+    "run_until_reached",
     "single_fault_plans",
     "summarize",
 ]
@@ -152,6 +152,8 @@
 ) -> tuple[property_checks.Violation, ...]:
     """Checks every property.
 
+    Importing this module, unlike `property_checks`, registers all checks.
+
     Args:
         history: History of a completed run.
 
@@ -191,15 +193,16 @@
         )
 
 
-def run_pair(plans: tuple[Plan, ...]) -> list[CellResult]:
-    """Runs the plans of a pair up to the first that reaches both steps.
+def run_until_reached(plans: tuple[Plan, ...]) -> list[CellResult]:
+    """Runs plans in order up to the first that reaches all its steps.
 
     Args:
-        plans: The sampled plans of one pair.
+        plans: The sampled plans of a pair of faults, or a single plan.
 
     Returns:
         The results of plans that missed a step but broke a property, then the
-        result of the first plan that reached both steps, or of the last plan.
+        result of the first plan that reached all its steps, or of the last
+        plan.
     """
     results = []
     for plan in plans:
@@ -214,6 +217,11 @@
 def _sample_pair_plan(
     pair: tuple[str, str], rng: random.Random, seed: int
 ) -> Plan:
+    """Returns a plan with two random steps that may occur in one cell.
+
+    The second step is of the family of the first, or a job or request step,
+    since jobs and requests are part of the workload of every cell.
+    """
     first_step = rng.choice(list(registry.STEPS))
     family = registry.STEPS[first_step].family
     compatible_steps = [
@@ -241,6 +249,7 @@
 
 
 def _derive_plan(strikes: tuple[tuple[str, str], ...], seed: int) -> Plan:
+    """Derives the seed of a cell, the same one in every process."""
     plan_text = f"{seed} {strikes}"
     return Plan(
         strikes=strikes, seed=zlib.crc32(plan_text.encode()) % 1_000_000
--- a/citronmount/bench/faults/matrix_cell.py
+++ b/citronmount/bench/faults/matrix_cell.py
@@ -25,8 +25,11 @@
 
 __all__ = ["Cell", "Injection"]
 
+# Virtual times at which the workload starts, and at which a cell, if its plan
+# needs that, kills or drains an owner or cuts a domain off from the platform.
 WARM_UP_MS = 9_000
 TRIGGER_MS = 13_000
+# Durations.
 SETTLE_MS = 13_500
 COMPLETION_BOUND_MS = 60_000
 INJECTION_WINDOW_MS = 30_000
@@ -35,8 +38,10 @@
 _REQUEST_INTERVAL_MS = 250
 _REQUEST_COUNT = 40
 _LOAD_BEFORE_DRAIN_MS = 50
+# Families whose steps count only from `TRIGGER_MS` on.
 _TRIGGERED_FAMILIES = frozenset({"takeover", "drain", "relay"})
-# Steps that occur often; a cell lets a random number of occurrences pass.
+# Steps that occur often; a cell skips a random number of their occurrences
+# before it injects the fault.
 _FREQUENT_STEPS = frozenset(
     {
         "job.submit",
@@ -94,7 +99,8 @@
         harness: The harness that runs the site.
         clients: Simulated clients and operators.
         history: History of the run, which the checks read.
-        focus_domain: Failure domain in which takeovers and drains happen.
+        focus_domain: Failure domain whose owner is killed or drained, or which
+            is cut off from the platform.
         injections: The faults injected so far.
         healed_ms: Virtual time at which the last fault ends.
         trial_run_ms: Run time of the trial jobs that fill the pool.
@@ -174,6 +180,9 @@
     ) -> None:
         """Schedules the end of a fault.
 
+        The bounds of the checks and the rest of the run count from the last
+        such end. A fault that has nothing to undo passes an empty function.
+
         Args:
             delay_ms: Virtual time from now.
             action: The function that ends the fault.
@@ -203,7 +212,7 @@
         ]
 
     def affected_target(self, injection: Injection) -> str:
-        """Returns the target of the step, or a random one of its domain.
+        """Returns the target of the step, or a random one in its VM's domain.
 
         Args:
             injection: The injection at the step.
@@ -222,7 +231,7 @@
         )
 
     def affected_worker(self, injection: Injection) -> str:
-        """Returns the worker of the step, or a random one of its domain.
+        """Returns the worker of the step, or a random one in its VM's domain.
 
         Args:
             injection: The injection at the step.
@@ -341,7 +350,7 @@
             self.harness.run_until_ms(now_ms + _CHECK_INTERVAL_MS)
 
     def _run_to_end(self) -> None:
-        """Runs until all clients have their answers.
+        """Runs until no client or operator expects an answer.
 
         The run lasts at least the settling time after the last disturbance and
         ends at the completion bound even if answers are missing.
@@ -359,7 +368,10 @@
             self.harness.run_until_ms(now_ms + _CHECK_INTERVAL_MS)
 
     def _disturbances_end_ms(self) -> int:
-        """Returns the virtual time at which faults and workload have ended."""
+        """Returns the virtual time at which the last fault has ended.
+
+        It is not before the workload is submitted and its last request sent.
+        """
         return max(TRIGGER_MS + 6_000, self.healed_ms)
 
     def _schedule_workload(self) -> None:
@@ -429,7 +441,7 @@
         )
 
     def _schedule_family_events(self) -> None:
-        """Schedules the events without which some families have no steps."""
+        """Schedules the changes, cuts, kills and drains that the plan needs."""
         wait_ms = TRIGGER_MS - WARM_UP_MS
         if {"change", "relay"} & self._families:
             last_domain = self.site.failure_domains[-1]
@@ -525,6 +537,7 @@
         self._replace_drained(owner)
 
     def _replace_drained(self, vm: ids.VmId) -> None:
+        """Polls until a drained VM has exited, then schedules its restart."""
         process = self.harness.processes[vm]
         if process.agent is None:
             self.schedule(2_000, self.harness.start, vm)
--- a/citronmount/bench/faults/operation_checks.py
+++ b/citronmount/bench/faults/operation_checks.py
@@ -21,20 +21,22 @@
 ) -> Iterator[tuple[int, str]]:
     """No work starts in a failure domain that is out of service.
 
-    Starts are allowed for a short time after the version that takes the domain
-    out comes into force at any VM of the domain. For short requests sent by a
-    VM with faulty links, the time counts from when that VM itself has the
-    version in force.
+    Starts are allowed for `property_checks.NOTICE_BOUND_MS` after the version
+    that takes the domain out comes into force at the first VM of the domain.
+    For a short request, the time counts from when the version comes into force
+    at the sender, if the sender has had a link fault since its own version came
+    into force. Versions that a newer one has superseded at the sender are
+    ignored.
     """
     accepted = history.accepted_changes()
-    out = {
+    out_of_service = {
         (version, domain.name)
         for version, change in enumerate(accepted, start=1)
         for domain in change.content.failure_domains
         if domain.state is states.FailureDomainState.OUT
     }
     domain_of_vm = {vm.vm: vm.failure_domain for vm in _listed_vms(history)}
-    in_force: dict[str, tuple[int, int]] = {}
+    version_and_since_ms: dict[str, tuple[int, int]] = {}
     first_in_force_ms: dict[tuple[str, int], int] = {}
     kinds = (
         timeline_events.EventKind.CONFIGURATION_IN_FORCE,
@@ -43,22 +45,22 @@
     )
     for at_ms, event in property_checks.events_of_kind(history, *kinds):
         if event.kind is timeline_events.EventKind.CONFIGURATION_IN_FORCE:
-            in_force[event.process] = (event.version, at_ms)
+            version_and_since_ms[event.process] = (event.version, at_ms)
             for location in (domain_of_vm[event.process], event.process):
                 first_in_force_ms.setdefault((location, event.version), at_ms)
             continue
         domain = event.failure_domain
         work = event.attempt or event.request
         sender = history.senders[work, event.target]
-        known_version = in_force.get(str(sender), (0, 0))[0]
+        known_version = version_and_since_ms.get(str(sender), (0, 0))[0]
         sender_has_link_fault = event.request and history.had_link_fault(
-            sender, in_force.get(str(sender), (0, 0))[1], at_ms
+            sender, version_and_since_ms.get(str(sender), (0, 0))[1], at_ms
         )
         violated_versions = [
             (version, since_ms)
             for (location, version), since_ms in first_in_force_ms.items()
             if location == (sender if sender_has_link_fault else domain)
-            and (version, domain) in out
+            and (version, domain) in out_of_service
             and version >= known_version
             and at_ms - since_ms > property_checks.NOTICE_BOUND_MS
         ]
@@ -99,7 +101,11 @@
 def _graceful_stops(
     history: run_history.RunHistory,
 ) -> Iterator[tuple[int, str]]:
-    """A draining VM answers its open requests and exits within the bound."""
+    """A draining VM answers its open requests and exits within the bound.
+
+    The bound, `property_checks.DRAIN_BOUND_MS`, counts from the drain request
+    or from the end of the last fault, whichever is later.
+    """
     for vm, process in history.harness.processes.items():
         for at_ms in process.cut_ms:
             yield at_ms, f"{vm} exited with open requests of clients"
@@ -116,7 +122,13 @@
 def _versions_come_into_force(
     history: run_history.RunHistory,
 ) -> Iterator[tuple[int, str]]:
-    """Accepted versions come into force at every VM and never revert."""
+    """Accepted versions come into force at every VM and never revert.
+
+    Relayed configurations agree with the log, and the outcomes reported to
+    operators are true. The time until a version is in force is bounded by
+    `property_checks.IN_FORCE_BOUND_MS`, counted from the latest of its append,
+    the start of the VM and the end of the last fault.
+    """
     accepted = history.accepted_changes()
     yield from _version_reverts(history)
     yield from _false_outcomes(history, accepted)
--- a/citronmount/bench/faults/property_checks.py
+++ b/citronmount/bench/faults/property_checks.py
@@ -118,8 +118,8 @@
 
     Returns:
         By attempt and worker, the start time, the end time and the final
-        lease state of every run. A run that never ended has the state
-        ``running`` and ends after the run of the cell.
+        lease state of every task run. One that is still in progress when
+        the history ends has the state ``running`` and ends 1 ms after that.
     """
     runs: dict[str, dict[str, list[tuple[int, int, str]]]] = (
         collections.defaultdict(lambda: collections.defaultdict(list))
--- a/citronmount/bench/faults/registry.py
+++ b/citronmount/bench/faults/registry.py
@@ -1,4 +1,8 @@
-"""Registries of the faults and steps of the matrix."""
+"""Registries of the faults and steps of the matrix.
+
+Cells, injections and processes are typed as `Any`, because `matrix_cell`
+imports this module.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,7 +27,10 @@
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True):
-    """One step in processing a job, request, change, takeover or drain.
+    """One step in the work of a VM at which faults are injected.
+
+    The families of steps are jobs, short requests, configuration changes,
+    requests to peers for the configuration (``relay``), takeovers and drains.
 
     Attributes:
         name: Name on the command line, ``family.step``.
--- a/citronmount/bench/faults/run_history.py
+++ b/citronmount/bench/faults/run_history.py
@@ -36,7 +36,7 @@
 
 
 class ReservedAttempt(msgspec.Struct, frozen=True, kw_only=True):
-    """A gang attempt as its VM requested it from the workers.
+    """A gang attempt as reserved at a worker.
 
     Attributes:
         spec: The job.
@@ -48,7 +48,7 @@
 
 
 class WorkAfterNotice(msgspec.Struct, frozen=True, kw_only=True):
-    """New work that a VM sent to a target it had notice of as leaving.
+    """New work that a VM sent to a target known to it to be leaving.
 
     Attributes:
         vm: The VM.
@@ -91,7 +91,8 @@
         attempts: Every attempt for which a reservation reached a worker.
         senders: The VM that sent a start or a request, by attempt or request
             and by worker or runner.
-        link_faults: VM, start and end in ms of each link fault.
+        link_faults: VM, start and end in ms of each fault of all links of one
+            VM. Cuts between VMs or failure domains are not included.
         work_after_notice: New work sent to targets known to be leaving.
         reply_counts: Number of replies to each ticket.
         relayed_snapshots: Configurations that VMs received from each other.
@@ -157,11 +158,13 @@
                     self.relayed_snapshots.append(snapshot)
 
     def observe_arrival(self, vm: ids.VmId, target: str, effect: Any) -> None:
-        """Records an effect that arrives at a target, a service or a client.
+        """Records a call that arrives at a target or service, or a reply.
+
+        Replies to clients are recorded when they are sent.
 
         Args:
             vm: The VM that sent it.
-            target: The place where it arrives.
+            target: The target, service or client that it is for.
             effect: The effect.
         """
         match effect:
@@ -246,6 +249,11 @@
     def _record_notice(
         self, process: harness_process.Process, target: str
     ) -> None:
+        """Records when a VM first learned that a target is leaving.
+
+        The VM list lags, so a target may have returned already; such a notice
+        is ignored.
+        """
         if self._is_leaving(target):
             key = (process.vm.vm, process.incarnation, str(target))
             self._first_notice_ms.setdefault(key, self.harness.clock.now_ms)
@@ -270,6 +278,11 @@
     def _record_new_work(
         self, process: harness_process.Process, target: str
     ) -> None:
+        """Records work sent to a target that the VM knew to be leaving.
+
+        A notice becomes void once work is sent to the target while it is not
+        leaving.
+        """
         key = (process.vm.vm, process.incarnation, str(target))
         if not self._is_leaving(target):
             self._first_notice_ms.pop(key, None)
@@ -289,8 +302,8 @@
 def owners_at(harness: harness_lib.Harness, until_ms: int) -> set[str]:
     """Returns the VMs that own a failure domain at a time.
 
-    A VM is an owner from the end of its rebuild until it leaves the ownership,
-    starts anew or stops.
+    A VM is an owner from the end of its rebuild until it gives up ownership,
+    exits after a drain or restarts. A killed VM is included until it restarts.
 
     Args:
         harness: The harness that runs the site.
--- a/citronmount/bench/faults/sabotage.py
+++ b/citronmount/bench/faults/sabotage.py
@@ -1,4 +1,4 @@
-"""Breaks each checked property on purpose, to prove that checks can fail.
+"""Breaks properties on purpose, to prove that their checks can fail.
 
 Each sabotage removes one rule of the system, either by changing what passes
 between an agent and its harness or by replacing a method. It is used only in
@@ -27,7 +27,7 @@
 from citronmount.core import decisions
 from citronmount.core import scheduler
 from citronmount.core import states
-from citronmount.standins import worker as worker_lib
+from citronmount.standins import worker
 from citronmount.state import records
 
 __all__ = [
@@ -50,8 +50,8 @@
         seeds: Seeds to try in turn.
         trial_run_ms: Run time of the trial jobs, long enough for the violation
             to occur.
-        apply: Returns a context in which the rule is missing. It gives the
-            function that creates agents.
+        apply: Returns a context manager that removes the rule while it is
+            active. Its value is the function that creates agents.
     """
 
     name: str
@@ -62,6 +62,7 @@
     apply: Callable[[], contextlib.AbstractContextManager[Callable[..., Any]]]
 
 
+# Stands for any property and for contradictions in the timeline.
 ANY = "any"
 
 SABOTAGES: dict[str, Sabotage] = {}
@@ -78,7 +79,7 @@
 
     Args:
         name: Name of the sabotage.
-        promise: Name of the property that must be reported as broken.
+        promise: Name of the property that must be reported as broken, or `ANY`.
         *strikes: Faults and steps of the cell in which the violation occurs.
         seeds: Number of seeds to try.
         trial_run_ms: Run time of the trial jobs.
@@ -215,10 +216,10 @@
     report = attempts.Attempt.report
 
     def report_unless_lapsed(
-        self: Any, worker: Any, lease: messages.LeaseReport
+        self: Any, worker_id: Any, lease: messages.LeaseReport
     ) -> None:
         if lease.state is not states.LeaseState.LAPSED:
-            report(self, worker, lease)
+            report(self, worker_id, lease)
 
     def do_nothing(self: Any, *args: Any) -> None:
         pass
@@ -270,7 +271,10 @@
 
 
 class _MixedUpAnswers(_AgentWrapper):
-    """Replaces each answer of a runner by the previous answer of any runner."""
+    """Gives each answer of a runner the payload of the answer before it.
+
+    The answer before may have come from another runner.
+    """
 
     def __init__(self, inner: agent.Agent) -> None:
         super().__init__(inner)
@@ -424,7 +428,7 @@
 
 @sabotage("tokens-ignored", ANY, ("vms-cut-apart", "job.start"))
 def _tokens_ignored() -> Iterator[Callable[..., Any]]:
-    call = worker_lib.WorkerModel.call
+    call = worker.WorkerModel.call
 
     def call_unfenced(
         self: Any, body: messages.WorkerCall, now_ms: int
@@ -437,5 +441,5 @@
         )
         return msgspec.structs.replace(answer, token=body.token, report=report)
 
-    with _replaced(worker_lib.WorkerModel, "call", call_unfenced):
+    with _replaced(worker.WorkerModel, "call", call_unfenced):
         yield agents.make_agent
--- a/citronmount/bench/faults/simulated_clients.py
+++ b/citronmount/bench/faults/simulated_clients.py
@@ -27,8 +27,9 @@
 class SimulatedClients:
     """Sends calls to live VMs, retries them and records every outcome.
 
-    Like calls behind a load balancer, retries go to another VM. They carry the
-    same idempotency key.
+    As behind a load balancer, a call goes to a random VM unless one is given;
+    retries of submissions and short requests avoid the VM of the last try. A
+    retry has the idempotency key of the first try, if there is one.
 
     Attributes:
         jobs: All jobs, by the client's name.
@@ -149,7 +150,7 @@
         return job
 
     def resubmit(self, name: str) -> None:
-        """Submits a job again with its key, like a client without an answer.
+        """Submits a job again, as a client does that has had no answer yet.
 
         Args:
             name: The client's name of the job.
@@ -163,7 +164,7 @@
         self._call(body, on_outcome)
 
     def cancel(self, name: str) -> None:
-        """Cancels a job once it is accepted, and retries until a VM answers.
+        """Cancels a job once accepted, and retries until it gets a status.
 
         Args:
             name: The client's name of the job.
@@ -187,7 +188,10 @@
     def cancel_all(
         self, account: ids.AccountId, domain: ids.FailureDomainId
     ) -> None:
-        """Cancels every job of an account in a failure domain.
+        """Cancels every job of an account in a failure domain, without retry.
+
+        `cancelled_ms` is set for all open jobs of the account, whatever their
+        failure domain.
 
         Args:
             account: The client account.
@@ -211,6 +215,8 @@
     ) -> client_observations.RequestObservation:
         """Sends a short request, with up to `_MAX_REQUEST_TRIES` tries.
 
+        Each try has a request id of its own.
+
         Args:
             account: The client account.
             idempotent: Whether it may run more than once.
@@ -254,6 +260,8 @@
     ) -> client_observations.PublicationObservation:
         """Publishes a configuration and retries until the outcome is known.
 
+        Gives up after `client_observations.MAX_TRIES` tries.
+
         Args:
             content: The configuration.
             base_version: Version on which the operator based the change.
--- a/citronmount/bench/faults/steps.py
+++ b/citronmount/bench/faults/steps.py
@@ -148,6 +148,10 @@
 
 @registry.step("change.fold")
 def _is_change_fold(cell: Any, process: Any, item: Any) -> bool:
+    """Returns whether the process reads a change published during the run.
+
+    The record at offset 0 is the first configuration of the site.
+    """
     if not isinstance(item, events.LogRead) or item.page is None:
         return False
     return any(
@@ -173,6 +177,7 @@
 
 @registry.step("takeover.fence")
 def _is_takeover_fence(cell: Any, process: Any, item: Any) -> bool:
+    """Returns whether a call raises the fencing token of its worker."""
     if not _in_focus_domain(cell, process) or not isinstance(
         item, effects.CallWorker
     ):
--- a/citronmount/bench/faults/tests/test_matrix.py
+++ b/citronmount/bench/faults/tests/test_matrix.py
@@ -75,7 +75,9 @@
 
     def test_sampled_fault_pairs_hold(self):
         sample = itertools.islice(matrix.fault_pair_plans(_SEED), 0, None, 13)
-        results = itertools.chain.from_iterable(map(matrix.run_pair, sample))
+        results = itertools.chain.from_iterable(
+            map(matrix.run_until_reached, sample)
+        )
         self.assertEqual([], _failed(results))
 
     def test_json_command_returns_an_exit_status(self):
--- a/citronmount/bench/faults/timeline_check.py
+++ b/citronmount/bench/faults/timeline_check.py
@@ -11,6 +11,7 @@
 
 __all__ = ["check"]
 
+# Sum of the TTLs of a lease and of a reservation.
 PARTIAL_GANG_BOUND_MS = 12_000
 
 _Kind = timeline_events.EventKind
@@ -36,7 +37,7 @@
         _members_start_once,
         _gangs_run_together,
         _done_jobs_finished,
-        _refused_jobs_never_start,
+        _not_run_jobs_never_start,
         _results_never_change,
         _versions_never_decrease,
         _no_reservations_in_domains_out,
@@ -51,6 +52,11 @@
 def _keys_start_once(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
+    """Finds idempotency keys that are run twice.
+
+    The field ``job`` of a runner's event is the key, which idempotent requests
+    don't have.
+    """
     started_keys: set[str] = set()
     for event in timeline:
         if event.kind is _Kind.RUNNER_STARTED and event.job:
@@ -77,9 +83,10 @@
 def _gangs_run_together(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
-    """Finds attempts that ran incompletely for longer than the bound.
+    """Finds attempts that ran partially for longer than the bound.
 
-    An attempt is complete while all its tasks run or have finished.
+    An attempt runs partially while some of its tasks run and others neither run
+    nor have finished.
     """
     tasks = _tasks_of_jobs(timeline)
     running_or_finished: collections.Counter = collections.Counter()
@@ -154,7 +161,7 @@
                 )
 
 
-def _refused_jobs_never_start(
+def _not_run_jobs_never_start(
     timeline: list[timeline_events.TimelineEvent],
 ) -> Iterator[tuple[timeline_events.TimelineEvent, str]]:
     not_run: dict[str, timeline_events.TimelineEvent] = {}
