--- a/citronmount/bench/faults/run_history.py
+++ b/citronmount/bench/faults/run_history.py
@@ -48,7 +48,7 @@
 
 
 class WorkAfterNotice(msgspec.Struct, frozen=True, kw_only=True):
-    """New work that a VM sent to a target known to it to be leaving.
+    """New work that a VM sent to a target that it knew to be leaving.
 
     Attributes:
         vm: The VM.
@@ -91,8 +91,8 @@
         attempts: Every attempt for which a reservation reached a worker.
         senders: The VM that sent a start or a request, by attempt or request
             and by worker or runner.
-        link_faults: VM, start and end in ms of each fault of all links of one
-            VM. Cuts between VMs or failure domains are not included.
+        link_faults: Faults that affect every link of a VM, as the VM, start and
+            end in ms. Cuts between VMs or failure domains are not included.
         work_after_notice: New work sent to targets known to be leaving.
         reply_counts: Number of replies to each ticket.
         relayed_snapshots: Configurations that VMs received from each other.
--- a/citronmount/bench/faults/simulated_clients.py
+++ b/citronmount/bench/faults/simulated_clients.py
@@ -150,7 +150,7 @@
         return job
 
     def resubmit(self, name: str) -> None:
-        """Submits a job again, as a client does that has had no answer yet.
+        """Submits a job again, like a client that has received no answer.
 
         Args:
             name: The client's name of the job.
