--- a/citronmount/fleet_service/job_service.py
+++ b/citronmount/fleet_service/job_service.py
@@ -58,7 +58,8 @@
 
     Attributes:
         verdict: The outcome of the call.
-        retry_after_s: When the client should retry a call without effect.
+        retry_after_s: Seconds after which the client should retry a call that
+            had no effect.
     """
 
     verdict: RequestOutcome
@@ -171,6 +172,8 @@
         Raises:
             UnreachableError: The job is not known here and the log does not
                 answer.
+            LogTruncatedError: The job is not known here and the records that
+                may name it have expired.
         """
         state = await self.state(queue, job)
         if state is None:
@@ -198,6 +201,8 @@
         Raises:
             UnreachableError: The job is not known here and the log does not
                 answer.
+            LogTruncatedError: The job is not known here and the records that
+                may name it have expired.
         """
         known_state = self._job_view.state_of(job)
         if known_state not in _FINAL_STATES:
@@ -210,8 +215,8 @@
         """Reads to the end of the topic.
 
         Args:
-            allow_stale: Whether the state known so far may be returned if the
-                log does not answer.
+            allow_stale: Whether to return without an error if the log does
+                not answer; the caller then uses the state known so far.
         """
         if allow_stale and self._health.last_call_failed:
             return
--- a/citronmount/fleet_service/log_health.py
+++ b/citronmount/fleet_service/log_health.py
@@ -2,11 +2,11 @@
 
 The topics of the log may be served by different machines of the site, so one
 topic may stop answering while the others do not. The job service therefore
-considers the calls at the job topic only.
+considers the calls on the job topic only.
 
-Load pattern: the log does not answer for seconds while clients keep
-submitting jobs. A submission whose record was never sent can be refused at
-once, because it is certain that the job will not run.
+The log may not answer for seconds while clients keep submitting jobs. A
+submission whose record was never sent can be refused at once, because it is
+certain that the job will not run.
 """
 
 from twisted.internet import interfaces
@@ -20,7 +20,7 @@
 
 
 class LogHealth:
-    """Records the outcome of every call at a part of the log."""
+    """Records whether the calls to a part of the log were answered."""
 
     def __init__(self, *, clock: interfaces.IReactorTime) -> None:
         """Initializes as if the log had just answered.
--- a/citronmount/fleet_service/log_tail.py
+++ b/citronmount/fleet_service/log_tail.py
@@ -160,6 +160,10 @@
         self._on_snapshot(snapshot.records)
 
     def _handle_page(self, page: ports.LogPage) -> None:
+        """Passes on the new records of a page.
+
+        The loop and `catch_up` may read the same records at the same time.
+        """
         self._health.record_answer()
         new_records = [
             record
--- a/citronmount/fleet_service/owner_election.py
+++ b/citronmount/fleet_service/owner_election.py
@@ -28,11 +28,12 @@
 
 
 class OwnerElection:
-    """Keeps the VM in the owners' group while the group needs it.
+    """Joins the owners' group if it has too few members, and stays in it.
 
-    The log assigns the partition of the jobs to one member of the group, which
-    is the next owner. It takes over once the current owner has left the group
-    or has not renewed its membership for `MEMBER_TTL_MS`.
+    The log assigns the partition of the job topic to one member of the group,
+    which is the next owner. It takes over once the current owner has left the
+    group or has not renewed its membership for `MEMBER_TTL_MS`. A member
+    without a partition leaves the group unless it is the candidate.
 
     Attributes:
         candidate: Whether this VM should own the pool.
@@ -62,12 +63,12 @@
                 far as is known here.
             refresh_owner: Reads the log to its end, which updates the answer
                 of `owner_member`.
-            on_change: Called when the VM becomes or stops being candidate.
+            on_change: Called with the new value of `candidate` when the
+                election changes it.
             sized_for_ownership: Whether the VM has enough processor time to
-                own a pool. A VM that has not joins only a group without
-                members.
-            jitter: Returns a random fraction, by which the first checks of VMs
-                that start together are spread out.
+                own a pool. Smaller VMs join only a group without members.
+            jitter: Returns a random number from 0 to 1, which spreads the first
+                checks of VMs that start together.
         """
         self.candidate = False
         self._clock = clock
@@ -83,8 +84,8 @@
         self._generation = 0
         self._joined = False
         self._next_check_s = 0.0
-        self._turn_lock = defer.DeferredLock()
-        self._loop = task.LoopingCall(self._run_turn)
+        self._membership_lock = defer.DeferredLock()
+        self._loop = task.LoopingCall(self._run_update)
         self._loop.clock = clock
         self._logger = structlog.get_logger()
 
@@ -97,10 +98,11 @@
         self._loop.start(JOIN_PERIOD_MS / _MS_PER_S)
 
     def yield_ownership(self) -> None:
-        """Leaves the pool to a newer owner that has fenced this VM.
+        """Prevents this VM from being candidate for `YIELD_DURATION_MS`.
 
-        The VM is no candidate for `YIELD_DURATION_MS`; by then the record that
-        names the newer owner has been folded.
+        Called after this VM has stepped down. If a newer owner has fenced it,
+        the record that names this owner has been folded by the end of that
+        time.
         """
         self.candidate = False
         self._yielded_until_s = (
@@ -116,12 +118,12 @@
         if not self._loop.running:
             return
         self._loop.stop()
-        await self._turn_lock.acquire()
+        await self._membership_lock.acquire()
         try:
             if self._joined:
                 await self._leave()
         finally:
-            self._turn_lock.release()
+            self._membership_lock.release()
 
     async def _leave(self) -> None:
         self._joined = False
@@ -130,8 +132,8 @@
         except errors.UnreachableError as error:
             self._logger.warning("group_leave_failed", error=str(error))
 
-    def _run_turn(self) -> defer.Deferred[None]:
-        return self._turn_lock.run(
+    def _run_update(self) -> defer.Deferred[None]:
+        return self._membership_lock.run(
             lambda: defer.ensureDeferred(self._update_membership())
         )
 
@@ -147,6 +149,9 @@
     async def _group_needs_member(self) -> bool:
         """Returns whether the group has too few members.
 
+        Asks the log at most every `MEMBER_CHECK_PERIOD_S`; in between, the
+        answer is False.
+
         The log assigns a fixed number of partitions, and a member without a
         partition is invisible to the others; so only a few VMs are members.
         """
@@ -182,7 +187,7 @@
         """Returns whether this VM should own the pool.
 
         An owner remains owner while it is in the group, even if the partition
-        is assigned to another member: a change of owner costs a take-over and
+        is assigned to another member: a change of owner costs a takeover and
         gains nothing.
         """
         if self._clock.seconds() < self._yielded_until_s:
--- a/citronmount/fleet_service/owner_loop.py
+++ b/citronmount/fleet_service/owner_loop.py
@@ -1,4 +1,4 @@
-"""Runs the pool owner: takes over, sends its commands, appends its records."""
+"""Takes over the pool, sends the owner's commands and appends its records."""
 
 from collections.abc import Callable
 import time
@@ -29,6 +29,7 @@
 APPEND_TIMEOUT_MS = 800
 APPEND_RETRY_MS = 100
 MAX_APPEND_RECORDS = 1_000
+# For the first attempt to start a run and for all later ones.
 START_TIMEOUTS_MS = (200, 400)
 STOP_TIMEOUT_MS = 600
 RENEWAL_TIMEOUT_MARGIN_MS = 600
@@ -79,10 +80,10 @@
             job_tail: The reader that feeds the job view.
             worker_tail: The reader that feeds the directory.
             directory: The workers' entries.
-            bounds: Time limits that the site sets.
+            bounds: Time bounds and factors of the site.
             policy: The durations of leases.
-            on_step_down: Called when this VM leaves the pool to a newer owner
-                or releases it after an internal error.
+            on_step_down: Called when this VM releases the pool because a
+                newer owner has fenced it or after an internal error.
             wall_clock: Returns the Unix time in milliseconds.
         """
         self.active = False
@@ -147,7 +148,7 @@
             self._step_down("taken_over")
 
     def schedule_step(self) -> None:
-        """Schedules a step of the owner for the next reactor iteration."""
+        """Makes the owner act in the next reactor iteration."""
         if self._scheduled_step is None:
             self._scheduled_step = self._clock.callLater(
                 0, self._run_scheduled_step
@@ -201,11 +202,12 @@
     async def _raise_epoch(self) -> tuple[records.OwnershipTaken, int]:
         """Appends a record that makes the log reject lower epochs.
 
-        Another process may try the same epoch at the same time. The record
-        that is found at the returned offset shows which of them got it.
+        Another process may try the same epoch at the same time. The log takes
+        the later of the two appends for a retry and returns the offset of the
+        first, so the record at that offset shows which process got the epoch.
 
         Returns:
-            The record of this process and its offset.
+            The record of this process and the offset that the log returned.
         """
         known_epoch = (
             self._job_view.ownership.epoch if self._job_view.ownership else 0
@@ -258,6 +260,7 @@
         self._step()
 
     def _step(self) -> None:
+        """Lets the owner decide, then sends its commands and its records."""
         owner = self._owner
         if owner is None:
             return
@@ -282,9 +285,10 @@
     async def _append_entries(
         self, owner: pool_owner.PoolOwner, entries: list[owner_state.LogEntry]
     ) -> None:
-        """Retries an append until the log answers.
+        """Appends entries, with retries while the log does not answer.
 
-        Appends are idempotent, so a retry has no second effect.
+        Appends are idempotent, so a retry has no second effect. Retries end
+        when this VM is fenced or has released the pool.
         """
         encoded = [
             (
@@ -338,9 +342,9 @@
     async def _start(
         self, owner: pool_owner.PoolOwner, command: commands.Start
     ) -> None:
-        number = min(command.attempt, len(START_TIMEOUTS_MS))
+        attempt = min(command.attempt, len(START_TIMEOUTS_MS))
         outcome, clock_ms = await self._worker_commands.start(
-            command, START_TIMEOUTS_MS[number - 1]
+            command, START_TIMEOUTS_MS[attempt - 1]
         )
         owner.reports.start_answered(command, outcome, clock_ms, self._now_ms())
         self.schedule_step()
--- a/citronmount/fleet_service/pool_vm.py
+++ b/citronmount/fleet_service/pool_vm.py
@@ -54,9 +54,9 @@
             clock: The reactor.
             log: The log.
             worker_commands: Sends commands to the workers.
-            decode: Decodes a record in the site's format to an event, or to
-                None if there is none.
-            bounds: Time limits that the site sets.
+            decode: Decodes a record in the site's format; returns None for a
+                record without an event for the pool.
+            bounds: Time bounds and factors of the site.
             policy: The durations of leases.
             sized_for_ownership: Whether the VM has enough processor time to
                 own the pool.
@@ -148,7 +148,10 @@
         return self._owner.active
 
     def start(self) -> None:
-        """Starts to read the log and to take part in the election."""
+        """Starts to read the log and to take part in the election.
+
+        The topic of the workers is read only while this VM owns the pool.
+        """
         self._configuration_tail.start()
         self._job_tail.start()
         self._election.start()
@@ -163,7 +166,7 @@
         await self._election.stop()
 
     def stop(self) -> None:
-        """Stops reading the log."""
+        """Stops reading the jobs and the configuration."""
         self._job_tail.stop()
         self._configuration_tail.stop()
 
@@ -183,6 +186,7 @@
         self._owner.check_epoch()
 
     def _fold_one(self, log_record: ports.LogRecord) -> bool:
+        """Returns whether the record changed a job or the ownership."""
         if log_record.value is None:
             self._job_view.apply_removal(log_record.offset, log_record.key)
             return False
@@ -195,7 +199,7 @@
             return False
         return self._job_view.apply(log_record.offset, record)
 
-    def _events(
+    def _decode_events(
         self, topic: ports.Topic, log_records: Iterable[ports.LogRecord]
     ) -> Iterable[ports.LogEvent]:
         events = (self._decode(topic, log_record) for log_record in log_records)
@@ -210,7 +214,9 @@
     def _apply_configuration(
         self, log_records: Sequence[ports.LogRecord]
     ) -> None:
-        for event in self._events(ports.Topic.CONFIGURATION, log_records):
+        for event in self._decode_events(
+            ports.Topic.CONFIGURATION, log_records
+        ):
             match event:
                 case ports.ConfigurationChanged(configuration=configuration):
                     self._activate_configuration(configuration)
@@ -239,7 +245,7 @@
     def _replace_workers(self, log_records: Sequence[ports.LogRecord]) -> None:
         entries = [
             event.entry
-            for event in self._events(ports.Topic.WORKERS, log_records)
+            for event in self._decode_events(ports.Topic.WORKERS, log_records)
             if isinstance(event, ports.WorkerChanged)
             and event.entry is not None
         ]
@@ -249,7 +255,7 @@
     def _apply_worker_changes(
         self, log_records: Sequence[ports.LogRecord]
     ) -> None:
-        for event in self._events(ports.Topic.WORKERS, log_records):
+        for event in self._decode_events(ports.Topic.WORKERS, log_records):
             if isinstance(event, ports.WorkerChanged):
                 self._apply_worker_change(event.worker, event.entry)
 
--- a/citronmount/fleet_service/ports.py
+++ b/citronmount/fleet_service/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces that a site implements: its log and its workers."""
+"""The interfaces to a site's log and workers, with their errors and events."""
 
 from collections.abc import Sequence
 import enum
@@ -62,12 +62,12 @@
         Args:
             epoch: The newest epoch that the log has seen, or None if unknown.
         """
-        super().__init__(f"fenced by epoch {epoch}")
+        super().__init__(f"fenced by another owner, epoch {epoch}")
         self.epoch = epoch
 
 
 class LogTruncatedError(errors.CitronmountError):
-    """The log has already expired the records at the reader's offset."""
+    """The records at the reader's offset have expired."""
 
     def __init__(self) -> None:
         """Initializes the error."""
@@ -124,7 +124,8 @@
     Attributes:
         generation: The generation of the group; increases with each change of
             the group.
-        candidate: Whether the member is the next owner of the pool.
+        candidate: Whether the member was assigned the partition of the job
+            topic, which makes it the next owner of the pool.
         dealt: Whether the member was assigned any partition.
     """
 
@@ -217,7 +218,8 @@
     ) -> defer.Deferred[Membership]:
         """Joins the owners' group, or renews the membership in it.
 
-        A member that has not called this for `ttl_ms` leaves the group.
+        A member that has not called this for `ttl_ms` is removed from the
+        group. `generation` is the one that the last call returned, or 0.
         """
 
     def members(self, timeout_ms: int) -> defer.Deferred[frozenset[str]]:
@@ -230,7 +232,7 @@
 class WorkerCommands(typing.Protocol):
     """The commands that workers accept.
 
-    No call fails: a worker that does not answer gives an outcome, too.
+    Calls do not fail: if a worker does not answer, the outcome says so.
     """
 
     def start(
--- a/citronmount/fleet_service/tests/pool_fixture.py
+++ b/citronmount/fleet_service/tests/pool_fixture.py
@@ -87,7 +87,7 @@
         self.run_fails: Callable[[units.TaskName, int], bool] = (
             lambda task, run: False
         )
-        self.entries: dict[str, bytes] = {}
+        self.entries: dict[str, worker_directory.Worker] = {}
         self.guaranteed_accelerators: dict[str, int] = {}
         for rack in range(self.racks):
             for number in range(self.workers_per_rack):
@@ -142,7 +142,7 @@
         return worker
 
     def publish_entry(self, entry: worker_directory.Worker) -> None:
-        """Writes a worker's entry; the record's value is only a key to it."""
+        """Publishes a worker's entry by a record with its key in `entries`."""
         entry_key = f"{entry.worker}/{len(self.entries)}"
         self.entries[entry_key] = entry
         self.log.write(
--- a/citronmount/fleet_service/tests/test_faults.py
+++ b/citronmount/fleet_service/tests/test_faults.py
@@ -26,7 +26,7 @@
     def non_owner_index(self) -> int:
         return (self.owner_index() + 1) % self.vm_count
 
-    def stop_owner(self) -> None:
+    def crash_owner(self) -> None:
         owner = self.owner_index()
         self.log.faults[ids.VmId(f"vm{owner}")] = SILENT
         defer.ensureDeferred(self.pool_vms[owner].release_ownership())
@@ -37,7 +37,7 @@
         gang = pool_fixture.make_step(tasks=3, gang=True)
         self.submit("j", gang, pool_fixture.make_step(after=(0,)), vm=vm)
         self.run_for(1.0)
-        self.stop_owner()
+        self.crash_owner()
         self.run_for(12.0)
         self.assertIs(DONE, self.state("j", vm=vm))
         self.assertEqual(4, len(self.starts_of("j")))
@@ -65,7 +65,7 @@
             worker.fault = pool_workers.WorkerFault.SILENT
         self.submit("j", pool_fixture.make_step(), vm=vm)
         self.run_for(0.05)
-        self.stop_owner()
+        self.crash_owner()
         for worker in self.pool_workers.workers.values():
             worker.fault = pool_workers.WorkerFault.NONE
         self.run_for(20.0)
@@ -119,8 +119,8 @@
         self.run_for(1.0)
         self.log.faults[ids.VmId(f"vm{self.owner_index()}")] = SILENT
         self.run_for(1.4)
-        member = self.pool_workers.workers[ids.WorkerId("w00")]
-        member.crash()
+        worker = self.pool_workers.workers[ids.WorkerId("w00")]
+        worker.crash()
         self.run_for(12.0)
         self.assertEqual(4, len(self.starts_of("j")))
         self.assertIs(DONE, self.state("j", vm=vm))
@@ -138,12 +138,12 @@
         self.log.faults.clear()
         self.run_for(6.0)
         self.assertEqual(second_owner, self.owner_index())
-        epochs = [
+        ownership_records = [
             record
             for record in self.log.topics[ports.Topic.JOBS]
             if record.key == records.OWNER_KEY
         ]
-        self.assertLessEqual(len(epochs), 3)
+        self.assertLessEqual(len(ownership_records), 3)
 
     def test_restarted_process_takes_over_from_its_previous_incarnation(
         self,
--- a/citronmount/fleet_service/tests/test_ownership_handover.py
+++ b/citronmount/fleet_service/tests/test_ownership_handover.py
@@ -12,7 +12,7 @@
         return [n for n, vm in enumerate(self.pool_vms) if vm.owns_pool]
 
     def handover_time_s(self, settle_s: float = 3.0) -> float:
-        """Stops the owner gracefully and returns the time without owner."""
+        """Stops the owner gracefully and returns the time without one."""
         owner = self.owner_index()
         defer.ensureDeferred(self.pool_vms[owner].release_ownership())
         started_s = self.clock.seconds()
@@ -26,7 +26,7 @@
         self.run_for(settle_s)
         return took_s
 
-    def test_late_join_request_does_not_delay_the_handover(
+    def test_join_in_flight_does_not_delay_the_handover(
         self,
     ) -> None:
         self.log.join_s = 0.15
--- a/citronmount/fleet_service/vm_process.py
+++ b/citronmount/fleet_service/vm_process.py
@@ -70,13 +70,13 @@
         """Reads a settings file.
 
         Raises:
-            SettingsError: The file cannot be read or is incomplete.
+            SettingsError: The file cannot be read or decoded.
         """
 
     def log(
         self,
         settings: vm_settings.VmSettings,
-        connections: http_client.HttpClient,
+        client: http_client.HttpClient,
         member: str,
     ) -> ports.Log:
         """Returns the site's log."""
@@ -84,7 +84,7 @@
     def worker_commands(
         self,
         settings: vm_settings.VmSettings,
-        connections: http_client.HttpClient,
+        client: http_client.HttpClient,
     ) -> ports.WorkerCommands:
         """Returns a client that sends commands to the site's workers."""
 
@@ -94,7 +94,7 @@
         """Decodes a record that operators or workers have written.
 
         Returns:
-            The event, or None if the record means nothing to the pool.
+            The event, or None for a record without an event for the pool.
         """
 
     def api(self, service: job_service.JobService) -> Api:
@@ -110,6 +110,11 @@
 ) -> None:
     """Runs one VM until SIGTERM, then shuts it down gracefully.
 
+    After SIGTERM the VM reports that it is not ready and releases the pool. It
+    answers calls for another `stop_grace_s - CLOSE_BEFORE_KILL_S`, then closes
+    each connection after its response, and closes those that remain after
+    `CONNECTION_CLOSE_S`.
+
     Args:
         reactor: The reactor of the process.
         adapter: The parts that are specific to the site.
@@ -120,10 +125,10 @@
     Raises:
         ExceptionGroup: Some resources could not be closed.
     """
-    connections = http_client.HttpClient(reactor=reactor)
+    client = http_client.HttpClient(reactor=reactor)
     member = f"{settings.vm}/{secrets.token_hex(PROCESS_NONCE_BYTES)}"
-    log = adapter.log(settings, connections, member)
-    vm = _make_pool_vm(reactor, adapter, settings, connections, log)
+    log = adapter.log(settings, client, member)
+    vm = _make_pool_vm(reactor, adapter, settings, client, log)
     reloader = settings_reloader.SettingsReloader(
         path=path,
         load=adapter.load,
@@ -136,7 +141,7 @@
     terminated: defer.Deferred[None] = defer.Deferred()
     _install_signal_handlers(reactor, terminated, reloader)
     async with cleanup.CleanupStack() as stack:
-        stack.push("platform connections", connections.close)
+        stack.push("platform connections", client.close)
         factory = http_server.make_http_factory(api.resource(), MAX_BODY_BYTES)
         port = await _listen(reactor, settings.caller_address, factory)
         stack.push(
@@ -173,7 +178,7 @@
     reactor: interfaces.IReactorCore,
     adapter: Adapter,
     settings: vm_settings.VmSettings,
-    connections: http_client.HttpClient,
+    client: http_client.HttpClient,
     log: ports.Log,
 ) -> pool_vm.PoolVm:
     lease_ms = min(LEASE_MS, settings.bounds.max_lease_ms - LEASE_MARGIN_MS)
@@ -185,7 +190,7 @@
     return pool_vm.PoolVm(
         clock=reactor,
         log=log,
-        worker_commands=adapter.worker_commands(settings, connections),
+        worker_commands=adapter.worker_commands(settings, client),
         decode=adapter.decode,
         bounds=settings.bounds,
         policy=policy,
--- a/citronmount/fleet_service/vm_settings.py
+++ b/citronmount/fleet_service/vm_settings.py
@@ -10,7 +10,7 @@
 
 
 class SettingsError(errors.InvalidInputError):
-    """A settings file cannot be read or lacks a required setting."""
+    """A settings file cannot be read or decoded."""
 
 
 class VmSettings(msgspec.Struct, frozen=True, kw_only=True):
@@ -23,10 +23,11 @@
         ready_address: ``ip:port`` on which to serve readiness probes.
         metrics_address: ``ip:port`` on which to serve metrics.
         log_address: ``ip:port`` of the log service.
-        advice_address: ``ip:port`` of the policies' service, or empty.
+        advice_address: ``ip:port`` of the service that answers advice
+            requests for the queues' policies, or empty.
         processor_share: Processor time of the VM in cores.
         stop_grace_s: Seconds between SIGTERM and SIGKILL.
-        bounds: Time limits that the site sets.
+        bounds: Time bounds and factors of the site.
     """
 
     vm: ids.VmId
