--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -32,12 +32,12 @@
     def log(
         self,
         settings: vm_settings.VmSettings,
-        connections: http_client.HttpClient,
+        client: http_client.HttpClient,
         member: str,
     ) -> ports.Log:
         """Returns a client of the log in the platform's store."""
         return store_log.StoreLog(
-            client=connections,
+            client=client,
             address=settings.log_address,
             member=member,
         )
@@ -45,11 +45,11 @@
     def worker_commands(
         self,
         settings: vm_settings.VmSettings,
-        connections: http_client.HttpClient,
+        client: http_client.HttpClient,
     ) -> ports.WorkerCommands:
         """Returns a client that sends commands to the platform's runners."""
         return runner_client.RunnerClient(
-            client=connections, advice_address=settings.advice_address
+            client=client, advice_address=settings.advice_address
         )
 
     def decode(
@@ -87,7 +87,7 @@
     "--settings",
     "path",
     type=click.Path(),
-    help="Settings file; default: the one that the platform names.",
+    help="Settings file; default: the path in CITRONMOUNT_SETTINGS.",
 )
 @click.option(
     "--check",
--- a/citronmount/platform/day_journal.py
+++ b/citronmount/platform/day_journal.py
@@ -25,6 +25,12 @@
 
 
 class _JournalDay(msgspec.Struct, frozen=True, kw_only=True):
+    """A scored day.
+
+    `parts` has rows of name, weight and share earned, `prices` rows of name, a
+    number that is not used here, and worth.
+    """
+
     # Worth: (credit earned - prices) / credit owed.
     worth: float = msgspec.field(name="G")
     slot: str
--- a/citronmount/platform/framing.py
+++ b/citronmount/platform/framing.py
@@ -1,4 +1,4 @@
-"""Binary encoding of the log service's records.
+"""Binary encoding of the records in the platform's store.
 
 A record is the length of its content (four bytes, big-endian) followed by the
 content. In the topics used here the content is the length of the key (one
@@ -18,7 +18,7 @@
 
 
 class InvalidPageError(errors.InvalidInputError):
-    """The log service sent bytes that are not a valid page of records."""
+    """The store sent bytes that are not a valid page of records."""
 
 
 def encode(records: Sequence[tuple[str, bytes | None]]) -> bytes:
@@ -39,13 +39,13 @@
     return _LENGTH_PREFIX.pack(len(content)) + content
 
 
-def decode_page(body: bytes, first: int) -> ports.LogPage:
+def decode_page(body: bytes, first_offset: int) -> ports.LogPage:
     """Decodes the response to a read.
 
     Args:
         body: Response body: the end offset and the first retained offset of
             the topic (eight bytes each, big-endian), then the records.
-        first: The offset that the read started from.
+        first_offset: The offset that the read started from.
 
     Returns:
         The page.
@@ -54,18 +54,20 @@
         InvalidPageError: The body is truncated.
     """
     try:
-        end, _ = _PAGE_HEADER.unpack_from(body)
-        records = _decode_records(body, first)
+        end_offset, _ = _PAGE_HEADER.unpack_from(body)
+        records = _decode_records(body, first_offset)
     except (struct.error, IndexError) as error:
-        raise InvalidPageError(f"page from offset {first}: {error}") from error
+        raise InvalidPageError(
+            f"page from offset {first_offset}: {error}"
+        ) from error
     return ports.LogPage(
         records=tuple(records),
-        next_offset=first + len(records),
-        end_offset=end,
+        next_offset=first_offset + len(records),
+        end_offset=end_offset,
     )
 
 
-def _decode_records(body: bytes, first: int) -> list[ports.LogRecord]:
+def _decode_records(body: bytes, first_offset: int) -> list[ports.LogRecord]:
     records = []
     position = _PAGE_HEADER.size
     while position < len(body):
@@ -77,7 +79,7 @@
                 f"record truncated: got {len(body) - start} of {length} bytes"
             )
         records.append(
-            _decode_record(body[start:position], first + len(records))
+            _decode_record(body[start:position], first_offset + len(records))
         )
     return records
 
--- a/citronmount/platform/job_api.py
+++ b/citronmount/platform/job_api.py
@@ -58,7 +58,7 @@
         """Answers any call and logs each refusal.
 
         A VM that responds with status 503 closes the connection, so that the
-        caller's retry reaches another VM.
+        client's retry reaches another VM.
         """
         request.setHeader("content-type", "application/json")
         start_s = time.monotonic()
@@ -169,7 +169,7 @@
         configuration: fleet_configuration.FleetConfiguration,
         queue: fleet_configuration.Queue,
     ) -> ids.AccountId | None:
-        """Returns the caller's account, or None if the call is unauthorized.
+        """Returns the client account, or None if the call is unauthorized.
 
         The account is empty for a call without a known key to a public queue.
         """
@@ -197,7 +197,7 @@
 def _timeout_ms(
     request: iweb.IRequest, queue: fleet_configuration.Queue
 ) -> int:
-    """Returns the caller's deadline in ms, at most the queue's limit."""
+    """Returns the client's deadline in ms, at most the queue's limit."""
     deadline = request.getHeader(DEADLINE_HEADER) or ""
     if not deadline.isdigit():
         return queue.timeout_ms
--- a/citronmount/platform/runner_client.py
+++ b/citronmount/platform/runner_client.py
@@ -30,6 +30,7 @@
     "room": commands.StartOutcome.NO_CAPACITY,
     "ticket": commands.StartOutcome.NO_TICKET,
 }
+# A report with this many ended tasks may lack others.
 _MAX_REPORTED_ENDS = 500
 
 
--- a/citronmount/platform/settings_file.py
+++ b/citronmount/platform/settings_file.py
@@ -20,11 +20,19 @@
 
 
 class _Limits(msgspec.Struct):
+    """`cpu_quota` is the share of `cores` that the VM may use."""
+
     cpu_quota: float = 1.0
     cores: float = 1.0
 
 
 class _Bounds(msgspec.Struct):
+    """See `fleet_configuration.Bounds`.
+
+    `hold_max_ms` is the longest lease, `far_factor` the spread factor and
+    `grace_s` the time in seconds between SIGTERM and SIGKILL.
+    """
+
     hold_max_ms: int = 6_000
     stop_ms: int = 400
     status_s: int = 120
@@ -57,11 +65,11 @@
         data: TOML text in UTF-8.
 
     Returns:
-        The settings. Fields that are not known are ignored.
+        The settings. Unknown fields are ignored.
 
     Raises:
-        SettingsError: The text is no TOML, or a field is missing or has the
-            wrong type.
+        SettingsError: The text is not valid TOML, or a field is missing or has
+            the wrong type.
     """
     try:
         file = msgspec.toml.decode(data, type=_File)
--- a/citronmount/platform/store_log.py
+++ b/citronmount/platform/store_log.py
@@ -91,7 +91,7 @@
     """Implements `ports.Log` with calls to the platform's store.
 
     Attributes:
-        member: Name of this VM in the owners' group.
+        member: Name of this process in the owners' group.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         Args:
             client: HTTP client for the calls.
             address: ``ip:port`` of the store.
-            member: Name of this VM in the owners' group.
+            member: Name of this process in the owners' group.
         """
         self._client = client
         self._address = address
--- a/citronmount/platform/tests/log_burst.py
+++ b/citronmount/platform/tests/log_burst.py
@@ -175,7 +175,7 @@
 
 
 def kill_processes(log_burst: LogBurst) -> None:
-    """Kills the processes that are still running."""
+    """Kills the VM processes that are still running."""
     for process in log_burst.processes.values():
         if process.poll() is None:
             process.kill()
--- a/citronmount/platform/tests/loopback_site.py
+++ b/citronmount/platform/tests/loopback_site.py
@@ -161,7 +161,7 @@
         return self._encode_answer("fence" if fenced else "")
 
     @app.route("/-/hold", methods=["POST"])
-    async def hold(self, request: iweb.IRequest) -> bytes:
+    async def renew_leases(self, request: iweb.IRequest) -> bytes:
         body = msgspec.json.decode(request.content.read())
         command = commands.RenewLeases(
             worker=self._addressed_worker(request),
@@ -237,7 +237,7 @@
 
 
 class _VmConnection(protocol.Protocol):
-    """A connection from the VM; queues data until the store's is open."""
+    """A connection from the VM; queues data until the store is connected."""
 
     def __init__(self, proxy: FaultyProxy) -> None:
         self.proxy = proxy
@@ -273,7 +273,7 @@
 
 
 class _StoreConnection(protocol.Protocol):
-    """The connection to the store that belongs to one from the VM."""
+    """A connection to the store, opened for one connection from the VM."""
 
     def __init__(self, vm_connection: _VmConnection) -> None:
         self.vm_connection = vm_connection
@@ -305,5 +305,5 @@
     return done
 
 
-def pick(rng: random.Random, low: float, high: float) -> float:
+def draw(rng: random.Random, low: float, high: float) -> float:
     return low + (high - low) * rng.random()
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -39,7 +39,7 @@
 WORKER_COUNT = 8
 START_S = 4.0
 START_S_PER_EXTRA_VM = 0.15
-# Seeds that failed before and the cause; the test runs them with its own seed.
+# Seeds that once failed, and why; `test_soak` runs them after its default seed.
 REGRESSIONS = {
     4: "the soak counted the exit status of its own signal as a failure",
     20: "the soak counted the exit status of its own signal as a failure",
@@ -232,7 +232,7 @@
         while reactor.seconds() < end_s:
             number += 1
             defer.ensureDeferred(self.submit(f"{number:016x}"))
-            await loopback_site.sleep(loopback_site.pick(self.rng, 0.05, 0.5))
+            await loopback_site.sleep(loopback_site.draw(self.rng, 0.05, 0.5))
 
     async def submit(self, job: str) -> None:
         task_count = self.rng.choice((1, 1, 2, 4))
@@ -280,10 +280,10 @@
     async def inject_faults(self) -> None:
         end_s = reactor.seconds() + self.duration_s
         while reactor.seconds() < end_s:
-            await loopback_site.sleep(loopback_site.pick(self.rng, 0.3, 2.0))
+            await loopback_site.sleep(loopback_site.draw(self.rng, 0.3, 2.0))
             fault = self.rng.choice(FAULTS)
             number = self.rng.randrange(self.vm_count)
-            time_s = loopback_site.pick(self.rng, 0.5, 4.0)
+            time_s = loopback_site.draw(self.rng, 0.5, 4.0)
             self.faults.append(f"{fault.__name__} vm-{number} {time_s:.1f} s")
             defer.ensureDeferred(self.run_fault(fault(self, number, time_s)))
 
@@ -398,7 +398,7 @@
 
 
 async def delay(soak: Soak, number: int, time_s: float) -> None:
-    soak.proxies[number].delay_s = loopback_site.pick(soak.rng, 0.05, 0.6)
+    soak.proxies[number].delay_s = loopback_site.draw(soak.rng, 0.05, 0.6)
     await loopback_site.sleep(time_s)
     soak.proxies[number].heal()
 
@@ -484,7 +484,7 @@
     jobs = sum(not state for state in soak.submissions.values())
     print(f"seed {args.seed}: {jobs} jobs accepted, {len(soak.faults)} faults")
     if result == []:
-        print("every promise held")
+        print("no violations")
         return 0
     print(result if isinstance(result, list) else result.getTraceback())
     print("\n".join(soak.faults))
--- a/citronmount/platform/tests/test_job_api.py
+++ b/citronmount/platform/tests/test_job_api.py
@@ -91,7 +91,7 @@
         self.log.faults[ids.VmId("vm1")] = pool_log.LogFault.LOSES_ANSWERS
         self.assertEqual(504, self.call("POST", f"/batch/{JOB}", BODY)[0])
 
-    def test_closing_ignores_a_caller_that_disconnected(self) -> None:
+    def test_closing_ignores_a_client_that_disconnected(self) -> None:
         job_api.close_after_response(types.SimpleNamespace(channel=None))
         channel = types.SimpleNamespace(persistent=True)
         job_api.close_after_response(types.SimpleNamespace(channel=channel))
--- a/citronmount/platform/topic_records.py
+++ b/citronmount/platform/topic_records.py
@@ -13,7 +13,7 @@
 
 _CONFIGURATION_KEY = "config"
 _OUT_OF_SERVICE_PREFIX = "evacuate/"
-_WAVE_PREFIX = "wave/"
+_MAINTENANCE_PREFIX = "wave/"
 _STATES = {
     "ready": worker_directory.WorkerState.READY,
     "draining": worker_directory.WorkerState.DRAINING,
@@ -27,7 +27,11 @@
 
 
 class _RunnerEntry(msgspec.Struct):
-    """A runner's own entry; `free_resources` is its total capacity."""
+    """A runner's own entry.
+
+    Despite its name, `free_resources` is the total capacity. The last of the
+    `labels` is the rack.
+    """
 
     backend: str
     address: str
@@ -43,8 +47,8 @@
 class _Route(msgspec.Struct):
     """A queue.
 
-    `slo_ms` is the time that the completion time objective allows beyond the
-    `slack_factor` multiple of the critical path.
+    A job should complete within `slack_factor` times its critical path plus
+    `slo_ms`.
     """
 
     name: str
@@ -86,8 +90,8 @@
         record: The record.
 
     Returns:
-        The change that the record publishes, or None if it is not used here
-        or holds a configuration that cannot be decoded.
+        The event, or None if the record is not used here or holds a
+        configuration that cannot be decoded.
     """
     if topic is ports.Topic.WORKERS:
         return _decode_worker_record(record)
@@ -98,7 +102,7 @@
         return ports.DomainServiceChanged(
             domain=ids.FailureDomainId(domain), out=record.value is not None
         )
-    if record.key.startswith(_WAVE_PREFIX):
+    if record.key.startswith(_MAINTENANCE_PREFIX):
         structlog.get_logger().warning("upkeep_not_supported", key=record.key)
     return None
 
