--- a/citronmount/agent/job_completion.py
+++ b/citronmount/agent/job_completion.py
@@ -17,9 +17,9 @@
     """Ends and cancels jobs.
 
     A final result is reported to callers only after its record is durable. A
-    result other than `DONE` also waits until workers confirm that the owner's
-    fencing token is still the highest: any later owner then reads the record
-    and does not run the job again.
+    result other than `DONE` also waits until a worker confirms that the
+    owner's fencing token is still the highest: any later owner then reads the
+    record and does not run the job again.
     """
 
     def __init__(
@@ -27,14 +27,14 @@
         *,
         domain: domain_context.DomainContext,
     ) -> None:
-        """Initializes the part for a failure domain.
+        """Initializes for an owned failure domain.
 
         Args:
             domain: Shared state of the owned failure domain.
         """
         self._domain = domain
 
-    def finish(self, job: ids.JobId, result: jobs.JobResult) -> None:
+    def end_job(self, job: ids.JobId, result: jobs.JobResult) -> None:
         """Records a job's final result and then reports it to callers.
 
         Args:
@@ -63,7 +63,7 @@
             limit_ms=None,
         )
 
-    def finish_queued(self, job: ids.JobId, result: jobs.JobResult) -> None:
+    def end_queued_job(self, job: ids.JobId, result: jobs.JobResult) -> None:
         """Ends a queued job on the scheduler's decision.
 
         Args:
@@ -76,7 +76,7 @@
             result = jobs.JobResult(
                 code=codes.ResultCode.INTERRUPTED, detail=result.detail
             )
-        self.finish(job, result)
+        self.end_job(job, result)
 
     def _handle_end_written(self, ended: records.JobEnded) -> None:
         if ended.result.code is codes.ResultCode.DONE:
@@ -95,12 +95,13 @@
             account=ended.account,
             code=int(ended.result.code),
         )
-        self._domain.table.finish_job(ended)
+        self._domain.table.remove_ended(ended)
 
-    def end_finished_jobs(self) -> None:
-        """Closes jobs that already have a final result in the job view.
+    def remove_ended_jobs(self) -> None:
+        """Removes jobs that already have a final result in the job view.
 
-        An earlier owner may have recorded it after this VM took over the job.
+        An earlier owner may have recorded it after this VM took over. A job
+        with an attempt is removed once the attempt has stopped.
         """
         finished = [
             job
@@ -116,7 +117,7 @@
                 continue
             self._domain.scheduler.cancel(job)
             self._domain.requeue_at_ms.pop(job, None)
-            self._domain.table.finish_job(self._domain.job_view.ended[job])
+            self._domain.table.remove_ended(self._domain.job_view.ended[job])
 
     def cancel(self, entry: job_table.JobEntry) -> None:
         """Cancels a job, or marks it for cancellation until it is accepted.
@@ -141,7 +142,7 @@
         if attempt is None:
             self._domain.scheduler.cancel(job)
             self._domain.requeue_at_ms.pop(job, None)
-            self.finish(job, cancel_result(entry))
+            self.end_job(job, cancel_result(entry))
             return
         record = records.JobCancelled(
             record=ids.RecordId(f"cancel:{job}"), job=job
