--- a/citronmount/fleet_service/log_tail.py
+++ b/citronmount/fleet_service/log_tail.py
@@ -101,7 +101,7 @@
             timeout_ms: The timeout of each read.
 
         Raises:
-            UnreachableError: The log did not answer.
+            UnreachableError: The log did not answer or refused a call.
             LogTruncatedError: The records have expired; the loop will start
                 over from a snapshot.
         """
--- a/citronmount/fleet_service/owner_loop.py
+++ b/citronmount/fleet_service/owner_loop.py
@@ -34,7 +34,7 @@
 STOP_TIMEOUT_MS = 600
 RENEWAL_TIMEOUT_MARGIN_MS = 600
 ADVICE_TIMEOUT_MS = 3_000
-TAKE_OVER_RETRY_MS = 200
+TAKEOVER_RETRY_MS = 200
 FOLLOWER_READ_INTERVAL_MS = 1_000
 OWNER_READ_WAIT_MS = 200
 
@@ -162,7 +162,7 @@
                 except errors.CitronmountError as error:
                     self._logger.warning("take_over_failed", error=str(error))
                     await task.deferLater(
-                        self._clock, TAKE_OVER_RETRY_MS / _MS_PER_S
+                        self._clock, TAKEOVER_RETRY_MS / _MS_PER_S
                     )
         finally:
             self._taking_over = False
--- a/citronmount/fleet_service/pool_vm.py
+++ b/citronmount/fleet_service/pool_vm.py
@@ -1,4 +1,4 @@
-"""One VM of a pool: connects the log readers, the job service and the owner."""
+"""One VM of a pool: connects log readers, job service, election and owner."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -177,6 +177,7 @@
         self._owner.mark_changed()
 
     def _fold_snapshot(self, log_records: Sequence[ports.LogRecord]) -> None:
+        """Folds a snapshot without clearing the job view first."""
         self._fold(log_records)
 
     def _fold(self, log_records: Sequence[ports.LogRecord]) -> None:
--- a/citronmount/platform/runner_client.py
+++ b/citronmount/platform/runner_client.py
@@ -13,6 +13,7 @@
 
 __all__ = ["RunnerClient"]
 
+# Names the expected runner; another one answers with status 421.
 EXPECTED_INSTANCE_HEADER = "Citronmount-Expect-Instance"
 
 _END_KINDS = {
@@ -127,7 +128,7 @@
             if error.sent:
                 return commands.StartOutcome.UNKNOWN, None
             return commands.StartOutcome.UNREACHABLE, None
-        decoded = _decode(response)
+        decoded = _decode_answer(response)
         return _start_outcome(response.status, decoded.reason), decoded.clock_ms
 
     async def stop(
@@ -144,7 +145,7 @@
         )
         if response is None:
             return commands.StopOutcome.UNKNOWN, None
-        return _stop_outcome(response.status), _decode(response).clock_ms
+        return _stop_outcome(response.status), _decode_answer(response).clock_ms
 
     async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
@@ -232,7 +233,8 @@
         )
 
 
-def _decode(response: http_client.HttpResponse) -> _CommandResponse:
+def _decode_answer(response: http_client.HttpResponse) -> _CommandResponse:
+    """Decodes the answer to a command; an invalid one counts as empty."""
     try:
         return msgspec.json.decode(response.body, type=_CommandResponse)
     except msgspec.DecodeError:
