--- a/citronmount/config/__init__.py
+++ b/citronmount/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration of accounts and guarantees, and its CSV sheet."""
+"""Configurations, the CSV sheets that hold them, and pool files."""
--- a/citronmount/config/configuration.py
+++ b/citronmount/config/configuration.py
@@ -52,10 +52,11 @@
         account: The paying account.
         failure_domain: The failure domain that provides the capacity, or
             None if any of them may.
-        copies: Number of gangs of the shape that may run at once.
+        copies: Number of gangs of the shape that the guarantee covers at once.
         tasks: Number of tasks of one gang.
         per_task: Resources of one task.
-        adjacency: The smallest scope that must hold all tasks of one gang.
+        adjacency: The scope (worker, rack or failure domain) within which all
+            tasks of one gang must be placed.
     """
 
     account: ids.AccountId
--- a/citronmount/config/configuration_fold.py
+++ b/citronmount/config/configuration_fold.py
@@ -10,6 +10,7 @@
 
 __all__ = ["ChangeOutcome", "ConfigurationFold"]
 
+# Bounds memory and the size of snapshots, which list the accepted changes.
 MAX_REMEMBERED_CHANGES = 256
 
 
@@ -21,12 +22,13 @@
 
 
 class ConfigurationFold:
-    """The configuration that one process folds from the log or a peer.
+    """The configuration that one process folds from the log.
 
     Every process folds the same records in the same order and so derives the
     same versions. A change is accepted if its base version equals the version
     folded up to its offset. Of two operators who publish concurrently on the
-    same base, exactly one succeeds.
+    same base, exactly one succeeds. A peer's configuration may be adopted
+    instead of reading the log.
 
     Notes:
         This is optimistic concurrency control (Kung and Robinson, ACM TODS
@@ -38,7 +40,8 @@
         trusted: Whether `current` is known to include every change before
             `next_offset`: the stream was read from offset 0, or a snapshot of
             the log or of a peer covered the records not read.
-        last_snapshot: The offset of the last snapshot, -1 before the first.
+        last_snapshot: The offset of the last snapshot read from the log, -1
+            before the first.
     """
 
     def __init__(self) -> None:
@@ -47,6 +50,7 @@
         self.next_offset = ids.Offset(0)
         self.trusted = False
         self.last_snapshot = ids.Offset(-1)
+        # The last changes, oldest first, by which duplicates are recognized.
         self._accepted: collections.OrderedDict[ids.RecordId, None] = (
             collections.OrderedDict()
         )
@@ -74,7 +78,9 @@
         """Folds one page of the configuration stream.
 
         Args:
-            page: The page, read from `next_offset` on.
+            page: The page. Its records before `next_offset` are skipped. If
+                `oldest` is after it, the records in between are lost to
+                retention.
 
         Returns:
             Whether the version in force has changed.
@@ -102,15 +108,13 @@
         return self.current.version != old_version
 
     def adopt(self, snapshot: records.ConfigurationSnapshot) -> bool:
-        """Adopts a peer's configuration if it is newer.
-
-        An untrusted fold adopts any version.
+        """Adopts a peer's configuration if it is newer or the fold untrusted.
 
         Args:
             snapshot: Snapshot of the peer's fold.
 
         Returns:
-            Whether the version in force has changed.
+            Whether the peer's version is newer than the one that was in force.
         """
         is_newer = snapshot.content.version > self.current.version
         if is_newer or not self.trusted:
@@ -127,7 +131,8 @@
             record_id: The id of the new record.
 
         Returns:
-            The snapshot, with the version and the last folded offset.
+            The snapshot, with the version, the last folded offset and the ids
+            of the last accepted changes.
         """
         return records.ConfigurationSnapshot(
             record=record_id,
--- a/citronmount/config/names.py
+++ b/citronmount/config/names.py
@@ -5,7 +5,9 @@
 __all__ = ["MAX_CHARACTERS", "is_valid", "normalize"]
 
 MAX_CHARACTERS = 64
-_SEPARATORS = frozenset("/#")
+_ID_SEPARATORS = frozenset("/#")
+# Initials of Unicode general categories: C is control, format and unassigned
+# characters, Z is separators.
 _INVISIBLE_CATEGORIES = frozenset("CZ")
 
 
@@ -48,10 +50,10 @@
     if not 1 <= len(name) <= MAX_CHARACTERS:
         return False
     if name.isascii():
-        return name.isprintable() and _SEPARATORS.isdisjoint(name)
+        return name.isprintable() and _ID_SEPARATORS.isdisjoint(name)
     return all(_is_allowed(character) for character in name)
 
 
 def _is_allowed(character: str) -> bool:
     invisible = unicodedata.category(character)[0] in _INVISIBLE_CATEGORIES
-    return character == " " or not (invisible or character in _SEPARATORS)
+    return character == " " or not (invisible or character in _ID_SEPARATORS)
--- a/citronmount/config/pool_file.py
+++ b/citronmount/config/pool_file.py
@@ -17,10 +17,10 @@
 __all__ = ["Pool", "load"]
 
 _PLACEHOLDER_ADDRESS = "0.0.0.0:0"
-_MAX_TARGETS = 10_000
+_MAX_COUNT = 10_000
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-Count = Annotated[int, msgspec.Meta(ge=1, le=_MAX_TARGETS)]
+Count = Annotated[int, msgspec.Meta(ge=1, le=_MAX_COUNT)]
 Amount = Annotated[int, msgspec.Meta(ge=0, le=100_000)]
 
 
@@ -75,8 +75,8 @@
 
     Raises:
         errors.InvalidInputError: If the file cannot be read, is not valid
-            TOML, has a missing, unknown or ill-typed key, or gives two racks
-            the same name.
+            TOML, has a missing or unknown key or a value of the wrong type or
+            out of range, or gives two racks the same name.
     """
     file_name = os.fspath(path)
     try:
@@ -128,6 +128,11 @@
 
 
 def _expand_runners(pool: _PoolFile) -> tuple[messages.ListedTarget, ...]:
+    """Returns the runners of all groups.
+
+    They are numbered across groups, so that names do not repeat if several
+    groups belong to one failure domain.
+    """
     expanded_groups = itertools.chain.from_iterable(
         itertools.repeat(group, group.runners) for group in pool.runners
     )
--- a/citronmount/config/sheet.py
+++ b/citronmount/config/sheet.py
@@ -203,8 +203,9 @@
 ) -> list[tuple[int, sheet_kinds.Item]]:
     """Returns the valid items of all rows with their row numbers.
 
-    Items stop being collected at `MAX_CONFIGURATION_BYTES`, so that a
-    configuration fits into one record of the log and memory stays bounded.
+    Items beyond `MAX_CONFIGURATION_BYTES` in total are a fault and are not
+    collected, so that a configuration fits into one record of the log and
+    memory stays bounded.
 
     Args:
         stream: The bytes of the sheet.
--- a/citronmount/config/sheet_diff.py
+++ b/citronmount/config/sheet_diff.py
@@ -57,6 +57,7 @@
         return f"{line}: {self.before or self.after}"
 
 
+# Text of the value by name and, for guarantees, shape of the entry.
 Entries = Mapping[tuple[str, str], str]
 
 
@@ -66,8 +67,8 @@
     """Compares two configurations.
 
     Args:
-        old: The configuration in force.
-        new: The configuration that would replace it.
+        old: The configuration before the change.
+        new: The configuration after the change.
 
     Returns:
         The changes, sorted by name. Versions are not compared.
@@ -79,7 +80,14 @@
         for subject in Subject
     )
     return tuple(
-        sorted(changes, key=lambda c: (c.name, c.subject.value, c.shape))
+        sorted(
+            changes,
+            key=lambda change: (
+                change.name,
+                change.subject.value,
+                change.shape,
+            ),
+        )
     )
 
 
--- a/citronmount/config/sheet_faults.py
+++ b/citronmount/config/sheet_faults.py
@@ -32,7 +32,7 @@
 
 
 class SheetError(errors.InvalidInputError):
-    """Raised for each fault of a sheet that has to be valid.
+    """A fault of a sheet that has to be valid, raised in an exception group.
 
     Attributes:
         fault: The fault.
--- a/citronmount/config/sheet_feasibility.py
+++ b/citronmount/config/sheet_feasibility.py
@@ -12,10 +12,10 @@
 
 
 def check(parsed_sheet: sheet.Sheet, pool: pool_file.Pool) -> sheet.Sheet:
-    """Adds a fault for every guarantee that the pool cannot satisfy.
+    """Checks a sheet against a pool.
 
     Args:
-        parsed_sheet: The sheet as it was read.
+        parsed_sheet: The sheet, with or without faults.
         pool: The pool; only its workers matter.
 
     Returns:
@@ -30,7 +30,9 @@
             file=parsed_sheet.file,
             row=parsed_sheet.guarantee_rows[index],
             code=codes.ResultCode.SHEET_DOES_NOT_FIT,
-            message="the pool cannot satisfy this guarantee and the others",
+            message=(
+                "the pool has no capacity for this guarantee beside the others"
+            ),
         )
         for index in guarantee_feasibility.infeasible_guarantees(
             parsed_sheet.configuration, pool.workers
--- a/citronmount/config/sheet_kinds.py
+++ b/citronmount/config/sheet_kinds.py
@@ -20,6 +20,7 @@
 
 MAX_NUMBER = 100_000
 _MAX_SHOWN_CHARACTERS = 40
+# Decimal zeros are accepted, as spreadsheets may write 8 as 8.00.
 _INTEGER = re.compile(r"[0-9]{1,9}(?:\.0{1,6})?", re.ASCII)
 
 _COLUMN_INDEXES = {column: i for i, column in enumerate(sheet_rows.HEADER)}
@@ -87,7 +88,10 @@
     def choice(
         self, column: str, choices: type[EnumT], code: codes.ResultCode
     ) -> EnumT | None:
-        """Returns the enumeration member that a cell names in any case."""
+        """Returns the enumeration member whose value a cell holds.
+
+        Upper and lower case are equivalent. An invalid cell gives None.
+        """
         try:
             return choices(self._text(column).lower())
         except ValueError:
@@ -109,7 +113,7 @@
 
 
 class Kind(msgspec.Struct, frozen=True, kw_only=True):
-    """A kind of sheet row.
+    """A kind of sheet row, created by `_register_kind`.
 
     Attributes:
         name: Value of the kind column.
--- a/citronmount/config/sheet_rows.py
+++ b/citronmount/config/sheet_rows.py
@@ -58,11 +58,11 @@
     A quoted cell may hold line breaks, so a row may extend over several lines.
 
     Attributes:
-        number: Number of lines read so far.
+        line_count: Number of lines read so far.
     """
 
     def __init__(self, text: io.TextIOBase) -> None:
-        self.number = 0
+        self.line_count = 0
         self._text = text
         self._lines_in_row = 0
 
@@ -73,7 +73,7 @@
         line = self._text.readline(_MAX_LINE_CHARACTERS)
         if not line:
             raise StopIteration
-        self.number += 1
+        self.line_count += 1
         self._lines_in_row += 1
         if len(line) == _MAX_LINE_CHARACTERS:
             raise _TooLargeError
@@ -92,17 +92,20 @@
     """Yields the well-formed rows below the header.
 
     Whitespace around cells is removed. Blank rows are skipped, but they count
-    in the row numbers. Only the form is checked: encoding, size, CSV syntax,
-    header and number of cells, and that no cell holds a formula or the error
-    value of one.
+    in the row numbers. A row is well-formed if its encoding, its size, its CSV
+    syntax and its number of cells are valid and no cell holds a formula or an
+    error value of a spreadsheet such as ``#REF!``.
 
     Args:
         stream: The bytes of the sheet.
-        faults: Receives the faults of form.
+        faults: Receives the faults of the header and of rows that are not
+            well-formed.
 
     Yields:
         The number of the row and its cells, one for each column of `HEADER`.
     """
+    # Invalid bytes become surrogates, which `_is_valid_utf_8` finds, so that
+    # the fault can name the row.
     text = io.TextIOWrapper(
         stream, encoding="utf-8-sig", errors="surrogateescape", newline=""
     )
@@ -143,16 +146,17 @@
         except StopIteration:
             return
         except csv.Error as error:
-            message = f"line {lines.number} is not valid CSV: {error}"
+            message = f"line {lines.line_count} is not valid CSV: {error}"
             faults.add(number, codes.ResultCode.SHEET_COLUMNS, message)
             continue
         except _TooLargeError:
             message = (
-                f"line {lines.number} exceeds the maximum length of a line "
+                f"line {lines.line_count} exceeds the maximum length of a line "
                 "or row"
             )
             faults.add(number, codes.ResultCode.SHEET_TOO_LARGE, message)
             return
+        # Rows of visible ASCII only hold no whitespace to remove.
         needs_no_strip = _VISIBLE_ASCII.fullmatch("".join(cells)) is not None
         yield (
             number,
@@ -202,6 +206,7 @@
         message = "a cell is not valid UTF-8"
         faults.add(number, codes.ResultCode.SHEET_ENCODING, message)
         return False
+    # Without any of these characters, no cell can be a formula or an error.
     if _FORMULA_CHARACTER.search(row_text) is None:
         return True
     formulas = [
--- a/citronmount/config/sheet_warnings.py
+++ b/citronmount/config/sheet_warnings.py
@@ -59,8 +59,8 @@
         is_trial = account.account_class is states.AccountClass.TRIAL
         if is_trial and account.name not in accounts_with_allowance:
             yield (
-                f"{account.name}: a trial account without an allowance cannot "
-                "run jobs"
+                f"{account.name}: a trial account cannot run jobs without an "
+                "allowance above 0"
             )
 
 
--- a/citronmount/config/tests/test_configuration_fold.py
+++ b/citronmount/config/tests/test_configuration_fold.py
@@ -79,7 +79,7 @@
             (fold.current.version, account_names(fold)), (1, ["x"])
         )
 
-    def test_page_boundaries_do_not_affect_the_result(self):
+    def test_page_boundaries_and_overlaps_do_not_affect_the_result(self):
         entries = [make_change(str(n), n // 2, str(n)) for n in range(8)]
         whole = configuration_fold.ConfigurationFold()
         whole.fold_page(make_page(entries))
--- a/citronmount/config/tests/test_sheet.py
+++ b/citronmount/config/tests/test_sheet.py
@@ -17,7 +17,7 @@
 from citronmount.core import states
 
 _HEADER = ",".join(sheet_rows.HEADER)
-_BASE = (
+_BASE_ROWS = (
     "failure_domain,kr-a,,in,,,,,,,",
     "client_account,hana,paying,,,,,,,,",
     "client_account,nuri,trial,,,,,,,,",
@@ -26,7 +26,7 @@
 
 
 def _parse(*extra_rows, header=_HEADER, line_end="\n"):
-    text = line_end.join((header, *_BASE, *extra_rows, ""))
+    text = line_end.join((header, *_BASE_ROWS, *extra_rows, ""))
     return sheet.parse(text.encode())
 
 
@@ -238,13 +238,13 @@
     def test_an_arbitrary_cell_gives_a_configuration_or_faults(self, data):
         row = data.draw(
             strategies.sampled_from(
-                (*_BASE, "guarantee,hana,,,kr-a,2,4,8,,,rack")
+                (*_BASE_ROWS, "guarantee,hana,,,kr-a,2,4,8,,,rack")
             )
         )
         cells = row.split(",")
         column = data.draw(strategies.integers(0, len(cells) - 1))
         cells[column] = data.draw(strategies.text(max_size=8))
-        text = "\n".join((_HEADER, *_BASE, ",".join(cells)))
+        text = "\n".join((_HEADER, *_BASE_ROWS, ",".join(cells)))
         self.check_configuration_or_faults(
             text.encode("utf-8", "surrogatepass")
         )
