--- a/citronmount/cli/api_client.py
+++ b/citronmount/cli/api_client.py
@@ -52,7 +52,7 @@
         """Sends a call to one server and returns its reply."""
 
     async def sleep(self, pause_ms: int) -> None:
-        """Waits for a time without blocking the reactor."""
+        """Waits `pause_ms` milliseconds without blocking the reactor."""
 
 
 class Client:
@@ -87,9 +87,11 @@
             The decoded body.
 
         Raises:
-            RefusedError: If a server refused the call.
-            ExceptionGroup: Of `calls.NoAnswerError`, if no server replied or
-                a call that is not idempotent may have been received.
+            RefusedError: If a server refused the call and no other served it.
+                Raised also if a further server gave no reply.
+            ExceptionGroup: Of `calls.NoAnswerError`, if no server refused the
+                call, and none replied or the call is not idempotent and may
+                have been received.
         """
         failures: list[calls.NoAnswerError] = []
         last_refusal: RefusedError | None = None
@@ -116,13 +118,14 @@
         Args:
             call: The call.
             result_type: Type of the body of a successful reply.
-            pause_budget_ms: Total length of the pauses between retries.
+            pause_budget_ms: Maximum sum of the pauses before retries.
 
         Returns:
             The decoded body.
 
         Raises:
-            RefusedError: If the refusal is permanent or the budget is used up.
+            RefusedError: If the result code allows no retry or the budget is
+                used up.
             ExceptionGroup: Of `calls.NoAnswerError`, if the call is not
                 idempotent or the budget is used up.
         """
--- a/citronmount/cli/bench_command.py
+++ b/citronmount/cli/bench_command.py
@@ -1,4 +1,4 @@
-"""The command that runs a benchmark in virtual time."""
+"""The command that runs a bench in virtual time."""
 
 from collections.abc import Iterator
 import importlib
--- a/citronmount/cli/bench_plot.py
+++ b/citronmount/cli/bench_plot.py
@@ -1,4 +1,4 @@
-"""Plots a bench report: one panel per measure, one bar per policy."""
+"""Plots a bench report: one panel per metric, one bar per policy."""
 
 from collections.abc import Callable
 import importlib
@@ -29,8 +29,8 @@
         report: The report of one bench.
 
     Returns:
-        The values by policy, for each panel by its title. Policies without a
-        value for a measure are left out, as are panels without values.
+        For each panel title, the value of each policy. Policies without a
+        value for a metric are left out, as are panels without values.
     """
     work_classes = sorted(
         set(
@@ -98,7 +98,11 @@
 
 
 def _draw_panel(axis: typing.Any, title: str, values: dict[str, float]) -> None:
-    """Draws one panel; times that differ widely get a logarithmic scale."""
+    """Draws one panel.
+
+    Times get a logarithmic scale if the largest exceeds `LOG_SCALE_MIN_RATIO`
+    times the smallest.
+    """
     axis.barh(list(values), list(values.values()))
     axis.invert_yaxis()
     axis.set_title(title, fontsize="medium")
--- a/citronmount/cli/explain_command.py
+++ b/citronmount/cli/explain_command.py
@@ -1,4 +1,4 @@
-"""The command that explains from the VMs' logs why jobs were late."""
+"""The command that explains why jobs were late, from the logs of VMs."""
 
 import collections
 from collections.abc import Iterable
@@ -43,7 +43,7 @@
     priority: int | None,
     as_json: bool,
 ) -> None:
-    """Explain from the log lines of VMs why jobs were late.
+    """Explain why jobs were late, from the log lines of VMs.
 
     LOGS are log files of any number of VMs; - is standard input. Without
     --job, count the late jobs by the phase that delayed them most.
@@ -110,6 +110,7 @@
 
 
 def _format_causes(histories: Iterable[job_history.JobHistory]) -> str:
+    """Returns each cause of failures with the number of jobs that had it."""
     counts: collections.Counter[str] = collections.Counter()
     for history in histories:
         counts.update(set(history.count_failure_causes()))
@@ -119,4 +120,5 @@
 
 
 def _format_job_ids(histories: list[job_history.JobHistory]) -> str:
+    """Returns the ids of the first four jobs."""
     return " ".join(history.job for history in histories[:4])
--- a/citronmount/cli/job_commands.py
+++ b/citronmount/cli/job_commands.py
@@ -46,7 +46,7 @@
     type=click.Choice([member.value for member in states.Adjacency]),
     default=states.Adjacency.FAILURE_DOMAIN.value,
     show_default=True,
-    help="The smallest scope that must hold all tasks.",
+    help="The scope within which all tasks must be placed.",
 )
 @click.option("--run-time-s", type=float, default=60.0, show_default=True)
 @click.option("--deadline-ms", type=int, help="Deadline as Unix time in ms.")
@@ -63,7 +63,7 @@
     "--retry-for-s",
     type=click.FloatRange(0, 86_400),
     default=0.0,
-    help="Retry temporary failures, with pauses of this total length.",
+    help="Retry temporary failures, pausing for at most this time in total.",
 )
 @_wait_option
 @options.server_options()
--- a/citronmount/cli/job_text.py
+++ b/citronmount/cli/job_text.py
@@ -43,7 +43,7 @@
 
 
 def format_job_list(listed: bodies.JobsBody) -> Iterator[str]:
-    """Yields one line per job and a line with their number.
+    """Yields one line per job and a line with their number and the total.
 
     Args:
         listed: The jobs listed.
--- a/citronmount/cli/losses_command.py
+++ b/citronmount/cli/losses_command.py
@@ -1,4 +1,4 @@
-"""The command that shows why scored days lost worth."""
+"""The command that shows how much worth scored days lost to each cause."""
 
 import pathlib
 
@@ -25,7 +25,7 @@
     """Show, by cause, the worth lost by scored days in journal ENTRIES."""
     journals = {path.stem: day_journal.read(path) for path in entries}
     value = {
-        name: [_make_day_entry(day) for day in days]
+        name: [_make_day_body(day) for day in days]
         for name, (_, days) in journals.items()
     }
     lines = [
@@ -36,7 +36,7 @@
     output.print_lines(value, lines, as_json=as_json)
 
 
-def _make_day_entry(day: day_losses.Day) -> dict[str, object]:
+def _make_day_body(day: day_losses.Day) -> dict[str, object]:
     lost = {
         cause.value: share for cause, share in day_losses.losses(day).items()
     }
--- a/citronmount/cli/operator_commands.py
+++ b/citronmount/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""The commands for operators: VMs, keys, result codes and completion."""
+"""The commands for operators: VMs, keys, codes, version and completion."""
 
 import importlib
 
@@ -62,7 +62,7 @@
 @options.json_option
 @output.handle_errors
 def members(connection: options.Connection, as_json: bool) -> None:
-    """Show the VMs of the system as known to the first server."""
+    """Show the VMs of the system as known to the first server that answers."""
     call = calls.Call(method="GET", path=("v1", "membership"))
 
     async def fetch_members(client: api_client.Client) -> bodies.MembersBody:
--- a/citronmount/cli/options.py
+++ b/citronmount/cli/options.py
@@ -30,7 +30,8 @@
 class _Address(click.ParamType):
     """Parameter type: an address as ``ip:port``.
 
-    The environment variable may hold several, separated by spaces.
+    click splits the environment variable of a repeatable option at whitespace,
+    so the variable may hold several addresses.
     """
 
     name = "IP:PORT"
@@ -157,7 +158,7 @@
 
 
 def default_author() -> str:
-    """Returns the user name, the default author of a publication."""
+    """Returns the default author: the user name, or "unknown" without one."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/citronmount/cli/output.py
+++ b/citronmount/cli/output.py
@@ -23,6 +23,8 @@
 ]
 
 _CODES_PER_FAMILY = 1_000
+# 2xxx permanent refusals, 5xxx faults of a sheet, 6xxx of a settings or pool
+# file; see `codes.ResultCode`.
 _BAD_INPUT_FAMILIES = frozenset({2, 5, 6})
 _P = typing.ParamSpec("_P")
 
@@ -49,7 +51,7 @@
 def print_lines(
     value: object, lines: Iterable[object], *, as_json: bool
 ) -> None:
-    """Prints one result of several lines on standard output.
+    """Prints a result whose text has several lines on standard output.
 
     Args:
         value: The result; msgspec must be able to encode it as JSON.
@@ -86,10 +88,11 @@
 
 
 def handle_errors(command: Callable[_P, None]) -> Callable[_P, None]:
-    """Makes a command print expected errors and exit accordingly.
+    """Makes a command print expected errors and exit with an error code.
 
     Expected are `errors.CitronmountError` and exception groups that hold
-    nothing else; other exceptions are propagated.
+    nothing else; other exceptions are propagated. The result code of the first
+    error determines the hint and the exit code.
 
     Args:
         command: The function of a command with an ``as_json`` parameter.
--- a/citronmount/cli/publishing.py
+++ b/citronmount/cli/publishing.py
@@ -29,8 +29,8 @@
     The call is idempotent: a second copy of the change is rejected because
     its base version is stale by then. If the outcome is unknown or the base
     is stale, an earlier copy of the change may have been accepted and its
-    answer lost. The configuration in force is read then, and the publication
-    counts as accepted if the content is the same.
+    reply lost. In these cases the configuration in force is read, and the
+    publication counts as accepted if the content is the same.
 
     Args:
         client: Calls the servers.
@@ -39,8 +39,8 @@
         author: Name to record as the author of the change.
 
     Returns:
-        The answer. Its code is CONFIGURATION_ACCEPTED also if the content is
-        found in force.
+        The body of the reply. Its code is CONFIGURATION_ACCEPTED also if the
+        content is found in force.
     """
     call = calls.Call(
         method="PUT",
@@ -49,11 +49,11 @@
         body=sheet.write(content).encode("utf-8"),
         timeout_ms=PUBLISH_TIMEOUT_MS,
     )
-    answer = await client.call(call, bodies.PublishBody)
-    if answer.code not in (_OUTCOME_UNKNOWN, _STALE_BASE):
-        return answer
+    result = await client.call(call, bodies.PublishBody)
+    if result.code not in (_OUTCOME_UNKNOWN, _STALE_BASE):
+        return result
     in_force = await client.find_in_force(content)
-    return answer if in_force is None else _make_accepted_body(in_force.version)
+    return result if in_force is None else _make_accepted_body(in_force.version)
 
 
 def _make_accepted_body(version: ids.Version) -> bodies.PublishBody:
@@ -65,17 +65,17 @@
     )
 
 
-def exit_code_of(answer: bodies.PublishBody) -> output.Exit:
-    """Returns the exit code that corresponds to the answer to a publication.
+def exit_code_of(result: bodies.PublishBody) -> output.Exit:
+    """Returns the exit code that corresponds to the result of a publication.
 
     Args:
-        answer: The answer.
+        result: The body of the reply.
 
     Returns:
         OK if the configuration was accepted, BAD_INPUT if it is invalid,
         otherwise the exit code of the result code.
     """
-    code = codes.ResultCode(answer.code)
+    code = codes.ResultCode(result.code)
     if code is codes.ResultCode.CONFIGURATION_INVALID:
         return output.Exit.BAD_INPUT
     return output.exit_code_of(code)
--- a/citronmount/cli/sheet_commands.py
+++ b/citronmount/cli/sheet_commands.py
@@ -50,7 +50,7 @@
     "--pool",
     "pool_path",
     type=options.INPUT_FILE,
-    help="Pool file in TOML; checks that it can satisfy all guarantees.",
+    help="Also check all guarantees against the pool in this TOML file.",
 )
 
 
@@ -67,7 +67,7 @@
 def check(file: str, pool_path: str | None, as_json: bool) -> None:
     """Check FILE; print its faults and exit with 2 if there are any."""
     checked_sheet = _read_sheet(file, pool_path)
-    _exit_if_faulty(checked_sheet, as_json)
+    _print_warnings_or_exit(checked_sheet, as_json)
     content = checked_sheet.configuration
     text = (
         f"{file}: no faults; {len(content.failure_domains)} failure domains, "
@@ -97,9 +97,9 @@
     connection: options.Connection | None,
     as_json: bool,
 ) -> None:
-    """Show the changes of FILE by account and failure domain."""
+    """Show what FILE would change, by account and failure domain."""
     checked_sheet = _read_sheet(file, pool_path)
-    _exit_if_faulty(checked_sheet, as_json)
+    _print_warnings_or_exit(checked_sheet, as_json)
     if old_path is not None:
         version, old = None, _read_configuration(old_path, as_json)
     elif connection is not None:
@@ -154,7 +154,7 @@
     Exits with 1 and changes nothing if another change was accepted first.
     """
     checked_sheet = _read_sheet(file, pool_path)
-    _exit_if_faulty(checked_sheet, as_json)
+    _print_warnings_or_exit(checked_sheet, as_json)
 
     async def publish_configuration(
         client: api_client.Client,
@@ -166,11 +166,11 @@
             client, checked_sheet.configuration, effective_base, author
         )
 
-    answer = connection.run(publish_configuration)
-    summary = f"{answer.name} ({answer.code}): {answer.detail}"
-    lines = (f"{summary}; version {answer.version} in force", *answer.faults)
-    output.print_lines(answer, lines, as_json=as_json)
-    raise SystemExit(publishing.exit_code_of(answer))
+    result = connection.run(publish_configuration)
+    summary = f"{result.name} ({result.code}): {result.detail}"
+    lines = (f"{summary}; version {result.version} in force", *result.faults)
+    output.print_lines(result, lines, as_json=as_json)
+    raise SystemExit(publishing.exit_code_of(result))
 
 
 def _read_sheet(file: str, pool_path: str | None) -> sheet_lib.Sheet:
@@ -185,12 +185,14 @@
     path: str, as_json: bool
 ) -> configuration_lib.Configuration:
     checked_sheet = _read_sheet(path, None)
-    _exit_if_faulty(checked_sheet, as_json)
+    _print_warnings_or_exit(checked_sheet, as_json)
     return checked_sheet.configuration
 
 
-def _exit_if_faulty(checked_sheet: sheet_lib.Sheet, as_json: bool) -> None:
-    """Prints the warnings of a valid sheet; otherwise its faults, and exits."""
+def _print_warnings_or_exit(
+    checked_sheet: sheet_lib.Sheet, as_json: bool
+) -> None:
+    """Prints the warnings of a valid sheet, or prints the faults and exits."""
     if checked_sheet.configuration is not None:
         for warning in sheet_warnings.warnings(checked_sheet.configuration):
             click.echo(f"{checked_sheet.file}: warning: {warning}", err=True)
--- a/citronmount/cli/tests/test_api_client.py
+++ b/citronmount/cli/tests/test_api_client.py
@@ -22,13 +22,13 @@
 
     def test_a_call_without_effect_fails_over_to_the_next_server(self):
         expected = bodies.JobsBody(jobs=(), total=0)
-        for answer in (
+        for reply in (
             _no_answer(sent=False),
             bodies.make_result_body(_CODES.DRAINING),
             bodies.make_result_body(_CODES.REBUILDING),
             bodies.make_result_body(_CODES.NO_CONFIGURATION),
         ):
-            result = self.call(idempotent=False, a=answer, b=expected)
+            result = self.call(idempotent=False, a=reply, b=expected)
             self.assertEqual(result, expected)
             self.assertEqual(self.servers.called, ["a", "b"])
 
@@ -41,8 +41,8 @@
             self.call(idempotent=False, a=_no_answer(sent=True), b=expected)
         self.assertEqual(self.servers.called, ["a"])
 
-    def call_with_retries(self, answers, pause_budget_ms, *, idempotent=True):
-        self.servers = fakes.ScriptedServers(a=answers)
+    def call_with_retries(self, replies, pause_budget_ms, *, idempotent=True):
+        self.servers = fakes.ScriptedServers(a=replies)
         client = api_client.Client(servers="a", transport=self.servers)
         call = calls.Call(method="GET", path=("v1",), idempotent=idempotent)
         return fakes.run_to_completion(
--- a/citronmount/cli/tests/test_explain.py
+++ b/citronmount/cli/tests/test_explain.py
@@ -14,6 +14,7 @@
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         self.path = pathlib.Path(directory.name) / "vm.log"
+        # Placed at 0.6 s, started at 0.7 s, ended at 2.7 s, final at 4.8 s.
         lines = test_job_history.gang_log_lines(0.6, 0.7, 2.7, 4.8)
         self.path.write_text("\n".join(["noise", *lines]), encoding="utf-8")
 
--- a/citronmount/cli/tests/test_live.py
+++ b/citronmount/cli/tests/test_live.py
@@ -16,7 +16,8 @@
 _TIMEOUT_S = 60
 
 
-def _curl(server, example, variables):
+def _send_example(server, example, variables):
+    """Sends the request of a documented curl command to a server."""
     path = example.url.removeprefix("http://$SERVER")
     for name, value in variables.items():
         path = path.replace(f"${name}", value)
@@ -69,9 +70,9 @@
         variables = {"JOB": ""}
         for example in documents.curl_examples(pathlib.Path("docs/API.md")):
             with self.subTest(example=example):
-                answer = _curl(self.servers[0], example, variables)
-                self.assertEqual(answer.status, example.status, answer)
-                job = answer.body.get("job", "")
+                reply = _send_example(self.servers[0], example, variables)
+                self.assertEqual(reply.status, example.status, reply)
+                job = reply.body.get("job", "")
                 variables["JOB"] = variables["JOB"] or job
                 if example.method == "PUT":
                     self.wait_for_configuration()
--- a/citronmount/cli/tests/test_publishing.py
+++ b/citronmount/cli/tests/test_publishing.py
@@ -15,7 +15,7 @@
 _OTHER = sheet.load("examples/perchero/sheet.csv")
 
 
-def _answer(code, version=4):
+def _make_publish_body(code, version=4):
     return bodies.PublishBody(
         code=int(code), name=code.name, detail="", version=version
     )
@@ -27,8 +27,8 @@
 
 
 class PublishingTest(unittest.TestCase):
-    def publish(self, answer, in_force):
-        servers = fakes.ScriptedServers(a={"PUT": answer, "GET": in_force})
+    def publish(self, put_reply, get_reply):
+        servers = fakes.ScriptedServers(a={"PUT": put_reply, "GET": get_reply})
         client = api_client.Client(servers="a", transport=servers)
         published = fakes.run_to_completion(
             publishing.publish(client, _CONTENT, 4, "planner")
@@ -46,22 +46,24 @@
         )
         for code, content, expected in cases:
             with self.subTest(code=code, expected=expected):
-                answer_code, exit_code = self.publish(
-                    _answer(code), _in_force(content)
+                result_code, exit_code = self.publish(
+                    _make_publish_body(code), _in_force(content)
                 )
                 self.assertEqual(exit_code, expected)
                 succeeds = expected is output.Exit.OK
-                accepted = answer_code is _CODES.CONFIGURATION_ACCEPTED
+                accepted = result_code is _CODES.CONFIGURATION_ACCEPTED
                 self.assertEqual(accepted, succeeds)
 
-    def test_answers_with_a_known_outcome_are_returned_unchanged(self):
+    def test_results_with_a_known_outcome_are_returned_unchanged(self):
         for code, expected in (
             (_CODES.CONFIGURATION_ACCEPTED, output.Exit.OK),
             (_CODES.CONFIGURATION_INVALID, output.Exit.BAD_INPUT),
         ):
             unused = AssertionError("expected no read of the configuration")
-            answer_code, exit_code = self.publish(_answer(code), unused)
-            self.assertEqual((answer_code, exit_code), (code, expected))
+            result_code, exit_code = self.publish(
+                _make_publish_body(code), unused
+            )
+            self.assertEqual((result_code, exit_code), (code, expected))
 
 
 if __name__ == "__main__":
--- a/citronmount/cli/tests/test_transport.py
+++ b/citronmount/cli/tests/test_transport.py
@@ -121,7 +121,7 @@
             (_Silent, short_call),
             (_Disconnecting, _CALL),
         ):
-            with self.subTest(kind=protocol_type):
+            with self.subTest(protocol_type=protocol_type):
                 factory = protocol.Factory.forProtocol(protocol_type)
                 with self.assertRaises(calls.NoAnswerError) as caught:
                     self.send(factory, call=call)
--- a/citronmount/cli/timeline_command.py
+++ b/citronmount/cli/timeline_command.py
@@ -22,7 +22,8 @@
     Attributes:
         events: Events of all VMs that answered, oldest first.
         dropped: Number of older events that these VMs no longer retain.
-        unanswered: The error message of each server that did not answer.
+        unanswered: The error message for each server that did not answer or
+            refused the call.
     """
 
     events: tuple[timeline_events.TimelineEvent, ...]
--- a/citronmount/cli/timeline_text.py
+++ b/citronmount/cli/timeline_text.py
@@ -19,7 +19,7 @@
     "merge_events",
 ]
 
-BAR_WIDTH = 60
+BAR_WIDTH_CHARACTERS = 60
 
 _Kind = timeline_events.EventKind
 _PHASE_BY_FIRST_EVENT = {
@@ -97,7 +97,9 @@
     account = next((event.account for event in events if event.account), "")
     yield f"job {job}  account {account or 'unknown'}"
     if not events:
-        yield "no events; query more VMs, or its events were already dropped"
+        yield (
+            "no events; other VMs may have them, or they are no longer retained"
+        )
         return
     first_ms = events[0].physical_ms
     width = max(len(event.process) for event in events)
@@ -143,7 +145,10 @@
         for phase in ordered_phases
     )
     widths = [
-        max(1, round(BAR_WIDTH * phase.duration_ms / max(1, total_ms)))
+        max(
+            1,
+            round(BAR_WIDTH_CHARACTERS * phase.duration_ms / max(1, total_ms)),
+        )
         for phase in ordered_phases
     ]
     marks = (
--- a/citronmount/cli/transport.py
+++ b/citronmount/cli/transport.py
@@ -182,7 +182,7 @@
 
 
 def _raise_timeout(result: object, timeout_s: float) -> typing.NoReturn:
-    """Raises `defer.TimeoutError` for a cancelled request that may be sent.
+    """Raises `defer.TimeoutError` if a cancelled request may have been sent.
 
     A request that was cancelled while connecting keeps its own error, which
     proves that nothing was sent.
