--- a/citronmount/bench/day_losses.py
+++ b/citronmount/bench/score_losses.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-__all__ = ["Cause", "Day", "losses", "table"]
+__all__ = ["LossCause", "ScoredDay", "losses_by_cause", "markdown_table"]
 
 
-class Cause(enum.Enum):
+class LossCause(enum.Enum):
     """What a share of the worth is lost to."""
 
     LATE = "late or unserved jobs"
@@ -22,7 +22,7 @@
     OTHER = "other prices"
 
 
-class Day(msgspec.Struct, frozen=True, kw_only=True):
+class ScoredDay(msgspec.Struct, frozen=True, kw_only=True):
     """One played day.
 
     Attributes:
@@ -35,10 +35,10 @@
     worth: float
     kind: str
     parts: list[tuple[float, float]]
-    prices: list[tuple[Cause, float]]
+    prices: list[tuple[LossCause, float]]
 
 
-def losses(day: Day) -> dict[Cause, float]:
+def losses_by_cause(day: ScoredDay) -> dict[LossCause, float]:
     """Returns what a day lost to each cause.
 
     Args:
@@ -48,8 +48,8 @@
         Shares of the credit owed; with the worth they add up to 1.
     """
     weights = sum(weight for weight, _ in day.parts)
-    lost: dict[Cause, float] = collections.defaultdict(float)
-    lost[Cause.LATE] = sum(
+    lost: dict[LossCause, float] = collections.defaultdict(float)
+    lost[LossCause.LATE] = sum(
         weight / weights * (1 - share) for weight, share in day.parts
     )
     for cause, worth in day.prices:
@@ -57,7 +57,7 @@
     return dict(lost)
 
 
-def table(days: Iterable[Day]) -> list[str]:
+def markdown_table(days: Iterable[ScoredDay]) -> list[str]:
     """Returns a Markdown table of the mean losses of each kind of day.
 
     Args:
@@ -66,10 +66,10 @@
     Returns:
         Lines.
     """
-    by_kind: dict[str, list[Day]] = collections.defaultdict(list)
+    by_kind: dict[str, list[ScoredDay]] = collections.defaultdict(list)
     for day in days:
         by_kind[day.kind].append(day)
-    titles = [cause.value for cause in Cause]
+    titles = [cause.value for cause in LossCause]
     lines = [
         f"| kind | days | worth | {' | '.join(titles)} |",
         "|---" * (len(titles) + 3) + "|",
@@ -77,11 +77,11 @@
     return lines + [_row(kind, some) for kind, some in by_kind.items()]
 
 
-def _row(kind: str, days: list[Day]) -> str:
-    each = [losses(day) for day in days]
+def _row(kind: str, days: list[ScoredDay]) -> str:
+    each = [losses_by_cause(day) for day in days]
     means = [
         statistics.mean(lost.get(cause, 0.0) for lost in each)
-        for cause in Cause
+        for cause in LossCause
     ]
     worth = statistics.mean(day.worth for day in days)
     cells = " | ".join(f"{mean:.3f}" for mean in means)
--- a/citronmount/cli/losses_command.py
+++ b/citronmount/cli/losses_command.py
@@ -4,7 +4,7 @@
 
 import click
 
-from citronmount.bench import day_losses
+from citronmount.bench import score_losses
 from citronmount.cli import options
 from citronmount.cli import output
 from citronmount.platform import day_journal
@@ -30,11 +30,13 @@
     lines = [
         line
         for name, (site, days) in found.items()
-        for line in (f"{site} ({name})", *day_losses.table(days))
+        for line in (f"{site} ({name})", *score_losses.markdown_table(days))
     ]
     output.emit_lines(value, lines, as_json=as_json)
 
 
-def _told(day: day_losses.Day) -> dict[str, object]:
-    lost = {c.value: share for c, share in day_losses.losses(day).items()}
+def _told(day: score_losses.ScoredDay) -> dict[str, object]:
+    lost = {
+        c.value: share for c, share in score_losses.losses_by_cause(day).items()
+    }
     return {"kind": day.kind, "worth": day.worth, "lost": lost}
--- a/citronmount/platform/day_journal.py
+++ b/citronmount/platform/day_journal.py
@@ -4,23 +4,23 @@
 
 import msgspec
 
-from citronmount.bench import day_losses
+from citronmount.bench import score_losses
 
 __all__ = ["read"]
 
 _CAUSES = {
-    "machine-seconds": day_losses.Cause.VMS,
-    "memory, GB x seconds": day_losses.Cause.MEMORY,
-    "processor seconds": day_losses.Cause.CALLS,
-    "GB between zones": day_losses.Cause.CALLS,
-    "probes and requests without id": day_losses.Cause.CALLS,
-    "new connections to servers": day_losses.Cause.CALLS,
-    "cloud calls": day_losses.Cause.CALLS,
-    "GB at the platform's store": day_losses.Cause.CALLS,
-    "core-seconds of work thrown away": day_losses.Cause.RERUNS,
-    "worth refused with servers free": day_losses.Cause.REFUSED,
-    "worth given up late, untried": day_losses.Cause.REFUSED,
-    "worth refused again": day_losses.Cause.REFUSED,
+    "machine-seconds": score_losses.LossCause.VMS,
+    "memory, GB x seconds": score_losses.LossCause.MEMORY,
+    "processor seconds": score_losses.LossCause.CALLS,
+    "GB between zones": score_losses.LossCause.CALLS,
+    "probes and requests without id": score_losses.LossCause.CALLS,
+    "new connections to servers": score_losses.LossCause.CALLS,
+    "cloud calls": score_losses.LossCause.CALLS,
+    "GB at the platform's store": score_losses.LossCause.CALLS,
+    "core-seconds of work thrown away": score_losses.LossCause.RERUNS,
+    "worth refused with servers free": score_losses.LossCause.REFUSED,
+    "worth given up late, untried": score_losses.LossCause.REFUSED,
+    "worth refused again": score_losses.LossCause.REFUSED,
 }
 
 
@@ -37,7 +37,7 @@
     days: list[_JournalDay] = []
 
 
-def read(path: pathlib.Path) -> tuple[str, list[day_losses.Day]]:
+def read(path: pathlib.Path) -> tuple[str, list[score_losses.ScoredDay]]:
     """Reads the scored days of a journal entry.
 
     Args:
@@ -50,13 +50,13 @@
     return entry.site, [_to_day(day) for day in entry.days]
 
 
-def _to_day(day: _JournalDay) -> day_losses.Day:
-    return day_losses.Day(
+def _to_day(day: _JournalDay) -> score_losses.ScoredDay:
+    return score_losses.ScoredDay(
         worth=day.worth,
         kind=day.slot,
         parts=[(weight, share) for _, weight, share in day.parts],
         prices=[
-            (_CAUSES.get(name, day_losses.Cause.OTHER), worth)
+            (_CAUSES.get(name, score_losses.LossCause.OTHER), worth)
             for name, _, worth in day.prices
         ],
     )
