--- a/citronmount/bench/__init__.py
+++ b/citronmount/bench/__init__.py
@@ -9,7 +9,7 @@
 
 def names() -> tuple[str, ...]:
     """Returns the names of all benches, sorted."""
-    suite.load()
+    suite.load_benches()
     return registry.names()
 
 
@@ -29,6 +29,6 @@
     Raises:
         InvalidInputError: If there is no such bench.
     """
-    suite.load()
+    suite.load_benches()
     function = registry.get(name)
     return function(seed, registry.POLICIES if policies is None else policies)
--- a/citronmount/bench/accounting.py
+++ b/citronmount/bench/accounting.py
@@ -6,7 +6,12 @@
 from citronmount.bench import workload
 from citronmount.core import ids
 
-__all__ = ["ServedShares", "StepFunction", "allowed_work_s", "demand_rate"]
+__all__ = [
+    "FairShareTracker",
+    "StepFunction",
+    "work_upper_bound_s",
+    "unlimited_demand",
+]
 
 
 class StepFunction:
@@ -30,7 +35,7 @@
         return sorted(self._steps.items())
 
 
-def demand_rate(trace: tuple[workload.TracedJob, ...]) -> StepFunction:
+def unlimited_demand(trace: tuple[workload.TracedJob, ...]) -> StepFunction:
     """Returns the accelerators in use if there were no limit to them.
 
     Args:
@@ -49,7 +54,7 @@
     return rate
 
 
-def allowed_work_s(
+def work_upper_bound_s(
     demand: StepFunction, capacity: StepFunction, horizon_ms: int
 ) -> float:
     """Returns an upper bound on the work that any scheduler can have done.
@@ -81,7 +86,7 @@
     return done
 
 
-class ServedShares:
+class FairShareTracker:
     """How far accounts fall short of their due shares in a failure domain.
 
     Due shares are max-min fair: each account first gets its guarantee, as far
@@ -121,7 +126,7 @@
             if short >= min(self._queued[account]):
                 self._short_s[account] += passed_s * short
 
-    def capacity(self, accelerators: int) -> None:
+    def set_capacity(self, accelerators: int) -> None:
         """Notes how many accelerators are in service.
 
         Args:
@@ -129,7 +134,9 @@
         """
         self._capacity = accelerators
 
-    def queue(self, account: ids.AccountId, size: int, change: int) -> None:
+    def record_queued(
+        self, account: ids.AccountId, size: int, change: int
+    ) -> None:
         """Notes that a job came into the queue or left it.
 
         Args:
@@ -143,7 +150,7 @@
         if not self._queued[account][size]:
             del self._queued[account][size]
 
-    def hold(self, account: ids.AccountId, change: int) -> None:
+    def record_allocated(self, account: ids.AccountId, change: int) -> None:
         """Notes that accelerators were taken or returned.
 
         Args:
@@ -152,7 +159,7 @@
         """
         self._held[account] += change
 
-    def totals(self) -> dict[ids.AccountId, tuple[float, float]]:
+    def due_and_short_s(self) -> dict[ids.AccountId, tuple[float, float]]:
         """Returns the due and the missing accelerator seconds of accounts."""
         return {
             account: (due, self._short_s[account])
--- a/citronmount/bench/burst.py
+++ b/citronmount/bench/burst.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
+from citronmount.bench import job_mix
 from citronmount.bench import metrics
-from citronmount.bench import mixed
 from citronmount.bench import private_pool
 from citronmount.bench import registry
 from citronmount.bench import replay
@@ -27,13 +27,13 @@
 
 
 def _small(seed: int, count: int) -> list[workload.TracedJob]:
-    rng = workload.stream("small burst", seed)
+    rng = workload.random_stream("small burst", seed)
     burst = [
-        workload.traced(
+        workload.make_job(
             account="ara",
             kind="burst_small",
             arrival_ms=SMALL_AT_MS + rng.randrange(workload.MINUTE_MS),
-            true_run_s=workload.skewed(rng, 60.0, 0.7, 1_200.0),
+            true_run_s=workload.sample_log_normal(rng, 60.0, 0.7, 1_200.0),
             tasks=1,
             per_task=jobs.Resources(accelerators=1, cores=8, memory_gb=16),
             adjacency=states.Adjacency.WORKER,
@@ -49,13 +49,13 @@
 
 
 def _large(seed: int, count: int) -> list[workload.TracedJob]:
-    rng = workload.stream("large burst", seed)
+    rng = workload.random_stream("large burst", seed)
     return [
-        workload.traced(
+        workload.make_job(
             account="bora",
             kind="burst_large",
             arrival_ms=LARGE_AT_MS + rng.randrange(workload.MINUTE_MS),
-            true_run_s=workload.skewed(rng, 1_200.0, 0.4, 3_600.0),
+            true_run_s=workload.sample_log_normal(rng, 1_200.0, 0.4, 3_600.0),
             tasks=4,
             per_task=sites.HANBIT_WORKER,
             adjacency=states.Adjacency.RACK,
@@ -65,7 +65,7 @@
     ]
 
 
-@registry.bench("burst")
+@registry.register("burst")
 def run(
     seed: int, policies: tuple[str, ...], scale: float = 1.0
 ) -> report.BenchReport:
@@ -81,8 +81,10 @@
         against their private pools.
     """
     site = sites.hanbit()
-    trace = mixed.by_arrival(
-        mixed.steady("burst", seed, hours=HOURS, jobs_per_hour=JOBS_PER_HOUR),
+    trace = job_mix.merge_by_arrival(
+        job_mix.make_steady_jobs(
+            "burst", seed, hours=HOURS, jobs_per_hour=JOBS_PER_HOUR
+        ),
         _small(seed, round(SMALL_JOBS * scale)),
         _large(seed, round(LARGE_JOBS * scale)),
     )
--- a/citronmount/bench/domain_out.py
+++ b/citronmount/bench/domain_out.py
@@ -1,7 +1,7 @@
 """The bench of a failure domain that leaves and returns under full load."""
 
+from citronmount.bench import job_mix
 from citronmount.bench import metrics
-from citronmount.bench import mixed
 from citronmount.bench import registry
 from citronmount.bench import replay
 from citronmount.bench import replay_events
@@ -19,7 +19,7 @@
 WORK_DONE_BOUND = 0.95
 
 
-@registry.bench("domain-out")
+@registry.register("domain-out")
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 12.0
 ) -> report.BenchReport:
@@ -41,12 +41,15 @@
     )
     back = sites.set_domain_state(out, OUT, states.FailureDomainState.IN)
     changes = (
-        (out_ms, replay_events.Configure(configuration=out)),
-        (out_ms + POWER_DOWN_AFTER_MS, replay_events.PowerDown(domain=OUT)),
-        (2 * out_ms, replay_events.Configure(configuration=back)),
+        (out_ms, replay_events.ApplyConfiguration(configuration=out)),
+        (
+            out_ms + POWER_DOWN_AFTER_MS,
+            replay_events.PowerDownDomain(domain=OUT),
+        ),
+        (2 * out_ms, replay_events.ApplyConfiguration(configuration=back)),
     )
-    trace = mixed.by_arrival(
-        mixed.steady(
+    trace = job_mix.merge_by_arrival(
+        job_mix.make_steady_jobs(
             "domain out", seed, hours=hours, jobs_per_hour=JOBS_PER_HOUR
         )
     )
--- a/citronmount/bench/failing_workers.py
+++ b/citronmount/bench/failing_workers.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
+from citronmount.bench import job_mix
 from citronmount.bench import metrics
-from citronmount.bench import mixed
 from citronmount.bench import registry
 from citronmount.bench import replay
 from citronmount.bench import replay_events
@@ -31,14 +31,14 @@
 def _some_fail(
     trace: tuple[workload.TracedJob, ...], seed: int
 ) -> tuple[workload.TracedJob, ...]:
-    rng = workload.stream("failing jobs", seed)
+    rng = workload.random_stream("failing jobs", seed)
     return tuple(
         msgspec.structs.replace(job, fails=rng.random() < FAILING_JOBS_SHARE)
         for job in trace
     )
 
 
-@registry.bench("failing-workers")
+@registry.register("failing-workers")
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 6.0
 ) -> report.BenchReport:
@@ -53,8 +53,8 @@
         The report; the bar asks that no healthy job is given up.
     """
     trace = _some_fail(
-        mixed.by_arrival(
-            mixed.steady(
+        job_mix.merge_by_arrival(
+            job_mix.make_steady_jobs(
                 "failing", seed, hours=hours, jobs_per_hour=JOBS_PER_HOUR
             )
         ),
@@ -64,7 +64,7 @@
         (at_ms, change(worker=worker))
         for at_ms, change in (
             (BROKEN_FROM_MS, replay_events.BreakWorker),
-            (BROKEN_TO_MS, replay_events.HealWorker),
+            (BROKEN_TO_MS, replay_events.RepairWorker),
         )
         for worker in BROKEN
     )
--- a/citronmount/bench/hanbit.py
+++ b/citronmount/bench/hanbit.py
@@ -12,7 +12,7 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["label_bursts", "run", "trace", "trial_jobs"]
+__all__ = ["make_label_bursts", "run", "make_trace", "make_trial_jobs"]
 
 DAYS = 1
 NIGHT_MS = 22 * workload.HOUR_MS
@@ -30,15 +30,15 @@
 
 
 def _rebuilds(seed: int, days: int) -> list[workload.TracedJob]:
-    rng = workload.stream("rebuilds", seed)
+    rng = workload.random_stream("rebuilds", seed)
     return [
-        workload.traced(
+        workload.make_job(
             account=member,
             kind="rebuild",
             arrival_ms=day * workload.DAY_MS
             + NIGHT_MS
             + rng.randrange(20 * workload.MINUTE_MS),
-            true_run_s=workload.skewed(rng, 4_500.0, 0.3, 10_800.0),
+            true_run_s=workload.sample_log_normal(rng, 4_500.0, 0.3, 10_800.0),
             tasks=4,
             per_task=_WORKER,
             adjacency=states.Adjacency.RACK,
@@ -55,13 +55,13 @@
 def _health_checks(
     seed: int, days: int, scale: float
 ) -> list[workload.TracedJob]:
-    rng = workload.stream("health checks", seed)
+    rng = workload.random_stream("health checks", seed)
     return [
-        workload.traced(
+        workload.make_job(
             account=member,
             kind="health_check",
             arrival_ms=at_ms,
-            true_run_s=workload.skewed(rng, 8.0, 0.4, 60.0),
+            true_run_s=workload.sample_log_normal(rng, 8.0, 0.4, 60.0),
             tasks=1,
             per_task=_ONE,
             adjacency=states.Adjacency.WORKER,
@@ -69,7 +69,7 @@
             urgent=True,
         )
         for member in REBUILDS
-        for at_ms in workload.poisson_times(
+        for at_ms in workload.poisson_arrivals_ms(
             rng,
             0,
             days * workload.DAY_MS,
@@ -78,7 +78,7 @@
     ]
 
 
-def label_bursts(
+def make_label_bursts(
     seed: int, days: int, scale: float = 1.0
 ) -> list[workload.TracedJob]:
     """Returns bursts of label renders, three times larger for one member.
@@ -91,18 +91,18 @@
     Returns:
         The jobs.
     """
-    rng = workload.stream("label bursts", seed)
+    rng = workload.random_stream("label bursts", seed)
     starts = [
         (member, size, rng.randrange(days * workload.DAY_MS))
         for member, size in BURST_SIZES.items()
         for _ in range(BURSTS_A_DAY * days)
     ]
     return [
-        workload.traced(
+        workload.make_job(
             account=member,
             kind="label_render",
             arrival_ms=start_ms + rng.randrange(workload.MINUTE_MS),
-            true_run_s=workload.skewed(rng, 360.0, 1.0, 7_200.0),
+            true_run_s=workload.sample_log_normal(rng, 360.0, 1.0, 7_200.0),
             tasks=1,
             per_task=rng.choice((_ONE, _ONE, _ONE, _TWO)),
             adjacency=states.Adjacency.WORKER,
@@ -113,7 +113,7 @@
     ]
 
 
-def trial_jobs(seed: int, days: int) -> list[workload.TracedJob]:
+def make_trial_jobs(seed: int, days: int) -> list[workload.TracedJob]:
     """Returns the long, small jobs of a trial account.
 
     Args:
@@ -123,25 +123,25 @@
     Returns:
         The jobs.
     """
-    rng = workload.stream("trials", seed)
+    rng = workload.random_stream("trials", seed)
     return [
-        workload.traced(
+        workload.make_job(
             account="newcomer",
             kind="trial",
             arrival_ms=at_ms,
-            true_run_s=workload.skewed(rng, 9_000.0, 0.6, 36_000.0),
+            true_run_s=workload.sample_log_normal(rng, 9_000.0, 0.6, 36_000.0),
             tasks=rng.choice((1, 2, 4)),
             per_task=rng.choice((_ONE, _TWO)),
             adjacency=states.Adjacency.FAILURE_DOMAIN,
             declared_s=10_800.0,
         )
-        for at_ms in workload.poisson_times(
+        for at_ms in workload.poisson_arrivals_ms(
             rng, 0, days * workload.DAY_MS, days * TRIALS_A_DAY
         )
     ]
 
 
-def trace(
+def make_trace(
     seed: int, days: int = DAYS, scale: float = 1.0
 ) -> tuple[workload.TracedJob, ...]:
     """Returns the whole workload.
@@ -157,8 +157,8 @@
     parts = (
         _rebuilds(seed, days),
         _health_checks(seed, days, scale),
-        label_bursts(seed, days, scale),
-        trial_jobs(seed, days),
+        make_label_bursts(seed, days, scale),
+        make_trial_jobs(seed, days),
     )
     return tuple(
         sorted(
@@ -168,7 +168,7 @@
     )
 
 
-@registry.bench("hanbit")
+@registry.register("hanbit")
 def run(
     seed: int,
     policies: tuple[str, ...],
@@ -187,7 +187,7 @@
         The report, with the bars of guarantees, fragmentation and fairness.
     """
     site = sites.hanbit()
-    jobs_of = trace(seed, days, scale)
+    jobs_of = make_trace(seed, days, scale)
     horizon_ms = (
         (days - 1) * workload.DAY_MS + STORES_OPEN_MS + 4 * workload.HOUR_MS
     )
--- a/citronmount/bench/mixed.py
+++ b/citronmount/bench/job_mix.py
@@ -7,10 +7,10 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["MEMBERS", "by_arrival", "steady"]
+__all__ = ["MEMBERS", "merge_by_arrival", "make_steady_jobs"]
 
 MEMBERS = ("ara", "bora", "chorok", "dalbit")
-TRIAL = "newcomer"
+TRIAL_ACCOUNT = "newcomer"
 _WORKER = sites.HANBIT_WORKER
 _SHAPES = (
     ("small", 0.70, (1, 1, 2), (1, 2), states.Adjacency.WORKER),
@@ -19,7 +19,7 @@
 )
 
 
-def by_arrival(
+def merge_by_arrival(
     *parts: list[workload.TracedJob],
 ) -> tuple[workload.TracedJob, ...]:
     """Merges parts of a workload.
@@ -38,7 +38,7 @@
     )
 
 
-def steady(
+def make_steady_jobs(
     name: str,
     seed: int,
     *,
@@ -60,11 +60,13 @@
     Returns:
         The jobs, which declare what they take.
     """
-    rng = workload.stream(name, seed)
+    rng = workload.random_stream(name, seed)
     end_ms = round(hours * workload.HOUR_MS)
     weights = [shape[1] for shape in _SHAPES]
     trace = []
-    for at_ms in workload.poisson_times(rng, 0, end_ms, hours * jobs_per_hour):
+    for at_ms in workload.poisson_arrivals_ms(
+        rng, 0, end_ms, hours * jobs_per_hour
+    ):
         trial = rng.random() < trial_share
         shapes = _SHAPES[:2] if trial else _SHAPES
         kind, _, tasks, sizes, adjacency = rng.choices(
@@ -72,11 +74,13 @@
         )[0]
         accelerators = rng.choice(sizes)
         trace.append(
-            workload.traced(
-                account=TRIAL if trial else rng.choice(MEMBERS),
+            workload.make_job(
+                account=TRIAL_ACCOUNT if trial else rng.choice(MEMBERS),
                 kind=f"trial_{kind}" if trial else kind,
                 arrival_ms=at_ms,
-                true_run_s=workload.skewed(rng, median_s, 0.8, 14_400.0),
+                true_run_s=workload.sample_log_normal(
+                    rng, median_s, 0.8, 14_400.0
+                ),
                 tasks=rng.choice(tasks),
                 per_task=jobs.Resources(
                     accelerators=accelerators,
--- a/citronmount/bench/metrics.py
+++ b/citronmount/bench/metrics.py
@@ -14,14 +14,14 @@
     "policy_metrics",
     "served_lag",
     "wait_s",
-    "waits_of",
+    "account_waits_s",
     "work_done_ratio",
 ]
 
 MIN_DUE_S = 3_600.0
 
 
-def wait_s(job: replay_events.JobTrace, horizon_ms: int) -> float:
+def wait_s(job: replay_events.ReplayedJob, horizon_ms: int) -> float:
     """Returns how long a job waited for its first start.
 
     Args:
@@ -38,12 +38,12 @@
     return (start_ms - job.job.arrival_ms) / 1_000
 
 
-def _completion_s(job: replay_events.JobTrace, horizon_ms: int) -> float:
+def _completion_s(job: replay_events.ReplayedJob, horizon_ms: int) -> float:
     end_ms = horizon_ms if job.ended_ms is None else job.ended_ms
     return (end_ms - job.job.arrival_ms) / 1_000
 
 
-def _counted(job: replay_events.JobTrace, horizon_ms: int) -> bool:
+def _counted(job: replay_events.ReplayedJob, horizon_ms: int) -> bool:
     """Whether the job is one that runs to its end if it can."""
     return (
         job.job.cancel_ms is None
@@ -52,7 +52,7 @@
     )
 
 
-def waits_of(
+def account_waits_s(
     replay: replay_lib.Replay, account: ids.AccountId
 ) -> dict[int, float]:
     """Returns the waits of an account's jobs.
@@ -84,8 +84,8 @@
     done = math.fsum(
         job.progress_at(replay.horizon_ms) * job.job.work_s for job in counted
     )
-    allowed = accounting.allowed_work_s(
-        accounting.demand_rate(tuple(job.job for job in counted)),
+    allowed = accounting.work_upper_bound_s(
+        accounting.unlimited_demand(tuple(job.job for job in counted)),
         replay.capacity,
         replay.horizon_ms,
     )
@@ -104,8 +104,8 @@
     """
     due: dict[ids.AccountId, float] = collections.Counter()
     short: dict[ids.AccountId, float] = collections.Counter()
-    for served in replay.served.values():
-        for account, (due_s, short_s) in served.totals().items():
+    for served in replay.fair_shares.values():
+        for account, (due_s, short_s) in served.due_and_short_s().items():
             due[account] += due_s
             short[account] += short_s
     return max(
@@ -166,7 +166,7 @@
 
 
 def _deadlines_missed(
-    counted: list[replay_events.JobTrace], horizon_ms: int
+    counted: list[replay_events.ReplayedJob], horizon_ms: int
 ) -> float:
     bound = [
         job
--- a/citronmount/bench/misdeclared.py
+++ b/citronmount/bench/misdeclared.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
+from citronmount.bench import job_mix
 from citronmount.bench import metrics
-from citronmount.bench import mixed
 from citronmount.bench import registry
 from citronmount.bench import replay
 from citronmount.bench import report
@@ -27,21 +27,23 @@
 def _misdeclared(
     trace: tuple[workload.TracedJob, ...], seed: int
 ) -> tuple[workload.TracedJob, ...]:
-    rng = workload.stream("declared", seed)
+    rng = workload.random_stream("declared", seed)
     return tuple(
         msgspec.structs.replace(
             job,
             spec=msgspec.structs.replace(
                 job.spec,
                 run_time_s=job.true_run_s
-                * workload.skewed(rng, FACTORS[job.spec.account], FACTOR_SIGMA),
+                * workload.sample_log_normal(
+                    rng, FACTORS[job.spec.account], FACTOR_SIGMA
+                ),
             ),
         )
         for job in trace
     )
 
 
-@registry.bench("misdeclared")
+@registry.register("misdeclared")
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 8.0
 ) -> report.BenchReport:
@@ -57,8 +59,8 @@
         true declarations.
     """
     site = sites.hanbit()
-    truthful = mixed.by_arrival(
-        mixed.steady(
+    truthful = job_mix.merge_by_arrival(
+        job_mix.make_steady_jobs(
             "misdeclared", seed, hours=hours, jobs_per_hour=JOBS_PER_HOUR
         )
     )
--- a/citronmount/bench/perchero.py
+++ b/citronmount/bench/perchero.py
@@ -19,7 +19,7 @@
 ALL = "all"
 
 
-@registry.bench("perchero")
+@registry.register("perchero")
 def run(
     seed: int, policies: tuple[str, ...], seconds: float = SECONDS
 ) -> report.BenchReport:
@@ -39,12 +39,16 @@
         The report, with the bars against the ideal queue.
     """
     site = request_workload.perchero_site()
-    trace = request_workload.requests(site, seed, load=LOAD, seconds=seconds)
+    trace = request_workload.make_requests(
+        site, seed, load=LOAD, seconds=seconds
+    )
     slow = {runners[0].name: SLOW_FACTOR for runners in site.runners.values()}
-    metrics = {IDEAL: _metrics(request_replay.single_queue(site, trace), {})}
+    metrics = {
+        IDEAL: _metrics(request_replay.replay_single_queue(site, trace), {})
+    }
     if "fifo" in policies:
         for name, factors in (("fifo", {}), ("fifo.slow_runner", slow)):
-            answers = request_replay.random_runner(site, trace, factors)
+            answers = request_replay.replay_random_runners(site, trace, factors)
             metrics[name] = _metrics(answers, {})
     if "citron" in policies:
         variants = {
@@ -81,7 +85,7 @@
 
 
 def _metrics(
-    answers: list[request_replay.Answered], counts: dict[str, int]
+    answers: list[request_replay.RequestOutcome], counts: dict[str, int]
 ) -> report.PolicyMetrics:
     took = collections.defaultdict(list)
     waited = collections.defaultdict(list)
--- a/citronmount/bench/pool_usage.py
+++ b/citronmount/bench/pool_usage.py
@@ -18,10 +18,16 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["Fragmentation", "PoolUsage", "Shape", "shape_of", "tasks_that_fit"]
+__all__ = [
+    "FragmentationMean",
+    "PoolUsage",
+    "GangShape",
+    "shape_of",
+    "tasks_that_fit",
+]
 
 
-class Shape(msgspec.Struct, frozen=True, kw_only=True):
+class GangShape(msgspec.Struct, frozen=True, kw_only=True):
     """What a gang needs, without its account and times.
 
     Attributes:
@@ -35,7 +41,7 @@
     adjacency: states.Adjacency
 
 
-def shape_of(spec: jobs.JobSpec) -> Shape:
+def shape_of(spec: jobs.JobSpec) -> GangShape:
     """Returns the shape of a job.
 
     Args:
@@ -44,7 +50,7 @@
     Returns:
         Its shape.
     """
-    return Shape(
+    return GangShape(
         tasks=spec.tasks, per_task=spec.per_task, adjacency=spec.adjacency
     )
 
@@ -78,14 +84,14 @@
         """
         self.workers = {ids.WorkerId(w.name): w for w in workers}
         self.free = {name: w.capacity for name, w in self.workers.items()}
-        self.up = dict.fromkeys(self.workers, True)
-        self.by_domain: dict[ids.FailureDomainId, list[ids.WorkerId]] = (
-            collections.defaultdict(list)
-        )
+        self.usable = dict.fromkeys(self.workers, True)
+        self.workers_by_domain: dict[
+            ids.FailureDomainId, list[ids.WorkerId]
+        ] = collections.defaultdict(list)
         for name, worker in self.workers.items():
-            self.by_domain[worker.failure_domain].append(name)
+            self.workers_by_domain[worker.failure_domain].append(name)
 
-    def take(
+    def update_allocation(
         self, spec: jobs.JobSpec, placement: jobs.Placement, sign: int
     ) -> None:
         """Takes or returns what a gang holds.
@@ -113,7 +119,7 @@
                 raise ValueError(f"{spec.job} overfills {group.worker}")
             self.free[group.worker] = left
 
-    def capacity(self, domain: ids.FailureDomainId) -> int:
+    def usable_accelerators(self, domain: ids.FailureDomainId) -> int:
         """Returns the accelerators of a failure domain's usable workers.
 
         Args:
@@ -124,12 +130,12 @@
         """
         return sum(
             self.workers[name].capacity.accelerators
-            for name in self.by_domain[domain]
-            if self.up[name]
+            for name in self.workers_by_domain[domain]
+            if self.usable[name]
         )
 
 
-class Fragmentation:
+class FragmentationMean:
     """Adds up free and unusable accelerators over samples."""
 
     def __init__(self) -> None:
@@ -142,11 +148,11 @@
         """Unusable over free accelerators of all samples."""
         return self.unusable / self.free if self.free else 0.0
 
-    def sample(
+    def add_sample(
         self,
         usage: PoolUsage,
         domain: ids.FailureDomainId,
-        mix: dict[Shape, float],
+        mix: dict[GangShape, float],
     ) -> None:
         """Adds the present state of one failure domain.
 
@@ -155,7 +161,11 @@
             domain: The failure domain.
             mix: Shapes with their weights.
         """
-        names = [name for name in usage.by_domain[domain] if usage.up[name]]
+        names = [
+            name
+            for name in usage.workers_by_domain[domain]
+            if usage.usable[name]
+        ]
         for shape, weight in mix.items():
             free, usable = _usable(usage, names, shape)
             self.free += weight * free
@@ -163,7 +173,7 @@
 
 
 def _usable(
-    usage: PoolUsage, names: list[ids.WorkerId], shape: Shape
+    usage: PoolUsage, names: list[ids.WorkerId], shape: GangShape
 ) -> tuple[int, int]:
     """Returns free accelerators where the shape could ever run, and usable.
 
--- a/citronmount/bench/private_pool.py
+++ b/citronmount/bench/private_pool.py
@@ -55,14 +55,14 @@
         if job.spec.account == account
     ]
     alone = replay_lib.Replay(
-        site=sites.private(site, account),
+        site=sites.private_pool_site(site, account),
         trace=tuple(trace[number] for number in numbers),
         policy=shared.policy,
         horizon_ms=shared.horizon_ms,
     ).run()
     waits = collections.defaultdict(list)
-    shared_waits = metrics.waits_of(shared, account)
-    for place, wait_s in metrics.waits_of(alone, account).items():
+    shared_waits = metrics.account_waits_s(shared, account)
+    for place, wait_s in metrics.account_waits_s(alone, account).items():
         if alone.jobs[place].code is codes.ResultCode.NEVER_FITS:
             continue
         pair = (wait_s, shared_waits[numbers[place]])
@@ -79,5 +79,5 @@
     alone_s = report.percentile(sorted(alone for alone, _ in pairs), 0.99)
     here_s = report.percentile(sorted(here for _, here in pairs), 0.99)
     return report.at_most(
-        name, shared.policy, here_s, alone_s + shared.grace_ms / 1_000
+        name, shared.policy, here_s, alone_s + shared.max_grace_ms / 1_000
     )
--- a/citronmount/bench/replay.py
+++ b/citronmount/bench/replay.py
@@ -13,8 +13,8 @@
 
 from citronmount.bench import pool_usage
 from citronmount.bench import replay_events
-from citronmount.bench import replay_ledger
 from citronmount.bench import replay_routing
+from citronmount.bench import replay_usage
 from citronmount.bench import sites
 from citronmount.bench import workload
 from citronmount.core import codes
@@ -46,7 +46,7 @@
         trace: tuple[workload.TracedJob, ...],
         policy: str,
         horizon_ms: int,
-        changes: tuple[tuple[int, replay_events.Change], ...] = (),
+        changes: tuple[tuple[int, replay_events.EnvironmentChange], ...] = (),
         sample_ms: int = workload.MINUTE_MS,
     ) -> None:
         """Initializes a replay at time 0.
@@ -62,22 +62,22 @@
         self.policy = policy
         self.horizon_ms = horizon_ms
         self.configuration = site.configuration
-        self._ledger = replay_ledger.Ledger(site=site)
+        self._ledger = replay_usage.UsageRecorder(site=site)
         self.usage = self._ledger.usage
         self.capacity = self._ledger.capacity
-        self.served = self._ledger.served
+        self.fair_shares = self._ledger.fair_shares
         self.jobs = [
-            replay_events.JobTrace(job=job, spec=job.spec) for job in trace
+            replay_events.ReplayedJob(job=job, spec=job.spec) for job in trace
         ]
-        self.mix = replay_ledger.mix_of(trace)
-        self.paying = frozenset(
-            replay_ledger.paying_accounts(site.configuration)
+        self.arrival_mix = replay_usage.work_by_shape(trace)
+        self.paying_accounts = frozenset(
+            replay_usage.paying_accounts(site.configuration)
         )
-        self.fragmentation = pool_usage.Fragmentation()
-        self.arrival_fragmentation = pool_usage.Fragmentation()
+        self.fragmentation = pool_usage.FragmentationMean()
+        self.arrival_fragmentation = pool_usage.FragmentationMean()
         self.counts: collections.Counter[str] = collections.Counter()
         self.late_starts = 0
-        self.grace_ms = 0
+        self.max_grace_ms = 0
         self._out_since_ms: dict[ids.FailureDomainId, int] = {}
         self._sample_ms = sample_ms
         self._broken: set[ids.WorkerId] = set()
@@ -92,7 +92,7 @@
             d: scheduler_lib.DomainScheduler(failure_domain=d, policy=policy)
             for d in site.domains
         }
-        self._router = replay_routing.Router(
+        self._router = replay_routing.JobRouter(
             schedulers=self._schedulers, configuration=site.configuration
         )
         for domain, scheduler in self._schedulers.items():
@@ -100,7 +100,7 @@
             scheduler.set_workers(
                 tuple(w for w in site.workers if w.failure_domain == domain)
             )
-            self._ledger.set_capacity(domain, 0)
+            self._ledger.update_capacity(domain, 0)
         self._schedule_all(changes)
 
     def run(self) -> "Replay":
@@ -120,20 +120,22 @@
         return self
 
     def _schedule_all(
-        self, changes: tuple[tuple[int, replay_events.Change], ...]
+        self, changes: tuple[tuple[int, replay_events.EnvironmentChange], ...]
     ) -> None:
         for at_ms, change in changes:
             self._push(at_ms, change)
         for number, job in enumerate(self.jobs):
-            self._push(job.job.arrival_ms, replay_events.Arrive(number=number))
+            self._push(
+                job.job.arrival_ms, replay_events.SubmitJob(number=number)
+            )
             if job.job.cancel_ms is not None:
                 self._push(
-                    job.job.cancel_ms, replay_events.Cancel(number=number)
+                    job.job.cancel_ms, replay_events.CancelJob(number=number)
                 )
         for domain in self._schedulers:
             self._push(TICK_MS, replay_events.Tick(domain=domain))
-        self._push(self._sample_ms, replay_events.Sample())
-        self._push(MOVE_PERIOD_MS, replay_events.MoveWaiting())
+        self._push(self._sample_ms, replay_events.SampleFragmentation())
+        self._push(MOVE_PERIOD_MS, replay_events.MoveQueuedJobs())
 
     def _push(self, at_ms: int, event: object) -> None:
         heapq.heappush(self._heap, (at_ms, next(self._sequence), event))
@@ -151,7 +153,7 @@
         return _HANDLERS[type(event)](self, event, now_ms)
 
     def _arrive(
-        self, event: replay_events.Arrive, now_ms: int
+        self, event: replay_events.SubmitJob, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.code is not None:
@@ -174,7 +176,7 @@
         return set()
 
     def _move_waiting(
-        self, event: replay_events.MoveWaiting, now_ms: int
+        self, event: replay_events.MoveQueuedJobs, now_ms: int
     ) -> set[ids.FailureDomainId]:
         """Moves queued jobs to failure domains that would start them."""
         self._push(now_ms + MOVE_PERIOD_MS, event)
@@ -203,7 +205,7 @@
         self, number: int, domain: ids.FailureDomainId, now_ms: int
     ) -> None:
         job = self.jobs[number]
-        to = self._router.better_home(job.spec, domain, now_ms)
+        to = self._router.find_better_domain(job.spec, domain, now_ms)
         if to is None:
             return
         self.counts["moves"] += 1
@@ -224,15 +226,15 @@
 
     def _enqueue(self, number: int, now_ms: int) -> None:
         job = self.jobs[number]
-        self._router.changed(job.domain)
+        self._router.record_change(job.domain)
         self._queued[job.domain].add(number)
-        self._ledger.queue(job.domain, job.spec, 1, now_ms)
+        self._ledger.record_queued(job.domain, job.spec, 1, now_ms)
 
     def _dequeue(self, number: int, now_ms: int) -> None:
         job = self.jobs[number]
-        self._router.changed(job.domain)
+        self._router.record_change(job.domain)
         self._queued[job.domain].remove(number)
-        self._ledger.queue(job.domain, job.spec, -1, now_ms)
+        self._ledger.record_queued(job.domain, job.spec, -1, now_ms)
 
     def _decide(self, domain: ids.FailureDomainId, now_ms: int) -> None:
         for decision in self._schedulers[domain].decide(now_ms):
@@ -250,11 +252,11 @@
     ) -> None:
         job = self.jobs[number]
         self._dequeue(number, now_ms)
-        self._ledger.take(job.domain, job.spec, placement)
+        self._ledger.record_placed(job.domain, job.spec, placement)
         job.placement = placement
         job.attempts += 1
         self.counts["placements"] += 1
-        event = replay_events.Run(number=number, attempt=job.attempts)
+        event = replay_events.StartGang(number=number, attempt=job.attempts)
         self._push(now_ms + START_DELAY_MS, event)
 
     def _evict(
@@ -264,7 +266,7 @@
         beneficiary = self._by_id.get(decision.beneficiary)
         if beneficiary is not None:
             self.jobs[beneficiary].waited_reclaim = True
-        self.grace_ms = max(self.grace_ms, decision.grace_ms)
+        self.max_grace_ms = max(self.max_grace_ms, decision.grace_ms)
         self.counts["evictions"] += 1
         job.evictions += 1
         self._stop(number, decision.grace_ms, now_ms)
@@ -276,7 +278,7 @@
         job.evicting = True
         end_ms = now_ms + min(grace_ms, job.job.checkpoint_ms)
         saved = job.job.checkpoint_ms <= grace_ms
-        event = replay_events.Evicted(
+        event = replay_events.StopEvictedJob(
             number=number,
             attempt=job.attempts,
             progress=job.progress_at(now_ms) if saved else job.saved_at(now_ms),
@@ -284,7 +286,7 @@
         self._push(end_ms, event)
 
     def _run(
-        self, event: replay_events.Run, now_ms: int
+        self, event: replay_events.StartGang, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
@@ -303,7 +305,7 @@
             job.first_start_ms = now_ms
         self._schedulers[job.domain].attempt_started(job.spec.job, now_ms)
         left_s = (1.0 - job.progress) * job.job.true_run_s
-        finish = replay_events.Finish(
+        finish = replay_events.FinishJob(
             number=event.number, attempt=event.attempt
         )
         self._push(now_ms + max(1, round(left_s * 1_000)), finish)
@@ -334,7 +336,7 @@
         return {job.domain}
 
     def _finish(
-        self, event: replay_events.Finish, now_ms: int
+        self, event: replay_events.FinishJob, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
@@ -348,7 +350,7 @@
         return {job.domain}
 
     def _evicted(
-        self, event: replay_events.Evicted, now_ms: int
+        self, event: replay_events.StopEvictedJob, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
@@ -357,7 +359,7 @@
         self.counts["lost_work_s"] += round(lost * job.job.work_s)
         self._vacate(job, now_ms)
         job.progress = event.progress
-        out = self._ledger.is_out(job.domain)
+        out = self._ledger.is_out_of_service(job.domain)
         self._schedulers[job.domain].attempt_ended(
             job.spec.job,
             decisions.AttemptEnd.EVICTED,
@@ -370,22 +372,27 @@
         self._enqueue(event.number, now_ms)
         return {job.domain}
 
-    def _vacate(self, job: replay_events.JobTrace, now_ms: int) -> None:
-        self._ledger.give_back(job.domain, job.spec, job.placement, now_ms)
-        self._router.changed(job.domain)
+    def _vacate(self, job: replay_events.ReplayedJob, now_ms: int) -> None:
+        self._ledger.record_released(
+            job.domain, job.spec, job.placement, now_ms
+        )
+        self._router.record_change(job.domain)
         job.placement = None
         job.started_ms = None
         job.evicting = False
 
     def _end(
-        self, job: replay_events.JobTrace, code: codes.ResultCode, now_ms: int
+        self,
+        job: replay_events.ReplayedJob,
+        code: codes.ResultCode,
+        now_ms: int,
     ) -> None:
         job.code = code
         job.ended_ms = now_ms
         self.counts[f"ended_{code.name.lower()}"] += 1
 
     def _cancel(
-        self, event: replay_events.Cancel, now_ms: int
+        self, event: replay_events.CancelJob, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.code is not None:
@@ -406,14 +413,14 @@
         return {job.domain}
 
     def _configure(
-        self, event: replay_events.Configure, now_ms: int
+        self, event: replay_events.ApplyConfiguration, now_ms: int
     ) -> set[ids.FailureDomainId]:
         self.configuration = event.configuration
         self._ledger.configuration = event.configuration
-        self._router.configure(event.configuration)
+        self._router.set_configuration(event.configuration)
         for domain, scheduler in self._schedulers.items():
             scheduler.set_configuration(event.configuration)
-            self._ledger.set_capacity(domain, now_ms)
+            self._ledger.update_capacity(domain, now_ms)
         touched = set(self._schedulers)
         self._out_since_ms = {
             d.name: self._out_since_ms.get(d.name, now_ms)
@@ -421,7 +428,7 @@
             if d.state is states.FailureDomainState.OUT
         }
         for domain in self._schedulers:
-            if self._ledger.is_out(domain):
+            if self._ledger.is_out_of_service(domain):
                 for number in sorted(self._queued[domain]):
                     self._schedulers[domain].cancel(self.jobs[number].spec.job)
                     self._dequeue(number, now_ms)
@@ -434,7 +441,7 @@
         domain = self._router.route(job.spec, now_ms)
         if domain is None:
             self._push(
-                now_ms + RESUBMIT_MS, replay_events.Arrive(number=number)
+                now_ms + RESUBMIT_MS, replay_events.SubmitJob(number=number)
             )
             return set()
         self._home(number, domain)
@@ -445,7 +452,7 @@
         return {domain}
 
     def _power_down(
-        self, event: replay_events.PowerDown, now_ms: int
+        self, event: replay_events.PowerDownDomain, now_ms: int
     ) -> set[ids.FailureDomainId]:
         for number, job in enumerate(self.jobs):
             if job.domain == event.domain and job.placement is not None:
@@ -459,7 +466,7 @@
         return set()
 
     def _heal(
-        self, event: replay_events.HealWorker, now_ms: int
+        self, event: replay_events.RepairWorker, now_ms: int
     ) -> set[ids.FailureDomainId]:
         self._broken.discard(event.worker)
         return set()
@@ -471,31 +478,33 @@
         return {event.domain} if self._queued[event.domain] else set()
 
     def _sample(
-        self, event: replay_events.Sample, now_ms: int
+        self, event: replay_events.SampleFragmentation, now_ms: int
     ) -> set[ids.FailureDomainId]:
         self._push(now_ms + self._sample_ms, event)
         for domain, numbers in self._queued.items():
-            if self._ledger.is_out(domain):
+            if self._ledger.is_out_of_service(domain):
                 continue
-            self.arrival_fragmentation.sample(self.usage, domain, self.mix)
-            pending = replay_ledger.mix_of(
+            self.arrival_fragmentation.add_sample(
+                self.usage, domain, self.arrival_mix
+            )
+            pending = replay_usage.work_by_shape(
                 self.jobs[n].job for n in sorted(numbers)
             )
-            self.fragmentation.sample(self.usage, domain, pending)
+            self.fragmentation.add_sample(self.usage, domain, pending)
         return set()
 
 
 _HANDLERS = {
-    replay_events.Arrive: Replay._arrive,
-    replay_events.Cancel: Replay._cancel,
-    replay_events.Run: Replay._run,
-    replay_events.Finish: Replay._finish,
-    replay_events.Evicted: Replay._evicted,
+    replay_events.SubmitJob: Replay._arrive,
+    replay_events.CancelJob: Replay._cancel,
+    replay_events.StartGang: Replay._run,
+    replay_events.FinishJob: Replay._finish,
+    replay_events.StopEvictedJob: Replay._evicted,
     replay_events.Tick: Replay._tick,
-    replay_events.MoveWaiting: Replay._move_waiting,
-    replay_events.Sample: Replay._sample,
-    replay_events.Configure: Replay._configure,
-    replay_events.PowerDown: Replay._power_down,
+    replay_events.MoveQueuedJobs: Replay._move_waiting,
+    replay_events.SampleFragmentation: Replay._sample,
+    replay_events.ApplyConfiguration: Replay._configure,
+    replay_events.PowerDownDomain: Replay._power_down,
     replay_events.BreakWorker: Replay._break,
-    replay_events.HealWorker: Replay._heal,
+    replay_events.RepairWorker: Replay._heal,
 }
--- a/citronmount/bench/replay_events.py
+++ b/citronmount/bench/replay_events.py
@@ -9,26 +9,26 @@
 from citronmount.core import jobs
 
 __all__ = [
-    "Arrive",
+    "SubmitJob",
     "BreakWorker",
-    "Cancel",
-    "Change",
-    "Configure",
-    "Evicted",
-    "Finish",
-    "HealWorker",
-    "JobTrace",
-    "MoveWaiting",
-    "PowerDown",
-    "Run",
-    "Sample",
+    "CancelJob",
+    "EnvironmentChange",
+    "ApplyConfiguration",
+    "StopEvictedJob",
+    "FinishJob",
+    "RepairWorker",
+    "ReplayedJob",
+    "MoveQueuedJobs",
+    "PowerDownDomain",
+    "StartGang",
+    "SampleFragmentation",
     "Tick",
 ]
 
 PERIODIC_CHECKPOINT_S = 600.0
 
 
-class Configure(msgspec.Struct, frozen=True, kw_only=True):
+class ApplyConfiguration(msgspec.Struct, frozen=True, kw_only=True):
     """A configuration comes into force at every scheduler.
 
     Attributes:
@@ -38,7 +38,7 @@
     configuration: configuration_lib.Configuration
 
 
-class PowerDown(msgspec.Struct, frozen=True, kw_only=True):
+class PowerDownDomain(msgspec.Struct, frozen=True, kw_only=True):
     """Jobs that still run in a failure domain save their work and stop.
 
     Attributes:
@@ -58,7 +58,7 @@
     worker: ids.WorkerId
 
 
-class HealWorker(msgspec.Struct, frozen=True, kw_only=True):
+class RepairWorker(msgspec.Struct, frozen=True, kw_only=True):
     """A worker starts tasks properly again.
 
     Attributes:
@@ -68,10 +68,12 @@
     worker: ids.WorkerId
 
 
-Change = Configure | PowerDown | BreakWorker | HealWorker
+EnvironmentChange = (
+    ApplyConfiguration | PowerDownDomain | BreakWorker | RepairWorker
+)
 
 
-class Arrive(msgspec.Struct, frozen=True, kw_only=True):
+class SubmitJob(msgspec.Struct, frozen=True, kw_only=True):
     """A job is submitted, or submitted again.
 
     Attributes:
@@ -81,7 +83,7 @@
     number: int
 
 
-class Cancel(msgspec.Struct, frozen=True, kw_only=True):
+class CancelJob(msgspec.Struct, frozen=True, kw_only=True):
     """Its caller cancels a job.
 
     Attributes:
@@ -91,7 +93,7 @@
     number: int
 
 
-class _OfPlacement(msgspec.Struct, frozen=True, kw_only=True):
+class _AttemptEvent(msgspec.Struct, frozen=True, kw_only=True):
     """What happens to one placement of a job.
 
     Attributes:
@@ -103,15 +105,15 @@
     attempt: int
 
 
-class Run(_OfPlacement, frozen=True, kw_only=True):
+class StartGang(_AttemptEvent, frozen=True, kw_only=True):
     """All tasks of a placement are ready to run."""
 
 
-class Finish(_OfPlacement, frozen=True, kw_only=True):
+class FinishJob(_AttemptEvent, frozen=True, kw_only=True):
     """A job has done its work."""
 
 
-class Evicted(_OfPlacement, frozen=True, kw_only=True):
+class StopEvictedJob(_AttemptEvent, frozen=True, kw_only=True):
     """A job that was told to stop has saved its work and stopped.
 
     Attributes:
@@ -131,15 +133,15 @@
     domain: ids.FailureDomainId
 
 
-class MoveWaiting(msgspec.Struct, frozen=True, kw_only=True):
+class MoveQueuedJobs(msgspec.Struct, frozen=True, kw_only=True):
     """Queued jobs look for another failure domain."""
 
 
-class Sample(msgspec.Struct, frozen=True, kw_only=True):
+class SampleFragmentation(msgspec.Struct, frozen=True, kw_only=True):
     """Fragmentation is sampled."""
 
 
-class JobTrace(msgspec.Struct, kw_only=True):
+class ReplayedJob(msgspec.Struct, kw_only=True):
     """What became of one job.
 
     Attributes:
@@ -161,7 +163,7 @@
 
     job: workload.TracedJob
     spec: jobs.JobSpec
-    domain: ids.FailureDomainId = workload.UNROUTED
+    domain: ids.FailureDomainId = workload.UNROUTED_DOMAIN
     placement: jobs.Placement | None = None
     first_start_ms: int | None = None
     started_ms: int | None = None
--- a/citronmount/bench/replay_routing.py
+++ b/citronmount/bench/replay_routing.py
@@ -12,12 +12,12 @@
 from citronmount.core import scheduler as scheduler_lib
 from citronmount.core import shares
 
-__all__ = ["Router"]
+__all__ = ["JobRouter"]
 
 _Schedulers = Mapping[ids.FailureDomainId, scheduler_lib.DomainScheduler]
 
 
-class Router:
+class JobRouter:
     """Routes jobs to the schedulers of the failure domains.
 
     Attributes:
@@ -46,12 +46,14 @@
         for row in configuration.guarantees:
             self._holding[row.account].add(row.failure_domain)
 
-    def configure(self, configuration: configuration_lib.Configuration) -> None:
+    def set_configuration(
+        self, configuration: configuration_lib.Configuration
+    ) -> None:
         """Takes in a version of the configuration."""
         self.configuration = configuration
         self._refused_at.clear()
 
-    def changed(self, domain: ids.FailureDomainId) -> None:
+    def record_change(self, domain: ids.FailureDomainId) -> None:
         """Notes that a scheduler may answer otherwise than before."""
         self._versions[domain] += 1
 
@@ -75,7 +77,7 @@
                 return name
         return ranked[0] if ranked else None
 
-    def better_home(
+    def find_better_domain(
         self, spec: jobs.JobSpec, domain: ids.FailureDomainId, now_ms: int
     ) -> ids.FailureDomainId | None:
         """Returns another failure domain that would start a queued job."""
--- a/citronmount/bench/replay_ledger.py
+++ b/citronmount/bench/replay_usage.py
@@ -12,12 +12,17 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["COMPARED_ACCOUNTS", "Ledger", "mix_of", "paying_accounts"]
+__all__ = [
+    "MAX_COMPARED_ACCOUNTS",
+    "UsageRecorder",
+    "work_by_shape",
+    "paying_accounts",
+]
 
-COMPARED_ACCOUNTS = 16
+MAX_COMPARED_ACCOUNTS = 16
 
 
-class Ledger:
+class UsageRecorder:
     """Use and capacity of each failure domain over time.
 
     Attributes:
@@ -35,8 +40,8 @@
         """
         self.usage = pool_usage.PoolUsage(workers=site.workers)
         self.capacity = accounting.StepFunction()
-        self.served = {
-            d: accounting.ServedShares(guaranteed=_guaranteed(site, d))
+        self.fair_shares = {
+            d: accounting.FairShareTracker(guaranteed=_guaranteed(site, d))
             for d in site.domains
         }
         self.configuration = site.configuration
@@ -44,10 +49,10 @@
 
     def advance(self, now_ms: int) -> None:
         """Brings every account's share up to date."""
-        for served in self.served.values():
+        for served in self.fair_shares.values():
             served.advance(now_ms)
 
-    def queue(
+    def record_queued(
         self,
         domain: ids.FailureDomainId,
         spec: jobs.JobSpec,
@@ -62,21 +67,23 @@
             sign: 1 if it begins to wait, else -1.
             now_ms: The time.
         """
-        served = self.served[domain]
+        served = self.fair_shares[domain]
         served.advance(now_ms)
-        served.queue(spec.account, spec.accelerators, sign)
+        served.record_queued(spec.account, spec.accelerators, sign)
 
-    def take(
+    def record_placed(
         self,
         domain: ids.FailureDomainId,
         spec: jobs.JobSpec,
         placement: jobs.Placement,
     ) -> None:
         """Notes that a job holds its placement."""
-        self.usage.take(spec, placement, 1)
-        self.served[domain].hold(spec.account, spec.accelerators)
+        self.usage.update_allocation(spec, placement, 1)
+        self.fair_shares[domain].record_allocated(
+            spec.account, spec.accelerators
+        )
 
-    def give_back(
+    def record_released(
         self,
         domain: ids.FailureDomainId,
         spec: jobs.JobSpec,
@@ -84,37 +91,37 @@
         now_ms: int,
     ) -> None:
         """Notes that a job holds its placement no more."""
-        served = self.served[domain]
+        served = self.fair_shares[domain]
         served.advance(now_ms)
-        served.hold(spec.account, -spec.accelerators)
-        self.usage.take(spec, placement, -1)
-        if self.is_out(domain):
-            self.set_capacity(domain, now_ms)
+        served.record_allocated(spec.account, -spec.accelerators)
+        self.usage.update_allocation(spec, placement, -1)
+        if self.is_out_of_service(domain):
+            self.update_capacity(domain, now_ms)
 
-    def is_out(self, domain: ids.FailureDomainId) -> bool:
+    def is_out_of_service(self, domain: ids.FailureDomainId) -> bool:
         """Returns whether operators took a failure domain out of service."""
         return any(
             each.name == domain and each.state is states.FailureDomainState.OUT
             for each in self.configuration.failure_domains
         )
 
-    def set_capacity(self, domain: ids.FailureDomainId, now_ms: int) -> None:
+    def update_capacity(self, domain: ids.FailureDomainId, now_ms: int) -> None:
         """Notes what may be used; out of service, only what is still held."""
-        total = self.usage.capacity(domain)
-        if self.is_out(domain):
+        total = self.usage.usable_accelerators(domain)
+        if self.is_out_of_service(domain):
             total -= sum(
                 self.usage.free[name].accelerators
-                for name in self.usage.by_domain[domain]
+                for name in self.usage.workers_by_domain[domain]
             )
-        self.served[domain].advance(now_ms)
-        self.served[domain].capacity(total)
+        self.fair_shares[domain].advance(now_ms)
+        self.fair_shares[domain].set_capacity(total)
         self.capacity.add(now_ms, total - self._capacity_now[domain])
         self._capacity_now[domain] = total
 
 
-def mix_of(
+def work_by_shape(
     trace: Iterable[workload.TracedJob],
-) -> dict[pool_usage.Shape, float]:
+) -> dict[pool_usage.GangShape, float]:
     """Returns the shapes of jobs, weighted by accelerator time.
 
     Args:
@@ -123,7 +130,7 @@
     Returns:
         Seconds of work by shape.
     """
-    mix: dict[pool_usage.Shape, float] = collections.defaultdict(float)
+    mix: dict[pool_usage.GangShape, float] = collections.defaultdict(float)
     for job in trace:
         if job.spec.accelerators:
             mix[pool_usage.shape_of(job.spec)] += job.work_s
@@ -135,7 +142,7 @@
 ) -> dict[ids.AccountId, int]:
     """Returns what each compared account is guaranteed in a domain."""
     paying = paying_accounts(site.configuration)
-    if len(paying) > COMPARED_ACCOUNTS:
+    if len(paying) > MAX_COMPARED_ACCOUNTS:
         return {}
     return {
         account: sum(
--- a/citronmount/bench/request_replay.py
+++ b/citronmount/bench/request_replay.py
@@ -14,14 +14,19 @@
 from citronmount.core import request_decisions
 from citronmount.core import request_router
 
-__all__ = ["Answered", "RouterReplay", "random_runner", "single_queue"]
+__all__ = [
+    "RequestOutcome",
+    "RouterReplay",
+    "replay_random_runners",
+    "replay_single_queue",
+]
 
 LINK_MS = 1
 HEARTBEAT_MS = 1_000
 TIMEOUT_MS = 5_000
 
 
-class Answered(msgspec.Struct, frozen=True, kw_only=True):
+class RequestOutcome(msgspec.Struct, frozen=True, kw_only=True):
     """What a caller saw of one request.
 
     Attributes:
@@ -37,10 +42,10 @@
     waited_ms: int
 
 
-def single_queue(
+def replay_single_queue(
     site: request_workload.RequestSite,
     trace: tuple[request_workload.TracedRequest, ...],
-) -> list[Answered]:
+) -> list[RequestOutcome]:
     """Serves requests from one ideal queue for each failure domain.
 
     Every free slot is known at once and no slot idles while a request waits,
@@ -66,11 +71,11 @@
     return answers
 
 
-def random_runner(
+def replay_random_runners(
     site: request_workload.RequestSite,
     trace: tuple[request_workload.TracedRequest, ...],
     slow: dict[str, float],
-) -> list[Answered]:
+) -> list[RequestOutcome]:
     """Sends each request at once to a random runner, which queues in order.
 
     Args:
@@ -89,7 +94,7 @@
     answers = []
     for number, request in enumerate(trace):
         runners = site.runners[request.domain]
-        runner = runners[hash_of(number) % len(runners)].name
+        runner = runners[multiplicative_hash(number) % len(runners)].name
         start_ms = max(request.arrival_ms, free_at[runner][0])
         service_ms = _slowed(request, runner, slow)
         heapq.heapreplace(free_at[runner], start_ms + service_ms)
@@ -97,7 +102,7 @@
     return answers
 
 
-def hash_of(number: int) -> int:
+def multiplicative_hash(number: int) -> int:
     """Returns a number that looks random, by Knuth's multiplicative hash.
 
     Args:
@@ -111,12 +116,12 @@
 
 def _served(
     request: request_workload.TracedRequest, start_ms: int, service_ms: int
-) -> Answered:
+) -> RequestOutcome:
     result = jobs.RequestResult(
         request=request.request, code=codes.ResultCode.DONE
     )
     waited_ms = start_ms - request.arrival_ms
-    return Answered(
+    return RequestOutcome(
         request=request,
         result=result,
         took_ms=waited_ms + service_ms + 4 * LINK_MS,
@@ -162,7 +167,7 @@
         self._slow = slow or {}
         self._trace = {request.request: request for request in trace}
         self._first_send_ms: dict[ids.RequestId, int] = {}
-        self._answers: dict[ids.RequestId, Answered] = {}
+        self._answers: dict[ids.RequestId, RequestOutcome] = {}
         self._offered_by: dict[ids.RequestId, ids.VmId] = {}
         self._used: dict[ids.RunnerId, int] = {}
         self._slots: dict[ids.RunnerId, int] = {}
@@ -179,7 +184,7 @@
             self._at(0, self._heartbeats)
         self._end_ms = trace[-1].arrival_ms if trace else 0
 
-    def run(self) -> list[Answered]:
+    def run(self) -> list[RequestOutcome]:
         """Handles every event.
 
         Returns:
@@ -190,7 +195,7 @@
             action(now_ms)
         return [
             self._answers.get(name)
-            or Answered(
+            or RequestOutcome(
                 request=request,
                 result=None,
                 took_ms=TIMEOUT_MS,
@@ -350,7 +355,7 @@
         now_ms: int,
     ) -> None:
         sent_ms = self._first_send_ms.get(request.request, now_ms)
-        self._answers[request.request] = Answered(
+        self._answers[request.request] = RequestOutcome(
             request=request,
             result=result,
             took_ms=now_ms - request.arrival_ms + 2 * LINK_MS,
--- a/citronmount/bench/request_workload.py
+++ b/citronmount/bench/request_workload.py
@@ -8,7 +8,7 @@
 from citronmount.clients import messages
 from citronmount.core import ids
 
-__all__ = ["RequestSite", "TracedRequest", "perchero_site", "requests"]
+__all__ = ["RequestSite", "TracedRequest", "perchero_site", "make_requests"]
 
 SLOTS = 8
 CONNECTIONS = 60
@@ -90,7 +90,7 @@
     )
 
 
-def requests(
+def make_requests(
     site: RequestSite, seed: int, *, load: float, seconds: float
 ) -> tuple[TracedRequest, ...]:
     """Returns requests at a share of what all slots can serve.
@@ -107,7 +107,7 @@
     Returns:
         The requests by arrival.
     """
-    rng = workload.stream("requests", seed)
+    rng = workload.random_stream("requests", seed)
     mean_ms = sum(_draw(rng)[1] for _ in range(MEAN_SAMPLES)) / MEAN_SAMPLES
     count = load * site.slots * seconds * 1_000 / mean_ms
     domains = list(site.runners)
@@ -115,7 +115,7 @@
     made = []
     end_ms = round(seconds * 1_000)
     for number, at_ms in enumerate(
-        workload.poisson_times(rng, 0, end_ms, count)
+        workload.poisson_arrivals_ms(rng, 0, end_ms, count)
     ):
         kind, service_ms = _draw(rng)
         domain = rng.choices(domains, weights)[0]
@@ -138,4 +138,6 @@
     kind, _, median_ms, sigma = rng.choices(
         _KINDS, [kind[1] for kind in _KINDS]
     )[0]
-    return kind, max(1, round(workload.skewed(rng, median_ms, sigma)))
+    return kind, max(
+        1, round(workload.sample_log_normal(rng, median_ms, sigma))
+    )
--- a/citronmount/bench/sites.py
+++ b/citronmount/bench/sites.py
@@ -14,7 +14,7 @@
     "Site",
     "hanbit",
     "perchero",
-    "private",
+    "private_pool_site",
     "set_domain_state",
     "two_year",
 ]
@@ -239,7 +239,7 @@
     return Site(configuration=configuration, workers=tuple(workers))
 
 
-def private(site: Site, account: ids.AccountId) -> Site:
+def private_pool_site(site: Site, account: ids.AccountId) -> Site:
     """Returns a pool of exactly the shapes guaranteed to one account.
 
     Each gang of whole workers gets a rack of its own; each copy of a smaller
--- a/citronmount/bench/suite.py
+++ b/citronmount/bench/suite.py
@@ -2,7 +2,7 @@
 
 import importlib
 
-__all__ = ["load"]
+__all__ = ["load_benches"]
 
 _MODULES = (
     "burst",
@@ -15,7 +15,7 @@
 )
 
 
-def load() -> None:
+def load_benches() -> None:
     """Imports the modules of all benches, so that they register."""
     for name in _MODULES:
         importlib.import_module(f"citronmount.bench.{name}")
--- a/citronmount/bench/tests/test_accounting.py
+++ b/citronmount/bench/tests/test_accounting.py
@@ -22,7 +22,7 @@
         # 10 s at 1, 10 s at 2 of 4, then 20 left over at 2 a second.
         for horizon_s, done in ((10, 10), (20, 30), (25, 40), (40, 50)):
             with self.subTest(horizon_s=horizon_s):
-                allowed = accounting.allowed_work_s(
+                allowed = accounting.work_upper_bound_s(
                     demand, capacity, horizon_s * 1_000
                 )
                 self.assertEqual(allowed, done)
@@ -31,14 +31,14 @@
 class ServedSharesTest(unittest.TestCase):
     def _short(self, held_a: int, queued_a: int) -> float:
         a, b = ids.AccountId("a"), ids.AccountId("b")
-        shares = accounting.ServedShares(guaranteed={a: 2, b: 2})
-        shares.capacity(10)
-        shares.hold(a, held_a)
-        shares.hold(b, 10 - held_a)
-        shares.queue(a, queued_a, 1)
-        shares.queue(b, 1, 5)
+        shares = accounting.FairShareTracker(guaranteed={a: 2, b: 2})
+        shares.set_capacity(10)
+        shares.record_allocated(a, held_a)
+        shares.record_allocated(b, 10 - held_a)
+        shares.record_queued(a, queued_a, 1)
+        shares.record_queued(b, 1, 5)
         shares.advance(1_000)
-        due, short = shares.totals()[a]
+        due, short = shares.due_and_short_s()[a]
         return short / due
 
     def test_even_shares_are_not_short(self):
@@ -57,22 +57,22 @@
         usage = pool_usage.PoolUsage(workers=sites.hanbit().workers)
         domain = ids.FailureDomainId("kr-central-b")
         half = jobs.Resources(accelerators=4, cores=32, memory_gb=64)
-        for worker in usage.by_domain[domain]:
+        for worker in usage.workers_by_domain[domain]:
             spec = jobs.JobSpec(
                 job=ids.JobId("j"), account=ids.AccountId("ara"), per_task=half
             )
             group = jobs.TaskGroup(worker=worker, tasks=1)
-            usage.take(spec, jobs.Placement(groups=(group,)), 1)
-        wide = pool_usage.Shape(
+            usage.update_allocation(spec, jobs.Placement(groups=(group,)), 1)
+        wide = pool_usage.GangShape(
             tasks=1,
             per_task=sites.HANBIT_WORKER,
             adjacency=states.Adjacency.WORKER,
         )
-        narrow = pool_usage.Shape(
+        narrow = pool_usage.GangShape(
             tasks=2, per_task=half, adjacency=states.Adjacency.RACK
         )
-        samples = pool_usage.Fragmentation()
-        samples.sample(usage, domain, {wide: 1.0, narrow: 3.0})
+        samples = pool_usage.FragmentationMean()
+        samples.add_sample(usage, domain, {wide: 1.0, narrow: 3.0})
         self.assertEqual(samples.ratio, 0.25)
 
     def test_partial_or_overfull_gangs_are_caught(self):
@@ -84,7 +84,9 @@
             )
             group = jobs.TaskGroup(worker=worker, tasks=placed)
             with self.assertRaises(ValueError):
-                usage.take(spec, jobs.Placement(groups=(group,)), 1)
+                usage.update_allocation(
+                    spec, jobs.Placement(groups=(group,)), 1
+                )
 
 
 class PercentilesTest(unittest.TestCase):
--- a/citronmount/bench/timings.py
+++ b/citronmount/bench/timings.py
@@ -119,7 +119,7 @@
     scheduler.set_workers(_domain_workers(site))
     total = scheduler.free_accelerators()
     now_ms = 0
-    for number, job in enumerate(two_year.trace(seed, 96.0, team_scale)):
+    for number, job in enumerate(two_year.make_trace(seed, 96.0, team_scale)):
         if scheduler.free_accelerators() < (1 - FILL_SHARE) * total:
             break
         spec = msgspec.structs.replace(
--- a/citronmount/bench/two_year.py
+++ b/citronmount/bench/two_year.py
@@ -1,7 +1,7 @@
 """The bench of a day at the size of the two-year plan."""
 
+from citronmount.bench import job_mix
 from citronmount.bench import metrics
-from citronmount.bench import mixed
 from citronmount.bench import registry
 from citronmount.bench import replay
 from citronmount.bench import report
@@ -10,12 +10,12 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["URGENT_START_S", "run", "trace"]
+__all__ = ["MAX_URGENT_WAIT_S", "run", "make_trace"]
 
 JOBS_A_DAY = 4_600
 HOURS = 24.0
 URGENT_SHARE = 0.03
-URGENT_START_S = 1.6
+MAX_URGENT_WAIT_S = 1.6
 SAMPLE_MS = 20 * workload.MINUTE_MS
 _SMALL = jobs.Resources(accelerators=1, cores=2, memory_gb=8)
 _PAIR = jobs.Resources(accelerators=2, cores=8, memory_gb=24)
@@ -28,7 +28,7 @@
 )
 
 
-def trace(
+def make_trace(
     seed: int, hours: float, scale: float
 ) -> tuple[workload.TracedJob, ...]:
     """Returns the jobs of all teams.
@@ -41,34 +41,38 @@
     Returns:
         The jobs by arrival.
     """
-    rng = workload.stream("two-year", seed)
+    rng = workload.random_stream("two-year", seed)
     accounts = [a.name for a in sites.two_year(scale).configuration.accounts]
     weights = [1 / (rank + 10) for rank in range(len(accounts))]
     shares = [shape[1] for shape in _SHAPES]
     made = []
     count = JOBS_A_DAY * scale * hours / 24
     end_ms = round(hours * workload.HOUR_MS)
-    for at_ms in workload.poisson_times(rng, 0, end_ms, count):
+    for at_ms in workload.poisson_arrivals_ms(rng, 0, end_ms, count):
         kind, _, tasks, per_task = rng.choices(_SHAPES, shares)[0]
         urgent = kind == "single" and rng.random() < URGENT_SHARE * 4
         made.append(
-            workload.traced(
+            workload.make_job(
                 account=rng.choices(accounts, weights)[0],
                 kind="urgent" if urgent else kind,
                 arrival_ms=at_ms,
-                true_run_s=workload.skewed(rng, 14_400.0, 0.9, 86_400.0),
+                true_run_s=workload.sample_log_normal(
+                    rng, 14_400.0, 0.9, 86_400.0
+                ),
                 tasks=1 if urgent else rng.choice(tasks),
                 per_task=per_task,
                 adjacency=states.Adjacency.FAILURE_DOMAIN,
-                declared_s=workload.skewed(rng, 18_000.0, 0.8, 172_800.0),
+                declared_s=workload.sample_log_normal(
+                    rng, 18_000.0, 0.8, 172_800.0
+                ),
                 urgent=urgent,
                 checkpoint_ms=rng.randrange(200, 20_000),
             )
         )
-    return mixed.by_arrival(made)
+    return job_mix.merge_by_arrival(made)
 
 
-@registry.bench("two-year")
+@registry.register("two-year")
 def run(
     seed: int,
     policies: tuple[str, ...],
@@ -86,7 +90,7 @@
     Returns:
         The report, with the bar of urgent starts.
     """
-    jobs_of = trace(seed, hours, scale)
+    jobs_of = make_trace(seed, hours, scale)
     replays = {
         policy: replay.Replay(
             site=sites.two_year(scale),
@@ -102,7 +106,7 @@
             "urgent_wait_p99_s",
             policy,
             _urgent_wait_s(run_replay),
-            URGENT_START_S,
+            MAX_URGENT_WAIT_S,
         )
         for policy, run_replay in replays.items()
         if policy == "citron"
@@ -120,6 +124,7 @@
     waits = [
         metrics.wait_s(job, run_replay.horizon_ms)
         for job in run_replay.jobs
-        if job.job.kind == "urgent" and job.spec.account in run_replay.paying
+        if job.job.kind == "urgent"
+        and job.spec.account in run_replay.paying_accounts
     ]
     return report.percentile(sorted(waits), 0.99)
--- a/citronmount/bench/workload.py
+++ b/citronmount/bench/workload.py
@@ -15,17 +15,17 @@
     "MINUTE_MS",
     "SECOND_MS",
     "TracedJob",
-    "poisson_times",
-    "skewed",
-    "stream",
-    "traced",
+    "poisson_arrivals_ms",
+    "sample_log_normal",
+    "random_stream",
+    "make_job",
 ]
 
 SECOND_MS = 1_000
 MINUTE_MS = 60 * SECOND_MS
 HOUR_MS = 60 * MINUTE_MS
 DAY_MS = 24 * HOUR_MS
-UNROUTED = ids.FailureDomainId("unrouted")
+UNROUTED_DOMAIN = ids.FailureDomainId("unrouted")
 
 
 class TracedJob(msgspec.Struct, frozen=True, kw_only=True):
@@ -55,7 +55,7 @@
         return self.spec.accelerators * self.true_run_s
 
 
-def stream(name: str, seed: int) -> random.Random:
+def random_stream(name: str, seed: int) -> random.Random:
     """Returns the random stream of one part of a workload.
 
     Args:
@@ -68,7 +68,7 @@
     return random.Random(f"{name}/{seed}")
 
 
-def poisson_times(
+def poisson_arrivals_ms(
     rng: random.Random, start_ms: int, end_ms: int, count: float
 ) -> list[int]:
     """Returns the times of a Poisson process.
@@ -91,7 +91,7 @@
     return times
 
 
-def skewed(
+def sample_log_normal(
     rng: random.Random, median: float, sigma: float, high: float = math.inf
 ) -> float:
     """Returns a log-normal sample.
@@ -108,7 +108,7 @@
     return min(high, median * math.exp(rng.gauss(0, sigma)))
 
 
-def traced(
+def make_job(
     *,
     account: str,
     kind: str,
@@ -145,7 +145,7 @@
         The job.
     """
     spec = jobs.JobSpec(
-        job=ids.job_id(UNROUTED, ""),
+        job=ids.job_id(UNROUTED_DOMAIN, ""),
         account=ids.AccountId(account),
         tasks=tasks,
         per_task=per_task,
