--- a/citronmount/bench/burst.py
+++ b/citronmount/bench/burst.py
@@ -3,10 +3,10 @@
 import msgspec
 
 from citronmount.bench import job_mix
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
 from citronmount.bench import private_pool
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import report
 from citronmount.bench import sites
 from citronmount.bench import workload
@@ -26,7 +26,7 @@
 QUIET_MEMBERS = ("chorok", "dalbit")
 
 
-def _small(seed: int, count: int) -> list[workload.TracedJob]:
+def _make_small_burst(seed: int, count: int) -> list[workload.TracedJob]:
     rng = workload.random_stream("small burst", seed)
     burst = [
         workload.make_job(
@@ -48,7 +48,7 @@
     ]
 
 
-def _large(seed: int, count: int) -> list[workload.TracedJob]:
+def _make_large_burst(seed: int, count: int) -> list[workload.TracedJob]:
     rng = workload.random_stream("large burst", seed)
     return [
         workload.make_job(
@@ -65,7 +65,7 @@
     ]
 
 
-@registry.register("burst")
+@registry.bench("burst")
 def run(
     seed: int, policies: tuple[str, ...], scale: float = 1.0
 ) -> report.BenchReport:
@@ -85,12 +85,12 @@
         job_mix.make_steady_jobs(
             "burst", seed, hours=HOURS, jobs_per_hour=JOBS_PER_HOUR
         ),
-        _small(seed, round(SMALL_JOBS * scale)),
-        _large(seed, round(LARGE_JOBS * scale)),
+        _make_small_burst(seed, round(SMALL_JOBS * scale)),
+        _make_large_burst(seed, round(LARGE_JOBS * scale)),
     )
     horizon_ms = round((HOURS + 2) * workload.HOUR_MS)
     replays = {
-        policy: replay.Replay(
+        policy: job_replay.Replay(
             site=site, trace=trace, policy=policy, horizon_ms=horizon_ms
         ).run()
         for policy in policies
--- a/citronmount/bench/domain_out.py
+++ b/citronmount/bench/domain_out.py
@@ -1,9 +1,9 @@
 """The bench of a failure domain that leaves and returns under full load."""
 
 from citronmount.bench import job_mix
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import replay_events
 from citronmount.bench import report
 from citronmount.bench import sites
@@ -19,7 +19,7 @@
 WORK_DONE_BOUND = 0.95
 
 
-@registry.register("domain-out")
+@registry.bench("domain-out")
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 12.0
 ) -> report.BenchReport:
@@ -54,7 +54,7 @@
         )
     )
     replays = {
-        policy: replay.Replay(
+        policy: job_replay.Replay(
             site=site,
             trace=trace,
             policy=policy,
--- a/citronmount/bench/failing_workers.py
+++ b/citronmount/bench/failing_workers.py
@@ -3,9 +3,9 @@
 import msgspec
 
 from citronmount.bench import job_mix
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import replay_events
 from citronmount.bench import report
 from citronmount.bench import sites
@@ -28,7 +28,7 @@
 FAILING_JOBS_SHARE = 0.02
 
 
-def _some_fail(
+def _mark_failing_jobs(
     trace: tuple[workload.TracedJob, ...], seed: int
 ) -> tuple[workload.TracedJob, ...]:
     rng = workload.random_stream("failing jobs", seed)
@@ -38,7 +38,7 @@
     )
 
 
-@registry.register("failing-workers")
+@registry.bench("failing-workers")
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 6.0
 ) -> report.BenchReport:
@@ -52,7 +52,7 @@
     Returns:
         The report; the bar asks that no healthy job is given up.
     """
-    trace = _some_fail(
+    trace = _mark_failing_jobs(
         job_mix.merge_by_arrival(
             job_mix.make_steady_jobs(
                 "failing", seed, hours=hours, jobs_per_hour=JOBS_PER_HOUR
@@ -69,7 +69,7 @@
         for worker in BROKEN
     )
     replays = {
-        policy: replay.Replay(
+        policy: job_replay.Replay(
             site=sites.hanbit(),
             trace=trace,
             policy=policy,
@@ -83,14 +83,14 @@
         seed=seed,
         metrics={p: metrics.policy_metrics(r) for p, r in replays.items()},
         bars=tuple(
-            report.at_most("healthy_jobs_failed", p, _wronged(r), 0)
+            report.at_most("healthy_jobs_failed", p, _healthy_jobs_failed(r), 0)
             for p, r in replays.items()
             if p == "citron"
         ),
     )
 
 
-def _wronged(run_replay: replay.Replay) -> int:
+def _healthy_jobs_failed(run_replay: job_replay.Replay) -> int:
     """Returns how many jobs that could run ended without being done."""
     return sum(
         job.code is not None and not job.job.fails and job.progress < 1.0
--- a/citronmount/bench/hanbit.py
+++ b/citronmount/bench/hanbit.py
@@ -2,10 +2,10 @@
 
 import itertools
 
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
 from citronmount.bench import private_pool
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import report
 from citronmount.bench import sites
 from citronmount.bench import workload
@@ -19,9 +19,9 @@
 STORES_OPEN_MS = 32 * workload.HOUR_MS
 REBUILDS = {"ara": 6, "bora": 6, "chorok": 4, "dalbit": 4}
 BURST_SIZES = {"ara": 300, "bora": 200, "chorok": 100, "dalbit": 100}
-BURSTS_A_DAY = 6
-HEALTH_CHECKS_A_DAY = 400
-TRIALS_A_DAY = 80
+BURSTS_PER_DAY = 6
+HEALTH_CHECKS_PER_DAY = 400
+TRIALS_PER_DAY = 80
 FRAGMENTATION_SHARE_OF_BEST_FIT = 0.5
 SERVED_LAG_BOUND = 0.1
 _WORKER = sites.HANBIT_WORKER
@@ -29,7 +29,7 @@
 _TWO = jobs.Resources(accelerators=2, cores=16, memory_gb=32)
 
 
-def _rebuilds(seed: int, days: int) -> list[workload.TracedJob]:
+def _make_rebuilds(seed: int, days: int) -> list[workload.TracedJob]:
     rng = workload.random_stream("rebuilds", seed)
     return [
         workload.make_job(
@@ -52,7 +52,7 @@
     ]
 
 
-def _health_checks(
+def _make_health_checks(
     seed: int, days: int, scale: float
 ) -> list[workload.TracedJob]:
     rng = workload.random_stream("health checks", seed)
@@ -73,7 +73,7 @@
             rng,
             0,
             days * workload.DAY_MS,
-            days * scale * HEALTH_CHECKS_A_DAY,
+            days * scale * HEALTH_CHECKS_PER_DAY,
         )
     ]
 
@@ -95,7 +95,7 @@
     starts = [
         (member, size, rng.randrange(days * workload.DAY_MS))
         for member, size in BURST_SIZES.items()
-        for _ in range(BURSTS_A_DAY * days)
+        for _ in range(BURSTS_PER_DAY * days)
     ]
     return [
         workload.make_job(
@@ -136,7 +136,7 @@
             declared_s=10_800.0,
         )
         for at_ms in workload.poisson_arrivals_ms(
-            rng, 0, days * workload.DAY_MS, days * TRIALS_A_DAY
+            rng, 0, days * workload.DAY_MS, days * TRIALS_PER_DAY
         )
     ]
 
@@ -155,8 +155,8 @@
         The jobs by arrival.
     """
     parts = (
-        _rebuilds(seed, days),
-        _health_checks(seed, days, scale),
+        _make_rebuilds(seed, days),
+        _make_health_checks(seed, days, scale),
         make_label_bursts(seed, days, scale),
         make_trial_jobs(seed, days),
     )
@@ -168,7 +168,7 @@
     )
 
 
-@registry.register("hanbit")
+@registry.bench("hanbit")
 def run(
     seed: int,
     policies: tuple[str, ...],
@@ -187,13 +187,13 @@
         The report, with the bars of guarantees, fragmentation and fairness.
     """
     site = sites.hanbit()
-    jobs_of = make_trace(seed, days, scale)
+    trace = make_trace(seed, days, scale)
     horizon_ms = (
         (days - 1) * workload.DAY_MS + STORES_OPEN_MS + 4 * workload.HOUR_MS
     )
     replays = {
-        policy: replay.Replay(
-            site=site, trace=jobs_of, policy=policy, horizon_ms=horizon_ms
+        policy: job_replay.Replay(
+            site=site, trace=trace, policy=policy, horizon_ms=horizon_ms
         ).run()
         for policy in policies
     }
@@ -201,19 +201,19 @@
         bench="hanbit",
         seed=seed,
         metrics={p: metrics.policy_metrics(r) for p, r in replays.items()},
-        bars=tuple(_bars(site, jobs_of, replays)),
+        bars=tuple(_bars(site, trace, replays)),
     )
 
 
 def _bars(
     site: sites.Site,
-    jobs_of: tuple[workload.TracedJob, ...],
-    replays: dict[str, replay.Replay],
+    trace: tuple[workload.TracedJob, ...],
+    replays: dict[str, job_replay.Replay],
 ) -> list[report.Bar]:
     ours = replays.get("citron")
     if ours is None:
         return []
-    bars = private_pool.wait_bars(site, jobs_of, ours, tuple(REBUILDS))
+    bars = private_pool.wait_bars(site, trace, ours, tuple(REBUILDS))
     if "best_fit" in replays:
         best_fit = replays["best_fit"]
         pairs = {
--- a/citronmount/bench/replay.py
+++ b/citronmount/bench/job_replay.py
@@ -32,8 +32,8 @@
 MAX_ATTEMPTS = 60
 MOVE_PERIOD_MS = 10_000
 MOVES_PER_PERIOD = 50
-PATIENCE_MS = 1_000
-RETRY_MOVE_MS = 10_000
+MIN_WAIT_BEFORE_MOVE_MS = 1_000
+MOVE_RETRY_MS = 10_000
 
 
 class Replay:
@@ -62,10 +62,10 @@
         self.policy = policy
         self.horizon_ms = horizon_ms
         self.configuration = site.configuration
-        self._ledger = replay_usage.UsageRecorder(site=site)
-        self.usage = self._ledger.usage
-        self.capacity = self._ledger.capacity
-        self.fair_shares = self._ledger.fair_shares
+        self._recorder = replay_usage.UsageRecorder(site=site)
+        self.usage = self._recorder.usage
+        self.capacity = self._recorder.capacity
+        self.fair_shares = self._recorder.fair_shares
         self.jobs = [
             replay_events.ReplayedJob(job=job, spec=job.spec) for job in trace
         ]
@@ -80,14 +80,14 @@
         self.max_grace_ms = 0
         self._out_since_ms: dict[ids.FailureDomainId, int] = {}
         self._sample_ms = sample_ms
-        self._broken: set[ids.WorkerId] = set()
-        self._by_id: dict[ids.JobId, int] = {}
+        self._broken_workers: set[ids.WorkerId] = set()
+        self._job_numbers: dict[ids.JobId, int] = {}
         self._queued: dict[ids.FailureDomainId, set[int]] = {
             d: set() for d in site.domains
         }
         self._heap: list[tuple[int, int, object]] = []
         self._sequence = itertools.count()
-        self._tried_ms: dict[int, int] = {}
+        self._move_tried_ms: dict[int, int] = {}
         self._schedulers = {
             d: scheduler_lib.DomainScheduler(failure_domain=d, policy=policy)
             for d in site.domains
@@ -100,7 +100,7 @@
             scheduler.set_workers(
                 tuple(w for w in site.workers if w.failure_domain == domain)
             )
-            self._ledger.update_capacity(domain, 0)
+            self._recorder.update_capacity(domain, 0)
         self._schedule_all(changes)
 
     def run(self) -> "Replay":
@@ -116,7 +116,7 @@
                 touched |= self._handle(heapq.heappop(self._heap)[2], now_ms)
             for domain in sorted(touched):
                 self._decide(domain, now_ms)
-        self._ledger.advance(self.horizon_ms)
+        self._recorder.advance(self.horizon_ms)
         return self
 
     def _schedule_all(
@@ -152,7 +152,7 @@
         """
         return _HANDLERS[type(event)](self, event, now_ms)
 
-    def _arrive(
+    def _submit(
         self, event: replay_events.SubmitJob, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
@@ -162,7 +162,7 @@
         if domain is None:
             self._push(now_ms + RESUBMIT_MS, event)
             return set()
-        self._home(event.number, domain)
+        self._assign_domain(event.number, domain)
         refusal = self._schedulers[domain].submit(job.spec, now_ms)
         if refusal is None:
             self._enqueue(event.number, now_ms)
@@ -175,7 +175,7 @@
             self._end(job, refusal.code, now_ms)
         return set()
 
-    def _move_waiting(
+    def _move_queued(
         self, event: replay_events.MoveQueuedJobs, now_ms: int
     ) -> set[ids.FailureDomainId]:
         """Moves queued jobs to failure domains that would start them."""
@@ -189,17 +189,18 @@
                 for number in sorted(numbers, key=self._last_tried)
                 if self.jobs[number].first_start_ms is None
                 and self.jobs[number].spec.job in movable
-                and now_ms - self.jobs[number].job.arrival_ms >= PATIENCE_MS
-                and now_ms - self._tried_ms.get(number, -RETRY_MOVE_MS)
-                >= RETRY_MOVE_MS
+                and now_ms - self.jobs[number].job.arrival_ms
+                >= MIN_WAIT_BEFORE_MOVE_MS
+                and now_ms - self._move_tried_ms.get(number, -MOVE_RETRY_MS)
+                >= MOVE_RETRY_MS
             ]
             for number in due[:MOVES_PER_PERIOD]:
-                self._tried_ms[number] = now_ms
+                self._move_tried_ms[number] = now_ms
                 self._try_move(number, domain, now_ms)
         return set()
 
     def _last_tried(self, number: int) -> tuple[int, int]:
-        return self._tried_ms.get(number, 0), number
+        return self._move_tried_ms.get(number, 0), number
 
     def _try_move(
         self, number: int, domain: ids.FailureDomainId, now_ms: int
@@ -212,33 +213,33 @@
         job.moves += 1
         self._schedulers[domain].cancel(job.spec.job)
         self._dequeue(number, now_ms)
-        self._home(number, to)
+        self._assign_domain(number, to)
         self._schedulers[to].restore(job.spec, now_ms, progress=job.progress)
         self._enqueue(number, now_ms)
         self._decide(to, now_ms)
 
-    def _home(self, number: int, domain: ids.FailureDomainId) -> None:
+    def _assign_domain(self, number: int, domain: ids.FailureDomainId) -> None:
         job = self.jobs[number]
         name = ids.job_id(domain, f"{number:06d}")
         job.spec = msgspec.structs.replace(job.spec, job=name)
         job.domain = domain
-        self._by_id[name] = number
+        self._job_numbers[name] = number
 
     def _enqueue(self, number: int, now_ms: int) -> None:
         job = self.jobs[number]
         self._router.record_change(job.domain)
         self._queued[job.domain].add(number)
-        self._ledger.record_queued(job.domain, job.spec, 1, now_ms)
+        self._recorder.record_queued(job.domain, job.spec, 1, now_ms)
 
     def _dequeue(self, number: int, now_ms: int) -> None:
         job = self.jobs[number]
         self._router.record_change(job.domain)
         self._queued[job.domain].remove(number)
-        self._ledger.record_queued(job.domain, job.spec, -1, now_ms)
+        self._recorder.record_queued(job.domain, job.spec, -1, now_ms)
 
     def _decide(self, domain: ids.FailureDomainId, now_ms: int) -> None:
         for decision in self._schedulers[domain].decide(now_ms):
-            number = self._by_id[decision.job]
+            number = self._job_numbers[decision.job]
             if isinstance(decision, decisions.PlaceJob):
                 self._place(number, decision.placement, now_ms)
             elif isinstance(decision, decisions.EvictJob):
@@ -252,7 +253,7 @@
     ) -> None:
         job = self.jobs[number]
         self._dequeue(number, now_ms)
-        self._ledger.record_placed(job.domain, job.spec, placement)
+        self._recorder.record_placed(job.domain, job.spec, placement)
         job.placement = placement
         job.attempts += 1
         self.counts["placements"] += 1
@@ -263,15 +264,15 @@
         self, number: int, decision: decisions.EvictJob, now_ms: int
     ) -> None:
         job = self.jobs[number]
-        beneficiary = self._by_id.get(decision.beneficiary)
+        beneficiary = self._job_numbers.get(decision.beneficiary)
         if beneficiary is not None:
             self.jobs[beneficiary].waited_reclaim = True
         self.max_grace_ms = max(self.max_grace_ms, decision.grace_ms)
         self.counts["evictions"] += 1
         job.evictions += 1
-        self._stop(number, decision.grace_ms, now_ms)
+        self._begin_stop(number, decision.grace_ms, now_ms)
 
-    def _stop(self, number: int, grace_ms: int, now_ms: int) -> None:
+    def _begin_stop(self, number: int, grace_ms: int, now_ms: int) -> None:
         job = self.jobs[number]
         if job.evicting:
             return
@@ -285,7 +286,7 @@
         )
         self._push(end_ms, event)
 
-    def _run(
+    def _start_gang(
         self, event: replay_events.StartGang, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
@@ -294,10 +295,10 @@
         culprits = tuple(
             group.worker
             for group in job.placement.groups
-            if job.job.fails or group.worker in self._broken
+            if job.job.fails or group.worker in self._broken_workers
         )
         if culprits:
-            return self._fail(event.number, culprits, now_ms)
+            return self._fail_start(event.number, culprits, now_ms)
         job.started_ms = now_ms
         out_ms = self._out_since_ms.get(job.domain, now_ms)
         self.late_starts += now_ms > out_ms + START_DELAY_MS
@@ -311,12 +312,12 @@
         self._push(now_ms + max(1, round(left_s * 1_000)), finish)
         return set()
 
-    def _fail(
+    def _fail_start(
         self, number: int, culprits: tuple[ids.WorkerId, ...], now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[number]
         self.counts["failed_starts"] += 1
-        self._vacate(job, now_ms)
+        self._release(job, now_ms)
         final = self._schedulers[job.domain].attempt_ended(
             job.spec.job,
             decisions.AttemptEnd.FAILED_TO_START,
@@ -341,7 +342,7 @@
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
             return set()
-        self._vacate(job, now_ms)
+        self._release(job, now_ms)
         job.progress = 1.0
         self._schedulers[job.domain].attempt_ended(
             job.spec.job, decisions.AttemptEnd.DONE, now_ms
@@ -349,7 +350,7 @@
         self._end(job, codes.ResultCode.DONE, now_ms)
         return {job.domain}
 
-    def _evicted(
+    def _stop_evicted(
         self, event: replay_events.StopEvictedJob, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
@@ -357,9 +358,9 @@
             return set()
         lost = job.progress_at(now_ms) - event.progress
         self.counts["lost_work_s"] += round(lost * job.job.work_s)
-        self._vacate(job, now_ms)
+        self._release(job, now_ms)
         job.progress = event.progress
-        out = self._ledger.is_out_of_service(job.domain)
+        out = self._recorder.is_out_of_service(job.domain)
         self._schedulers[job.domain].attempt_ended(
             job.spec.job,
             decisions.AttemptEnd.EVICTED,
@@ -368,12 +369,12 @@
             progress=event.progress,
         )
         if out:
-            return self._move(event.number, now_ms) | {job.domain}
+            return self._requeue_elsewhere(event.number, now_ms) | {job.domain}
         self._enqueue(event.number, now_ms)
         return {job.domain}
 
-    def _vacate(self, job: replay_events.ReplayedJob, now_ms: int) -> None:
-        self._ledger.record_released(
+    def _release(self, job: replay_events.ReplayedJob, now_ms: int) -> None:
+        self._recorder.record_released(
             job.domain, job.spec, job.placement, now_ms
         )
         self._router.record_change(job.domain)
@@ -402,7 +403,7 @@
             self._dequeue(event.number, now_ms)
             self._end(job, codes.ResultCode.CANCELLED_NOT_RUN, now_ms)
         elif job.placement is not None:
-            self._vacate(job, now_ms)
+            self._release(job, now_ms)
             self._schedulers[job.domain].attempt_ended(
                 job.spec.job, decisions.AttemptEnd.CANCELLED, now_ms
             )
@@ -416,11 +417,11 @@
         self, event: replay_events.ApplyConfiguration, now_ms: int
     ) -> set[ids.FailureDomainId]:
         self.configuration = event.configuration
-        self._ledger.configuration = event.configuration
+        self._recorder.configuration = event.configuration
         self._router.set_configuration(event.configuration)
         for domain, scheduler in self._schedulers.items():
             scheduler.set_configuration(event.configuration)
-            self._ledger.update_capacity(domain, now_ms)
+            self._recorder.update_capacity(domain, now_ms)
         touched = set(self._schedulers)
         self._out_since_ms = {
             d.name: self._out_since_ms.get(d.name, now_ms)
@@ -428,14 +429,16 @@
             if d.state is states.FailureDomainState.OUT
         }
         for domain in self._schedulers:
-            if self._ledger.is_out_of_service(domain):
+            if self._recorder.is_out_of_service(domain):
                 for number in sorted(self._queued[domain]):
                     self._schedulers[domain].cancel(self.jobs[number].spec.job)
                     self._dequeue(number, now_ms)
-                    self._move(number, now_ms)
+                    self._requeue_elsewhere(number, now_ms)
         return touched
 
-    def _move(self, number: int, now_ms: int) -> set[ids.FailureDomainId]:
+    def _requeue_elsewhere(
+        self, number: int, now_ms: int
+    ) -> set[ids.FailureDomainId]:
         """Queues a job again in a failure domain that is in service."""
         job = self.jobs[number]
         domain = self._router.route(job.spec, now_ms)
@@ -444,7 +447,7 @@
                 now_ms + RESUBMIT_MS, replay_events.SubmitJob(number=number)
             )
             return set()
-        self._home(number, domain)
+        self._assign_domain(number, domain)
         self._schedulers[domain].restore(
             job.spec, now_ms, progress=job.progress
         )
@@ -456,19 +459,19 @@
     ) -> set[ids.FailureDomainId]:
         for number, job in enumerate(self.jobs):
             if job.domain == event.domain and job.placement is not None:
-                self._stop(number, job.job.checkpoint_ms, now_ms)
+                self._begin_stop(number, job.job.checkpoint_ms, now_ms)
         return set()
 
-    def _break(
+    def _break_worker(
         self, event: replay_events.BreakWorker, now_ms: int
     ) -> set[ids.FailureDomainId]:
-        self._broken.add(event.worker)
+        self._broken_workers.add(event.worker)
         return set()
 
-    def _heal(
+    def _repair_worker(
         self, event: replay_events.RepairWorker, now_ms: int
     ) -> set[ids.FailureDomainId]:
-        self._broken.discard(event.worker)
+        self._broken_workers.discard(event.worker)
         return set()
 
     def _tick(
@@ -482,7 +485,7 @@
     ) -> set[ids.FailureDomainId]:
         self._push(now_ms + self._sample_ms, event)
         for domain, numbers in self._queued.items():
-            if self._ledger.is_out_of_service(domain):
+            if self._recorder.is_out_of_service(domain):
                 continue
             self.arrival_fragmentation.add_sample(
                 self.usage, domain, self.arrival_mix
@@ -495,16 +498,16 @@
 
 
 _HANDLERS = {
-    replay_events.SubmitJob: Replay._arrive,
+    replay_events.SubmitJob: Replay._submit,
     replay_events.CancelJob: Replay._cancel,
-    replay_events.StartGang: Replay._run,
+    replay_events.StartGang: Replay._start_gang,
     replay_events.FinishJob: Replay._finish,
-    replay_events.StopEvictedJob: Replay._evicted,
+    replay_events.StopEvictedJob: Replay._stop_evicted,
     replay_events.Tick: Replay._tick,
-    replay_events.MoveQueuedJobs: Replay._move_waiting,
+    replay_events.MoveQueuedJobs: Replay._move_queued,
     replay_events.SampleFragmentation: Replay._sample,
     replay_events.ApplyConfiguration: Replay._configure,
     replay_events.PowerDownDomain: Replay._power_down,
-    replay_events.BreakWorker: Replay._break,
-    replay_events.RepairWorker: Replay._heal,
+    replay_events.BreakWorker: Replay._break_worker,
+    replay_events.RepairWorker: Replay._repair_worker,
 }
--- a/citronmount/bench/metrics.py
+++ b/citronmount/bench/metrics.py
@@ -5,7 +5,6 @@
 import math
 
 from citronmount.bench import accounting
-from citronmount.bench import replay as replay_lib
 from citronmount.bench import replay_events
 from citronmount.bench import report
 from citronmount.core import ids
@@ -43,7 +42,7 @@
     return (end_ms - job.job.arrival_ms) / 1_000
 
 
-def _counted(job: replay_events.ReplayedJob, horizon_ms: int) -> bool:
+def _is_counted(job: replay_events.ReplayedJob, horizon_ms: int) -> bool:
     """Whether the job is one that runs to its end if it can."""
     return (
         job.job.cancel_ms is None
@@ -53,7 +52,7 @@
 
 
 def account_waits_s(
-    replay: replay_lib.Replay, account: ids.AccountId
+    replay: job_replay.Replay, account: ids.AccountId
 ) -> dict[int, float]:
     """Returns the waits of an account's jobs.
 
@@ -67,11 +66,11 @@
     return {
         number: wait_s(job, replay.horizon_ms)
         for number, job in enumerate(replay.jobs)
-        if job.spec.account == account and _counted(job, replay.horizon_ms)
+        if job.spec.account == account and _is_counted(job, replay.horizon_ms)
     }
 
 
-def work_done_ratio(replay: replay_lib.Replay) -> float:
+def work_done_ratio(replay: job_replay.Replay) -> float:
     """Returns useful work over the most that the capacity allowed.
 
     Args:
@@ -80,7 +79,7 @@
     Returns:
         A ratio of at most 1.
     """
-    counted = [j for j in replay.jobs if _counted(j, replay.horizon_ms)]
+    counted = [j for j in replay.jobs if _is_counted(j, replay.horizon_ms)]
     done = math.fsum(
         job.progress_at(replay.horizon_ms) * job.job.work_s for job in counted
     )
@@ -92,7 +91,7 @@
     return done / allowed if allowed else 1.0
 
 
-def served_lag(replay: replay_lib.Replay) -> float:
+def served_lag(replay: job_replay.Replay) -> float:
     """Returns how far the worst served paying account fell behind.
 
     Args:
@@ -113,7 +112,7 @@
     )
 
 
-def policy_metrics(replay: replay_lib.Replay) -> report.PolicyMetrics:
+def policy_metrics(replay: job_replay.Replay) -> report.PolicyMetrics:
     """Returns the metrics of a replay.
 
     Args:
@@ -124,7 +123,7 @@
     """
     horizon_ms = replay.horizon_ms
     counted = sorted(
-        (j for j in replay.jobs if _counted(j, horizon_ms)),
+        (j for j in replay.jobs if _is_counted(j, horizon_ms)),
         key=lambda job: job.job.kind,
     )
     kinds = {
--- a/citronmount/bench/misdeclared.py
+++ b/citronmount/bench/misdeclared.py
@@ -3,9 +3,9 @@
 import msgspec
 
 from citronmount.bench import job_mix
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import report
 from citronmount.bench import sites
 from citronmount.bench import workload
@@ -43,7 +43,7 @@
     )
 
 
-@registry.register("misdeclared")
+@registry.bench("misdeclared")
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 8.0
 ) -> report.BenchReport:
@@ -73,7 +73,7 @@
         seed=seed,
         metrics={
             name: metrics.policy_metrics(
-                replay.Replay(
+                job_replay.Replay(
                     site=site,
                     trace=trace,
                     policy=policy,
--- a/citronmount/bench/perchero.py
+++ b/citronmount/bench/perchero.py
@@ -19,7 +19,7 @@
 ALL = "all"
 
 
-@registry.register("perchero")
+@registry.bench("perchero")
 def run(
     seed: int, policies: tuple[str, ...], seconds: float = SECONDS
 ) -> report.BenchReport:
--- a/citronmount/bench/pool_usage.py
+++ b/citronmount/bench/pool_usage.py
@@ -167,12 +167,12 @@
             if usage.usable[name]
         ]
         for shape, weight in mix.items():
-            free, usable = _usable(usage, names, shape)
+            free, usable = _free_and_usable(usage, names, shape)
             self.free += weight * free
             self.unusable += weight * (free - usable)
 
 
-def _usable(
+def _free_and_usable(
     usage: PoolUsage, names: list[ids.WorkerId], shape: GangShape
 ) -> tuple[int, int]:
     """Returns free accelerators where the shape could ever run, and usable.
@@ -184,7 +184,7 @@
     free: dict[str, int] = collections.Counter()
     for name in names:
         worker = usage.workers[name]
-        enclosure = _enclosure(worker, shape.adjacency)
+        enclosure = _scope(worker, shape.adjacency)
         fits[enclosure] += tasks_that_fit(usage.free[name], shape.per_task)
         idle_fits[enclosure] += tasks_that_fit(worker.capacity, shape.per_task)
         free[enclosure] += usage.free[name].accelerators
@@ -196,9 +196,7 @@
     )
 
 
-def _enclosure(
-    worker: messages.ListedTarget, adjacency: states.Adjacency
-) -> str:
+def _scope(worker: messages.ListedTarget, adjacency: states.Adjacency) -> str:
     if adjacency is states.Adjacency.WORKER:
         return worker.name
     if adjacency is states.Adjacency.RACK:
--- a/citronmount/bench/private_pool.py
+++ b/citronmount/bench/private_pool.py
@@ -8,7 +8,6 @@
 import collections
 
 from citronmount.bench import metrics
-from citronmount.bench import replay as replay_lib
 from citronmount.bench import report
 from citronmount.bench import sites
 from citronmount.bench import workload
@@ -21,7 +20,7 @@
 def wait_bars(
     site: sites.Site,
     trace: tuple[workload.TracedJob, ...],
-    shared: replay_lib.Replay,
+    shared: job_replay.Replay,
     accounts: tuple[str, ...],
 ) -> list[report.Bar]:
     """Compares the p99 wait of each account with its private pool.
@@ -46,7 +45,7 @@
 def _bars(
     site: sites.Site,
     trace: tuple[workload.TracedJob, ...],
-    shared: replay_lib.Replay,
+    shared: job_replay.Replay,
     account: ids.AccountId,
 ) -> list[report.Bar]:
     numbers = [
@@ -54,7 +53,7 @@
         for number, job in enumerate(trace)
         if job.spec.account == account
     ]
-    alone = replay_lib.Replay(
+    alone = job_replay.Replay(
         site=sites.private_pool_site(site, account),
         trace=tuple(trace[number] for number in numbers),
         policy=shared.policy,
@@ -74,7 +73,7 @@
 
 
 def _bar(
-    name: str, pairs: list[tuple[float, float]], shared: replay_lib.Replay
+    name: str, pairs: list[tuple[float, float]], shared: job_replay.Replay
 ) -> report.Bar:
     alone_s = report.percentile(sorted(alone for alone, _ in pairs), 0.99)
     here_s = report.percentile(sorted(here for _, here in pairs), 0.99)
--- a/citronmount/bench/registry.py
+++ b/citronmount/bench/registry.py
@@ -6,7 +6,7 @@
 from citronmount.core import codes
 from citronmount.core import errors
 
-__all__ = ["POLICIES", "register", "get", "names"]
+__all__ = ["POLICIES", "bench", "get", "names"]
 
 POLICIES = ("citron", "fifo", "best_fit", "no_backfill")
 
@@ -15,7 +15,7 @@
 _BENCHES: dict[str, Bench] = {}
 
 
-def register(name: str) -> Callable[[Bench], Bench]:
+def bench(name: str) -> Callable[[Bench], Bench]:
     """Registers a bench.
 
     Args:
@@ -25,11 +25,11 @@
         A decorator for a function of the seed and the policies.
     """
 
-    def decorate(function: Bench) -> Bench:
+    def register(function: Bench) -> Bench:
         _BENCHES[name] = function
         return function
 
-    return decorate
+    return register
 
 
 def get(name: str) -> Bench:
--- a/citronmount/bench/replay_routing.py
+++ b/citronmount/bench/replay_routing.py
@@ -38,20 +38,20 @@
         """
         self.configuration = configuration
         self._schedulers = schedulers
-        self._entries = itertools.count()
+        self._entry_counter = itertools.count()
         self._versions: collections.Counter[str] = collections.Counter()
-        self._refused_at: dict[tuple, int] = {}
-        self._allowed: dict[tuple, tuple[ids.FailureDomainId, ...]] = {}
-        self._holding = collections.defaultdict(set)
+        self._refused_versions: dict[tuple, int] = {}
+        self._ranked_domains: dict[tuple, tuple[ids.FailureDomainId, ...]] = {}
+        self._guaranteed_domains = collections.defaultdict(set)
         for row in configuration.guarantees:
-            self._holding[row.account].add(row.failure_domain)
+            self._guaranteed_domains[row.account].add(row.failure_domain)
 
     def set_configuration(
         self, configuration: configuration_lib.Configuration
     ) -> None:
         """Takes in a version of the configuration."""
         self.configuration = configuration
-        self._refused_at.clear()
+        self._refused_versions.clear()
 
     def record_change(self, domain: ids.FailureDomainId) -> None:
         """Notes that a scheduler may answer otherwise than before."""
@@ -69,8 +69,8 @@
         ranked = homes.rank_job_homes(
             self.configuration,
             spec,
-            self._rooms(),
-            names[next(self._entries) % len(names)],
+            self._capacities(),
+            names[next(self._entry_counter) % len(names)],
         )
         for name in ranked:
             if self._would_start(name, spec, now_ms):
@@ -84,7 +84,7 @@
         return next(
             (
                 name
-                for name in self._hopeful(spec, domain)
+                for name in self._candidate_domains(spec, domain)
                 if self._would_start(name, spec, now_ms)
             ),
             None,
@@ -95,33 +95,35 @@
     ) -> bool:
         """Asks a scheduler, unless nothing changed there since its last no."""
         key = (name, spec.account, pool_usage.shape_of(spec), spec.urgent)
-        if self._refused_at.get(key) == self._versions[name]:
+        if self._refused_versions.get(key) == self._versions[name]:
             return False
         able = self._schedulers[name].would_start(spec, now_ms)
         if not able:
-            self._refused_at[key] = self._versions[name]
+            self._refused_versions[key] = self._versions[name]
         return able
 
-    def _rooms(self) -> dict[ids.FailureDomainId, homes.DomainCapacity]:
+    def _capacities(self) -> dict[ids.FailureDomainId, homes.DomainCapacity]:
         return {
             name: homes.DomainCapacity(
-                accelerators=self._room(name),
+                accelerators=self._uncommitted_accelerators(name),
                 largest_gang=scheduler.largest_gang(),
             )
             for name, scheduler in self._schedulers.items()
         }
 
-    def _hopeful(
+    def _candidate_domains(
         self, spec: jobs.JobSpec, domain: ids.FailureDomainId
     ) -> list[ids.FailureDomainId]:
         """Returns other homes with a guarantee or room, most room first."""
         key = (self.configuration.version, spec.account, spec.accelerators)
-        if key not in self._allowed:
-            self._allowed[key] = shares.rank_homes(self.configuration, spec)
-        holding = self._holding[spec.account]
+        if key not in self._ranked_domains:
+            self._ranked_domains[key] = shares.rank_homes(
+                self.configuration, spec
+            )
+        holding = self._guaranteed_domains[spec.account]
         rooms = {
-            name: self._room(name)
-            for name in self._allowed[key]
+            name: self._uncommitted_accelerators(name)
+            for name in self._ranked_domains[key]
             if name != domain
         }
         return sorted(
@@ -133,6 +135,6 @@
             key=lambda name: (-rooms[name], name),
         )
 
-    def _room(self, name: ids.FailureDomainId) -> int:
+    def _uncommitted_accelerators(self, name: ids.FailureDomainId) -> int:
         scheduler = self._schedulers[name]
         return scheduler.free_accelerators() - scheduler.queued_accelerators()
--- a/citronmount/bench/request_replay.py
+++ b/citronmount/bench/request_replay.py
@@ -21,7 +21,7 @@
     "replay_single_queue",
 ]
 
-LINK_MS = 1
+LINK_DELAY_MS = 1
 HEARTBEAT_MS = 1_000
 TIMEOUT_MS = 5_000
 
@@ -96,7 +96,7 @@
         runners = site.runners[request.domain]
         runner = runners[multiplicative_hash(number) % len(runners)].name
         start_ms = max(request.arrival_ms, free_at[runner][0])
-        service_ms = _slowed(request, runner, slow)
+        service_ms = _service_ms(request, runner, slow)
         heapq.heapreplace(free_at[runner], start_ms + service_ms)
         answers.append(_served(request, start_ms, service_ms))
     return answers
@@ -124,12 +124,12 @@
     return RequestOutcome(
         request=request,
         result=result,
-        took_ms=waited_ms + service_ms + 4 * LINK_MS,
+        took_ms=waited_ms + service_ms + 4 * LINK_DELAY_MS,
         waited_ms=waited_ms,
     )
 
 
-def _slowed(
+def _service_ms(
     request: request_workload.TracedRequest,
     runner: str,
     slow: dict[str, float],
@@ -167,21 +167,21 @@
         self._slow = slow or {}
         self._trace = {request.request: request for request in trace}
         self._first_send_ms: dict[ids.RequestId, int] = {}
-        self._answers: dict[ids.RequestId, RequestOutcome] = {}
-        self._offered_by: dict[ids.RequestId, ids.VmId] = {}
-        self._used: dict[ids.RunnerId, int] = {}
+        self._outcomes: dict[ids.RequestId, RequestOutcome] = {}
+        self._offering_vms: dict[ids.RequestId, ids.VmId] = {}
+        self._used_slots: dict[ids.RunnerId, int] = {}
         self._slots: dict[ids.RunnerId, int] = {}
         self._routers: dict[ids.VmId, request_router.RequestRouter] = {}
         self._heap: list[tuple[int, int, Callable[[int], None]]] = []
         self._sequence = itertools.count()
-        self._wakes: dict[ids.VmId, int] = {}
-        self._offering = offers
+        self._wake_times_ms: dict[ids.VmId, int] = {}
+        self._offers_enabled = offers
         for domain in site.runners:
             self._add_domain(domain, hedge_share)
         for request in trace:
-            self._at(request.arrival_ms, self._arrive(request))
+            self._schedule(request.arrival_ms, self._arrival(request))
         if offers:
-            self._at(0, self._heartbeats)
+            self._schedule(0, self._send_heartbeats)
         self._end_ms = trace[-1].arrival_ms if trace else 0
 
     def run(self) -> list[RequestOutcome]:
@@ -194,7 +194,7 @@
             now_ms, _, action = heapq.heappop(self._heap)
             action(now_ms)
         return [
-            self._answers.get(name)
+            self._outcomes.get(name)
             or RequestOutcome(
                 request=request,
                 result=None,
@@ -215,33 +215,35 @@
             self._routers[vm] = router
         for runner in self._site.runners[domain]:
             self._slots[ids.RunnerId(runner.name)] = runner.slots
-            self._used[ids.RunnerId(runner.name)] = 0
+            self._used_slots[ids.RunnerId(runner.name)] = 0
 
-    def _at(self, at_ms: int, action: Callable[[int], None]) -> None:
+    def _schedule(self, at_ms: int, action: Callable[[int], None]) -> None:
         heapq.heappush(self._heap, (at_ms, next(self._sequence), action))
 
-    def _heartbeats(self, now_ms: int) -> None:
+    def _send_heartbeats(self, now_ms: int) -> None:
         for vms in self._site.vms.values():
             for vm, peer in itertools.permutations(vms, 2):
-                self._tell(vm, peer, now_ms)
+                self._send_heartbeat(vm, peer, now_ms)
         if now_ms < self._end_ms:
-            self._at(now_ms + HEARTBEAT_MS, self._heartbeats)
+            self._schedule(now_ms + HEARTBEAT_MS, self._send_heartbeats)
 
-    def _tell(self, vm: ids.VmId, peer: ids.VmId, now_ms: int) -> None:
+    def _send_heartbeat(
+        self, vm: ids.VmId, peer: ids.VmId, now_ms: int
+    ) -> None:
         free = self._routers[vm].free_slots()
-        self._at(
-            now_ms + LINK_MS,
+        self._schedule(
+            now_ms + LINK_DELAY_MS,
             lambda _: self._routers[peer].set_peer_free_slots(vm, free),
         )
 
-    def _arrive(
+    def _arrival(
         self, request: request_workload.TracedRequest
     ) -> Callable[[int], None]:
         def action(now_ms: int) -> None:
             spec = _spec(request)
             refusal = self._routers[request.vm].submit(spec, now_ms)
             if refusal is not None:
-                self._reply(request, refusal, now_ms)
+                self._record_outcome(request, refusal, now_ms)
             self._decide(request.vm, now_ms)
 
         return action
@@ -256,9 +258,9 @@
             else:
                 self._finish(vm, decision.result, now_ms)
         wake_ms = router.next_wake_ms()
-        if wake_ms is not None and wake_ms != self._wakes.get(vm):
-            self._wakes[vm] = wake_ms
-            self._at(max(wake_ms, now_ms + 1), self._wake(vm))
+        if wake_ms is not None and wake_ms != self._wake_times_ms.get(vm):
+            self._wake_times_ms[vm] = wake_ms
+            self._schedule(max(wake_ms, now_ms + 1), self._wake(vm))
 
     def _wake(self, vm: ids.VmId) -> Callable[[int], None]:
         return lambda now_ms: self._decide(vm, now_ms)
@@ -271,23 +273,23 @@
         self._first_send_ms.setdefault(send.request, now_ms)
 
         def reach(at_ms: int) -> None:
-            if self._used[send.runner] >= self._slots[send.runner]:
+            if self._used_slots[send.runner] >= self._slots[send.runner]:
                 self.busy_answers += 1
                 outcome = messages.RunnerOutcome.BUSY
-                self._answer(vm, send, outcome, at_ms)
+                self._answer_router(vm, send, outcome, at_ms)
                 return
-            self._used[send.runner] += 1
+            self._used_slots[send.runner] += 1
             request = self._trace[send.request]
-            took_ms = _slowed(request, send.runner, self._slow)
-            self._at(at_ms + took_ms, done)
+            took_ms = _service_ms(request, send.runner, self._slow)
+            self._schedule(at_ms + took_ms, done)
 
         def done(at_ms: int) -> None:
-            self._used[send.runner] -= 1
-            self._answer(vm, send, messages.RunnerOutcome.DONE, at_ms)
+            self._used_slots[send.runner] -= 1
+            self._answer_router(vm, send, messages.RunnerOutcome.DONE, at_ms)
 
-        self._at(now_ms + LINK_MS, reach)
+        self._schedule(now_ms + LINK_DELAY_MS, reach)
 
-    def _answer(
+    def _answer_router(
         self,
         vm: ids.VmId,
         send: request_decisions.Send,
@@ -307,7 +309,7 @@
             )
             self._decide(vm, at_ms)
 
-        self._at(now_ms + LINK_MS, receive)
+        self._schedule(now_ms + LINK_DELAY_MS, receive)
 
     def _offer(
         self, vm: ids.VmId, offer: request_decisions.Offer, now_ms: int
@@ -322,14 +324,14 @@
             refusal = peer.submit(spec, at_ms, offered=True)
             if refusal is not None:
                 self.offers_refused += 1
-                self._peer_answer(vm, refusal, at_ms)
+                self._answer_peer(vm, refusal, at_ms)
                 return
-            self._offered_by[offer.request] = vm
+            self._offering_vms[offer.request] = vm
             self._decide(offer.vm, at_ms)
 
-        self._at(now_ms + LINK_MS, reach)
+        self._schedule(now_ms + LINK_DELAY_MS, reach)
 
-    def _peer_answer(
+    def _answer_peer(
         self, vm: ids.VmId, result: jobs.RequestResult, now_ms: int
     ) -> None:
         def receive(at_ms: int) -> None:
@@ -337,28 +339,28 @@
             router.record_peer_answer(result.request, result, at_ms)
             self._decide(vm, at_ms)
 
-        self._at(now_ms + LINK_MS, receive)
+        self._schedule(now_ms + LINK_DELAY_MS, receive)
 
     def _finish(
         self, vm: ids.VmId, result: jobs.RequestResult, now_ms: int
     ) -> None:
-        origin = self._offered_by.pop(result.request, None)
+        origin = self._offering_vms.pop(result.request, None)
         if origin is not None and origin != vm:
-            self._peer_answer(origin, result, now_ms)
+            self._answer_peer(origin, result, now_ms)
             return
-        self._reply(self._trace[result.request], result, now_ms)
+        self._record_outcome(self._trace[result.request], result, now_ms)
 
-    def _reply(
+    def _record_outcome(
         self,
         request: request_workload.TracedRequest,
         result: jobs.RequestResult,
         now_ms: int,
     ) -> None:
         sent_ms = self._first_send_ms.get(request.request, now_ms)
-        self._answers[request.request] = RequestOutcome(
+        self._outcomes[request.request] = RequestOutcome(
             request=request,
             result=result,
-            took_ms=now_ms - request.arrival_ms + 2 * LINK_MS,
+            took_ms=now_ms - request.arrival_ms + 2 * LINK_DELAY_MS,
             waited_ms=sent_ms - request.arrival_ms,
         )
 
--- a/citronmount/bench/request_workload.py
+++ b/citronmount/bench/request_workload.py
@@ -108,7 +108,9 @@
         The requests by arrival.
     """
     rng = workload.random_stream("requests", seed)
-    mean_ms = sum(_draw(rng)[1] for _ in range(MEAN_SAMPLES)) / MEAN_SAMPLES
+    mean_ms = (
+        sum(_sample_request(rng)[1] for _ in range(MEAN_SAMPLES)) / MEAN_SAMPLES
+    )
     count = load * site.slots * seconds * 1_000 / mean_ms
     domains = list(site.runners)
     weights = [len(site.runners[domain]) for domain in domains]
@@ -117,7 +119,7 @@
     for number, at_ms in enumerate(
         workload.poisson_arrivals_ms(rng, 0, end_ms, count)
     ):
-        kind, service_ms = _draw(rng)
+        kind, service_ms = _sample_request(rng)
         domain = rng.choices(domains, weights)[0]
         made.append(
             TracedRequest(
@@ -134,7 +136,7 @@
     return tuple(made)
 
 
-def _draw(rng: random.Random) -> tuple[str, int]:
+def _sample_request(rng: random.Random) -> tuple[str, int]:
     kind, _, median_ms, sigma = rng.choices(
         _KINDS, [kind[1] for kind in _KINDS]
     )[0]
--- a/citronmount/bench/two_year.py
+++ b/citronmount/bench/two_year.py
@@ -1,9 +1,9 @@
 """The bench of a day at the size of the two-year plan."""
 
 from citronmount.bench import job_mix
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import report
 from citronmount.bench import sites
 from citronmount.bench import workload
@@ -12,7 +12,7 @@
 
 __all__ = ["MAX_URGENT_WAIT_S", "run", "make_trace"]
 
-JOBS_A_DAY = 4_600
+JOBS_PER_DAY = 4_600
 HOURS = 24.0
 URGENT_SHARE = 0.03
 MAX_URGENT_WAIT_S = 1.6
@@ -46,7 +46,7 @@
     weights = [1 / (rank + 10) for rank in range(len(accounts))]
     shares = [shape[1] for shape in _SHAPES]
     made = []
-    count = JOBS_A_DAY * scale * hours / 24
+    count = JOBS_PER_DAY * scale * hours / 24
     end_ms = round(hours * workload.HOUR_MS)
     for at_ms in workload.poisson_arrivals_ms(rng, 0, end_ms, count):
         kind, _, tasks, per_task = rng.choices(_SHAPES, shares)[0]
@@ -72,7 +72,7 @@
     return job_mix.merge_by_arrival(made)
 
 
-@registry.register("two-year")
+@registry.bench("two-year")
 def run(
     seed: int,
     policies: tuple[str, ...],
@@ -90,11 +90,11 @@
     Returns:
         The report, with the bar of urgent starts.
     """
-    jobs_of = make_trace(seed, hours, scale)
+    trace = make_trace(seed, hours, scale)
     replays = {
-        policy: replay.Replay(
+        policy: job_replay.Replay(
             site=sites.two_year(scale),
-            trace=jobs_of,
+            trace=trace,
             policy=policy,
             horizon_ms=round(hours * workload.HOUR_MS),
             sample_ms=SAMPLE_MS,
@@ -105,7 +105,7 @@
         report.at_most(
             "urgent_wait_p99_s",
             policy,
-            _urgent_wait_s(run_replay),
+            _urgent_wait_p99_s(run_replay),
             MAX_URGENT_WAIT_S,
         )
         for policy, run_replay in replays.items()
@@ -119,7 +119,7 @@
     )
 
 
-def _urgent_wait_s(run_replay: replay.Replay) -> float:
+def _urgent_wait_p99_s(run_replay: job_replay.Replay) -> float:
     """Returns the p99 wait of urgent jobs of paying accounts."""
     waits = [
         metrics.wait_s(job, run_replay.horizon_ms)
