--- a/citronmount/bench/metrics.py
+++ b/citronmount/bench/metrics.py
@@ -5,6 +5,7 @@
 import math
 
 from citronmount.bench import accounting
+from citronmount.bench import job_replay
 from citronmount.bench import replay_events
 from citronmount.bench import report
 from citronmount.core import ids
--- a/citronmount/bench/private_pool.py
+++ b/citronmount/bench/private_pool.py
@@ -7,6 +7,7 @@
 
 import collections
 
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
 from citronmount.bench import report
 from citronmount.bench import sites
