--- a/citronmount/bench/__init__.py
+++ b/citronmount/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Workloads, policies compared and regression bounds."""
+"""Benchmarks of the scheduling and routing policies on virtual time."""
 
 from citronmount.bench import registry
 from citronmount.bench import report
@@ -19,7 +19,7 @@
     """Runs one bench on virtual time.
 
     Args:
-        name: The bench; see `names`.
+        name: Name of the bench; see `names`.
         seed: Seed of the workload; the same seed gives the same report.
         policies: The policies to compare, or None for all that apply.
 
@@ -30,5 +30,5 @@
         InvalidInputError: If there is no such bench.
     """
     suite.load_benches()
-    function = registry.get(name)
-    return function(seed, registry.POLICIES if policies is None else policies)
+    run_bench = registry.get(name)
+    return run_bench(seed, registry.POLICIES if policies is None else policies)
--- a/citronmount/bench/__main__.py
+++ b/citronmount/bench/__main__.py
@@ -5,16 +5,16 @@
 
 import click
 
-from citronmount import bench as bench_lib
-from citronmount.bench import plot as plot_lib
+from citronmount import bench
+from citronmount.bench import plot
 from citronmount.bench import registry
-from citronmount.bench import report as report_lib
+from citronmount.bench import report
 from citronmount.bench import timings as timings_lib
 from citronmount.core import errors
 
 __all__ = ["main"]
 
-PLOT = "plot"
+PLOT_NAME = "plot"
 
 
 @click.command(context_settings={"show_default": True})
@@ -54,20 +54,20 @@
     With the name "plot", draws the report in FILE instead.
     """
     try:
-        if name == PLOT and file is not None:
-            plot_lib.plot(file, out)
+        if name == PLOT_NAME and file is not None:
+            plot.plot(file, out)
             return
         if timings:
-            click.echo(report_lib.encode(timings_lib.measure(seed)))
+            click.echo(report.encode(timings_lib.measure(seed)))
             return
-        result = bench_lib.run(name, seed, policies or None)
+        result = bench.run(name, seed, policies or None)
     except errors.InvalidInputError as error:
         click.echo(f"{error.code.value}: {error}", err=True)
         sys.exit(2)
     if as_json:
-        click.echo(report_lib.encode(result))
+        click.echo(report.encode(result))
     else:
-        click.echo(report_lib.as_text(result))
+        click.echo(report.as_text(result))
 
 
 if __name__ == "__main__":
--- a/citronmount/bench/accounting.py
+++ b/citronmount/bench/accounting.py
@@ -1,4 +1,4 @@
-"""Integrals over a replay: capacity, served shares and allowed work."""
+"""Integrals over a replay: capacity, fair shares and possible work."""
 
 import collections
 import itertools
@@ -9,34 +9,36 @@
 __all__ = [
     "FairShareTracker",
     "StepFunction",
-    "work_upper_bound_s",
     "unlimited_demand",
+    "work_upper_bound_s",
 ]
 
 
 class StepFunction:
-    """A piecewise constant function of time, given by its steps."""
+    """A piecewise constant function of time."""
 
     def __init__(self) -> None:
-        """Initializes the zero function."""
+        """Initializes the function that is 0 everywhere."""
         self._steps: dict[int, float] = collections.defaultdict(float)
 
     def add(self, at_ms: int, change: float) -> None:
         """Adds a step.
 
         Args:
-            at_ms: When the value changes.
-            change: By how much.
+            at_ms: Time of the step.
+            change: Difference of the values after and before it.
         """
         self._steps[at_ms] += change
 
     def steps(self) -> list[tuple[int, float]]:
-        """Returns times and changes, sorted by time."""
+        """Returns the times and changes of the steps, sorted by time."""
         return sorted(self._steps.items())
 
 
 def unlimited_demand(trace: tuple[workload.TracedJob, ...]) -> StepFunction:
-    """Returns the accelerators in use if there were no limit to them.
+    """Returns the accelerators in use if every job started on arrival.
+
+    Jobs that fail or are cancelled do not count.
 
     Args:
         trace: The jobs.
@@ -44,38 +46,41 @@
     Returns:
         Accelerators over time.
     """
-    rate = StepFunction()
+    demand = StepFunction()
     for job in trace:
         if job.fails or job.cancel_ms is not None:
             continue
-        width = job.spec.accelerators
-        rate.add(job.arrival_ms, width)
-        rate.add(job.arrival_ms + round(job.true_run_s * 1_000), -width)
-    return rate
+        accelerators = job.spec.accelerators
+        demand.add(job.arrival_ms, accelerators)
+        demand.add(
+            job.arrival_ms + round(job.true_run_s * 1_000), -accelerators
+        )
+    return demand
 
 
 def work_upper_bound_s(
     demand: StepFunction, capacity: StepFunction, horizon_ms: int
 ) -> float:
-    """Returns an upper bound on the work that any scheduler can have done.
+    """Returns an upper bound on the work that any scheduler can do.
 
-    Work done by time t is at most the demand that came by any s <= t plus
-    the capacity from s to t; the least over s is what a fluid queue serves.
+    For any s <= t, the work done by time t is at most the demand that arrived
+    by s plus the capacity from s to t. The minimum over s is the work that a
+    fluid queue serves.
 
     Args:
-        demand: Accelerators in use without a limit.
+        demand: Accelerators in use if capacity were unlimited.
         capacity: Accelerators that may be used.
-        horizon_ms: The end.
+        horizon_ms: End of the interval, which begins at 0.
 
     Returns:
         Accelerator seconds.
     """
     times = {at for at, _ in (*demand.steps(), *capacity.steps())}
-    marks = sorted({at for at in times if at < horizon_ms} | {horizon_ms})
+    borders = sorted({at for at in times if at < horizon_ms} | {horizon_ms})
     demand_steps = dict(demand.steps())
     capacity_steps = dict(capacity.steps())
     demand_now = capacity_now = backlog = done = 0.0
-    for start, end in itertools.pairwise([*marks, horizon_ms]):
+    for start, end in itertools.pairwise([*borders, horizon_ms]):
         demand_now += demand_steps.get(start, 0.0)
         capacity_now += capacity_steps.get(start, 0.0)
         seconds = (end - start) / 1_000
@@ -87,18 +92,19 @@
 
 
 class FairShareTracker:
-    """How far accounts fall short of their due shares in a failure domain.
+    """Measures how far accounts fall short of their max-min fair shares.
 
-    Due shares are max-min fair: each account first gets its guarantee, as far
-    as it has demand, and the rest is filled up evenly. An account is short
-    only while one of its queued jobs would fit into its due share whole.
+    Each account is first due its guarantee in the failure domain, as far as
+    it has demand; the remaining capacity is divided evenly among accounts
+    with further demand. An account counts as short only while its smallest
+    queued job would fit into its shortfall.
     """
 
     def __init__(self, *, guaranteed: dict[ids.AccountId, int]) -> None:
-        """Initializes without any time.
+        """Initializes a tracker at time 0, with no capacity.
 
         Args:
-            guaranteed: Accelerators guaranteed to each account compared.
+            guaranteed: Accelerators guaranteed to each compared account.
         """
         self._guaranteed = guaranteed
         self._capacity = 0
@@ -109,7 +115,7 @@
         self._short_s: dict[ids.AccountId, float] = collections.Counter()
 
     def advance(self, now_ms: int) -> None:
-        """Adds the time since the last change.
+        """Adds the shares and shortfalls of the time since the last call.
 
         Args:
             now_ms: The time.
@@ -127,22 +133,22 @@
                 self._short_s[account] += passed_s * short
 
     def set_capacity(self, accelerators: int) -> None:
-        """Notes how many accelerators are in service.
+        """Sets the number of accelerators in service.
 
         Args:
-            accelerators: Their number.
+            accelerators: The number.
         """
         self._capacity = accelerators
 
     def record_queued(
         self, account: ids.AccountId, size: int, change: int
     ) -> None:
-        """Notes that a job came into the queue or left it.
+        """Records that jobs of one size entered or left the queue.
 
         Args:
-            account: Its account.
-            size: Its accelerators.
-            change: 1 if it came, -1 if it left.
+            account: Account of the jobs; accounts not compared are ignored.
+            size: Accelerators of each job; jobs without any are ignored.
+            change: Number of jobs that entered; -1 if one left.
         """
         if account not in self._queued or not size:
             return
@@ -151,16 +157,19 @@
             del self._queued[account][size]
 
     def record_allocated(self, account: ids.AccountId, change: int) -> None:
-        """Notes that accelerators were taken or returned.
+        """Records that accelerators were allocated or freed.
 
         Args:
             account: The account.
-            change: How many were taken.
+            change: Number allocated; negative if freed.
         """
         self._held[account] += change
 
     def due_and_short_s(self) -> dict[ids.AccountId, tuple[float, float]]:
-        """Returns the due and the missing accelerator seconds of accounts."""
+        """Returns the due and the missing accelerator seconds by account.
+
+        Only time in which the account had queued jobs counts.
+        """
         return {
             account: (due, self._short_s[account])
             for account, due in self._due_s.items()
@@ -176,12 +185,12 @@
             account: float(min(demand[account], guaranteed))
             for account, guaranteed in self._guaranteed.items()
         }
-        rest = self._capacity - sum(due.values())
-        extra = sorted((demand[a] - due[a], a) for a in due)
-        for left, (wanted, account) in zip(
-            range(len(extra), 0, -1), extra, strict=True
+        remaining = self._capacity - sum(due.values())
+        unmet = sorted((demand[a] - due[a], a) for a in due)
+        for accounts_left, (wanted, account) in zip(
+            range(len(unmet), 0, -1), unmet, strict=True
         ):
-            filled = min(wanted, max(0.0, rest) / left)
-            due[account] += filled
-            rest -= filled
+            share = min(wanted, max(0.0, remaining) / accounts_left)
+            due[account] += share
+            remaining -= share
         return due
--- a/citronmount/bench/hanbit.py
+++ b/citronmount/bench/hanbit.py
@@ -12,7 +12,7 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["make_label_bursts", "run", "make_trace", "make_trial_jobs"]
+__all__ = ["make_label_bursts", "make_trace", "make_trial_jobs", "run"]
 
 DAYS = 1
 NIGHT_MS = 22 * workload.HOUR_MS
--- a/citronmount/bench/job_mix.py
+++ b/citronmount/bench/job_mix.py
@@ -7,7 +7,7 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["MEMBERS", "merge_by_arrival", "make_steady_jobs"]
+__all__ = ["MEMBERS", "make_steady_jobs", "merge_by_arrival"]
 
 MEMBERS = ("ara", "bora", "chorok", "dalbit")
 TRIAL_ACCOUNT = "newcomer"
--- a/citronmount/bench/job_replay.py
+++ b/citronmount/bench/job_replay.py
@@ -1,8 +1,8 @@
-"""Replays traced jobs on the decision core by a heap of virtual events.
+"""Discrete-event simulation of a job trace on the domain schedulers.
 
-One `DomainScheduler` decides for each failure domain; the replay does what a
-scheduler's surroundings do: routes jobs, carries out decisions and reports
-starts and ends. Nothing is lost or late here; the fault matrix does that.
+Each failure domain has one `DomainScheduler`. The replay stands in for the
+agents around it: it routes jobs, carries out decisions and reports starts and
+ends. No message is lost or delayed here; the fault matrix covers that.
 """
 
 import collections
@@ -32,12 +32,20 @@
 MAX_ATTEMPTS = 60
 MOVE_PERIOD_MS = 10_000
 MOVES_PER_PERIOD = 50
-MIN_WAIT_BEFORE_MOVE_MS = 1_000
+MOVE_MIN_AGE_MS = 1_000
 MOVE_RETRY_MS = 10_000
 
 
 class Replay:
-    """One workload on one site under one policy."""
+    """Simulation of one workload on one site under one policy.
+
+    Attributes:
+        capacity: Accelerators that jobs may use, over time.
+        arrival_mix: Work of the trace by gang shape, the weights of
+            `arrival_fragmentation`.
+        late_starts: Starts over START_DELAY_MS after their domain was out.
+        max_grace_ms: Longest grace period given to an evicted job.
+    """
 
     def __init__(
         self,
@@ -54,10 +62,10 @@
         Args:
             site: The pool and the first configuration.
             trace: The jobs.
-            policy: The policy of the schedulers.
-            horizon_ms: When the replay ends.
-            changes: Changes of the surroundings with their times.
-            sample_ms: The period of the fragmentation samples.
+            policy: Name of the schedulers' policy.
+            horizon_ms: Time at which the replay ends.
+            changes: Times and changes of workers and configuration.
+            sample_ms: Period of the fragmentation samples.
         """
         self.policy = policy
         self.horizon_ms = horizon_ms
@@ -67,7 +75,7 @@
         self.capacity = self._recorder.capacity
         self.fair_shares = self._recorder.fair_shares
         self.jobs = [
-            replay_events.ReplayedJob(job=job, spec=job.spec) for job in trace
+            replay_events.JobReplay(job=job, spec=job.spec) for job in trace
         ]
         self.arrival_mix = replay_usage.work_by_shape(trace)
         self.paying_accounts = frozenset(
@@ -104,17 +112,13 @@
         self._schedule_all(changes)
 
     def run(self) -> "Replay":
-        """Handles every event up to the horizon.
-
-        Returns:
-            The replay itself.
-        """
+        """Handles the events before the horizon and returns the replay."""
         while self._heap and self._heap[0][0] < self.horizon_ms:
             now_ms = self._heap[0][0]
-            touched = set()
+            to_decide = set()
             while self._heap and self._heap[0][0] == now_ms:
-                touched |= self._handle(heapq.heappop(self._heap)[2], now_ms)
-            for domain in sorted(touched):
+                to_decide |= self._handle(heapq.heappop(self._heap)[2], now_ms)
+            for domain in sorted(to_decide):
                 self._decide(domain, now_ms)
         self._recorder.advance(self.horizon_ms)
         return self
@@ -125,12 +129,10 @@
         for at_ms, change in changes:
             self._push(at_ms, change)
         for number, job in enumerate(self.jobs):
-            self._push(
-                job.job.arrival_ms, replay_events.SubmitJob(number=number)
-            )
+            self._push(job.job.arrival_ms, replay_events.Submit(number=number))
             if job.job.cancel_ms is not None:
                 self._push(
-                    job.job.cancel_ms, replay_events.CancelJob(number=number)
+                    job.job.cancel_ms, replay_events.Cancel(number=number)
                 )
         for domain in self._schedulers:
             self._push(TICK_MS, replay_events.Tick(domain=domain))
@@ -141,19 +143,11 @@
         heapq.heappush(self._heap, (at_ms, next(self._sequence), event))
 
     def _handle(self, event: object, now_ms: int) -> set[ids.FailureDomainId]:
-        """Handles one event.
-
-        Args:
-            event: The event.
-            now_ms: The time.
-
-        Returns:
-            Failure domains whose scheduler must decide.
-        """
+        """Handles an event and returns the domains that must then decide."""
         return _HANDLERS[type(event)](self, event, now_ms)
 
     def _submit(
-        self, event: replay_events.SubmitJob, now_ms: int
+        self, event: replay_events.Submit, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.code is not None:
@@ -178,7 +172,7 @@
     def _move_queued(
         self, event: replay_events.MoveQueuedJobs, now_ms: int
     ) -> set[ids.FailureDomainId]:
-        """Moves queued jobs to failure domains that would start them."""
+        """Moves queued jobs to failure domains that can start them now."""
         self._push(now_ms + MOVE_PERIOD_MS, event)
         for domain, numbers in self._queued.items():
             movable = frozenset(
@@ -189,8 +183,7 @@
                 for number in sorted(numbers, key=self._last_tried)
                 if self.jobs[number].first_start_ms is None
                 and self.jobs[number].spec.job in movable
-                and now_ms - self.jobs[number].job.arrival_ms
-                >= MIN_WAIT_BEFORE_MOVE_MS
+                and now_ms - self.jobs[number].job.arrival_ms >= MOVE_MIN_AGE_MS
                 and now_ms - self._move_tried_ms.get(number, -MOVE_RETRY_MS)
                 >= MOVE_RETRY_MS
             ]
@@ -279,7 +272,7 @@
         job.evicting = True
         end_ms = now_ms + min(grace_ms, job.job.checkpoint_ms)
         saved = job.job.checkpoint_ms <= grace_ms
-        event = replay_events.StopEvictedJob(
+        event = replay_events.FinishEviction(
             number=number,
             attempt=job.attempts,
             progress=job.progress_at(now_ms) if saved else job.saved_at(now_ms),
@@ -306,7 +299,7 @@
             job.first_start_ms = now_ms
         self._schedulers[job.domain].attempt_started(job.spec.job, now_ms)
         left_s = (1.0 - job.progress) * job.job.true_run_s
-        finish = replay_events.FinishJob(
+        finish = replay_events.Finish(
             number=event.number, attempt=event.attempt
         )
         self._push(now_ms + max(1, round(left_s * 1_000)), finish)
@@ -337,7 +330,7 @@
         return {job.domain}
 
     def _finish(
-        self, event: replay_events.FinishJob, now_ms: int
+        self, event: replay_events.Finish, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
@@ -350,8 +343,8 @@
         self._end(job, codes.ResultCode.DONE, now_ms)
         return {job.domain}
 
-    def _stop_evicted(
-        self, event: replay_events.StopEvictedJob, now_ms: int
+    def _finish_eviction(
+        self, event: replay_events.FinishEviction, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
@@ -369,31 +362,26 @@
             progress=event.progress,
         )
         if out:
-            return self._requeue_elsewhere(event.number, now_ms) | {job.domain}
+            return self._requeue(event.number, now_ms) | {job.domain}
         self._enqueue(event.number, now_ms)
         return {job.domain}
 
-    def _release(self, job: replay_events.ReplayedJob, now_ms: int) -> None:
-        self._recorder.record_released(
-            job.domain, job.spec, job.placement, now_ms
-        )
+    def _release(self, job: replay_events.JobReplay, now_ms: int) -> None:
+        self._recorder.record_freed(job.domain, job.spec, job.placement, now_ms)
         self._router.record_change(job.domain)
         job.placement = None
         job.started_ms = None
         job.evicting = False
 
     def _end(
-        self,
-        job: replay_events.ReplayedJob,
-        code: codes.ResultCode,
-        now_ms: int,
+        self, job: replay_events.JobReplay, code: codes.ResultCode, now_ms: int
     ) -> None:
         job.code = code
         job.ended_ms = now_ms
         self.counts[f"ended_{code.name.lower()}"] += 1
 
     def _cancel(
-        self, event: replay_events.CancelJob, now_ms: int
+        self, event: replay_events.Cancel, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.code is not None:
@@ -422,7 +410,7 @@
         for domain, scheduler in self._schedulers.items():
             scheduler.set_configuration(event.configuration)
             self._recorder.update_capacity(domain, now_ms)
-        touched = set(self._schedulers)
+        to_decide = set(self._schedulers)
         self._out_since_ms = {
             d.name: self._out_since_ms.get(d.name, now_ms)
             for d in event.configuration.failure_domains
@@ -433,18 +421,16 @@
                 for number in sorted(self._queued[domain]):
                     self._schedulers[domain].cancel(self.jobs[number].spec.job)
                     self._dequeue(number, now_ms)
-                    self._requeue_elsewhere(number, now_ms)
-        return touched
+                    self._requeue(number, now_ms)
+        return to_decide
 
-    def _requeue_elsewhere(
-        self, number: int, now_ms: int
-    ) -> set[ids.FailureDomainId]:
-        """Queues a job again in a failure domain that is in service."""
+    def _requeue(self, number: int, now_ms: int) -> set[ids.FailureDomainId]:
+        """Queues a job in a failure domain that is in service, or retries."""
         job = self.jobs[number]
         domain = self._router.route(job.spec, now_ms)
         if domain is None:
             self._push(
-                now_ms + RESUBMIT_MS, replay_events.SubmitJob(number=number)
+                now_ms + RESUBMIT_MS, replay_events.Submit(number=number)
             )
             return set()
         self._assign_domain(number, domain)
@@ -487,22 +473,22 @@
         for domain, numbers in self._queued.items():
             if self._recorder.is_out_of_service(domain):
                 continue
-            self.arrival_fragmentation.add_sample(
+            self.arrival_fragmentation.record(
                 self.usage, domain, self.arrival_mix
             )
             pending = replay_usage.work_by_shape(
                 self.jobs[n].job for n in sorted(numbers)
             )
-            self.fragmentation.add_sample(self.usage, domain, pending)
+            self.fragmentation.record(self.usage, domain, pending)
         return set()
 
 
 _HANDLERS = {
-    replay_events.SubmitJob: Replay._submit,
-    replay_events.CancelJob: Replay._cancel,
+    replay_events.Submit: Replay._submit,
+    replay_events.Cancel: Replay._cancel,
     replay_events.StartGang: Replay._start_gang,
-    replay_events.FinishJob: Replay._finish,
-    replay_events.StopEvictedJob: Replay._stop_evicted,
+    replay_events.Finish: Replay._finish,
+    replay_events.FinishEviction: Replay._finish_eviction,
     replay_events.Tick: Replay._tick,
     replay_events.MoveQueuedJobs: Replay._move_queued,
     replay_events.SampleFragmentation: Replay._sample,
--- a/citronmount/bench/metrics.py
+++ b/citronmount/bench/metrics.py
@@ -11,26 +11,26 @@
 from citronmount.core import ids
 
 __all__ = [
+    "account_waits_s",
     "policy_metrics",
     "served_lag",
     "wait_s",
-    "account_waits_s",
     "work_done_ratio",
 ]
 
 MIN_DUE_S = 3_600.0
 
 
-def wait_s(job: replay_events.ReplayedJob, horizon_ms: int) -> float:
+def wait_s(job: replay_events.JobReplay, horizon_ms: int) -> float:
     """Returns how long a job waited for its first start.
 
     Args:
-        job: What became of the job.
-        horizon_ms: The end of the replay, which counts for jobs that never
-            started.
+        job: The job after the replay.
+        horizon_ms: End of the replay, which counts as the start of jobs that
+            have not started.
 
     Returns:
-        Seconds.
+        Seconds from arrival to the first start.
     """
     start_ms = job.first_start_ms
     if start_ms is None:
@@ -38,13 +38,13 @@
     return (start_ms - job.job.arrival_ms) / 1_000
 
 
-def _completion_s(job: replay_events.ReplayedJob, horizon_ms: int) -> float:
+def _completion_s(job: replay_events.JobReplay, horizon_ms: int) -> float:
     end_ms = horizon_ms if job.ended_ms is None else job.ended_ms
     return (end_ms - job.job.arrival_ms) / 1_000
 
 
-def _is_counted(job: replay_events.ReplayedJob, horizon_ms: int) -> bool:
-    """Whether the job is one that runs to its end if it can."""
+def _is_counted(job: replay_events.JobReplay, horizon_ms: int) -> bool:
+    """Returns whether a job arrived, does not fail and is not cancelled."""
     return (
         job.job.cancel_ms is None
         and not job.job.fails
@@ -58,11 +58,12 @@
     """Returns the waits of an account's jobs.
 
     Args:
-        replay: A replay that was run.
+        replay: A replay that has run.
         account: The account.
 
     Returns:
-        Seconds by the job's place in the trace.
+        Seconds by index of the job in the trace. Jobs that fail or are
+        cancelled are left out.
     """
     return {
         number: wait_s(job, replay.horizon_ms)
@@ -72,10 +73,10 @@
 
 
 def work_done_ratio(replay: job_replay.Replay) -> float:
-    """Returns useful work over the most that the capacity allowed.
+    """Returns useful work as a share of the most that any scheduler could do.
 
     Args:
-        replay: A replay that was run.
+        replay: A replay that has run.
 
     Returns:
         A ratio of at most 1.
@@ -84,28 +85,31 @@
     done = math.fsum(
         job.progress_at(replay.horizon_ms) * job.job.work_s for job in counted
     )
-    allowed = accounting.work_upper_bound_s(
+    upper_bound = accounting.work_upper_bound_s(
         accounting.unlimited_demand(tuple(job.job for job in counted)),
         replay.capacity,
         replay.horizon_ms,
     )
-    return done / allowed if allowed else 1.0
+    return done / upper_bound if upper_bound else 1.0
 
 
 def served_lag(replay: job_replay.Replay) -> float:
-    """Returns how far the worst served paying account fell behind.
+    """Returns the largest shortfall of a paying account from its fair share.
+
+    Accounts that were due less than MIN_DUE_S accelerator seconds are left
+    out.
 
     Args:
-        replay: A replay that was run.
+        replay: A replay that has run.
 
     Returns:
-        The largest shortfall of a paying account, as a share of what it was
-        due while it had jobs queued.
+        The shortfall as a share of what the account was due while it had jobs
+        queued.
     """
     due: dict[ids.AccountId, float] = collections.Counter()
     short: dict[ids.AccountId, float] = collections.Counter()
-    for served in replay.fair_shares.values():
-        for account, (due_s, short_s) in served.due_and_short_s().items():
+    for shares in replay.fair_shares.values():
+        for account, (due_s, short_s) in shares.due_and_short_s().items():
             due[account] += due_s
             short[account] += short_s
     return max(
@@ -117,10 +121,10 @@
     """Returns the metrics of a replay.
 
     Args:
-        replay: A replay that was run.
+        replay: A replay that has run.
 
     Returns:
-        Its metrics, by class of work.
+        The metrics; times are grouped by class of work.
     """
     horizon_ms = replay.horizon_ms
     counted = sorted(
@@ -131,14 +135,16 @@
         kind: list(group)
         for kind, group in itertools.groupby(counted, lambda j: j.job.kind)
     }
-    reclaims = [
+    reclaim_waits = [
         wait_s(job, horizon_ms) for job in counted if job.waited_reclaim
     ]
     ratios = {
         "fragmentation_of_arrivals": replay.arrival_fragmentation.ratio,
         "served_lag": served_lag(replay),
         "deadlines_missed": _deadlines_missed(counted, horizon_ms),
-        "wait_p99_with_reclaim_s": report.percentile(sorted(reclaims), 0.99),
+        "wait_p99_with_reclaim_s": report.percentile(
+            sorted(reclaim_waits), 0.99
+        ),
     }
     return report.PolicyMetrics(
         completion_time_s={
@@ -166,9 +172,9 @@
 
 
 def _deadlines_missed(
-    counted: list[replay_events.ReplayedJob], horizon_ms: int
+    counted: list[replay_events.JobReplay], horizon_ms: int
 ) -> float:
-    bound = [
+    with_deadline = [
         job
         for job in counted
         if job.spec.deadline_ms is not None
@@ -176,6 +182,6 @@
     ]
     missed = sum(
         job.ended_ms is None or job.ended_ms > job.spec.deadline_ms
-        for job in bound
+        for job in with_deadline
     )
-    return missed / len(bound) if bound else 0.0
+    return missed / len(with_deadline) if with_deadline else 0.0
--- a/citronmount/bench/plot.py
+++ b/citronmount/bench/plot.py
@@ -1,11 +1,11 @@
-"""Plots the metrics of a report; needs the optional extra `plots`."""
+"""Plots the metrics of a report; requires the optional extra `plots`."""
 
 import itertools
 import pathlib
 
 import msgspec
 
-from citronmount.bench import report as report_lib
+from citronmount.bench import report
 from citronmount.core import codes
 from citronmount.core import errors
 
@@ -16,18 +16,19 @@
 
 
 def plot(source: pathlib.Path, target: pathlib.Path) -> None:
-    """Draws waits, completion times and ratios of each policy.
+    """Draws the waits, completion times and ratios of each policy.
 
     Args:
-        source: A report as printed with ``--json``.
+        source: File with a report as printed with ``--json``.
         target: The PNG file to write.
 
     Raises:
-        InvalidInputError: If the file is no report or matplotlib is absent.
+        InvalidInputError: If the file holds no report or matplotlib is not
+            installed.
     """
     try:
         result = msgspec.json.decode(
-            source.read_bytes(), type=report_lib.BenchReport
+            source.read_bytes(), type=report.BenchReport
         )
     except (OSError, msgspec.DecodeError) as error:
         raise _invalid(f"{source}: {error}") from error
@@ -57,9 +58,7 @@
     )
 
 
-def _p99(
-    result: report_lib.BenchReport, field: str
-) -> dict[str, dict[str, float]]:
+def _p99(result: report.BenchReport, field: str) -> dict[str, dict[str, float]]:
     return {
         policy: {
             kind: summary.p99
@@ -69,7 +68,7 @@
     }
 
 
-def _ratios(result: report_lib.BenchReport) -> dict[str, dict[str, float]]:
+def _ratios(result: report.BenchReport) -> dict[str, dict[str, float]]:
     return {
         policy: {
             name: value
@@ -93,9 +92,9 @@
     groups = sorted(set(itertools.chain.from_iterable(values.values())))
     width = 0.8 / max(1, len(values))
     for number, (policy, heights) in enumerate(values.items()):
-        places = [place + number * width for place in range(len(groups))]
+        positions = [slot + number * width for slot in range(len(groups))]
         axes.bar(
-            places,
+            positions,
             [heights.get(group, 0.0) for group in groups],
             width,
             label=policy,
--- a/citronmount/bench/pool_usage.py
+++ b/citronmount/bench/pool_usage.py
@@ -1,11 +1,12 @@
-"""What jobs hold at each worker, and how fragmented the rest is.
+"""Free resources of each worker and their fragmentation.
 
 Fragmentation follows the idea of Weng et al., "Beware of Fragmentation",
 USENIX ATC 2023: free accelerators are fragmented as far as the shapes of the
-expected workload cannot use them. Here a shape can use the free accelerators
-of an enclosure, of the kind that its adjacency names, only if one whole gang
-fits there. Enclosures that could not hold the shape even when idle are left
-out, since no placement could mend them.
+expected workload cannot use them. The adjacency of a shape says whether its
+gang must fit into one worker, one rack or one failure domain. Here the free
+accelerators of such a scope are usable only if one whole gang fits there.
+Scopes that are too small for the shape even when idle are left out, since no
+placement decision could make them usable.
 """
 
 import collections
@@ -20,20 +21,20 @@
 
 __all__ = [
     "FragmentationMean",
-    "PoolUsage",
     "GangShape",
+    "PoolUsage",
     "shape_of",
     "tasks_that_fit",
 ]
 
 
 class GangShape(msgspec.Struct, frozen=True, kw_only=True):
-    """What a gang needs, without its account and times.
+    """Requirements of a gang that decide where it fits.
 
     Attributes:
         tasks: Gang size.
         per_task: Resources of each task.
-        adjacency: What must hold the gang.
+        adjacency: Scope in which the whole gang must be placed.
     """
 
     tasks: int
@@ -42,25 +43,18 @@
 
 
 def shape_of(spec: jobs.JobSpec) -> GangShape:
-    """Returns the shape of a job.
-
-    Args:
-        spec: The job.
-
-    Returns:
-        Its shape.
-    """
+    """Returns the shape of a job's gang."""
     return GangShape(
         tasks=spec.tasks, per_task=spec.per_task, adjacency=spec.adjacency
     )
 
 
 def tasks_that_fit(free: jobs.Resources, per_task: jobs.Resources) -> int:
-    """Returns how many tasks fit into what is free.
+    """Returns how many tasks fit into free resources.
 
     Args:
         free: Free resources.
-        per_task: Resources of one task.
+        per_task: Resources of one task, of which at least one is not zero.
 
     Returns:
         The number of tasks.
@@ -70,11 +64,18 @@
         (free.cores, per_task.cores),
         (free.memory_gb, per_task.memory_gb),
     )
-    return max(0, min((have // need for have, need in pairs if need)))
+    return max(0, min((has // needs for has, needs in pairs if needs)))
 
 
 class PoolUsage:
-    """Free resources of every worker, by what was placed and ended."""
+    """Free resources of every worker, updated as gangs start and end.
+
+    Attributes:
+        workers: All workers by name.
+        free: Free resources by worker.
+        usable: Whether a worker may run tasks.
+        workers_by_domain: Names of the workers of each failure domain.
+    """
 
     def __init__(self, *, workers: Iterable[messages.ListedTarget]) -> None:
         """Initializes an idle pool.
@@ -94,18 +95,21 @@
     def update_allocation(
         self, spec: jobs.JobSpec, placement: jobs.Placement, sign: int
     ) -> None:
-        """Takes or returns what a gang holds.
+        """Allocates or frees the resources of a gang.
 
         Args:
             spec: The job.
-            placement: Where it runs.
-            sign: 1 to take, -1 to return.
+            placement: The workers of its tasks.
+            sign: 1 to allocate, -1 to free.
 
         Raises:
-            ValueError: If the gang does not fit there or is not whole.
+            ValueError: If the gang does not fit there or if the placement
+                does not hold all of its tasks.
         """
         if sum(group.tasks for group in placement.groups) != spec.tasks:
-            raise ValueError(f"partial gang {spec.job}")
+            raise ValueError(
+                f"placement of {spec.job} does not hold {spec.tasks} tasks"
+            )
         for group in placement.groups:
             amount = sign * group.tasks
             free = self.free[group.worker]
@@ -116,18 +120,13 @@
                 memory_gb=free.memory_gb - amount * spec.per_task.memory_gb,
             )
             if min(left.accelerators, left.cores, left.memory_gb) < 0:
-                raise ValueError(f"{spec.job} overfills {group.worker}")
+                raise ValueError(
+                    f"{spec.job} exceeds the capacity of {group.worker}"
+                )
             self.free[group.worker] = left
 
     def usable_accelerators(self, domain: ids.FailureDomainId) -> int:
-        """Returns the accelerators of a failure domain's usable workers.
-
-        Args:
-            domain: The failure domain.
-
-        Returns:
-            Their number.
-        """
+        """Returns the accelerators of a failure domain's usable workers."""
         return sum(
             self.workers[name].capacity.accelerators
             for name in self.workers_by_domain[domain]
@@ -136,7 +135,12 @@
 
 
 class FragmentationMean:
-    """Adds up free and unusable accelerators over samples."""
+    """Fragmentation over several samples.
+
+    Attributes:
+        free: Weighted sum of the free accelerators.
+        unusable: Weighted sum of those that no gang can use.
+    """
 
     def __init__(self) -> None:
         """Initializes without samples."""
@@ -145,21 +149,21 @@
 
     @property
     def ratio(self) -> float:
-        """Unusable over free accelerators of all samples."""
+        """Unusable as a share of free accelerators over all samples."""
         return self.unusable / self.free if self.free else 0.0
 
-    def add_sample(
+    def record(
         self,
         usage: PoolUsage,
         domain: ids.FailureDomainId,
         mix: dict[GangShape, float],
     ) -> None:
-        """Adds the present state of one failure domain.
+        """Adds a sample of the current state of one failure domain.
 
         Args:
             usage: The pool.
             domain: The failure domain.
-            mix: Shapes with their weights.
+            mix: Weights of the expected shapes.
         """
         names = [
             name
@@ -175,24 +179,32 @@
 def _free_and_usable(
     usage: PoolUsage, names: list[ids.WorkerId], shape: GangShape
 ) -> tuple[int, int]:
-    """Returns free accelerators where the shape could ever run, and usable.
+    """Counts the accelerators that are free and those that a shape can use.
+
+    Scopes that are too small for the shape even when idle do not count.
 
-    Enclosures that are too small for the shape even when idle do not count.
+    Args:
+        usage: The pool.
+        names: Workers to count.
+        shape: The shape.
+
+    Returns:
+        Free accelerators, and those that whole gangs of the shape can use.
     """
     fits: dict[str, int] = collections.Counter()
     idle_fits: dict[str, int] = collections.Counter()
     free: dict[str, int] = collections.Counter()
     for name in names:
         worker = usage.workers[name]
-        enclosure = _scope(worker, shape.adjacency)
-        fits[enclosure] += tasks_that_fit(usage.free[name], shape.per_task)
-        idle_fits[enclosure] += tasks_that_fit(worker.capacity, shape.per_task)
-        free[enclosure] += usage.free[name].accelerators
-    able = [e for e, fit in idle_fits.items() if fit >= shape.tasks]
-    usable = sum(fits[e] for e in able if fits[e] >= shape.tasks)
+        scope = _scope(worker, shape.adjacency)
+        fits[scope] += tasks_that_fit(usage.free[name], shape.per_task)
+        idle_fits[scope] += tasks_that_fit(worker.capacity, shape.per_task)
+        free[scope] += usage.free[name].accelerators
+    large_enough = [s for s, fit in idle_fits.items() if fit >= shape.tasks]
+    usable_tasks = sum(fits[s] for s in large_enough if fits[s] >= shape.tasks)
     return (
-        sum(free[e] for e in able),
-        usable * shape.per_task.accelerators,
+        sum(free[s] for s in large_enough),
+        usable_tasks * shape.per_task.accelerators,
     )
 
 
--- a/citronmount/bench/private_pool.py
+++ b/citronmount/bench/private_pool.py
@@ -1,4 +1,4 @@
-"""Waits on the shared pool beside those on private pools.
+"""Compares waits on the shared pool with those on private pools.
 
 An account meets a sharing anomaly (Zhao et al., HiveD, OSDI 2020) if its jobs
 wait longer on the shared pool than they would on a private pool of the shapes
@@ -24,17 +24,19 @@
     shared: job_replay.Replay,
     accounts: tuple[str, ...],
 ) -> list[report.Bar]:
-    """Compares the p99 wait of each account with its private pool.
+    """Compares the p99 waits of accounts with those on their private pools.
 
     Args:
         site: The shared site.
         trace: The jobs of all accounts.
-        shared: The replay of them on the shared site.
+        shared: The replay of the trace on the shared site.
         accounts: The accounts to compare.
 
     Returns:
-        One bar for each account and class of work: the p99 wait on its
-        private pool plus the longest grace that was given to reclaim room.
+        One bar for each account and class of work. The bound is the p99 wait
+        on the private pool plus the longest grace period that an evicted job
+        got on the shared pool. Jobs that never fit the private pool are left
+        out.
     """
     return [
         bar
@@ -49,24 +51,24 @@
     shared: job_replay.Replay,
     account: ids.AccountId,
 ) -> list[report.Bar]:
-    numbers = [
+    shared_numbers = [
         number
         for number, job in enumerate(trace)
         if job.spec.account == account
     ]
-    alone = job_replay.Replay(
+    private = job_replay.Replay(
         site=sites.private_pool_site(site, account),
-        trace=tuple(trace[number] for number in numbers),
+        trace=tuple(trace[number] for number in shared_numbers),
         policy=shared.policy,
         horizon_ms=shared.horizon_ms,
     ).run()
     waits = collections.defaultdict(list)
     shared_waits = metrics.account_waits_s(shared, account)
-    for place, wait_s in metrics.account_waits_s(alone, account).items():
-        if alone.jobs[place].code is codes.ResultCode.NEVER_FITS:
+    for number, wait_s in metrics.account_waits_s(private, account).items():
+        if private.jobs[number].code is codes.ResultCode.NEVER_FITS:
             continue
-        pair = (wait_s, shared_waits[numbers[place]])
-        waits[alone.jobs[place].job.kind].append(pair)
+        pair = (wait_s, shared_waits[shared_numbers[number]])
+        waits[private.jobs[number].job.kind].append(pair)
     return [
         _bar(f"wait_p99_s.{account}.{kind}", pairs, shared)
         for kind, pairs in sorted(waits.items())
@@ -76,8 +78,8 @@
 def _bar(
     name: str, pairs: list[tuple[float, float]], shared: job_replay.Replay
 ) -> report.Bar:
-    alone_s = report.percentile(sorted(alone for alone, _ in pairs), 0.99)
-    here_s = report.percentile(sorted(here for _, here in pairs), 0.99)
+    private_s = report.percentile(sorted(wait for wait, _ in pairs), 0.99)
+    shared_s = report.percentile(sorted(wait for _, wait in pairs), 0.99)
     return report.at_most(
-        name, shared.policy, here_s, alone_s + shared.max_grace_ms / 1_000
+        name, shared.policy, shared_s, private_s + shared.max_grace_ms / 1_000
     )
--- a/citronmount/bench/registry.py
+++ b/citronmount/bench/registry.py
@@ -1,4 +1,4 @@
-"""The registry of benches, filled by decorators."""
+"""The registry of benches, which a decorator fills."""
 
 from collections.abc import Callable
 
@@ -16,13 +16,13 @@
 
 
 def bench(name: str) -> Callable[[Bench], Bench]:
-    """Registers a bench.
+    """Registers the decorated function as a bench.
 
     Args:
-        name: The name by which it is run.
+        name: Name of the bench.
 
     Returns:
-        A decorator for a function of the seed and the policies.
+        A decorator for a function that takes the seed and the policies.
     """
 
     def register(function: Bench) -> Bench:
@@ -36,10 +36,10 @@
     """Returns a registered bench.
 
     Args:
-        name: Its name.
+        name: Name of the bench.
 
     Returns:
-        The function that runs it.
+        The function that runs the bench.
 
     Raises:
         InvalidInputError: If there is no such bench.
--- a/citronmount/bench/replay_events.py
+++ b/citronmount/bench/replay_events.py
@@ -1,4 +1,4 @@
-"""Events of a replay and the trace that each job leaves."""
+"""Events of a job replay and the state of each replayed job."""
 
 import msgspec
 
@@ -9,27 +9,27 @@
 from citronmount.core import jobs
 
 __all__ = [
-    "SubmitJob",
+    "ApplyConfiguration",
     "BreakWorker",
-    "CancelJob",
+    "Cancel",
     "EnvironmentChange",
-    "ApplyConfiguration",
-    "StopEvictedJob",
-    "FinishJob",
-    "RepairWorker",
-    "ReplayedJob",
+    "Finish",
+    "FinishEviction",
+    "JobReplay",
     "MoveQueuedJobs",
     "PowerDownDomain",
-    "StartGang",
+    "RepairWorker",
     "SampleFragmentation",
+    "StartGang",
+    "Submit",
     "Tick",
 ]
 
-PERIODIC_CHECKPOINT_S = 600.0
+CHECKPOINT_PERIOD_S = 600.0
 
 
 class ApplyConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """A configuration comes into force at every scheduler.
+    """Every scheduler adopts a new version of the configuration.
 
     Attributes:
         configuration: The new version.
@@ -39,7 +39,7 @@
 
 
 class PowerDownDomain(msgspec.Struct, frozen=True, kw_only=True):
-    """Jobs that still run in a failure domain save their work and stop.
+    """The running jobs of a failure domain checkpoint and stop.
 
     Attributes:
         domain: The failure domain.
@@ -49,7 +49,7 @@
 
 
 class BreakWorker(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker fails everything it starts from now on.
+    """A worker begins to fail every task at its start.
 
     Attributes:
         worker: The worker.
@@ -59,7 +59,7 @@
 
 
 class RepairWorker(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker starts tasks properly again.
+    """A broken worker starts tasks successfully again.
 
     Attributes:
         worker: The worker.
@@ -73,8 +73,8 @@
 )
 
 
-class SubmitJob(msgspec.Struct, frozen=True, kw_only=True):
-    """A job is submitted, or submitted again.
+class Submit(msgspec.Struct, frozen=True, kw_only=True):
+    """A job is submitted for the first time or after a refusal.
 
     Attributes:
         number: Index of the job in the trace.
@@ -83,8 +83,8 @@
     number: int
 
 
-class CancelJob(msgspec.Struct, frozen=True, kw_only=True):
-    """Its caller cancels a job.
+class Cancel(msgspec.Struct, frozen=True, kw_only=True):
+    """The caller cancels a job.
 
     Attributes:
         number: Index of the job in the trace.
@@ -94,11 +94,12 @@
 
 
 class _AttemptEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """What happens to one placement of a job.
+    """An event of one attempt to run a job.
 
     Attributes:
         number: Index of the job in the trace.
-        attempt: The placement that it belongs to.
+        attempt: Number of the attempt; the event is ignored if the job has
+            been placed again since.
     """
 
     number: int
@@ -106,25 +107,25 @@
 
 
 class StartGang(_AttemptEvent, frozen=True, kw_only=True):
-    """All tasks of a placement are ready to run."""
+    """All tasks of a placed gang begin to run, or fail to start."""
 
 
-class FinishJob(_AttemptEvent, frozen=True, kw_only=True):
-    """A job has done its work."""
+class Finish(_AttemptEvent, frozen=True, kw_only=True):
+    """A job completes its work."""
 
 
-class StopEvictedJob(_AttemptEvent, frozen=True, kw_only=True):
-    """A job that was told to stop has saved its work and stopped.
+class FinishEviction(_AttemptEvent, frozen=True, kw_only=True):
+    """A job that is being evicted stops.
 
     Attributes:
-        progress: Share of its work that is saved.
+        progress: Share of the job's work that is checkpointed.
     """
 
     progress: float
 
 
 class Tick(msgspec.Struct, frozen=True, kw_only=True):
-    """A scheduler with queued jobs decides again.
+    """A scheduler that has queued jobs decides periodically.
 
     Attributes:
         domain: The scheduler's failure domain.
@@ -134,31 +135,32 @@
 
 
 class MoveQueuedJobs(msgspec.Struct, frozen=True, kw_only=True):
-    """Queued jobs look for another failure domain."""
+    """Queued jobs are moved to failure domains that can start them."""
 
 
 class SampleFragmentation(msgspec.Struct, frozen=True, kw_only=True):
-    """Fragmentation is sampled."""
+    """Fragmentation of every failure domain in service is sampled."""
 
 
-class ReplayedJob(msgspec.Struct, kw_only=True):
-    """What became of one job.
+class JobReplay(msgspec.Struct, kw_only=True):
+    """State of one job during a replay.
 
     Attributes:
-        job: The job.
-        spec: What it was submitted as, once routed.
-        domain: Its present failure domain.
-        placement: Where it runs, while it does.
+        job: The job in the trace.
+        spec: Specification as last submitted, with the id that it got when
+            it was routed.
+        domain: Current failure domain.
+        placement: Placement that the job holds, if any.
         first_start_ms: When all tasks first ran.
-        started_ms: When the present attempt started.
-        ended_ms: When it came to its final result.
-        code: The final result.
-        attempts: Placements made.
-        evictions: How often it was stopped to reclaim its room.
-        moves: How often it went to another failure domain while queued.
-        progress: Share of its work that is saved.
-        evicting: Whether it has been told to stop.
-        waited_reclaim: Whether others were stopped for it.
+        started_ms: When the current attempt started.
+        ended_ms: When the job ended.
+        code: Final result.
+        attempts: Number of placements.
+        evictions: Number of evictions that reclaimed its capacity.
+        moves: Number of moves to another failure domain while queued.
+        progress: Share of the work that is checkpointed.
+        evicting: Whether the job is being stopped.
+        waited_reclaim: Whether other jobs were evicted to start this one.
     """
 
     job: workload.TracedJob
@@ -177,7 +179,7 @@
     waited_reclaim: bool = False
 
     def progress_at(self, now_ms: int) -> float:
-        """Returns the share of its work that is done.
+        """Returns the share of the work that is done.
 
         Args:
             now_ms: The time.
@@ -191,7 +193,7 @@
         return min(1.0, self.progress + ran_s / self.job.true_run_s)
 
     def saved_at(self, now_ms: int) -> float:
-        """Returns the share that the last periodic checkpoint holds.
+        """Returns the share of the work in the last periodic checkpoint.
 
         Args:
             now_ms: The time.
@@ -202,5 +204,5 @@
         if self.started_ms is None:
             return self.progress
         ran_s = (now_ms - self.started_ms) / 1_000
-        kept_s = ran_s // PERIODIC_CHECKPOINT_S * PERIODIC_CHECKPOINT_S
-        return min(1.0, self.progress + kept_s / self.job.true_run_s)
+        saved_s = ran_s // CHECKPOINT_PERIOD_S * CHECKPOINT_PERIOD_S
+        return min(1.0, self.progress + saved_s / self.job.true_run_s)
--- a/citronmount/bench/replay_routing.py
+++ b/citronmount/bench/replay_routing.py
@@ -1,4 +1,4 @@
-"""Where a replay submits jobs, and where queued ones may move."""
+"""Chooses failure domains for the submitted and queued jobs of a replay."""
 
 import collections
 from collections.abc import Mapping
@@ -20,6 +20,9 @@
 class JobRouter:
     """Routes jobs to the schedulers of the failure domains.
 
+    A scheduler's refusal to start a shape is cached until something changes
+    at that scheduler.
+
     Attributes:
         configuration: The version in force.
     """
@@ -30,7 +33,7 @@
         schedulers: _Schedulers,
         configuration: configuration_lib.Configuration,
     ) -> None:
-        """Initializes a router that has asked no scheduler yet.
+        """Initializes a router without cached refusals.
 
         Args:
             schedulers: The scheduler of each failure domain.
@@ -49,21 +52,22 @@
     def set_configuration(
         self, configuration: configuration_lib.Configuration
     ) -> None:
-        """Takes in a version of the configuration."""
+        """Adopts a version of the configuration and drops cached refusals."""
         self.configuration = configuration
         self._refused_versions.clear()
 
     def record_change(self, domain: ids.FailureDomainId) -> None:
-        """Notes that a scheduler may answer otherwise than before."""
+        """Invalidates the cached refusals of a failure domain's scheduler."""
         self._versions[domain] += 1
 
     def route(
         self, spec: jobs.JobSpec, now_ms: int
     ) -> ids.FailureDomainId | None:
-        """Returns where a VM of any failure domain would submit a job.
+        """Returns the failure domain to which a job is submitted, if any.
 
-        The first failure domain that could start it at once gets it, or else
-        the one that ranks first.
+        It is the first in rank that can start the job at once, or else the
+        first in rank. Jobs enter through the VMs of each failure domain in
+        turn, which affects the ranks.
         """
         names = list(self._schedulers)
         ranked = homes.rank_job_homes(
@@ -80,7 +84,7 @@
     def find_better_domain(
         self, spec: jobs.JobSpec, domain: ids.FailureDomainId, now_ms: int
     ) -> ids.FailureDomainId | None:
-        """Returns another failure domain that would start a queued job."""
+        """Returns another failure domain that can start a queued job now."""
         return next(
             (
                 name
@@ -93,14 +97,18 @@
     def _would_start(
         self, name: ids.FailureDomainId, spec: jobs.JobSpec, now_ms: int
     ) -> bool:
-        """Asks a scheduler, unless nothing changed there since its last no."""
+        """Returns whether a scheduler can start a job now, from cache or not.
+
+        The scheduler is not asked again if nothing has changed there since it
+        last refused a job of the same account, shape and urgency.
+        """
         key = (name, spec.account, pool_usage.shape_of(spec), spec.urgent)
         if self._refused_versions.get(key) == self._versions[name]:
             return False
-        able = self._schedulers[name].would_start(spec, now_ms)
-        if not able:
+        can_start = self._schedulers[name].would_start(spec, now_ms)
+        if not can_start:
             self._refused_versions[key] = self._versions[name]
-        return able
+        return can_start
 
     def _capacities(self) -> dict[ids.FailureDomainId, homes.DomainCapacity]:
         return {
@@ -114,14 +122,18 @@
     def _candidate_domains(
         self, spec: jobs.JobSpec, domain: ids.FailureDomainId
     ) -> list[ids.FailureDomainId]:
-        """Returns other homes with a guarantee or room, most room first."""
+        """Returns other domains that might start a job, freest first.
+
+        A domain might if the account has a guarantee there or if enough
+        accelerators are neither in use nor needed by queued jobs.
+        """
         key = (self.configuration.version, spec.account, spec.accelerators)
         if key not in self._ranked_domains:
             self._ranked_domains[key] = shares.rank_homes(
                 self.configuration, spec
             )
-        holding = self._guaranteed_domains[spec.account]
-        rooms = {
+        guaranteed = self._guaranteed_domains[spec.account]
+        uncommitted = {
             name: self._uncommitted_accelerators(name)
             for name in self._ranked_domains[key]
             if name != domain
@@ -129,10 +141,10 @@
         return sorted(
             (
                 name
-                for name, room in rooms.items()
-                if name in holding or room >= spec.accelerators
+                for name, accelerators in uncommitted.items()
+                if name in guaranteed or accelerators >= spec.accelerators
             ),
-            key=lambda name: (-rooms[name], name),
+            key=lambda name: (-uncommitted[name], name),
         )
 
     def _uncommitted_accelerators(self, name: ids.FailureDomainId) -> int:
--- a/citronmount/bench/replay_usage.py
+++ b/citronmount/bench/replay_usage.py
@@ -1,4 +1,4 @@
-"""What a replay's jobs hold and wait for, and what they may use."""
+"""Records allocations, queued demand and capacity during a job replay."""
 
 import collections
 from collections.abc import Iterable
@@ -15,25 +15,26 @@
 __all__ = [
     "MAX_COMPARED_ACCOUNTS",
     "UsageRecorder",
-    "work_by_shape",
     "paying_accounts",
+    "work_by_shape",
 ]
 
 MAX_COMPARED_ACCOUNTS = 16
 
 
 class UsageRecorder:
-    """Use and capacity of each failure domain over time.
+    """Records use and capacity of each failure domain over time.
 
     Attributes:
-        usage: What is free on each worker.
-        capacity: Accelerators that may be used, over time.
-        served: What each compared account got, by failure domain.
+        usage: Free resources of each worker.
+        capacity: Accelerators that jobs may use, over time.
+        fair_shares: Due and received shares of the accounts, by failure
+            domain.
         configuration: The version in force.
     """
 
     def __init__(self, *, site: sites.Site) -> None:
-        """Initializes a ledger of an idle site.
+        """Initializes the record of an idle site.
 
         Args:
             site: The pool and the first configuration.
@@ -48,9 +49,9 @@
         self._capacity_now = dict.fromkeys(site.domains, 0)
 
     def advance(self, now_ms: int) -> None:
-        """Brings every account's share up to date."""
-        for served in self.fair_shares.values():
-            served.advance(now_ms)
+        """Accounts for the time up to now in every failure domain."""
+        for shares in self.fair_shares.values():
+            shares.advance(now_ms)
 
     def record_queued(
         self,
@@ -59,17 +60,17 @@
         sign: int,
         now_ms: int,
     ) -> None:
-        """Notes that a job waits, or waits no more.
+        """Records that a job enters or leaves the queue.
 
         Args:
-            domain: Where.
+            domain: Failure domain of the queue.
             spec: The job.
-            sign: 1 if it begins to wait, else -1.
+            sign: 1 if it enters, -1 if it leaves.
             now_ms: The time.
         """
-        served = self.fair_shares[domain]
-        served.advance(now_ms)
-        served.record_queued(spec.account, spec.accelerators, sign)
+        shares = self.fair_shares[domain]
+        shares.advance(now_ms)
+        shares.record_queued(spec.account, spec.accelerators, sign)
 
     def record_placed(
         self,
@@ -77,23 +78,23 @@
         spec: jobs.JobSpec,
         placement: jobs.Placement,
     ) -> None:
-        """Notes that a job holds its placement."""
+        """Records that a job takes the resources of its placement."""
         self.usage.update_allocation(spec, placement, 1)
         self.fair_shares[domain].record_allocated(
             spec.account, spec.accelerators
         )
 
-    def record_released(
+    def record_freed(
         self,
         domain: ids.FailureDomainId,
         spec: jobs.JobSpec,
         placement: jobs.Placement,
         now_ms: int,
     ) -> None:
-        """Notes that a job holds its placement no more."""
-        served = self.fair_shares[domain]
-        served.advance(now_ms)
-        served.record_allocated(spec.account, -spec.accelerators)
+        """Records that a job returns the resources of its placement."""
+        shares = self.fair_shares[domain]
+        shares.advance(now_ms)
+        shares.record_allocated(spec.account, -spec.accelerators)
         self.usage.update_allocation(spec, placement, -1)
         if self.is_out_of_service(domain):
             self.update_capacity(domain, now_ms)
@@ -101,12 +102,12 @@
     def is_out_of_service(self, domain: ids.FailureDomainId) -> bool:
         """Returns whether operators took a failure domain out of service."""
         return any(
-            each.name == domain and each.state is states.FailureDomainState.OUT
-            for each in self.configuration.failure_domains
+            row.name == domain and row.state is states.FailureDomainState.OUT
+            for row in self.configuration.failure_domains
         )
 
     def update_capacity(self, domain: ids.FailureDomainId, now_ms: int) -> None:
-        """Notes what may be used; out of service, only what is still held."""
+        """Updates a domain's capacity: if out, only what jobs still hold."""
         total = self.usage.usable_accelerators(domain)
         if self.is_out_of_service(domain):
             total -= sum(
@@ -122,25 +123,28 @@
 def work_by_shape(
     trace: Iterable[workload.TracedJob],
 ) -> dict[pool_usage.GangShape, float]:
-    """Returns the shapes of jobs, weighted by accelerator time.
+    """Returns the work of jobs that need accelerators, by gang shape.
 
     Args:
         trace: The jobs.
 
     Returns:
-        Seconds of work by shape.
+        Accelerator seconds by shape.
     """
-    mix: dict[pool_usage.GangShape, float] = collections.defaultdict(float)
+    work_s: dict[pool_usage.GangShape, float] = collections.defaultdict(float)
     for job in trace:
         if job.spec.accelerators:
-            mix[pool_usage.shape_of(job.spec)] += job.work_s
-    return dict(mix)
+            work_s[pool_usage.shape_of(job.spec)] += job.work_s
+    return dict(work_s)
 
 
 def _guaranteed(
     site: sites.Site, domain: ids.FailureDomainId
 ) -> dict[ids.AccountId, int]:
-    """Returns what each compared account is guaranteed in a domain."""
+    """Returns the accelerators guaranteed to each paying account in a domain.
+
+    It is empty if there are more than MAX_COMPARED_ACCOUNTS paying accounts.
+    """
     paying = paying_accounts(site.configuration)
     if len(paying) > MAX_COMPARED_ACCOUNTS:
         return {}
--- a/citronmount/bench/report.py
+++ b/citronmount/bench/report.py
@@ -1,4 +1,4 @@
-"""Typed reports of benches, encoded to the same bytes for the same seed."""
+"""Reports of benches; equal reports are encoded to equal bytes."""
 
 from collections.abc import Iterable
 import math
@@ -23,15 +23,15 @@
 
 
 class Percentiles(msgspec.Struct, frozen=True, kw_only=True):
-    """A distribution of times in seconds.
+    """Summary of a distribution of times in seconds.
 
     Attributes:
-        count: How many samples there are.
-        mean: Their mean.
-        p50: Their median.
-        p90: The 90th percentile.
-        p99: The 99th percentile.
-        max: The largest sample.
+        count: Number of samples.
+        mean: Mean.
+        p50: Median.
+        p90: 90th percentile.
+        p99: 99th percentile.
+        max: Largest sample.
     """
 
     count: int
@@ -43,17 +43,18 @@
 
 
 class PolicyMetrics(msgspec.Struct, frozen=True, kw_only=True):
-    """What one policy made of a workload.
+    """Results of one policy on a workload.
 
     Attributes:
         completion_time_s: From arrival to the end, by class of work. Work
             that has not ended counts with its time up to the horizon.
         wait_s: From arrival to the first start, by class of work.
         fragmentation: Share of the free accelerators that the shapes of the
-            queued jobs could not use, weighted by their demand; None if no
-            accelerators are at stake.
-        work_done_ratio: Useful accelerator time over the most that the
-            capacity in service allowed; None if no accelerators are at stake.
+            queued jobs could not use, weighted by their demand; None if the
+            workload uses no accelerators.
+        work_done_ratio: Useful work as a share of the most that the capacity
+            in service allowed: accelerator time of jobs, or requests done
+            over requests sent; None if the bench does not measure it.
         counts: Numbers of events by name.
         ratios: Further ratios by name.
     """
@@ -67,14 +68,14 @@
 
 
 class Bar(msgspec.Struct, frozen=True, kw_only=True):
-    """A stated target and what was measured against it.
+    """A target and the value measured for it.
 
     Attributes:
-        name: What is bounded.
-        policy: The policy measured.
-        measured: The figure.
+        name: Name of the bounded metric.
+        policy: The measured policy.
+        measured: The measured value.
         bound: The target.
-        met: Whether the figure keeps the target.
+        met: Whether the value meets the target.
     """
 
     name: str
@@ -90,8 +91,8 @@
     Attributes:
         bench: Name of the bench.
         seed: Seed of the workload.
-        metrics: One entry for each policy.
-        bars: The targets that the bench is held against.
+        metrics: Results by policy or variant.
+        bars: Targets of the bench with the measured values.
     """
 
     bench: str
@@ -101,13 +102,13 @@
 
 
 def rounded(value: float) -> float:
-    """Returns a figure at the precision of reports.
+    """Rounds a value to the precision of reports.
 
     Args:
-        value: Any figure.
+        value: Any value.
 
     Returns:
-        The figure to six significant digits.
+        The value to six significant digits.
 
     Example:
         >>> rounded(0.12345678)
@@ -122,8 +123,8 @@
     """Returns a nearest-rank percentile.
 
     Args:
-        ranked: Samples in rising order.
-        share: The percentile between 0 and 1.
+        ranked: Samples in ascending order.
+        share: The percentile, as a number between 0 and 1.
 
     Returns:
         The sample at that rank, or 0 without samples.
@@ -134,13 +135,13 @@
 
 
 def percentiles(samples: Iterable[float]) -> Percentiles:
-    """Summarizes samples.
+    """Summarizes the distribution of samples.
 
     Args:
         samples: Times in seconds.
 
     Returns:
-        Their distribution.
+        The summary.
     """
     ranked = sorted(samples)
     mean = math.fsum(ranked) / len(ranked) if ranked else 0.0
@@ -155,12 +156,12 @@
 
 
 def at_most(name: str, policy: str, measured: float, bound: float) -> Bar:
-    """Returns a bar that a figure must not exceed.
+    """Returns a bar that a value meets if it does not exceed the bound.
 
     Args:
-        name: What is bounded.
-        policy: The policy measured.
-        measured: The figure.
+        name: Name of the bounded metric.
+        policy: The measured policy.
+        measured: The measured value.
         bound: The target.
 
     Returns:
@@ -176,12 +177,12 @@
 
 
 def at_least(name: str, policy: str, measured: float, bound: float) -> Bar:
-    """Returns a bar that a figure must reach.
+    """Returns a bar that a value meets if it reaches the bound.
 
     Args:
-        name: What is bounded.
-        policy: The policy measured.
-        measured: The figure.
+        name: Name of the bounded metric.
+        policy: The measured policy.
+        measured: The measured value.
         bound: The target.
 
     Returns:
@@ -200,22 +201,22 @@
     """Encodes a report as one JSON object.
 
     Args:
-        report: A report.
+        report: A report of any type.
 
     Returns:
-        JSON bytes with sorted keys.
+        JSON with sorted keys.
     """
     return msgspec.json.encode(report, order="sorted")
 
 
 def as_text(report: BenchReport) -> str:
-    """Formats a report for a person.
+    """Formats a report as text.
 
     Args:
         report: A report.
 
     Returns:
-        Lines with the waits of each policy and the bars.
+        Lines with the times of each policy and the bars.
     """
     lines = [f"{report.bench}, seed {report.seed}"]
     for policy, metrics in sorted(report.metrics.items()):
--- a/citronmount/bench/request_workload.py
+++ b/citronmount/bench/request_workload.py
@@ -8,7 +8,7 @@
 from citronmount.clients import messages
 from citronmount.core import ids
 
-__all__ = ["RequestSite", "TracedRequest", "perchero_site", "make_requests"]
+__all__ = ["RequestSite", "TracedRequest", "make_requests", "perchero_site"]
 
 SLOTS = 8
 CONNECTIONS = 60
--- a/citronmount/bench/score_losses.py
+++ b/citronmount/bench/score_losses.py
@@ -1,4 +1,4 @@
-"""Tells how much of the worth of scored days is lost to what."""
+"""Breaks down the score that days of the users' benchmark lose, by cause."""
 
 import collections
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class LossCause(enum.Enum):
-    """What a share of the worth is lost to."""
+    """Cause of a loss of score."""
 
     LATE = "late or unserved jobs"
     VMS = "VMs in use"
@@ -23,13 +23,14 @@
 
 
 class ScoredDay(msgspec.Struct, frozen=True, kw_only=True):
-    """One played day.
+    """Score of one simulated day.
 
     Attributes:
-        worth: Credit earned less prices over the credit owed.
+        worth: The score: credit earned less prices, as a share of the credit
+            owed.
         kind: The kind of day.
         parts: Weight and share earned of each part of the credit.
-        prices: Cause and worth of each price.
+        prices: Cause of each price and the score that it costs.
     """
 
     worth: float
@@ -39,13 +40,13 @@
 
 
 def losses_by_cause(day: ScoredDay) -> dict[LossCause, float]:
-    """Returns what a day lost to each cause.
+    """Returns the score that a day lost to each cause.
 
     Args:
         day: The day.
 
     Returns:
-        Shares of the credit owed; with the worth they add up to 1.
+        Shares of the credit owed; with the day's score they add up to 1.
     """
     weights = sum(weight for weight, _ in day.parts)
     lost: dict[LossCause, float] = collections.defaultdict(float)
@@ -64,7 +65,7 @@
         days: Days of one site.
 
     Returns:
-        Lines.
+        The lines of the table.
     """
     by_kind: dict[str, list[ScoredDay]] = collections.defaultdict(list)
     for day in days:
@@ -74,13 +75,13 @@
         f"| kind | days | worth | {' | '.join(titles)} |",
         "|---" * (len(titles) + 3) + "|",
     ]
-    return lines + [_row(kind, some) for kind, some in by_kind.items()]
+    return lines + [_row(kind, group) for kind, group in by_kind.items()]
 
 
 def _row(kind: str, days: list[ScoredDay]) -> str:
-    each = [losses_by_cause(day) for day in days]
+    day_losses = [losses_by_cause(day) for day in days]
     means = [
-        statistics.mean(lost.get(cause, 0.0) for lost in each)
+        statistics.mean(lost.get(cause, 0.0) for lost in day_losses)
         for cause in LossCause
     ]
     worth = statistics.mean(day.worth for day in days)
--- a/citronmount/bench/suite.py
+++ b/citronmount/bench/suite.py
@@ -16,6 +16,6 @@
 
 
 def load_benches() -> None:
-    """Imports the modules of all benches, so that they register."""
+    """Imports the modules of all benches, which registers them."""
     for name in _MODULES:
         importlib.import_module(f"citronmount.bench.{name}")
--- a/citronmount/bench/tests/test_accounting.py
+++ b/citronmount/bench/tests/test_accounting.py
@@ -72,7 +72,7 @@
             tasks=2, per_task=half, adjacency=states.Adjacency.RACK
         )
         samples = pool_usage.FragmentationMean()
-        samples.add_sample(usage, domain, {wide: 1.0, narrow: 3.0})
+        samples.record(usage, domain, {wide: 1.0, narrow: 3.0})
         self.assertEqual(samples.ratio, 0.25)
 
     def test_partial_or_overfull_gangs_are_caught(self):
--- a/citronmount/bench/two_year.py
+++ b/citronmount/bench/two_year.py
@@ -10,7 +10,7 @@
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["MAX_URGENT_WAIT_S", "run", "make_trace"]
+__all__ = ["MAX_URGENT_WAIT_S", "make_trace", "run"]
 
 JOBS_PER_DAY = 4_600
 HOURS = 24.0
--- a/citronmount/bench/workload.py
+++ b/citronmount/bench/workload.py
@@ -15,10 +15,10 @@
     "MINUTE_MS",
     "SECOND_MS",
     "TracedJob",
+    "make_job",
     "poisson_arrivals_ms",
-    "sample_log_normal",
     "random_stream",
-    "make_job",
+    "sample_log_normal",
 ]
 
 SECOND_MS = 1_000
