--- a/citronmount/bench/accounting.py
+++ b/citronmount/bench/accounting.py
@@ -148,7 +148,7 @@
         Args:
             account: Account of the jobs; accounts not compared are ignored.
             size: Accelerators of each job; jobs without any are ignored.
-            change: Number of jobs that entered; -1 if one left.
+            change: 1 for each job that entered, -1 for each that left.
         """
         if account not in self._queued or not size:
             return
--- a/citronmount/bench/job_mix.py
+++ b/citronmount/bench/job_mix.py
@@ -1,4 +1,4 @@
-"""A steady mix of jobs of the Hanbit members, for the benches of faults."""
+"""A steady mix of jobs of the Hanbit members, for benches of disturbances."""
 
 import itertools
 
@@ -25,10 +25,10 @@
     """Merges parts of a workload.
 
     Args:
-        *parts: Jobs.
+        *parts: Jobs of each part.
 
     Returns:
-        All jobs by arrival.
+        All jobs in the order of arrival.
     """
     return tuple(
         sorted(
@@ -47,18 +47,18 @@
     median_s: float = 1_200.0,
     trial_share: float = 0.2,
 ) -> list[workload.TracedJob]:
-    """Returns small, medium and large jobs of all accounts.
+    """Returns small, medium and large jobs of the members and a trial account.
 
     Args:
-        name: Name of the random stream.
+        name: Name of the random generator.
         seed: Seed of the bench.
-        hours: How long jobs arrive.
-        jobs_per_hour: How many arrive in an hour.
+        hours: Time over which jobs arrive.
+        jobs_per_hour: Expected number of arrivals in an hour.
         median_s: Median run time.
-        trial_share: Share of jobs of the trial account.
+        trial_share: Share of the jobs that the trial account submits.
 
     Returns:
-        The jobs, which declare what they take.
+        The jobs, which declare their true run times.
     """
     rng = workload.random_stream(name, seed)
     end_ms = round(hours * workload.HOUR_MS)
--- a/citronmount/bench/job_replay.py
+++ b/citronmount/bench/job_replay.py
@@ -406,7 +406,7 @@
     ) -> set[ids.FailureDomainId]:
         self.configuration = event.configuration
         self._recorder.configuration = event.configuration
-        self._router.set_configuration(event.configuration)
+        self._router.adopt_configuration(event.configuration)
         for domain, scheduler in self._schedulers.items():
             scheduler.set_configuration(event.configuration)
             self._recorder.update_capacity(domain, now_ms)
--- a/citronmount/bench/pool_usage.py
+++ b/citronmount/bench/pool_usage.py
@@ -107,9 +107,7 @@
                 does not hold all of its tasks.
         """
         if sum(group.tasks for group in placement.groups) != spec.tasks:
-            raise ValueError(
-                f"placement of {spec.job} does not hold {spec.tasks} tasks"
-            )
+            raise ValueError(f"{spec.job}: placement is not the whole gang")
         for group in placement.groups:
             amount = sign * group.tasks
             free = self.free[group.worker]
--- a/citronmount/bench/private_pool.py
+++ b/citronmount/bench/private_pool.py
@@ -64,11 +64,11 @@
     ).run()
     waits = collections.defaultdict(list)
     shared_waits = metrics.account_waits_s(shared, account)
-    for number, wait_s in metrics.account_waits_s(private, account).items():
-        if private.jobs[number].code is codes.ResultCode.NEVER_FITS:
+    for index, wait_s in metrics.account_waits_s(private, account).items():
+        if private.jobs[index].code is codes.ResultCode.NEVER_FITS:
             continue
-        pair = (wait_s, shared_waits[shared_numbers[number]])
-        waits[private.jobs[number].job.kind].append(pair)
+        pair = (wait_s, shared_waits[shared_numbers[index]])
+        waits[private.jobs[index].job.kind].append(pair)
     return [
         _bar(f"wait_p99_s.{account}.{kind}", pairs, shared)
         for kind, pairs in sorted(waits.items())
@@ -78,8 +78,15 @@
 def _bar(
     name: str, pairs: list[tuple[float, float]], shared: job_replay.Replay
 ) -> report.Bar:
-    private_s = report.percentile(sorted(wait for wait, _ in pairs), 0.99)
-    shared_s = report.percentile(sorted(wait for _, wait in pairs), 0.99)
+    private_p99_s = report.percentile(
+        sorted(private_s for private_s, _ in pairs), 0.99
+    )
+    shared_p99_s = report.percentile(
+        sorted(shared_s for _, shared_s in pairs), 0.99
+    )
     return report.at_most(
-        name, shared.policy, shared_s, private_s + shared.max_grace_ms / 1_000
+        name,
+        shared.policy,
+        shared_p99_s,
+        private_p99_s + shared.max_grace_ms / 1_000,
     )
--- a/citronmount/bench/replay_routing.py
+++ b/citronmount/bench/replay_routing.py
@@ -49,7 +49,7 @@
         for row in configuration.guarantees:
             self._guaranteed_domains[row.account].add(row.failure_domain)
 
-    def set_configuration(
+    def adopt_configuration(
         self, configuration: configuration_lib.Configuration
     ) -> None:
         """Adopts a version of the configuration and drops cached refusals."""
--- a/citronmount/bench/sites.py
+++ b/citronmount/bench/sites.py
@@ -1,4 +1,4 @@
-"""The pools and configurations on which workloads are replayed."""
+"""Pools and configurations on which workloads are replayed."""
 
 import itertools
 
@@ -19,7 +19,7 @@
     "two_year",
 ]
 
-RACK_WORKERS = 8
+WORKERS_PER_RACK = 8
 HANBIT_WORKER = jobs.Resources(accelerators=8, cores=64, memory_gb=128)
 PERCHERO_WORKER = jobs.Resources(accelerators=8, cores=32, memory_gb=64)
 
@@ -28,7 +28,7 @@
     """A pool and the configuration at the start of a replay.
 
     Attributes:
-        configuration: The configuration in force at first.
+        configuration: The initial configuration.
         workers: All workers.
     """
 
@@ -37,7 +37,7 @@
 
     @property
     def domains(self) -> tuple[ids.FailureDomainId, ...]:
-        """The failure domains, sorted."""
+        """The failure domains, in the order of the configuration."""
         return tuple(d.name for d in self.configuration.failure_domains)
 
 
@@ -49,7 +49,7 @@
             name=f"{domain}-w{number:04d}",
             address="127.0.0.1:1",
             failure_domain=ids.FailureDomainId(domain),
-            rack=ids.RackId(f"{domain}-r{number // RACK_WORKERS:03d}"),
+            rack=ids.RackId(f"{domain}-r{number // WORKERS_PER_RACK:03d}"),
             capacity=capacity,
         )
         for number, capacity in enumerate(capacities)
@@ -109,10 +109,11 @@
     allowance: int,
     worker: jobs.Resources,
 ) -> Site:
-    """Returns 25 workers in three failure domains and equal members.
+    """Returns 25 workers in three failure domains and equal guarantees.
 
-    Each member holds one gang of four whole workers of a rack in its own
-    failure domain and four single accelerators in every one but the first.
+    Each member is guaranteed one gang of four whole workers of one rack, in
+    one failure domain, and four single accelerators in each domain but the
+    first. Members get the domains of their gangs in turn.
     """
     homes = itertools.cycle(names)
     gangs = tuple(
@@ -154,7 +155,7 @@
 
 
 def hanbit() -> Site:
-    """Returns the pool of the Hanbit consortium with its four members."""
+    """Returns the worker pool of the Hanbit consortium of four members."""
     return _three_domains(
         ("kr-central-a", "kr-central-b", "kr-central-c"),
         ("ara", "bora", "chorok", "dalbit"),
@@ -177,9 +178,9 @@
 
 TWO_YEAR_DOMAINS = ("r1-a", "r1-b", "r1-c", "r2-a", "r2-b")
 TWO_YEAR_TEAMS = 280
-_BIG = jobs.Resources(accelerators=8, cores=96, memory_gb=512)
-_PAIR = jobs.Resources(accelerators=2, cores=64, memory_gb=256)
-_SINGLE = jobs.Resources(accelerators=1, cores=48, memory_gb=128)
+_LARGE_WORKER = jobs.Resources(accelerators=8, cores=96, memory_gb=512)
+_MEDIUM_WORKER = jobs.Resources(accelerators=2, cores=64, memory_gb=256)
+_SMALL_WORKER = jobs.Resources(accelerators=1, cores=48, memory_gb=128)
 _TEAM_GANG = (1, 8, jobs.Resources(accelerators=2, cores=16, memory_gb=48))
 _TEAM_SINGLES = (6, 1, jobs.Resources(accelerators=1, cores=8, memory_gb=24))
 
@@ -188,19 +189,20 @@
     """Returns the pool of the two-year plan.
 
     At full scale it has 1,300 workers with 2,900 accelerators in five
-    failure domains and 280 teams, of which one in ten tries.
+    failure domains and 280 teams, of which one in ten has a trial account.
 
     Args:
-        scale: The share of workers and teams to keep.
-        team_scale: The share of teams, if it differs from that of workers.
+        scale: Share of workers and teams to keep.
+        team_scale: Share of teams to keep, if it differs from that of
+            workers.
 
     Returns:
         The site.
     """
     per_domain = (
-        [_BIG] * round(40 * scale)
-        + [_PAIR] * round(40 * scale)
-        + [_SINGLE] * round(180 * scale)
+        [_LARGE_WORKER] * round(40 * scale)
+        + [_MEDIUM_WORKER] * round(40 * scale)
+        + [_SMALL_WORKER] * round(180 * scale)
     )
     count = round(
         TWO_YEAR_TEAMS * (scale if team_scale is None else team_scale)
@@ -242,8 +244,8 @@
 def private_pool_site(site: Site, account: ids.AccountId) -> Site:
     """Returns a pool of exactly the shapes guaranteed to one account.
 
-    Each gang of whole workers gets a rack of its own; each copy of a smaller
-    shape gets a worker of that size.
+    Each copy of a guarantee gets a rack of its own, with one worker of the
+    size of a task for each task.
 
     Args:
         site: The shared site.
@@ -252,11 +254,11 @@
     Returns:
         A site with that account alone.
     """
-    held = tuple(
+    guarantees = tuple(
         g for g in site.configuration.guarantees if g.account == account
     )
     workers = []
-    for row, guarantee in enumerate(held):
+    for row, guarantee in enumerate(guarantees):
         for copy in range(guarantee.copies):
             workers.extend(_private_workers(guarantee, row, copy))
     configuration = msgspec.structs.replace(
@@ -264,7 +266,7 @@
         accounts=tuple(
             a for a in site.configuration.accounts if a.name == account
         ),
-        guarantees=held,
+        guarantees=guarantees,
         allowances=(),
     )
     return Site(configuration=configuration, workers=tuple(workers))
@@ -291,7 +293,7 @@
     domain: ids.FailureDomainId,
     state: states.FailureDomainState,
 ) -> configuration_lib.Configuration:
-    """Returns the next version, with one failure domain in or out.
+    """Returns the next configuration version, with one domain's state set.
 
     Args:
         configuration: The version in force.
--- a/citronmount/bench/workload.py
+++ b/citronmount/bench/workload.py
@@ -1,4 +1,4 @@
-"""Traced jobs: what is submitted, and how it really behaves."""
+"""Jobs of a workload trace: what is submitted and how it really behaves."""
 
 import math
 import random
@@ -32,13 +32,14 @@
     """One job of a workload.
 
     Attributes:
-        spec: What the caller declares; its id is made when it is routed.
-        kind: The class of work in reports.
-        arrival_ms: When it is submitted.
-        true_run_s: How long it really runs without interruption.
-        checkpoint_ms: How long it takes to save its work.
-        fails: Whether its tasks fail wherever they start.
-        cancel_ms: When its caller cancels it, if ever.
+        spec: Specification that the caller submits; its job id is replaced
+            when the job is routed.
+        kind: Class of work in reports.
+        arrival_ms: Time of submission.
+        true_run_s: Real run time without interruption.
+        checkpoint_ms: Time that a checkpoint takes.
+        fails: Whether its tasks fail to start on every worker.
+        cancel_ms: Time at which the caller cancels the job, if ever.
     """
 
     spec: jobs.JobSpec
@@ -51,19 +52,22 @@
 
     @property
     def work_s(self) -> float:
-        """Accelerator seconds of the whole job."""
+        """Accelerator seconds of the whole job without interruption."""
         return self.spec.accelerators * self.true_run_s
 
 
 def random_stream(name: str, seed: int) -> random.Random:
-    """Returns the random stream of one part of a workload.
+    """Returns the random generator of one part of a workload.
+
+    Each part has its own, so that a change of one part does not change the
+    samples of another.
 
     Args:
-        name: The part.
-        seed: The seed of the bench.
+        name: Name of the part.
+        seed: Seed of the bench.
 
     Returns:
-        A generator that no other part uses.
+        A new generator, seeded by both.
     """
     return random.Random(f"{name}/{seed}")
 
@@ -71,16 +75,16 @@
 def poisson_arrivals_ms(
     rng: random.Random, start_ms: int, end_ms: int, count: float
 ) -> list[int]:
-    """Returns the times of a Poisson process.
+    """Samples the arrival times of a Poisson process.
 
     Args:
-        rng: The random stream.
-        start_ms: When it begins.
-        end_ms: When it ends.
-        count: The expected number of times.
+        rng: The random generator.
+        start_ms: Start of the process.
+        end_ms: End of the process.
+        count: Expected number of arrivals.
 
     Returns:
-        Times in ms, rising.
+        Times in ms, in ascending order.
     """
     gap_ms = (end_ms - start_ms) / count
     times = []
@@ -94,16 +98,16 @@
 def sample_log_normal(
     rng: random.Random, median: float, sigma: float, high: float = math.inf
 ) -> float:
-    """Returns a log-normal sample.
+    """Samples a log-normal distribution.
 
     Args:
-        rng: The random stream.
-        median: The median.
-        sigma: The standard deviation of the logarithm.
-        high: The largest value to return.
+        rng: The random generator.
+        median: Median of the distribution.
+        sigma: Standard deviation of the natural logarithm.
+        high: Upper limit; larger samples are cut to it.
 
     Returns:
-        The sample, at most `high`.
+        The sample.
     """
     return min(high, median * math.exp(rng.gauss(0, sigma)))
 
@@ -124,22 +128,22 @@
     fails: bool = False,
     cancel_ms: int | None = None,
 ) -> TracedJob:
-    """Returns a traced job whose id is still to be made.
+    """Returns a job with a placeholder id in no failure domain.
 
     Args:
         account: The client account.
-        kind: The class of work in reports.
-        arrival_ms: When it is submitted.
-        true_run_s: How long it really runs.
+        kind: Class of work in reports.
+        arrival_ms: Time of submission.
+        true_run_s: Real run time without interruption.
         tasks: Gang size.
         per_task: Resources of each task.
-        adjacency: What must hold the gang.
+        adjacency: Scope in which the whole gang must be placed.
         declared_s: Declared run time, or None to declare the true one.
-        urgent: Whether it is urgent.
-        deadline_ms: When it must have ended, if ever.
-        checkpoint_ms: How long it takes to save its work.
-        fails: Whether it fails wherever it starts.
-        cancel_ms: When it is cancelled, if ever.
+        urgent: Whether the job is urgent.
+        deadline_ms: Time by which the job must end, if any.
+        checkpoint_ms: Time that a checkpoint takes.
+        fails: Whether its tasks fail to start on every worker.
+        cancel_ms: Time at which the caller cancels the job, if ever.
 
     Returns:
         The job.
