--- a/citronmount/agent/configuration_manager.py
+++ b/citronmount/agent/configuration_manager.py
@@ -1,4 +1,4 @@
-"""Configuration of one VM: polls the log, publishes changes, asks peers."""
+"""Reads, publishes and adopts the configuration of one VM."""
 
 from collections.abc import Callable
 
@@ -25,7 +25,7 @@
 SNAPSHOTS_PER_RETENTION = 4
 PUBLISH_TIMEOUT_MS = 8_000
 PUBLISH_RETRY_MS = 500
-PEER_SNAPSHOT_TIMEOUT_MS = 1_000
+STATE_TIMEOUT_MS = 1_000
 
 
 class _Publication(msgspec.Struct, kw_only=True):
@@ -59,7 +59,7 @@
         Args:
             ctx: The shared context.
             view: Determines which VM appends snapshots.
-            outbox: Receives whether the log answers.
+            outbox: Updated with whether the log is available.
             on_change: Called with every new version in force.
         """
         self.fold = configuration_fold.ConfigurationFold()
@@ -103,9 +103,10 @@
     def catch_up_with(
         self, peer: ids.VmId, heartbeat: peer_messages.Heartbeat
     ) -> None:
-        """Reads the log, or asks a peer, if the peer's version is newer.
+        """Polls the log at once if a peer's version is newer.
 
-        A VM without a trusted configuration does so on every heartbeat.
+        If the log is unavailable, the snapshot of a ready peer is requested
+        too. A VM without a trusted configuration does both on every heartbeat.
 
         Args:
             peer: The sender of the heartbeat.
@@ -188,14 +189,14 @@
             return
         publication.in_flight = True
 
-        def appended(offset: ids.Offset | None) -> None:
+        def handle_append_answer(offset: ids.Offset | None) -> None:
             publication.in_flight = False
             publication.appended = offset is not None
             publication.next_append_ms = self._ctx.now_ms + PUBLISH_RETRY_MS
             self._poll()
 
         self._ctx.append_log(
-            records.CONFIG_STREAM, (publication.change,), appended
+            records.CONFIG_STREAM, (publication.change,), handle_append_answer
         )
 
     def _answer_decided_publications(self) -> None:
@@ -236,7 +237,7 @@
         self._requesting_snapshot = True
         call = self._ctx.new_call()
 
-        def answered(answer: peer_messages.StateAnswer | None) -> None:
+        def handle_answer(answer: peer_messages.StateAnswer | None) -> None:
             self._requesting_snapshot = False
             if answer is not None and answer.configuration is not None:
                 self.adopt(answer.configuration)
@@ -245,8 +246,8 @@
             peer,
             call,
             peer_messages.StateRequest(call=call, stream=records.CONFIG_STREAM),
-            answered,
-            timeout_ms=PEER_SNAPSHOT_TIMEOUT_MS,
+            handle_answer,
+            timeout_ms=STATE_TIMEOUT_MS,
         )
 
     def _append_snapshot_if_due(self) -> None:
@@ -260,11 +261,13 @@
             return
         self._snapshot_in_flight = True
 
-        def appended(offset: ids.Offset | None) -> None:
+        def handle_append_answer(offset: ids.Offset | None) -> None:
             self._snapshot_in_flight = False
 
         snapshot = self.fold.snapshot(ids.RecordId(self._ctx.unique_id()))
-        self._ctx.append_log(records.CONFIG_STREAM, (snapshot,), appended)
+        self._ctx.append_log(
+            records.CONFIG_STREAM, (snapshot,), handle_append_answer
+        )
 
     def _is_snapshot_due(self) -> bool:
         """Returns whether the last snapshot is too old.
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -47,7 +47,16 @@
 
 
 class _Write(msgspec.Struct, kw_only=True):
-    """A record whose append to the log is not confirmed yet."""
+    """A record whose append to the log is not confirmed yet.
+
+    Attributes:
+        since_ms: Monotonic time at which the write was requested.
+        limit_ms: Time after which an undecided outcome is reported, if any.
+        sent: Whether the record may be in the log.
+        asked_peers: Whether replicas were requested and no peer has failed to
+            answer since.
+        acks: Peers that hold a replica.
+    """
 
     stream: ids.StreamName
     record: records.Record
@@ -77,10 +86,10 @@
     """Writes records durably, in order within each stream.
 
     A write that the log has not answered within `log_patience_ms` is
-    replicated to the memory of two peers, or of one if no more are reachable,
-    and is appended to the log when it answers again. Appends are retried with
-    the same record ids, so a lost answer leads to a duplicate that the folds
-    ignore.
+    sent to up to three peers. It is durable once two of them, or the only one
+    reachable, hold it in memory, and is appended to the log when that answers
+    again. Appends are retried with the same record ids, so a lost answer
+    leads to a duplicate that the folds ignore.
     """
 
     def __init__(
@@ -136,7 +145,7 @@
     def store_replicas(
         self, stream: ids.StreamName, entries: tuple[records.Record, ...]
     ) -> None:
-        """Keeps another VM's records in memory until the log has them.
+        """Keeps another VM's records in memory and later appends them.
 
         Args:
             stream: The stream.
@@ -164,7 +173,7 @@
         )
         return tuple(itertools.chain(own, replicas))
 
-    def streams(self) -> list[ids.StreamName]:
+    def unappended_streams(self) -> list[ids.StreamName]:
         """Returns the streams with records that may not be in the log."""
         names = {
             name
@@ -199,10 +208,10 @@
         self._ctx.append_log(
             stream,
             tuple(write.record for write in batch),
-            lambda offset: self._appended(stream, batch, offset),
+            lambda offset: self._handle_append_answer(stream, batch, offset),
         )
 
-    def _appended(
+    def _handle_append_answer(
         self,
         stream: ids.StreamName,
         batch: tuple[_Write, ...],
@@ -221,7 +230,7 @@
         self._flush(stream)
 
     def _check_time_limits(self, write: _Write) -> None:
-        """Replicates an overdue write and ends one past its time limit."""
+        """Replicates an overdue write; reports one past its time limit."""
         age_ms = self._ctx.now_ms - write.since_ms
         log_timeout_ms = self._ctx.settings.log_patience_ms
         replication_due = not self.log_available or age_ms >= log_timeout_ms
@@ -229,9 +238,9 @@
             self._replicate_to_peers(write)
         timed_out = write.limit_ms is not None and age_ms >= write.limit_ms
         if timed_out and write.on_outcome is not None:
-            self._end_unanswered(write)
+            self._report_timeout(write)
 
-    def _end_unanswered(self, write: _Write) -> None:
+    def _report_timeout(self, write: _Write) -> None:
         """Reports the outcome as unknown, or drops a write never sent."""
         if write.sent or write.asked_peers:
             write.settle(WriteOutcome.UNKNOWN)
@@ -251,7 +260,7 @@
     def _responsive_peers(self) -> list[ids.VmId]:
         """Returns live peers except those that left the last call unanswered.
 
-        A peer is used again once a heartbeat of it arrives.
+        A peer is used again once another heartbeat arrives from it.
         """
         return [
             peer
@@ -262,7 +271,9 @@
     def _replicate(self, write: _Write, peer: ids.VmId, needed: int) -> None:
         call = self._ctx.new_call()
 
-        def acknowledged(answer: peer_messages.Acknowledge | None) -> None:
+        def handle_acknowledgement(
+            answer: peer_messages.Acknowledge | None,
+        ) -> None:
             if answer is None:
                 self._view.record_unanswered_call(peer, self._ctx.now_ms)
                 write.asked_peers = False
@@ -278,7 +289,7 @@
             peer,
             call,
             message,
-            acknowledged,
+            handle_acknowledgement,
             timeout_ms=REPLICATE_TIMEOUT_MS,
         )
 
@@ -286,12 +297,12 @@
         """Appends older replicas of other VMs while the log is available."""
         if not self.log_available:
             return
-        limit_ms = self._ctx.now_ms - REPLICA_APPEND_DELAY_MS
+        stored_by_ms = self._ctx.now_ms - REPLICA_APPEND_DELAY_MS
         for stream, replicas in self._replicas.items():
             due = [
                 replica
                 for replica in replicas.values()
-                if replica.since_ms <= limit_ms
+                if replica.since_ms <= stored_by_ms
             ]
             for replica in due:
                 del replicas[replica.record.record]
--- a/citronmount/cli/losses_command.py
+++ b/citronmount/cli/losses_command.py
@@ -1,4 +1,4 @@
-"""The command that tells what scored days lose to what."""
+"""The command that shows why scored days lost worth."""
 
 import pathlib
 
@@ -20,23 +20,25 @@
     type=click.Path(exists=True, path_type=pathlib.Path),
 )
 @options.json_option
-@output.reports_errors
+@output.handle_errors
 def losses(entries: tuple[pathlib.Path, ...], as_json: bool) -> None:
-    """Tell from journal ENTRIES what the scored days lost their worth to."""
-    found = {path.stem: day_journal.read(path) for path in entries}
+    """Show, by cause, the worth lost by scored days in journal ENTRIES."""
+    journals = {path.stem: day_journal.read(path) for path in entries}
     value = {
-        name: [_told(day) for day in days] for name, (_, days) in found.items()
+        name: [_make_day_entry(day) for day in days]
+        for name, (_, days) in journals.items()
     }
     lines = [
         line
-        for name, (site, days) in found.items()
+        for name, (site, days) in journals.items()
         for line in (f"{site} ({name})", *score_losses.markdown_table(days))
     ]
-    output.emit_lines(value, lines, as_json=as_json)
+    output.print_lines(value, lines, as_json=as_json)
 
 
-def _told(day: score_losses.ScoredDay) -> dict[str, object]:
+def _make_day_entry(day: score_losses.ScoredDay) -> dict[str, object]:
     lost = {
-        c.value: share for c, share in score_losses.losses_by_cause(day).items()
+        cause.value: share
+        for cause, share in score_losses.losses_by_cause(day).items()
     }
     return {"kind": day.kind, "worth": day.worth, "lost": lost}
