--- a/citronmount/bench/burst.py
+++ b/citronmount/bench/burst.py
@@ -1,4 +1,4 @@
-"""The bench of bursts of small and of large jobs and a cancellation wave."""
+"""Bench of bursts of small and large jobs and a wave of cancellations."""
 
 import msgspec
 
@@ -18,11 +18,11 @@
 HOURS = 6.0
 JOBS_PER_HOUR = 60.0
 SMALL_JOBS = 3_000
-SMALL_AT_MS = 1 * workload.HOUR_MS
+SMALL_BURST_AT_MS = 1 * workload.HOUR_MS
 CANCELLED_SHARE = 0.6
-CANCEL_AT_MS = SMALL_AT_MS + 5 * workload.MINUTE_MS
+CANCEL_AT_MS = SMALL_BURST_AT_MS + 5 * workload.MINUTE_MS
 LARGE_JOBS = 30
-LARGE_AT_MS = 2 * workload.HOUR_MS
+LARGE_BURST_AT_MS = 2 * workload.HOUR_MS
 QUIET_MEMBERS = ("chorok", "dalbit")
 
 
@@ -32,7 +32,7 @@
         workload.make_job(
             account="ara",
             kind="burst_small",
-            arrival_ms=SMALL_AT_MS + rng.randrange(workload.MINUTE_MS),
+            arrival_ms=SMALL_BURST_AT_MS + rng.randrange(workload.MINUTE_MS),
             true_run_s=workload.sample_log_normal(rng, 60.0, 0.7, 1_200.0),
             tasks=1,
             per_task=jobs.Resources(accelerators=1, cores=8, memory_gb=16),
@@ -54,7 +54,7 @@
         workload.make_job(
             account="bora",
             kind="burst_large",
-            arrival_ms=LARGE_AT_MS + rng.randrange(workload.MINUTE_MS),
+            arrival_ms=LARGE_BURST_AT_MS + rng.randrange(workload.MINUTE_MS),
             true_run_s=workload.sample_log_normal(rng, 1_200.0, 0.4, 3_600.0),
             tasks=4,
             per_task=sites.HANBIT_WORKER,
@@ -69,7 +69,7 @@
 def run(
     seed: int, policies: tuple[str, ...], scale: float = 1.0
 ) -> report.BenchReport:
-    """Lets two members burst while two others work on.
+    """Replays bursts of two members on top of a steady load of all members.
 
     Args:
         seed: Seed of the workload.
@@ -77,8 +77,8 @@
         scale: Share of the bursts to keep.
 
     Returns:
-        The report; the bars hold the waits of the members that do not burst
-        against their private pools.
+        The report; the bars compare the waits of the members without bursts
+        with those on their private pools.
     """
     site = sites.hanbit()
     trace = job_mix.merge_by_arrival(
--- a/citronmount/bench/domain_out.py
+++ b/citronmount/bench/domain_out.py
@@ -1,4 +1,4 @@
-"""The bench of a failure domain that leaves and returns under full load."""
+"""Bench of a failure domain out of service for a time under full load."""
 
 from citronmount.bench import job_mix
 from citronmount.bench import job_replay
@@ -23,7 +23,9 @@
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 12.0
 ) -> report.BenchReport:
-    """Takes one of three failure domains out for a third of the time.
+    """Takes one of three failure domains out of service for a third of a run.
+
+    Jobs that still run there when its power is cut are checkpointed.
 
     Args:
         seed: Seed of the workload.
@@ -31,7 +33,8 @@
         hours: Length of the replay.
 
     Returns:
-        The report, with the bars of work done and late starts.
+        The report, with bars for the work done and for starts in the failure
+        domain while it is out.
     """
     site = sites.hanbit()
     horizon_ms = round(hours * workload.HOUR_MS)
@@ -65,13 +68,13 @@
     }
     bars = []
     if "citron" in replays:
-        ours = replays["citron"]
-        ratio = metrics.work_done_ratio(ours)
+        citron = replays["citron"]
+        ratio = metrics.work_done_ratio(citron)
         bars = [
             report.at_least(
                 "work_done_ratio", "citron", ratio, WORK_DONE_BOUND
             ),
-            report.at_most("late_starts", "citron", ours.late_starts, 0),
+            report.at_most("late_starts", "citron", citron.late_starts, 0),
         ]
     return report.BenchReport(
         bench="domain-out",
--- a/citronmount/bench/failing_workers.py
+++ b/citronmount/bench/failing_workers.py
@@ -1,4 +1,4 @@
-"""The bench of workers that fail everything and jobs that fail everywhere."""
+"""Bench of workers that fail every job and jobs that fail on every worker."""
 
 import msgspec
 
@@ -47,10 +47,11 @@
     Args:
         seed: Seed of the workload.
         policies: The policies to compare.
-        hours: How long jobs arrive.
+        hours: Time over which jobs arrive.
 
     Returns:
-        The report; the bar asks that no healthy job is given up.
+        The report; its bar requires that no healthy job ends without having
+        done its work.
     """
     trace = _mark_failing_jobs(
         job_mix.merge_by_arrival(
@@ -83,16 +84,18 @@
         seed=seed,
         metrics={p: metrics.policy_metrics(r) for p, r in replays.items()},
         bars=tuple(
-            report.at_most("healthy_jobs_failed", p, _healthy_jobs_failed(r), 0)
+            report.at_most(
+                "healthy_jobs_failed", p, _count_healthy_failed(r), 0
+            )
             for p, r in replays.items()
             if p == "citron"
         ),
     )
 
 
-def _healthy_jobs_failed(run_replay: job_replay.Replay) -> int:
-    """Returns how many jobs that could run ended without being done."""
+def _count_healthy_failed(replay: job_replay.Replay) -> int:
+    """Counts the jobs without faults that ended before their work was done."""
     return sum(
         job.code is not None and not job.job.fails and job.progress < 1.0
-        for job in run_replay.jobs
+        for job in replay.jobs
     )
--- a/citronmount/bench/hanbit.py
+++ b/citronmount/bench/hanbit.py
@@ -1,4 +1,4 @@
-"""The Hanbit bench: nightly rebuilds, health checks and label bursts."""
+"""Bench of the Hanbit consortium: rebuilds, health checks, label bursts."""
 
 import itertools
 
@@ -22,11 +22,11 @@
 BURSTS_PER_DAY = 6
 HEALTH_CHECKS_PER_DAY = 400
 TRIALS_PER_DAY = 80
-FRAGMENTATION_SHARE_OF_BEST_FIT = 0.5
-SERVED_LAG_BOUND = 0.1
+MAX_FRAGMENTATION_RATIO_TO_BEST_FIT = 0.5
+MAX_SERVED_LAG = 0.1
 _WORKER = sites.HANBIT_WORKER
-_ONE = jobs.Resources(accelerators=1, cores=8, memory_gb=16)
-_TWO = jobs.Resources(accelerators=2, cores=16, memory_gb=32)
+_ONE_ACCELERATOR = jobs.Resources(accelerators=1, cores=8, memory_gb=16)
+_TWO_ACCELERATORS = jobs.Resources(accelerators=2, cores=16, memory_gb=32)
 
 
 def _make_rebuilds(seed: int, days: int) -> list[workload.TracedJob]:
@@ -63,7 +63,7 @@
             arrival_ms=at_ms,
             true_run_s=workload.sample_log_normal(rng, 8.0, 0.4, 60.0),
             tasks=1,
-            per_task=_ONE,
+            per_task=_ONE_ACCELERATOR,
             adjacency=states.Adjacency.WORKER,
             declared_s=10.0,
             urgent=True,
@@ -85,7 +85,7 @@
 
     Args:
         seed: Seed of the bench.
-        days: How many days.
+        days: Number of days.
         scale: Share of each burst to keep.
 
     Returns:
@@ -104,7 +104,14 @@
             arrival_ms=start_ms + rng.randrange(workload.MINUTE_MS),
             true_run_s=workload.sample_log_normal(rng, 360.0, 1.0, 7_200.0),
             tasks=1,
-            per_task=rng.choice((_ONE, _ONE, _ONE, _TWO)),
+            per_task=rng.choice(
+                (
+                    _ONE_ACCELERATOR,
+                    _ONE_ACCELERATOR,
+                    _ONE_ACCELERATOR,
+                    _TWO_ACCELERATORS,
+                )
+            ),
             adjacency=states.Adjacency.WORKER,
             declared_s=600.0,
         )
@@ -114,11 +121,11 @@
 
 
 def make_trial_jobs(seed: int, days: int) -> list[workload.TracedJob]:
-    """Returns the long, small jobs of a trial account.
+    """Returns the small but long jobs of a trial account.
 
     Args:
         seed: Seed of the bench.
-        days: How many days.
+        days: Number of days.
 
     Returns:
         The jobs.
@@ -131,7 +138,7 @@
             arrival_ms=at_ms,
             true_run_s=workload.sample_log_normal(rng, 9_000.0, 0.6, 36_000.0),
             tasks=rng.choice((1, 2, 4)),
-            per_task=rng.choice((_ONE, _TWO)),
+            per_task=rng.choice((_ONE_ACCELERATOR, _TWO_ACCELERATORS)),
             adjacency=states.Adjacency.FAILURE_DOMAIN,
             declared_s=10_800.0,
         )
@@ -148,11 +155,11 @@
 
     Args:
         seed: Seed of the bench.
-        days: How many days.
+        days: Number of days.
         scale: Share of the health checks and label renders to keep.
 
     Returns:
-        The jobs by arrival.
+        The jobs in the order of arrival.
     """
     parts = (
         _make_rebuilds(seed, days),
@@ -180,11 +187,12 @@
     Args:
         seed: Seed of the workload.
         policies: The policies to compare.
-        days: How many days.
+        days: Number of days.
         scale: Share of the health checks and label renders to keep.
 
     Returns:
-        The report, with the bars of guarantees, fragmentation and fairness.
+        The report, with bars for the waits of guaranteed jobs, fragmentation
+        and fair shares.
     """
     site = sites.hanbit()
     trace = make_trace(seed, days, scale)
@@ -210,16 +218,16 @@
     trace: tuple[workload.TracedJob, ...],
     replays: dict[str, job_replay.Replay],
 ) -> list[report.Bar]:
-    ours = replays.get("citron")
-    if ours is None:
+    citron = replays.get("citron")
+    if citron is None:
         return []
-    bars = private_pool.wait_bars(site, trace, ours, tuple(REBUILDS))
+    bars = private_pool.wait_bars(site, trace, citron, tuple(REBUILDS))
     if "best_fit" in replays:
         best_fit = replays["best_fit"]
         pairs = {
-            "fragmentation": (ours.fragmentation, best_fit.fragmentation),
+            "fragmentation": (citron.fragmentation, best_fit.fragmentation),
             "fragmentation_of_arrivals": (
-                ours.arrival_fragmentation,
+                citron.arrival_fragmentation,
                 best_fit.arrival_fragmentation,
             ),
         }
@@ -227,11 +235,11 @@
             report.at_most(
                 name,
                 "citron",
-                mine.ratio,
-                theirs.ratio * FRAGMENTATION_SHARE_OF_BEST_FIT,
+                measured.ratio,
+                baseline.ratio * MAX_FRAGMENTATION_RATIO_TO_BEST_FIT,
             )
-            for name, (mine, theirs) in pairs.items()
+            for name, (measured, baseline) in pairs.items()
         )
-    lag = metrics.served_lag(ours)
-    bars.append(report.at_most("served_lag", "citron", lag, SERVED_LAG_BOUND))
+    lag = metrics.served_lag(citron)
+    bars.append(report.at_most("served_lag", "citron", lag, MAX_SERVED_LAG))
     return bars
--- a/citronmount/bench/misdeclared.py
+++ b/citronmount/bench/misdeclared.py
@@ -1,4 +1,4 @@
-"""The bench of declared run times that are far off."""
+"""Bench of jobs whose declared run times are far from the true ones."""
 
 import msgspec
 
@@ -24,7 +24,7 @@
 TRUTHFUL = "citron_truthful"
 
 
-def _misdeclared(
+def _misdeclare(
     trace: tuple[workload.TracedJob, ...], seed: int
 ) -> tuple[workload.TracedJob, ...]:
     rng = workload.random_stream("declared", seed)
@@ -47,16 +47,19 @@
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 8.0
 ) -> report.BenchReport:
-    """Compares the policies on declarations off by up to ten times.
+    """Compares the policies on run times declared wrongly by up to ten times.
+
+    The median error of an account is at most ten times; errors of its jobs
+    are spread around it.
 
     Args:
         seed: Seed of the workload.
         policies: The policies to compare.
-        hours: How long jobs arrive.
+        hours: Time over which jobs arrive.
 
     Returns:
-        The report; the entry `citron_truthful` is the same workload with
-        true declarations.
+        The report; the entry `citron_truthful` is the citron policy on the
+        same workload with true declarations.
     """
     site = sites.hanbit()
     truthful = job_mix.merge_by_arrival(
@@ -64,8 +67,8 @@
             "misdeclared", seed, hours=hours, jobs_per_hour=JOBS_PER_HOUR
         )
     )
-    declared = _misdeclared(truthful, seed)
-    runs = [(policy, policy, declared) for policy in policies]
+    misdeclared = _misdeclare(truthful, seed)
+    runs = [(policy, policy, misdeclared) for policy in policies]
     if "citron" in policies:
         runs.append((TRUTHFUL, "citron", truthful))
     return report.BenchReport(
--- a/citronmount/bench/perchero.py
+++ b/citronmount/bench/perchero.py
@@ -1,4 +1,4 @@
-"""The Perchero bench: short requests at 80% load on the runners."""
+"""Bench of Perchero Abierto: short requests at 80% load on the runners."""
 
 import collections
 
@@ -14,7 +14,7 @@
 SECONDS = 12.0
 WARM_UP_MS = 2_000
 SLOW_FACTOR = 5.0
-P99_OVER_SINGLE_QUEUE = 1.1
+MAX_P99_RATIO_TO_SINGLE_QUEUE = 1.1
 IDEAL = "single_queue"
 ALL = "all"
 
@@ -23,20 +23,20 @@
 def run(
     seed: int, policies: tuple[str, ...], seconds: float = SECONDS
 ) -> report.BenchReport:
-    """Runs short requests on the routers and on baselines.
+    """Compares the request routers with baselines on short requests.
 
-    Baselines are a random runner with a queue of its own (fifo), routers
-    that do not offer requests to peers, and one ideal queue for each failure
-    domain. Entries that end in `slow_runner` have one runner in each failure
-    domain that takes five times as long.
+    The baselines are random assignment to runners with one queue each (fifo),
+    routers that do not offer requests to peers, and one ideal queue for each
+    failure domain. In entries whose names end in `slow_runner`, one runner of
+    each failure domain takes five times as long.
 
     Args:
         seed: Seed of the workload.
         policies: Names of policies; only citron and fifo apply.
-        seconds: How long requests arrive.
+        seconds: Time over which requests arrive.
 
     Returns:
-        The report, with the bars against the ideal queue.
+        The report, with bars relative to the ideal queue.
     """
     site = request_workload.perchero_site()
     trace = request_workload.make_requests(
@@ -48,8 +48,10 @@
     }
     if "fifo" in policies:
         for name, factors in (("fifo", {}), ("fifo.slow_runner", slow)):
-            answers = request_replay.replay_random_runners(site, trace, factors)
-            metrics[name] = _metrics(answers, {})
+            outcomes = request_replay.replay_random_runners(
+                site, trace, factors
+            )
+            metrics[name] = _metrics(outcomes, {})
     if "citron" in policies:
         variants = {
             "citron": {},
@@ -58,7 +60,7 @@
             "no_hedges.slow_runner": {"slow": slow, "hedge_share": 0.0},
         }
         for name, options in variants.items():
-            metrics[name] = _routed(site, trace, options)
+            metrics[name] = _router_metrics(site, trace, options)
     return report.BenchReport(
         bench="perchero",
         seed=seed,
@@ -67,13 +69,13 @@
     )
 
 
-def _routed(
+def _router_metrics(
     site: request_workload.RequestSite,
     trace: tuple[request_workload.TracedRequest, ...],
     options: dict[str, object],
 ) -> report.PolicyMetrics:
     replay = request_replay.RouterReplay(site=site, trace=trace, **options)
-    answers = replay.run()
+    outcomes = replay.run()
     counts = {
         "sends": replay.sends,
         "hedges": replay.hedges,
@@ -81,44 +83,46 @@
         "offers_refused": replay.offers_refused,
         "busy_answers": replay.busy_answers,
     }
-    return _metrics(answers, counts)
+    return _metrics(outcomes, counts)
 
 
 def _metrics(
-    answers: list[request_replay.RequestOutcome], counts: dict[str, int]
+    outcomes: list[request_replay.RequestOutcome], counts: dict[str, int]
 ) -> report.PolicyMetrics:
-    took = collections.defaultdict(list)
-    waited = collections.defaultdict(list)
-    codes_seen = collections.Counter()
-    for answer in answers:
-        code = answer.result.code if answer.result else None
+    times_s = collections.defaultdict(list)
+    waits_s = collections.defaultdict(list)
+    code_counts = collections.Counter()
+    for outcome in outcomes:
+        code = outcome.result.code if outcome.result else None
         name = code.name.lower() if code else "unanswered"
-        codes_seen[f"ended_{name}"] += 1
-        if answer.request.arrival_ms < WARM_UP_MS:
+        code_counts[f"ended_{name}"] += 1
+        if outcome.request.arrival_ms < WARM_UP_MS:
             continue
-        for kind in (ALL, answer.request.kind):
-            took[kind].append(answer.took_ms / 1_000)
-            waited[kind].append(answer.waited_ms / 1_000)
-    done = codes_seen[f"ended_{codes.ResultCode.DONE.name.lower()}"]
+        for kind in (ALL, outcome.request.kind):
+            times_s[kind].append(outcome.took_ms / 1_000)
+            waits_s[kind].append(outcome.waited_ms / 1_000)
+    done = code_counts[f"ended_{codes.ResultCode.DONE.name.lower()}"]
     return report.PolicyMetrics(
-        completion_time_s={k: report.percentiles(v) for k, v in took.items()},
-        wait_s={k: report.percentiles(v) for k, v in waited.items()},
-        work_done_ratio=report.rounded(done / max(1, len(answers))),
-        counts={**counts, **codes_seen},
+        completion_time_s={
+            k: report.percentiles(v) for k, v in times_s.items()
+        },
+        wait_s={k: report.percentiles(v) for k, v in waits_s.items()},
+        work_done_ratio=report.rounded(done / max(1, len(outcomes))),
+        counts={**counts, **code_counts},
     )
 
 
 def _bars(metrics: dict[str, report.PolicyMetrics]) -> list[report.Bar]:
     if "citron" not in metrics:
         return []
-    ours = metrics["citron"].completion_time_s
+    citron = metrics["citron"].completion_time_s
     ideal = metrics[IDEAL].completion_time_s
     return [
         report.at_most(
             f"completion_p99_s.{kind}",
             "citron",
-            ours[kind].p99,
-            ideal[kind].p99 * P99_OVER_SINGLE_QUEUE,
+            citron[kind].p99,
+            ideal[kind].p99 * MAX_P99_RATIO_TO_SINGLE_QUEUE,
         )
-        for kind in sorted(ours)
+        for kind in sorted(citron)
     ]
--- a/citronmount/bench/request_replay.py
+++ b/citronmount/bench/request_replay.py
@@ -1,4 +1,4 @@
-"""Replays short requests on one `RequestRouter` a VM, by virtual events."""
+"""Discrete-event simulation of short requests, one `RequestRouter` per VM."""
 
 from collections.abc import Callable
 import heapq
@@ -27,13 +27,13 @@
 
 
 class RequestOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller saw of one request.
+    """Outcome of one request for its caller.
 
     Attributes:
         request: The request.
-        result: Its final answer, or None if there was none.
-        took_ms: From the caller and back to it.
-        waited_ms: From the VM to the first dispatch.
+        result: Final result, or None if none arrived.
+        took_ms: Round trip time from the caller.
+        waited_ms: Time from arrival at the VM to the first send to a runner.
     """
 
     request: request_workload.TracedRequest
@@ -48,27 +48,28 @@
 ) -> list[RequestOutcome]:
     """Serves requests from one ideal queue for each failure domain.
 
-    Every free slot is known at once and no slot idles while a request waits,
-    which no system of several VMs with links between them can do.
+    Every free slot is known at once and no slot is idle while a request
+    waits, which a system of several VMs with links between them cannot
+    achieve.
 
     Args:
         site: The runners.
-        trace: The requests by arrival.
+        trace: The requests in the order of arrival.
 
     Returns:
-        The answers.
+        The outcomes, in the order of the requests.
     """
-    free_at = {
+    free_at_ms = {
         domain: [0] * sum(runner.slots for runner in runners)
         for domain, runners in site.runners.items()
     }
-    answers = []
+    outcomes = []
     for request in trace:
-        slots = free_at[request.domain]
+        slots = free_at_ms[request.domain]
         start_ms = max(request.arrival_ms, slots[0])
         heapq.heapreplace(slots, start_ms + request.service_ms)
-        answers.append(_served(request, start_ms, request.service_ms))
-    return answers
+        outcomes.append(_make_outcome(request, start_ms, request.service_ms))
+    return outcomes
 
 
 def replay_random_runners(
@@ -76,45 +77,45 @@
     trace: tuple[request_workload.TracedRequest, ...],
     slow: dict[str, float],
 ) -> list[RequestOutcome]:
-    """Sends each request at once to a random runner, which queues in order.
+    """Sends each request at once to a random runner with a FIFO queue.
 
     Args:
         site: The runners.
-        trace: The requests by arrival.
-        slow: Runners that take longer, by factor.
+        trace: The requests in the order of arrival.
+        slow: Factors of the service times of slow runners, by name.
 
     Returns:
-        The answers.
+        The outcomes, in the order of the requests.
     """
-    free_at = {
+    free_at_ms = {
         runner.name: [0] * runner.slots
         for runners in site.runners.values()
         for runner in runners
     }
-    answers = []
+    outcomes = []
     for number, request in enumerate(trace):
         runners = site.runners[request.domain]
         runner = runners[multiplicative_hash(number) % len(runners)].name
-        start_ms = max(request.arrival_ms, free_at[runner][0])
+        start_ms = max(request.arrival_ms, free_at_ms[runner][0])
         service_ms = _service_ms(request, runner, slow)
-        heapq.heapreplace(free_at[runner], start_ms + service_ms)
-        answers.append(_served(request, start_ms, service_ms))
-    return answers
+        heapq.heapreplace(free_at_ms[runner], start_ms + service_ms)
+        outcomes.append(_make_outcome(request, start_ms, service_ms))
+    return outcomes
 
 
 def multiplicative_hash(number: int) -> int:
-    """Returns a number that looks random, by Knuth's multiplicative hash.
+    """Returns a pseudo-random number, by Knuth's multiplicative hash.
 
     Args:
-        number: A counter.
+        number: The number to hash.
 
     Returns:
-        Sixteen bits.
+        The upper sixteen bits of the 32-bit hash.
     """
     return (number * 2_654_435_761 % (1 << 32)) >> 16
 
 
-def _served(
+def _make_outcome(
     request: request_workload.TracedRequest, start_ms: int, service_ms: int
 ) -> RequestOutcome:
     result = jobs.RequestResult(
@@ -138,7 +139,7 @@
 
 
 class RouterReplay:
-    """Routers, runners and the links between them."""
+    """Simulation of the request routers, the runners and their links."""
 
     def __init__(
         self,
@@ -153,10 +154,11 @@
 
         Args:
             site: The runners and VMs.
-            trace: The requests by arrival.
-            offers: Whether VMs tell each other of free slots.
-            hedge_share: Hedges allowed for each request.
-            slow: Runners that take longer, by factor.
+            trace: The requests in the order of arrival.
+            offers: Whether VMs exchange their numbers of free slots, without
+                which they make no offers.
+            hedge_share: Allowed number of hedges per request.
+            slow: Factors of the service times of slow runners, by name.
         """
         self.sends = 0
         self.hedges = 0
@@ -185,10 +187,10 @@
         self._end_ms = trace[-1].arrival_ms if trace else 0
 
     def run(self) -> list[RequestOutcome]:
-        """Handles every event.
+        """Handles all events.
 
         Returns:
-            The answers, in the order of the requests.
+            The outcomes, in the order of the requests.
         """
         while self._heap:
             now_ms, _, action = heapq.heappop(self._heap)
@@ -272,7 +274,7 @@
         self.hedges += send.hedge
         self._first_send_ms.setdefault(send.request, now_ms)
 
-        def reach(at_ms: int) -> None:
+        def arrive(at_ms: int) -> None:
             if self._used_slots[send.runner] >= self._slots[send.runner]:
                 self.busy_answers += 1
                 outcome = messages.RunnerOutcome.BUSY
@@ -281,13 +283,13 @@
             self._used_slots[send.runner] += 1
             request = self._trace[send.request]
             took_ms = _service_ms(request, send.runner, self._slow)
-            self._schedule(at_ms + took_ms, done)
+            self._schedule(at_ms + took_ms, finish)
 
-        def done(at_ms: int) -> None:
+        def finish(at_ms: int) -> None:
             self._used_slots[send.runner] -= 1
             self._answer_router(vm, send, messages.RunnerOutcome.DONE, at_ms)
 
-        self._schedule(now_ms + LINK_DELAY_MS, reach)
+        self._schedule(now_ms + LINK_DELAY_MS, arrive)
 
     def _answer_router(
         self,
@@ -316,7 +318,7 @@
     ) -> None:
         self.offers += 1
 
-        def reach(at_ms: int) -> None:
+        def arrive(at_ms: int) -> None:
             spec = msgspec.structs.replace(
                 _spec(self._trace[offer.request]), timeout_ms=offer.timeout_ms
             )
@@ -329,7 +331,7 @@
             self._offering_vms[offer.request] = vm
             self._decide(offer.vm, at_ms)
 
-        self._schedule(now_ms + LINK_DELAY_MS, reach)
+        self._schedule(now_ms + LINK_DELAY_MS, arrive)
 
     def _answer_peer(
         self, vm: ids.VmId, result: jobs.RequestResult, now_ms: int
--- a/citronmount/bench/request_workload.py
+++ b/citronmount/bench/request_workload.py
@@ -1,4 +1,4 @@
-"""Short requests of a site, with the times that they really take."""
+"""Workload of short requests with their true service times."""
 
 import random
 
@@ -28,14 +28,14 @@
     """One short request.
 
     Attributes:
-        request: Its id.
-        account: Its client account.
-        kind: The class of work in reports.
-        domain: The failure domain that the balancer chose.
-        vm: The VM that the balancer chose.
-        arrival_ms: When it reaches the VM.
-        service_ms: How long a runner takes for it.
-        idempotent: Whether it may be sent twice.
+        request: Id of the request.
+        account: Client account.
+        kind: Class of work in reports.
+        domain: Failure domain that the load balancer chose.
+        vm: VM that the load balancer chose.
+        arrival_ms: Time of arrival at the VM.
+        service_ms: Service time on a runner of normal speed.
+        idempotent: Whether the request may be sent more than once.
     """
 
     request: ids.RequestId
@@ -61,7 +61,7 @@
 
     @property
     def slots(self) -> int:
-        """Slots of all runners."""
+        """Total number of slots."""
         return sum(r.slots for group in self.runners.values() for r in group)
 
 
@@ -95,17 +95,17 @@
 ) -> tuple[TracedRequest, ...]:
     """Returns requests at a share of what all slots can serve.
 
-    The balancer spreads them over failure domains by their slots and evenly
-    over the VMs of each.
+    The load balancer spreads them over the failure domains in proportion to
+    their runners and evenly over the VMs of each domain.
 
     Args:
         site: The site.
         seed: Seed of the bench.
-        load: Offered work over slots.
-        seconds: How long requests arrive.
+        load: Offered work as a share of the capacity of all slots.
+        seconds: Time over which requests arrive.
 
     Returns:
-        The requests by arrival.
+        The requests in the order of arrival.
     """
     rng = workload.random_stream("requests", seed)
     mean_ms = (
@@ -114,14 +114,14 @@
     count = load * site.slots * seconds * 1_000 / mean_ms
     domains = list(site.runners)
     weights = [len(site.runners[domain]) for domain in domains]
-    made = []
+    trace = []
     end_ms = round(seconds * 1_000)
     for number, at_ms in enumerate(
         workload.poisson_arrivals_ms(rng, 0, end_ms, count)
     ):
         kind, service_ms = _sample_request(rng)
         domain = rng.choices(domains, weights)[0]
-        made.append(
+        trace.append(
             TracedRequest(
                 request=ids.RequestId(f"q{number}"),
                 account=ids.AccountId(rng.choice(ACCOUNTS)),
@@ -133,7 +133,7 @@
                 idempotent=rng.random() < IDEMPOTENT_SHARE,
             )
         )
-    return tuple(made)
+    return tuple(trace)
 
 
 def _sample_request(rng: random.Random) -> tuple[str, int]:
--- a/citronmount/bench/tests/test_benches.py
+++ b/citronmount/bench/tests/test_benches.py
@@ -1,4 +1,4 @@
-"""Regression bounds on small benches; bounds are the stated targets."""
+"""Regression tests of small benches, which must meet their stated targets."""
 
 import unittest
 
@@ -15,56 +15,56 @@
 from citronmount.core import errors
 
 SEED = 7
-OURS = ("citron",)
+POLICIES = ("citron",)
 
 
-class _Bars:
+class _BarAssertions:
     def _assert_met(self, bars, prefix):
-        named = [bar for bar in bars if bar.name.startswith(prefix)]
-        self.assertTrue(named)
-        missed = [bar for bar in named if not bar.met]
+        matching = [bar for bar in bars if bar.name.startswith(prefix)]
+        self.assertTrue(matching)
+        missed = [bar for bar in matching if not bar.met]
         self.assertEqual(missed, [])
 
 
-class BarsTest(_Bars, unittest.TestCase):
-    def test_short_requests_are_near_the_ideal_queue(self):
-        result = perchero.run(SEED, OURS, seconds=6.0)
+class BarsTest(_BarAssertions, unittest.TestCase):
+    def test_completion_of_short_requests_is_near_the_ideal_queue(self):
+        result = perchero.run(SEED, POLICIES, seconds=6.0)
         self._assert_met(result.bars, "completion_p99_s")
         self.assertEqual(result.metrics["citron"].work_done_ratio, 1.0)
 
-    def test_healthy_jobs_outlive_failing_workers(self):
-        result = failing_workers.run(SEED, OURS)
+    def test_failing_workers_fail_no_healthy_job(self):
+        result = failing_workers.run(SEED, POLICIES)
         self._assert_met(result.bars, "healthy_jobs_failed")
 
-    def test_bursts_leave_the_guarantees_of_others_alone(self):
-        result = burst.run(SEED, OURS, scale=0.3)
+    def test_bursts_do_not_delay_guaranteed_jobs_of_other_members(self):
+        result = burst.run(SEED, POLICIES, scale=0.3)
         self._assert_met(result.bars, "wait_p99_s")
 
-    def test_urgent_jobs_start_in_time_at_a_tenth_of_the_plan(self):
-        result = two_year.run(SEED, OURS, hours=12.0, scale=0.1)
+    def test_urgent_jobs_start_in_time_at_a_tenth_of_the_two_year_plan(self):
+        result = two_year.run(SEED, POLICIES, hours=12.0, scale=0.1)
         self._assert_met(result.bars, "urgent_wait")
 
 
-class DomainOutBarsTest(_Bars, unittest.TestCase):
+class DomainOutBarsTest(_BarAssertions, unittest.TestCase):
     @classmethod
     def setUpClass(cls):
         super().setUpClass()
-        cls.report = domain_out.run(SEED, OURS, hours=6.0)
+        cls.report = domain_out.run(SEED, POLICIES, hours=6.0)
 
     def test_work_goes_on_while_a_failure_domain_is_out(self):
         self._assert_met(self.report.bars, "work_done_ratio")
 
-    def test_nothing_starts_in_a_failure_domain_that_is_out(self):
+    def test_no_job_starts_in_a_failure_domain_that_is_out(self):
         self._assert_met(self.report.bars, "late_starts")
 
 
-class HanbitBarsTest(_Bars, unittest.TestCase):
+class HanbitBarsTest(_BarAssertions, unittest.TestCase):
     @classmethod
     def setUpClass(cls):
         super().setUpClass()
         cls.report = hanbit.run(SEED, ("citron", "best_fit"), scale=0.25)
 
-    def test_waits_in_guarantees_match_private_pools(self):
+    def test_waits_of_guaranteed_jobs_match_private_pools(self):
         self._assert_met(self.report.bars, "wait_p99_s")
 
     def test_fragmentation_is_half_of_best_fit(self):
@@ -75,19 +75,23 @@
 
 
 class ReportTest(unittest.TestCase):
-    def test_same_seed_prints_the_same_bytes(self):
+    def test_same_seed_gives_an_equal_encoded_report(self):
         runs = {
-            "domain-out": lambda seed: domain_out.run(seed, OURS, hours=1.0),
-            "misdeclared": lambda seed: misdeclared.run(seed, OURS, hours=0.5),
-            "perchero": lambda seed: perchero.run(seed, OURS, seconds=1.0),
+            "domain-out": lambda seed: domain_out.run(
+                seed, POLICIES, hours=1.0
+            ),
+            "misdeclared": lambda seed: misdeclared.run(
+                seed, POLICIES, hours=0.5
+            ),
+            "perchero": lambda seed: perchero.run(seed, POLICIES, seconds=1.0),
         }
-        for name, function in runs.items():
+        for name, run in runs.items():
             with self.subTest(name):
-                first = report.encode(function(3))
-                self.assertEqual(first, report.encode(function(3)))
-                self.assertNotEqual(first, report.encode(function(4)))
+                first = report.encode(run(3))
+                self.assertEqual(first, report.encode(run(3)))
+                self.assertNotEqual(first, report.encode(run(4)))
 
-    def test_every_name_is_registered(self):
+    def test_every_bench_is_registered(self):
         self.assertEqual(
             bench.names(),
             (
@@ -101,7 +105,7 @@
             ),
         )
 
-    def test_unknown_name_is_refused_with_a_code(self):
+    def test_unknown_bench_name_is_refused(self):
         with self.assertRaises(errors.InvalidInputError):
             bench.run("no-such-bench", 1)
         with self.assertRaises(errors.InvalidInputError):
--- a/citronmount/bench/tests/test_score_losses.py
+++ b/citronmount/bench/tests/test_score_losses.py
@@ -2,11 +2,11 @@
 
 from citronmount.bench import score_losses
 
-Cause = score_losses.LossCause
+LossCause = score_losses.LossCause
 
 
-def day(
-    kind: str = "trouble", prices: tuple[tuple[Cause, float], ...] = ()
+def _make_day(
+    kind: str = "trouble", prices: tuple[tuple[LossCause, float], ...] = ()
 ) -> score_losses.ScoredDay:
     return score_losses.ScoredDay(
         worth=0.7 - sum(worth for _, worth in prices),
@@ -16,19 +16,21 @@
     )
 
 
-class DayLossesTest(unittest.TestCase):
-    def test_worth_and_losses_add_up_to_the_credit_owed(self) -> None:
-        some = day(prices=((Cause.CALLS, 0.02), (Cause.CALLS, 0.03)))
-        lost = score_losses.losses_by_cause(some)
-        self.assertAlmostEqual(1.0, some.worth + sum(lost.values()))
-        self.assertAlmostEqual(0.3, lost[Cause.LATE])
-        self.assertAlmostEqual(0.05, lost[Cause.CALLS])
+class ScoreLossesTest(unittest.TestCase):
+    def test_score_and_losses_add_up_to_the_credit_owed(self) -> None:
+        day = _make_day(
+            prices=((LossCause.CALLS, 0.02), (LossCause.CALLS, 0.03))
+        )
+        lost = score_losses.losses_by_cause(day)
+        self.assertAlmostEqual(1.0, day.worth + sum(lost.values()))
+        self.assertAlmostEqual(0.3, lost[LossCause.LATE])
+        self.assertAlmostEqual(0.05, lost[LossCause.CALLS])
 
     def test_table_has_the_mean_of_each_kind_of_day(self) -> None:
         days = [
-            day(),
-            day(prices=((Cause.MEMORY, 0.1),)),
-            day(kind="quiet"),
+            _make_day(),
+            _make_day(prices=((LossCause.MEMORY, 0.1),)),
+            _make_day(kind="quiet"),
         ]
         lines = score_losses.markdown_table(days)
         self.assertEqual(4, len(lines))
--- a/citronmount/bench/two_year.py
+++ b/citronmount/bench/two_year.py
@@ -1,4 +1,4 @@
-"""The bench of a day at the size of the two-year plan."""
+"""Bench of one day at the size of the two-year plan."""
 
 from citronmount.bench import job_mix
 from citronmount.bench import job_replay
@@ -35,23 +35,23 @@
 
     Args:
         seed: Seed of the bench.
-        hours: How long jobs arrive.
-        scale: Share of the jobs to keep.
+        hours: Time over which jobs arrive.
+        scale: Share of the teams and jobs to keep.
 
     Returns:
-        The jobs by arrival.
+        The jobs in the order of arrival.
     """
     rng = workload.random_stream("two-year", seed)
     accounts = [a.name for a in sites.two_year(scale).configuration.accounts]
     weights = [1 / (rank + 10) for rank in range(len(accounts))]
     shares = [shape[1] for shape in _SHAPES]
-    made = []
+    trace = []
     count = JOBS_PER_DAY * scale * hours / 24
     end_ms = round(hours * workload.HOUR_MS)
     for at_ms in workload.poisson_arrivals_ms(rng, 0, end_ms, count):
         kind, _, tasks, per_task = rng.choices(_SHAPES, shares)[0]
         urgent = kind == "single" and rng.random() < URGENT_SHARE * 4
-        made.append(
+        trace.append(
             workload.make_job(
                 account=rng.choices(accounts, weights)[0],
                 kind="urgent" if urgent else kind,
@@ -69,7 +69,7 @@
                 checkpoint_ms=rng.randrange(200, 20_000),
             )
         )
-    return job_mix.merge_by_arrival(made)
+    return job_mix.merge_by_arrival(trace)
 
 
 @registry.bench("two-year")
@@ -79,7 +79,7 @@
     hours: float = HOURS,
     scale: float = 1.0,
 ) -> report.BenchReport:
-    """Runs a day of the two-year plan on an idle pool that fills up.
+    """Runs a day of the two-year plan on a pool that is idle at the start.
 
     Args:
         seed: Seed of the workload.
@@ -88,7 +88,7 @@
         scale: Share of workers, teams and jobs to keep.
 
     Returns:
-        The report, with the bar of urgent starts.
+        The report, with a bar for the waits of urgent jobs.
     """
     trace = make_trace(seed, hours, scale)
     replays = {
@@ -105,10 +105,10 @@
         report.at_most(
             "urgent_wait_p99_s",
             policy,
-            _urgent_wait_p99_s(run_replay),
+            _urgent_wait_p99_s(replay),
             MAX_URGENT_WAIT_S,
         )
-        for policy, run_replay in replays.items()
+        for policy, replay in replays.items()
         if policy == "citron"
     ]
     return report.BenchReport(
@@ -119,12 +119,12 @@
     )
 
 
-def _urgent_wait_p99_s(run_replay: job_replay.Replay) -> float:
+def _urgent_wait_p99_s(replay: job_replay.Replay) -> float:
     """Returns the p99 wait of urgent jobs of paying accounts."""
     waits = [
-        metrics.wait_s(job, run_replay.horizon_ms)
-        for job in run_replay.jobs
+        metrics.wait_s(job, replay.horizon_ms)
+        for job in replay.jobs
         if job.job.kind == "urgent"
-        and job.spec.account in run_replay.paying_accounts
+        and job.spec.account in replay.paying_accounts
     ]
     return report.percentile(sorted(waits), 0.99)
