--- a/citronmount/bench/failing_workers.py
+++ b/citronmount/bench/failing_workers.py
@@ -1,11 +1,11 @@
-"""The bench of workers that fail everything and jobs that fail everywhere."""
+"""Bench of workers that fail every job and jobs that fail on every worker."""
 
 import msgspec
 
+from citronmount.bench import job_mix
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
-from citronmount.bench import mixed
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import replay_events
 from citronmount.bench import report
 from citronmount.bench import sites
@@ -28,10 +28,10 @@
 FAILING_JOBS_SHARE = 0.02
 
 
-def _some_fail(
+def _mark_failing_jobs(
     trace: tuple[workload.TracedJob, ...], seed: int
 ) -> tuple[workload.TracedJob, ...]:
-    rng = workload.stream("failing jobs", seed)
+    rng = workload.random_stream("failing jobs", seed)
     return tuple(
         msgspec.structs.replace(job, fails=rng.random() < FAILING_JOBS_SHARE)
         for job in trace
@@ -47,14 +47,15 @@
     Args:
         seed: Seed of the workload.
         policies: The policies to compare.
-        hours: How long jobs arrive.
+        hours: Time over which jobs arrive.
 
     Returns:
-        The report; the bar asks that no healthy job is given up.
+        The report; its bar requires that no healthy job ends without having
+        done its work.
     """
-    trace = _some_fail(
-        mixed.by_arrival(
-            mixed.steady(
+    trace = _mark_failing_jobs(
+        job_mix.merge_by_arrival(
+            job_mix.make_steady_jobs(
                 "failing", seed, hours=hours, jobs_per_hour=JOBS_PER_HOUR
             )
         ),
@@ -64,12 +65,12 @@
         (at_ms, change(worker=worker))
         for at_ms, change in (
             (BROKEN_FROM_MS, replay_events.BreakWorker),
-            (BROKEN_TO_MS, replay_events.HealWorker),
+            (BROKEN_TO_MS, replay_events.RepairWorker),
         )
         for worker in BROKEN
     )
     replays = {
-        policy: replay.Replay(
+        policy: job_replay.Replay(
             site=sites.hanbit(),
             trace=trace,
             policy=policy,
@@ -83,16 +84,18 @@
         seed=seed,
         metrics={p: metrics.policy_metrics(r) for p, r in replays.items()},
         bars=tuple(
-            report.at_most("healthy_jobs_failed", p, _wronged(r), 0)
+            report.at_most(
+                "healthy_jobs_failed", p, _count_healthy_failed(r), 0
+            )
             for p, r in replays.items()
             if p == "citron"
         ),
     )
 
 
-def _wronged(run_replay: replay.Replay) -> int:
-    """Returns how many jobs that could run ended without being done."""
+def _count_healthy_failed(replay: job_replay.Replay) -> int:
+    """Counts the jobs without faults that ended before their work was done."""
     return sum(
         job.code is not None and not job.job.fails and job.progress < 1.0
-        for job in run_replay.jobs
+        for job in replay.jobs
     )
--- a/citronmount/bench/hanbit.py
+++ b/citronmount/bench/hanbit.py
@@ -1,44 +1,44 @@
-"""The Hanbit bench: nightly rebuilds, health checks and label bursts."""
+"""Bench of the Hanbit consortium: rebuilds, health checks, label bursts."""
 
 import itertools
 
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
 from citronmount.bench import private_pool
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import report
 from citronmount.bench import sites
 from citronmount.bench import workload
 from citronmount.core import jobs
 from citronmount.core import states
 
-__all__ = ["label_bursts", "run", "trace", "trial_jobs"]
+__all__ = ["make_label_bursts", "make_trace", "make_trial_jobs", "run"]
 
 DAYS = 1
 NIGHT_MS = 22 * workload.HOUR_MS
 STORES_OPEN_MS = 32 * workload.HOUR_MS
 REBUILDS = {"ara": 6, "bora": 6, "chorok": 4, "dalbit": 4}
 BURST_SIZES = {"ara": 300, "bora": 200, "chorok": 100, "dalbit": 100}
-BURSTS_A_DAY = 6
-HEALTH_CHECKS_A_DAY = 400
-TRIALS_A_DAY = 80
-FRAGMENTATION_SHARE_OF_BEST_FIT = 0.5
-SERVED_LAG_BOUND = 0.1
+BURSTS_PER_DAY = 6
+HEALTH_CHECKS_PER_DAY = 400
+TRIALS_PER_DAY = 80
+MAX_FRAGMENTATION_RATIO_TO_BEST_FIT = 0.5
+MAX_SERVED_LAG = 0.1
 _WORKER = sites.HANBIT_WORKER
-_ONE = jobs.Resources(accelerators=1, cores=8, memory_gb=16)
-_TWO = jobs.Resources(accelerators=2, cores=16, memory_gb=32)
+_ONE_ACCELERATOR = jobs.Resources(accelerators=1, cores=8, memory_gb=16)
+_TWO_ACCELERATORS = jobs.Resources(accelerators=2, cores=16, memory_gb=32)
 
 
-def _rebuilds(seed: int, days: int) -> list[workload.TracedJob]:
-    rng = workload.stream("rebuilds", seed)
+def _make_rebuilds(seed: int, days: int) -> list[workload.TracedJob]:
+    rng = workload.random_stream("rebuilds", seed)
     return [
-        workload.traced(
+        workload.make_job(
             account=member,
             kind="rebuild",
             arrival_ms=day * workload.DAY_MS
             + NIGHT_MS
             + rng.randrange(20 * workload.MINUTE_MS),
-            true_run_s=workload.skewed(rng, 4_500.0, 0.3, 10_800.0),
+            true_run_s=workload.sample_log_normal(rng, 4_500.0, 0.3, 10_800.0),
             tasks=4,
             per_task=_WORKER,
             adjacency=states.Adjacency.RACK,
@@ -52,59 +52,66 @@
     ]
 
 
-def _health_checks(
+def _make_health_checks(
     seed: int, days: int, scale: float
 ) -> list[workload.TracedJob]:
-    rng = workload.stream("health checks", seed)
+    rng = workload.random_stream("health checks", seed)
     return [
-        workload.traced(
+        workload.make_job(
             account=member,
             kind="health_check",
             arrival_ms=at_ms,
-            true_run_s=workload.skewed(rng, 8.0, 0.4, 60.0),
+            true_run_s=workload.sample_log_normal(rng, 8.0, 0.4, 60.0),
             tasks=1,
-            per_task=_ONE,
+            per_task=_ONE_ACCELERATOR,
             adjacency=states.Adjacency.WORKER,
             declared_s=10.0,
             urgent=True,
         )
         for member in REBUILDS
-        for at_ms in workload.poisson_times(
+        for at_ms in workload.poisson_arrivals_ms(
             rng,
             0,
             days * workload.DAY_MS,
-            days * scale * HEALTH_CHECKS_A_DAY,
+            days * scale * HEALTH_CHECKS_PER_DAY,
         )
     ]
 
 
-def label_bursts(
+def make_label_bursts(
     seed: int, days: int, scale: float = 1.0
 ) -> list[workload.TracedJob]:
     """Returns bursts of label renders, three times larger for one member.
 
     Args:
         seed: Seed of the bench.
-        days: How many days.
+        days: Number of days.
         scale: Share of each burst to keep.
 
     Returns:
         The jobs.
     """
-    rng = workload.stream("label bursts", seed)
+    rng = workload.random_stream("label bursts", seed)
     starts = [
         (member, size, rng.randrange(days * workload.DAY_MS))
         for member, size in BURST_SIZES.items()
-        for _ in range(BURSTS_A_DAY * days)
+        for _ in range(BURSTS_PER_DAY * days)
     ]
     return [
-        workload.traced(
+        workload.make_job(
             account=member,
             kind="label_render",
             arrival_ms=start_ms + rng.randrange(workload.MINUTE_MS),
-            true_run_s=workload.skewed(rng, 360.0, 1.0, 7_200.0),
+            true_run_s=workload.sample_log_normal(rng, 360.0, 1.0, 7_200.0),
             tasks=1,
-            per_task=rng.choice((_ONE, _ONE, _ONE, _TWO)),
+            per_task=rng.choice(
+                (
+                    _ONE_ACCELERATOR,
+                    _ONE_ACCELERATOR,
+                    _ONE_ACCELERATOR,
+                    _TWO_ACCELERATORS,
+                )
+            ),
             adjacency=states.Adjacency.WORKER,
             declared_s=600.0,
         )
@@ -113,52 +120,52 @@
     ]
 
 
-def trial_jobs(seed: int, days: int) -> list[workload.TracedJob]:
-    """Returns the long, small jobs of a trial account.
+def make_trial_jobs(seed: int, days: int) -> list[workload.TracedJob]:
+    """Returns the small but long jobs of a trial account.
 
     Args:
         seed: Seed of the bench.
-        days: How many days.
+        days: Number of days.
 
     Returns:
         The jobs.
     """
-    rng = workload.stream("trials", seed)
+    rng = workload.random_stream("trials", seed)
     return [
-        workload.traced(
+        workload.make_job(
             account="newcomer",
             kind="trial",
             arrival_ms=at_ms,
-            true_run_s=workload.skewed(rng, 9_000.0, 0.6, 36_000.0),
+            true_run_s=workload.sample_log_normal(rng, 9_000.0, 0.6, 36_000.0),
             tasks=rng.choice((1, 2, 4)),
-            per_task=rng.choice((_ONE, _TWO)),
+            per_task=rng.choice((_ONE_ACCELERATOR, _TWO_ACCELERATORS)),
             adjacency=states.Adjacency.FAILURE_DOMAIN,
             declared_s=10_800.0,
         )
-        for at_ms in workload.poisson_times(
-            rng, 0, days * workload.DAY_MS, days * TRIALS_A_DAY
+        for at_ms in workload.poisson_arrivals_ms(
+            rng, 0, days * workload.DAY_MS, days * TRIALS_PER_DAY
         )
     ]
 
 
-def trace(
+def make_trace(
     seed: int, days: int = DAYS, scale: float = 1.0
 ) -> tuple[workload.TracedJob, ...]:
     """Returns the whole workload.
 
     Args:
         seed: Seed of the bench.
-        days: How many days.
+        days: Number of days.
         scale: Share of the health checks and label renders to keep.
 
     Returns:
-        The jobs by arrival.
+        The jobs in the order of arrival.
     """
     parts = (
-        _rebuilds(seed, days),
-        _health_checks(seed, days, scale),
-        label_bursts(seed, days, scale),
-        trial_jobs(seed, days),
+        _make_rebuilds(seed, days),
+        _make_health_checks(seed, days, scale),
+        make_label_bursts(seed, days, scale),
+        make_trial_jobs(seed, days),
     )
     return tuple(
         sorted(
@@ -180,20 +187,21 @@
     Args:
         seed: Seed of the workload.
         policies: The policies to compare.
-        days: How many days.
+        days: Number of days.
         scale: Share of the health checks and label renders to keep.
 
     Returns:
-        The report, with the bars of guarantees, fragmentation and fairness.
+        The report, with bars for the waits of guaranteed jobs, fragmentation
+        and fair shares.
     """
     site = sites.hanbit()
-    jobs_of = trace(seed, days, scale)
+    trace = make_trace(seed, days, scale)
     horizon_ms = (
         (days - 1) * workload.DAY_MS + STORES_OPEN_MS + 4 * workload.HOUR_MS
     )
     replays = {
-        policy: replay.Replay(
-            site=site, trace=jobs_of, policy=policy, horizon_ms=horizon_ms
+        policy: job_replay.Replay(
+            site=site, trace=trace, policy=policy, horizon_ms=horizon_ms
         ).run()
         for policy in policies
     }
@@ -201,25 +209,25 @@
         bench="hanbit",
         seed=seed,
         metrics={p: metrics.policy_metrics(r) for p, r in replays.items()},
-        bars=tuple(_bars(site, jobs_of, replays)),
+        bars=tuple(_bars(site, trace, replays)),
     )
 
 
 def _bars(
     site: sites.Site,
-    jobs_of: tuple[workload.TracedJob, ...],
-    replays: dict[str, replay.Replay],
+    trace: tuple[workload.TracedJob, ...],
+    replays: dict[str, job_replay.Replay],
 ) -> list[report.Bar]:
-    ours = replays.get("citron")
-    if ours is None:
+    citron = replays.get("citron")
+    if citron is None:
         return []
-    bars = private_pool.wait_bars(site, jobs_of, ours, tuple(REBUILDS))
+    bars = private_pool.wait_bars(site, trace, citron, tuple(REBUILDS))
     if "best_fit" in replays:
         best_fit = replays["best_fit"]
         pairs = {
-            "fragmentation": (ours.fragmentation, best_fit.fragmentation),
+            "fragmentation": (citron.fragmentation, best_fit.fragmentation),
             "fragmentation_of_arrivals": (
-                ours.arrival_fragmentation,
+                citron.arrival_fragmentation,
                 best_fit.arrival_fragmentation,
             ),
         }
@@ -227,11 +235,11 @@
             report.at_most(
                 name,
                 "citron",
-                mine.ratio,
-                theirs.ratio * FRAGMENTATION_SHARE_OF_BEST_FIT,
+                measured.ratio,
+                baseline.ratio * MAX_FRAGMENTATION_RATIO_TO_BEST_FIT,
             )
-            for name, (mine, theirs) in pairs.items()
+            for name, (measured, baseline) in pairs.items()
         )
-    lag = metrics.served_lag(ours)
-    bars.append(report.at_most("served_lag", "citron", lag, SERVED_LAG_BOUND))
+    lag = metrics.served_lag(citron)
+    bars.append(report.at_most("served_lag", "citron", lag, MAX_SERVED_LAG))
     return bars
--- a/citronmount/bench/replay.py
+++ b/citronmount/bench/job_replay.py
@@ -1,8 +1,8 @@
-"""Replays traced jobs on the decision core by a heap of virtual events.
+"""Discrete-event simulation of a job trace on the domain schedulers.
 
-One `DomainScheduler` decides for each failure domain; the replay does what a
-scheduler's surroundings do: routes jobs, carries out decisions and reports
-starts and ends. Nothing is lost or late here; the fault matrix does that.
+Each failure domain has one `DomainScheduler`. The replay stands in for the
+agents around it: it routes jobs, carries out decisions and reports starts and
+ends. No message is lost or delayed here; the fault matrix covers that.
 """
 
 import collections
@@ -13,8 +13,8 @@
 
 from citronmount.bench import pool_usage
 from citronmount.bench import replay_events
-from citronmount.bench import replay_ledger
 from citronmount.bench import replay_routing
+from citronmount.bench import replay_usage
 from citronmount.bench import sites
 from citronmount.bench import workload
 from citronmount.core import codes
@@ -32,12 +32,20 @@
 MAX_ATTEMPTS = 60
 MOVE_PERIOD_MS = 10_000
 MOVES_PER_PERIOD = 50
-PATIENCE_MS = 1_000
-RETRY_MOVE_MS = 10_000
+MOVE_MIN_AGE_MS = 1_000
+MOVE_RETRY_MS = 10_000
 
 
 class Replay:
-    """One workload on one site under one policy."""
+    """Simulation of one workload on one site under one policy.
+
+    Attributes:
+        capacity: Accelerators that jobs may use, over time.
+        arrival_mix: Work of the trace by gang shape, the weights of
+            `arrival_fragmentation`.
+        late_starts: Starts over START_DELAY_MS after their domain was out.
+        max_grace_ms: Longest grace period given to an evicted job.
+    """
 
     def __init__(
         self,
@@ -46,7 +54,7 @@
         trace: tuple[workload.TracedJob, ...],
         policy: str,
         horizon_ms: int,
-        changes: tuple[tuple[int, replay_events.Change], ...] = (),
+        changes: tuple[tuple[int, replay_events.EnvironmentChange], ...] = (),
         sample_ms: int = workload.MINUTE_MS,
     ) -> None:
         """Initializes a replay at time 0.
@@ -54,45 +62,45 @@
         Args:
             site: The pool and the first configuration.
             trace: The jobs.
-            policy: The policy of the schedulers.
-            horizon_ms: When the replay ends.
-            changes: Changes of the surroundings with their times.
-            sample_ms: The period of the fragmentation samples.
+            policy: Name of the schedulers' policy.
+            horizon_ms: Time at which the replay ends.
+            changes: Times and changes of workers and configuration.
+            sample_ms: Period of the fragmentation samples.
         """
         self.policy = policy
         self.horizon_ms = horizon_ms
         self.configuration = site.configuration
-        self._ledger = replay_ledger.Ledger(site=site)
-        self.usage = self._ledger.usage
-        self.capacity = self._ledger.capacity
-        self.served = self._ledger.served
+        self._recorder = replay_usage.UsageRecorder(site=site)
+        self.usage = self._recorder.usage
+        self.capacity = self._recorder.capacity
+        self.fair_shares = self._recorder.fair_shares
         self.jobs = [
-            replay_events.JobTrace(job=job, spec=job.spec) for job in trace
+            replay_events.JobReplay(job=job, spec=job.spec) for job in trace
         ]
-        self.mix = replay_ledger.mix_of(trace)
-        self.paying = frozenset(
-            replay_ledger.paying_accounts(site.configuration)
+        self.arrival_mix = replay_usage.work_by_shape(trace)
+        self.paying_accounts = frozenset(
+            replay_usage.paying_accounts(site.configuration)
         )
-        self.fragmentation = pool_usage.Fragmentation()
-        self.arrival_fragmentation = pool_usage.Fragmentation()
+        self.fragmentation = pool_usage.FragmentationMean()
+        self.arrival_fragmentation = pool_usage.FragmentationMean()
         self.counts: collections.Counter[str] = collections.Counter()
         self.late_starts = 0
-        self.grace_ms = 0
+        self.max_grace_ms = 0
         self._out_since_ms: dict[ids.FailureDomainId, int] = {}
         self._sample_ms = sample_ms
-        self._broken: set[ids.WorkerId] = set()
-        self._by_id: dict[ids.JobId, int] = {}
+        self._broken_workers: set[ids.WorkerId] = set()
+        self._job_numbers: dict[ids.JobId, int] = {}
         self._queued: dict[ids.FailureDomainId, set[int]] = {
             d: set() for d in site.domains
         }
         self._heap: list[tuple[int, int, object]] = []
         self._sequence = itertools.count()
-        self._tried_ms: dict[int, int] = {}
+        self._move_tried_ms: dict[int, int] = {}
         self._schedulers = {
             d: scheduler_lib.DomainScheduler(failure_domain=d, policy=policy)
             for d in site.domains
         }
-        self._router = replay_routing.Router(
+        self._router = replay_routing.JobRouter(
             schedulers=self._schedulers, configuration=site.configuration
         )
         for domain, scheduler in self._schedulers.items():
@@ -100,58 +108,46 @@
             scheduler.set_workers(
                 tuple(w for w in site.workers if w.failure_domain == domain)
             )
-            self._ledger.set_capacity(domain, 0)
+            self._recorder.update_capacity(domain, 0)
         self._schedule_all(changes)
 
     def run(self) -> "Replay":
-        """Handles every event up to the horizon.
-
-        Returns:
-            The replay itself.
-        """
+        """Handles the events before the horizon and returns the replay."""
         while self._heap and self._heap[0][0] < self.horizon_ms:
             now_ms = self._heap[0][0]
-            touched = set()
+            to_decide = set()
             while self._heap and self._heap[0][0] == now_ms:
-                touched |= self._handle(heapq.heappop(self._heap)[2], now_ms)
-            for domain in sorted(touched):
+                to_decide |= self._handle(heapq.heappop(self._heap)[2], now_ms)
+            for domain in sorted(to_decide):
                 self._decide(domain, now_ms)
-        self._ledger.advance(self.horizon_ms)
+        self._recorder.advance(self.horizon_ms)
         return self
 
     def _schedule_all(
-        self, changes: tuple[tuple[int, replay_events.Change], ...]
+        self, changes: tuple[tuple[int, replay_events.EnvironmentChange], ...]
     ) -> None:
         for at_ms, change in changes:
             self._push(at_ms, change)
         for number, job in enumerate(self.jobs):
-            self._push(job.job.arrival_ms, replay_events.Arrive(number=number))
+            self._push(job.job.arrival_ms, replay_events.Submit(number=number))
             if job.job.cancel_ms is not None:
                 self._push(
                     job.job.cancel_ms, replay_events.Cancel(number=number)
                 )
         for domain in self._schedulers:
             self._push(TICK_MS, replay_events.Tick(domain=domain))
-        self._push(self._sample_ms, replay_events.Sample())
-        self._push(MOVE_PERIOD_MS, replay_events.MoveWaiting())
+        self._push(self._sample_ms, replay_events.SampleFragmentation())
+        self._push(MOVE_PERIOD_MS, replay_events.MoveQueuedJobs())
 
     def _push(self, at_ms: int, event: object) -> None:
         heapq.heappush(self._heap, (at_ms, next(self._sequence), event))
 
     def _handle(self, event: object, now_ms: int) -> set[ids.FailureDomainId]:
-        """Handles one event.
-
-        Args:
-            event: The event.
-            now_ms: The time.
-
-        Returns:
-            Failure domains whose scheduler must decide.
-        """
+        """Handles an event and returns the domains that must then decide."""
         return _HANDLERS[type(event)](self, event, now_ms)
 
-    def _arrive(
-        self, event: replay_events.Arrive, now_ms: int
+    def _submit(
+        self, event: replay_events.Submit, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.code is not None:
@@ -160,7 +156,7 @@
         if domain is None:
             self._push(now_ms + RESUBMIT_MS, event)
             return set()
-        self._home(event.number, domain)
+        self._assign_domain(event.number, domain)
         refusal = self._schedulers[domain].submit(job.spec, now_ms)
         if refusal is None:
             self._enqueue(event.number, now_ms)
@@ -173,10 +169,10 @@
             self._end(job, refusal.code, now_ms)
         return set()
 
-    def _move_waiting(
-        self, event: replay_events.MoveWaiting, now_ms: int
+    def _move_queued(
+        self, event: replay_events.MoveQueuedJobs, now_ms: int
     ) -> set[ids.FailureDomainId]:
-        """Moves queued jobs to failure domains that would start them."""
+        """Moves queued jobs to failure domains that can start them now."""
         self._push(now_ms + MOVE_PERIOD_MS, event)
         for domain, numbers in self._queued.items():
             movable = frozenset(
@@ -187,56 +183,56 @@
                 for number in sorted(numbers, key=self._last_tried)
                 if self.jobs[number].first_start_ms is None
                 and self.jobs[number].spec.job in movable
-                and now_ms - self.jobs[number].job.arrival_ms >= PATIENCE_MS
-                and now_ms - self._tried_ms.get(number, -RETRY_MOVE_MS)
-                >= RETRY_MOVE_MS
+                and now_ms - self.jobs[number].job.arrival_ms >= MOVE_MIN_AGE_MS
+                and now_ms - self._move_tried_ms.get(number, -MOVE_RETRY_MS)
+                >= MOVE_RETRY_MS
             ]
             for number in due[:MOVES_PER_PERIOD]:
-                self._tried_ms[number] = now_ms
+                self._move_tried_ms[number] = now_ms
                 self._try_move(number, domain, now_ms)
         return set()
 
     def _last_tried(self, number: int) -> tuple[int, int]:
-        return self._tried_ms.get(number, 0), number
+        return self._move_tried_ms.get(number, 0), number
 
     def _try_move(
         self, number: int, domain: ids.FailureDomainId, now_ms: int
     ) -> None:
         job = self.jobs[number]
-        to = self._router.better_home(job.spec, domain, now_ms)
+        to = self._router.find_better_domain(job.spec, domain, now_ms)
         if to is None:
             return
         self.counts["moves"] += 1
         job.moves += 1
         self._schedulers[domain].cancel(job.spec.job)
         self._dequeue(number, now_ms)
-        self._home(number, to)
+        self._assign_domain(number, to)
         self._schedulers[to].restore(job.spec, now_ms, progress=job.progress)
         self._enqueue(number, now_ms)
         self._decide(to, now_ms)
 
-    def _home(self, number: int, domain: ids.FailureDomainId) -> None:
+    def _assign_domain(self, number: int, domain: ids.FailureDomainId) -> None:
         job = self.jobs[number]
         name = ids.job_id(domain, f"{number:06d}")
         job.spec = msgspec.structs.replace(job.spec, job=name)
         job.domain = domain
-        self._by_id[name] = number
+        self._job_numbers[name] = number
 
     def _enqueue(self, number: int, now_ms: int) -> None:
         job = self.jobs[number]
-        self._router.changed(job.domain)
+        self._router.record_change(job.domain)
         self._queued[job.domain].add(number)
-        self._ledger.queue(job.domain, job.spec, 1, now_ms)
+        self._recorder.record_queued(job.domain, job.spec, 1, now_ms)
 
     def _dequeue(self, number: int, now_ms: int) -> None:
         job = self.jobs[number]
-        self._router.changed(job.domain)
+        self._router.record_change(job.domain)
         self._queued[job.domain].remove(number)
-        self._ledger.queue(job.domain, job.spec, -1, now_ms)
+        self._recorder.record_queued(job.domain, job.spec, -1, now_ms)
 
     def _decide(self, domain: ids.FailureDomainId, now_ms: int) -> None:
         for decision in self._schedulers[domain].decide(now_ms):
-            number = self._by_id[decision.job]
+            number = self._job_numbers[decision.job]
             if isinstance(decision, decisions.PlaceJob):
                 self._place(number, decision.placement, now_ms)
             elif isinstance(decision, decisions.EvictJob):
@@ -250,41 +246,41 @@
     ) -> None:
         job = self.jobs[number]
         self._dequeue(number, now_ms)
-        self._ledger.take(job.domain, job.spec, placement)
+        self._recorder.record_placed(job.domain, job.spec, placement)
         job.placement = placement
         job.attempts += 1
         self.counts["placements"] += 1
-        event = replay_events.Run(number=number, attempt=job.attempts)
+        event = replay_events.StartGang(number=number, attempt=job.attempts)
         self._push(now_ms + START_DELAY_MS, event)
 
     def _evict(
         self, number: int, decision: decisions.EvictJob, now_ms: int
     ) -> None:
         job = self.jobs[number]
-        beneficiary = self._by_id.get(decision.beneficiary)
+        beneficiary = self._job_numbers.get(decision.beneficiary)
         if beneficiary is not None:
             self.jobs[beneficiary].waited_reclaim = True
-        self.grace_ms = max(self.grace_ms, decision.grace_ms)
+        self.max_grace_ms = max(self.max_grace_ms, decision.grace_ms)
         self.counts["evictions"] += 1
         job.evictions += 1
-        self._stop(number, decision.grace_ms, now_ms)
+        self._begin_stop(number, decision.grace_ms, now_ms)
 
-    def _stop(self, number: int, grace_ms: int, now_ms: int) -> None:
+    def _begin_stop(self, number: int, grace_ms: int, now_ms: int) -> None:
         job = self.jobs[number]
         if job.evicting:
             return
         job.evicting = True
         end_ms = now_ms + min(grace_ms, job.job.checkpoint_ms)
         saved = job.job.checkpoint_ms <= grace_ms
-        event = replay_events.Evicted(
+        event = replay_events.FinishEviction(
             number=number,
             attempt=job.attempts,
             progress=job.progress_at(now_ms) if saved else job.saved_at(now_ms),
         )
         self._push(end_ms, event)
 
-    def _run(
-        self, event: replay_events.Run, now_ms: int
+    def _start_gang(
+        self, event: replay_events.StartGang, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
@@ -292,10 +288,10 @@
         culprits = tuple(
             group.worker
             for group in job.placement.groups
-            if job.job.fails or group.worker in self._broken
+            if job.job.fails or group.worker in self._broken_workers
         )
         if culprits:
-            return self._fail(event.number, culprits, now_ms)
+            return self._fail_start(event.number, culprits, now_ms)
         job.started_ms = now_ms
         out_ms = self._out_since_ms.get(job.domain, now_ms)
         self.late_starts += now_ms > out_ms + START_DELAY_MS
@@ -309,12 +305,12 @@
         self._push(now_ms + max(1, round(left_s * 1_000)), finish)
         return set()
 
-    def _fail(
+    def _fail_start(
         self, number: int, culprits: tuple[ids.WorkerId, ...], now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[number]
         self.counts["failed_starts"] += 1
-        self._vacate(job, now_ms)
+        self._release(job, now_ms)
         final = self._schedulers[job.domain].attempt_ended(
             job.spec.job,
             decisions.AttemptEnd.FAILED_TO_START,
@@ -339,7 +335,7 @@
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
             return set()
-        self._vacate(job, now_ms)
+        self._release(job, now_ms)
         job.progress = 1.0
         self._schedulers[job.domain].attempt_ended(
             job.spec.job, decisions.AttemptEnd.DONE, now_ms
@@ -347,17 +343,17 @@
         self._end(job, codes.ResultCode.DONE, now_ms)
         return {job.domain}
 
-    def _evicted(
-        self, event: replay_events.Evicted, now_ms: int
+    def _finish_eviction(
+        self, event: replay_events.FinishEviction, now_ms: int
     ) -> set[ids.FailureDomainId]:
         job = self.jobs[event.number]
         if job.placement is None or job.attempts != event.attempt:
             return set()
         lost = job.progress_at(now_ms) - event.progress
         self.counts["lost_work_s"] += round(lost * job.job.work_s)
-        self._vacate(job, now_ms)
+        self._release(job, now_ms)
         job.progress = event.progress
-        out = self._ledger.is_out(job.domain)
+        out = self._recorder.is_out_of_service(job.domain)
         self._schedulers[job.domain].attempt_ended(
             job.spec.job,
             decisions.AttemptEnd.EVICTED,
@@ -366,19 +362,19 @@
             progress=event.progress,
         )
         if out:
-            return self._move(event.number, now_ms) | {job.domain}
+            return self._requeue(event.number, now_ms) | {job.domain}
         self._enqueue(event.number, now_ms)
         return {job.domain}
 
-    def _vacate(self, job: replay_events.JobTrace, now_ms: int) -> None:
-        self._ledger.give_back(job.domain, job.spec, job.placement, now_ms)
-        self._router.changed(job.domain)
+    def _release(self, job: replay_events.JobReplay, now_ms: int) -> None:
+        self._recorder.record_freed(job.domain, job.spec, job.placement, now_ms)
+        self._router.record_change(job.domain)
         job.placement = None
         job.started_ms = None
         job.evicting = False
 
     def _end(
-        self, job: replay_events.JobTrace, code: codes.ResultCode, now_ms: int
+        self, job: replay_events.JobReplay, code: codes.ResultCode, now_ms: int
     ) -> None:
         job.code = code
         job.ended_ms = now_ms
@@ -395,7 +391,7 @@
             self._dequeue(event.number, now_ms)
             self._end(job, codes.ResultCode.CANCELLED_NOT_RUN, now_ms)
         elif job.placement is not None:
-            self._vacate(job, now_ms)
+            self._release(job, now_ms)
             self._schedulers[job.domain].attempt_ended(
                 job.spec.job, decisions.AttemptEnd.CANCELLED, now_ms
             )
@@ -406,38 +402,38 @@
         return {job.domain}
 
     def _configure(
-        self, event: replay_events.Configure, now_ms: int
+        self, event: replay_events.ApplyConfiguration, now_ms: int
     ) -> set[ids.FailureDomainId]:
         self.configuration = event.configuration
-        self._ledger.configuration = event.configuration
-        self._router.configure(event.configuration)
+        self._recorder.configuration = event.configuration
+        self._router.adopt_configuration(event.configuration)
         for domain, scheduler in self._schedulers.items():
             scheduler.set_configuration(event.configuration)
-            self._ledger.set_capacity(domain, now_ms)
-        touched = set(self._schedulers)
+            self._recorder.update_capacity(domain, now_ms)
+        to_decide = set(self._schedulers)
         self._out_since_ms = {
             d.name: self._out_since_ms.get(d.name, now_ms)
             for d in event.configuration.failure_domains
             if d.state is states.FailureDomainState.OUT
         }
         for domain in self._schedulers:
-            if self._ledger.is_out(domain):
+            if self._recorder.is_out_of_service(domain):
                 for number in sorted(self._queued[domain]):
                     self._schedulers[domain].cancel(self.jobs[number].spec.job)
                     self._dequeue(number, now_ms)
-                    self._move(number, now_ms)
-        return touched
+                    self._requeue(number, now_ms)
+        return to_decide
 
-    def _move(self, number: int, now_ms: int) -> set[ids.FailureDomainId]:
-        """Queues a job again in a failure domain that is in service."""
+    def _requeue(self, number: int, now_ms: int) -> set[ids.FailureDomainId]:
+        """Queues a job in a failure domain that is in service, or retries."""
         job = self.jobs[number]
         domain = self._router.route(job.spec, now_ms)
         if domain is None:
             self._push(
-                now_ms + RESUBMIT_MS, replay_events.Arrive(number=number)
+                now_ms + RESUBMIT_MS, replay_events.Submit(number=number)
             )
             return set()
-        self._home(number, domain)
+        self._assign_domain(number, domain)
         self._schedulers[domain].restore(
             job.spec, now_ms, progress=job.progress
         )
@@ -445,23 +441,23 @@
         return {domain}
 
     def _power_down(
-        self, event: replay_events.PowerDown, now_ms: int
+        self, event: replay_events.PowerDownDomain, now_ms: int
     ) -> set[ids.FailureDomainId]:
         for number, job in enumerate(self.jobs):
             if job.domain == event.domain and job.placement is not None:
-                self._stop(number, job.job.checkpoint_ms, now_ms)
+                self._begin_stop(number, job.job.checkpoint_ms, now_ms)
         return set()
 
-    def _break(
+    def _break_worker(
         self, event: replay_events.BreakWorker, now_ms: int
     ) -> set[ids.FailureDomainId]:
-        self._broken.add(event.worker)
+        self._broken_workers.add(event.worker)
         return set()
 
-    def _heal(
-        self, event: replay_events.HealWorker, now_ms: int
+    def _repair_worker(
+        self, event: replay_events.RepairWorker, now_ms: int
     ) -> set[ids.FailureDomainId]:
-        self._broken.discard(event.worker)
+        self._broken_workers.discard(event.worker)
         return set()
 
     def _tick(
@@ -471,31 +467,33 @@
         return {event.domain} if self._queued[event.domain] else set()
 
     def _sample(
-        self, event: replay_events.Sample, now_ms: int
+        self, event: replay_events.SampleFragmentation, now_ms: int
     ) -> set[ids.FailureDomainId]:
         self._push(now_ms + self._sample_ms, event)
         for domain, numbers in self._queued.items():
-            if self._ledger.is_out(domain):
+            if self._recorder.is_out_of_service(domain):
                 continue
-            self.arrival_fragmentation.sample(self.usage, domain, self.mix)
-            pending = replay_ledger.mix_of(
+            self.arrival_fragmentation.record(
+                self.usage, domain, self.arrival_mix
+            )
+            pending = replay_usage.work_by_shape(
                 self.jobs[n].job for n in sorted(numbers)
             )
-            self.fragmentation.sample(self.usage, domain, pending)
+            self.fragmentation.record(self.usage, domain, pending)
         return set()
 
 
 _HANDLERS = {
-    replay_events.Arrive: Replay._arrive,
+    replay_events.Submit: Replay._submit,
     replay_events.Cancel: Replay._cancel,
-    replay_events.Run: Replay._run,
+    replay_events.StartGang: Replay._start_gang,
     replay_events.Finish: Replay._finish,
-    replay_events.Evicted: Replay._evicted,
+    replay_events.FinishEviction: Replay._finish_eviction,
     replay_events.Tick: Replay._tick,
-    replay_events.MoveWaiting: Replay._move_waiting,
-    replay_events.Sample: Replay._sample,
-    replay_events.Configure: Replay._configure,
-    replay_events.PowerDown: Replay._power_down,
-    replay_events.BreakWorker: Replay._break,
-    replay_events.HealWorker: Replay._heal,
+    replay_events.MoveQueuedJobs: Replay._move_queued,
+    replay_events.SampleFragmentation: Replay._sample,
+    replay_events.ApplyConfiguration: Replay._configure,
+    replay_events.PowerDownDomain: Replay._power_down,
+    replay_events.BreakWorker: Replay._break_worker,
+    replay_events.RepairWorker: Replay._repair_worker,
 }
--- a/citronmount/bench/misdeclared.py
+++ b/citronmount/bench/misdeclared.py
@@ -1,11 +1,11 @@
-"""The bench of declared run times that are far off."""
+"""Bench of jobs whose declared run times are far from the true ones."""
 
 import msgspec
 
+from citronmount.bench import job_mix
+from citronmount.bench import job_replay
 from citronmount.bench import metrics
-from citronmount.bench import mixed
 from citronmount.bench import registry
-from citronmount.bench import replay
 from citronmount.bench import report
 from citronmount.bench import sites
 from citronmount.bench import workload
@@ -24,17 +24,19 @@
 TRUTHFUL = "citron_truthful"
 
 
-def _misdeclared(
+def _misdeclare(
     trace: tuple[workload.TracedJob, ...], seed: int
 ) -> tuple[workload.TracedJob, ...]:
-    rng = workload.stream("declared", seed)
+    rng = workload.random_stream("declared", seed)
     return tuple(
         msgspec.structs.replace(
             job,
             spec=msgspec.structs.replace(
                 job.spec,
                 run_time_s=job.true_run_s
-                * workload.skewed(rng, FACTORS[job.spec.account], FACTOR_SIGMA),
+                * workload.sample_log_normal(
+                    rng, FACTORS[job.spec.account], FACTOR_SIGMA
+                ),
             ),
         )
         for job in trace
@@ -45,25 +47,28 @@
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 8.0
 ) -> report.BenchReport:
-    """Compares the policies on declarations off by up to ten times.
+    """Compares the policies on run times declared wrongly by up to ten times.
+
+    The median error of an account is at most ten times; errors of its jobs
+    are spread around it.
 
     Args:
         seed: Seed of the workload.
         policies: The policies to compare.
-        hours: How long jobs arrive.
+        hours: Time over which jobs arrive.
 
     Returns:
-        The report; the entry `citron_truthful` is the same workload with
-        true declarations.
+        The report; the entry `citron_truthful` is the citron policy on the
+        same workload with true declarations.
     """
     site = sites.hanbit()
-    truthful = mixed.by_arrival(
-        mixed.steady(
+    truthful = job_mix.merge_by_arrival(
+        job_mix.make_steady_jobs(
             "misdeclared", seed, hours=hours, jobs_per_hour=JOBS_PER_HOUR
         )
     )
-    declared = _misdeclared(truthful, seed)
-    runs = [(policy, policy, declared) for policy in policies]
+    misdeclared = _misdeclare(truthful, seed)
+    runs = [(policy, policy, misdeclared) for policy in policies]
     if "citron" in policies:
         runs.append((TRUTHFUL, "citron", truthful))
     return report.BenchReport(
@@ -71,7 +76,7 @@
         seed=seed,
         metrics={
             name: metrics.policy_metrics(
-                replay.Replay(
+                job_replay.Replay(
                     site=site,
                     trace=trace,
                     policy=policy,
--- a/citronmount/bench/request_replay.py
+++ b/citronmount/bench/request_replay.py
@@ -1,4 +1,4 @@
-"""Replays short requests on one `RequestRouter` a VM, by virtual events."""
+"""Discrete-event simulation of short requests, one `RequestRouter` per VM."""
 
 from collections.abc import Callable
 import heapq
@@ -14,21 +14,26 @@
 from citronmount.core import request_decisions
 from citronmount.core import request_router
 
-__all__ = ["Answered", "RouterReplay", "random_runner", "single_queue"]
+__all__ = [
+    "RequestOutcome",
+    "RouterReplay",
+    "replay_random_runners",
+    "replay_single_queue",
+]
 
-LINK_MS = 1
+LINK_DELAY_MS = 1
 HEARTBEAT_MS = 1_000
 TIMEOUT_MS = 5_000
 
 
-class Answered(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller saw of one request.
+class RequestOutcome(msgspec.Struct, frozen=True, kw_only=True):
+    """Outcome of one request for its caller.
 
     Attributes:
         request: The request.
-        result: Its final answer, or None if there was none.
-        took_ms: From the caller and back to it.
-        waited_ms: From the VM to the first dispatch.
+        result: Final result, or None if none arrived.
+        took_ms: Round trip time from the caller.
+        waited_ms: Time from arrival at the VM to the first send to a runner.
     """
 
     request: request_workload.TracedRequest
@@ -37,94 +42,95 @@
     waited_ms: int
 
 
-def single_queue(
+def replay_single_queue(
     site: request_workload.RequestSite,
     trace: tuple[request_workload.TracedRequest, ...],
-) -> list[Answered]:
+) -> list[RequestOutcome]:
     """Serves requests from one ideal queue for each failure domain.
 
-    Every free slot is known at once and no slot idles while a request waits,
-    which no system of several VMs with links between them can do.
+    Every free slot is known at once and no slot is idle while a request
+    waits, which a system of several VMs with links between them cannot
+    achieve.
 
     Args:
         site: The runners.
-        trace: The requests by arrival.
+        trace: The requests in the order of arrival.
 
     Returns:
-        The answers.
+        The outcomes, in the order of the requests.
     """
-    free_at = {
+    free_at_ms = {
         domain: [0] * sum(runner.slots for runner in runners)
         for domain, runners in site.runners.items()
     }
-    answers = []
+    outcomes = []
     for request in trace:
-        slots = free_at[request.domain]
+        slots = free_at_ms[request.domain]
         start_ms = max(request.arrival_ms, slots[0])
         heapq.heapreplace(slots, start_ms + request.service_ms)
-        answers.append(_served(request, start_ms, request.service_ms))
-    return answers
+        outcomes.append(_make_outcome(request, start_ms, request.service_ms))
+    return outcomes
 
 
-def random_runner(
+def replay_random_runners(
     site: request_workload.RequestSite,
     trace: tuple[request_workload.TracedRequest, ...],
     slow: dict[str, float],
-) -> list[Answered]:
-    """Sends each request at once to a random runner, which queues in order.
+) -> list[RequestOutcome]:
+    """Sends each request at once to a random runner with a FIFO queue.
 
     Args:
         site: The runners.
-        trace: The requests by arrival.
-        slow: Runners that take longer, by factor.
+        trace: The requests in the order of arrival.
+        slow: Factors of the service times of slow runners, by name.
 
     Returns:
-        The answers.
+        The outcomes, in the order of the requests.
     """
-    free_at = {
+    free_at_ms = {
         runner.name: [0] * runner.slots
         for runners in site.runners.values()
         for runner in runners
     }
-    answers = []
+    outcomes = []
     for number, request in enumerate(trace):
         runners = site.runners[request.domain]
-        runner = runners[hash_of(number) % len(runners)].name
-        start_ms = max(request.arrival_ms, free_at[runner][0])
-        service_ms = _slowed(request, runner, slow)
-        heapq.heapreplace(free_at[runner], start_ms + service_ms)
-        answers.append(_served(request, start_ms, service_ms))
-    return answers
+        runner = runners[multiplicative_hash(number) % len(runners)].name
+        start_ms = max(request.arrival_ms, free_at_ms[runner][0])
+        service_ms = _service_ms(request, runner, slow)
+        heapq.heapreplace(free_at_ms[runner], start_ms + service_ms)
+        outcomes.append(_make_outcome(request, start_ms, service_ms))
+    return outcomes
 
 
-def hash_of(number: int) -> int:
-    """Returns a number that looks random, by Knuth's multiplicative hash.
+def multiplicative_hash(number: int) -> int:
+    """Returns a pseudo-random number, by Knuth's multiplicative hash.
 
     Args:
-        number: A counter.
+        number: The number to hash.
 
     Returns:
-        Sixteen bits.
+        The upper sixteen bits of the 32-bit hash.
     """
     return (number * 2_654_435_761 % (1 << 32)) >> 16
 
 
-def _served(
+def _make_outcome(
     request: request_workload.TracedRequest, start_ms: int, service_ms: int
-) -> Answered:
+) -> RequestOutcome:
     result = jobs.RequestResult(
         request=request.request, code=codes.ResultCode.DONE
     )
     waited_ms = start_ms - request.arrival_ms
-    return Answered(
+    return RequestOutcome(
         request=request,
         result=result,
-        took_ms=waited_ms + service_ms + 4 * LINK_MS,
+        took_ms=waited_ms + service_ms + 4 * LINK_DELAY_MS,
         waited_ms=waited_ms,
     )
 
 
-def _slowed(
+def _service_ms(
     request: request_workload.TracedRequest,
     runner: str,
     slow: dict[str, float],
@@ -133,7 +139,7 @@
 
 
 class RouterReplay:
-    """Routers, runners and the links between them."""
+    """Simulation of the request routers, the runners and their links."""
 
     def __init__(
         self,
@@ -148,10 +154,11 @@
 
         Args:
             site: The runners and VMs.
-            trace: The requests by arrival.
-            offers: Whether VMs tell each other of free slots.
-            hedge_share: Hedges allowed for each request.
-            slow: Runners that take longer, by factor.
+            trace: The requests in the order of arrival.
+            offers: Whether VMs exchange their numbers of free slots, without
+                which they make no offers.
+            hedge_share: Allowed number of hedges per request.
+            slow: Factors of the service times of slow runners, by name.
         """
         self.sends = 0
         self.hedges = 0
@@ -162,35 +169,35 @@
         self._slow = slow or {}
         self._trace = {request.request: request for request in trace}
         self._first_send_ms: dict[ids.RequestId, int] = {}
-        self._answers: dict[ids.RequestId, Answered] = {}
-        self._offered_by: dict[ids.RequestId, ids.VmId] = {}
-        self._used: dict[ids.RunnerId, int] = {}
+        self._outcomes: dict[ids.RequestId, RequestOutcome] = {}
+        self._offering_vms: dict[ids.RequestId, ids.VmId] = {}
+        self._used_slots: dict[ids.RunnerId, int] = {}
         self._slots: dict[ids.RunnerId, int] = {}
         self._routers: dict[ids.VmId, request_router.RequestRouter] = {}
         self._heap: list[tuple[int, int, Callable[[int], None]]] = []
         self._sequence = itertools.count()
-        self._wakes: dict[ids.VmId, int] = {}
-        self._offering = offers
+        self._wake_times_ms: dict[ids.VmId, int] = {}
+        self._offers_enabled = offers
         for domain in site.runners:
             self._add_domain(domain, hedge_share)
         for request in trace:
-            self._at(request.arrival_ms, self._arrive(request))
+            self._schedule(request.arrival_ms, self._arrival(request))
         if offers:
-            self._at(0, self._heartbeats)
+            self._schedule(0, self._send_heartbeats)
         self._end_ms = trace[-1].arrival_ms if trace else 0
 
-    def run(self) -> list[Answered]:
-        """Handles every event.
+    def run(self) -> list[RequestOutcome]:
+        """Handles all events.
 
         Returns:
-            The answers, in the order of the requests.
+            The outcomes, in the order of the requests.
         """
         while self._heap:
             now_ms, _, action = heapq.heappop(self._heap)
             action(now_ms)
         return [
-            self._answers.get(name)
-            or Answered(
+            self._outcomes.get(name)
+            or RequestOutcome(
                 request=request,
                 result=None,
                 took_ms=TIMEOUT_MS,
@@ -210,33 +217,35 @@
             self._routers[vm] = router
         for runner in self._site.runners[domain]:
             self._slots[ids.RunnerId(runner.name)] = runner.slots
-            self._used[ids.RunnerId(runner.name)] = 0
+            self._used_slots[ids.RunnerId(runner.name)] = 0
 
-    def _at(self, at_ms: int, action: Callable[[int], None]) -> None:
+    def _schedule(self, at_ms: int, action: Callable[[int], None]) -> None:
         heapq.heappush(self._heap, (at_ms, next(self._sequence), action))
 
-    def _heartbeats(self, now_ms: int) -> None:
+    def _send_heartbeats(self, now_ms: int) -> None:
         for vms in self._site.vms.values():
             for vm, peer in itertools.permutations(vms, 2):
-                self._tell(vm, peer, now_ms)
+                self._send_heartbeat(vm, peer, now_ms)
         if now_ms < self._end_ms:
-            self._at(now_ms + HEARTBEAT_MS, self._heartbeats)
+            self._schedule(now_ms + HEARTBEAT_MS, self._send_heartbeats)
 
-    def _tell(self, vm: ids.VmId, peer: ids.VmId, now_ms: int) -> None:
+    def _send_heartbeat(
+        self, vm: ids.VmId, peer: ids.VmId, now_ms: int
+    ) -> None:
         free = self._routers[vm].free_slots()
-        self._at(
-            now_ms + LINK_MS,
+        self._schedule(
+            now_ms + LINK_DELAY_MS,
             lambda _: self._routers[peer].set_peer_free_slots(vm, free),
         )
 
-    def _arrive(
+    def _arrival(
         self, request: request_workload.TracedRequest
     ) -> Callable[[int], None]:
         def action(now_ms: int) -> None:
             spec = _spec(request)
             refusal = self._routers[request.vm].submit(spec, now_ms)
             if refusal is not None:
-                self._reply(request, refusal, now_ms)
+                self._record_outcome(request, refusal, now_ms)
             self._decide(request.vm, now_ms)
 
         return action
@@ -251,9 +260,9 @@
             else:
                 self._finish(vm, decision.result, now_ms)
         wake_ms = router.next_wake_ms()
-        if wake_ms is not None and wake_ms != self._wakes.get(vm):
-            self._wakes[vm] = wake_ms
-            self._at(max(wake_ms, now_ms + 1), self._wake(vm))
+        if wake_ms is not None and wake_ms != self._wake_times_ms.get(vm):
+            self._wake_times_ms[vm] = wake_ms
+            self._schedule(max(wake_ms, now_ms + 1), self._wake(vm))
 
     def _wake(self, vm: ids.VmId) -> Callable[[int], None]:
         return lambda now_ms: self._decide(vm, now_ms)
@@ -265,24 +274,24 @@
         self.hedges += send.hedge
         self._first_send_ms.setdefault(send.request, now_ms)
 
-        def reach(at_ms: int) -> None:
-            if self._used[send.runner] >= self._slots[send.runner]:
+        def arrive(at_ms: int) -> None:
+            if self._used_slots[send.runner] >= self._slots[send.runner]:
                 self.busy_answers += 1
                 outcome = messages.RunnerOutcome.BUSY
-                self._answer(vm, send, outcome, at_ms)
+                self._answer_router(vm, send, outcome, at_ms)
                 return
-            self._used[send.runner] += 1
+            self._used_slots[send.runner] += 1
             request = self._trace[send.request]
-            took_ms = _slowed(request, send.runner, self._slow)
-            self._at(at_ms + took_ms, done)
+            took_ms = _service_ms(request, send.runner, self._slow)
+            self._schedule(at_ms + took_ms, finish)
 
-        def done(at_ms: int) -> None:
-            self._used[send.runner] -= 1
-            self._answer(vm, send, messages.RunnerOutcome.DONE, at_ms)
+        def finish(at_ms: int) -> None:
+            self._used_slots[send.runner] -= 1
+            self._answer_router(vm, send, messages.RunnerOutcome.DONE, at_ms)
 
-        self._at(now_ms + LINK_MS, reach)
+        self._schedule(now_ms + LINK_DELAY_MS, arrive)
 
-    def _answer(
+    def _answer_router(
         self,
         vm: ids.VmId,
         send: request_decisions.Send,
@@ -302,14 +311,14 @@
             )
             self._decide(vm, at_ms)
 
-        self._at(now_ms + LINK_MS, receive)
+        self._schedule(now_ms + LINK_DELAY_MS, receive)
 
     def _offer(
         self, vm: ids.VmId, offer: request_decisions.Offer, now_ms: int
     ) -> None:
         self.offers += 1
 
-        def reach(at_ms: int) -> None:
+        def arrive(at_ms: int) -> None:
             spec = msgspec.structs.replace(
                 _spec(self._trace[offer.request]), timeout_ms=offer.timeout_ms
             )
@@ -317,14 +326,14 @@
             refusal = peer.submit(spec, at_ms, offered=True)
             if refusal is not None:
                 self.offers_refused += 1
-                self._peer_answer(vm, refusal, at_ms)
+                self._answer_peer(vm, refusal, at_ms)
                 return
-            self._offered_by[offer.request] = vm
+            self._offering_vms[offer.request] = vm
             self._decide(offer.vm, at_ms)
 
-        self._at(now_ms + LINK_MS, reach)
+        self._schedule(now_ms + LINK_DELAY_MS, arrive)
 
-    def _peer_answer(
+    def _answer_peer(
         self, vm: ids.VmId, result: jobs.RequestResult, now_ms: int
     ) -> None:
         def receive(at_ms: int) -> None:
@@ -332,28 +341,28 @@
             router.record_peer_answer(result.request, result, at_ms)
             self._decide(vm, at_ms)
 
-        self._at(now_ms + LINK_MS, receive)
+        self._schedule(now_ms + LINK_DELAY_MS, receive)
 
     def _finish(
         self, vm: ids.VmId, result: jobs.RequestResult, now_ms: int
     ) -> None:
-        origin = self._offered_by.pop(result.request, None)
+        origin = self._offering_vms.pop(result.request, None)
         if origin is not None and origin != vm:
-            self._peer_answer(origin, result, now_ms)
+            self._answer_peer(origin, result, now_ms)
             return
-        self._reply(self._trace[result.request], result, now_ms)
+        self._record_outcome(self._trace[result.request], result, now_ms)
 
-    def _reply(
+    def _record_outcome(
         self,
         request: request_workload.TracedRequest,
         result: jobs.RequestResult,
         now_ms: int,
     ) -> None:
         sent_ms = self._first_send_ms.get(request.request, now_ms)
-        self._answers[request.request] = Answered(
+        self._outcomes[request.request] = RequestOutcome(
             request=request,
             result=result,
-            took_ms=now_ms - request.arrival_ms + 2 * LINK_MS,
+            took_ms=now_ms - request.arrival_ms + 2 * LINK_DELAY_MS,
             waited_ms=sent_ms - request.arrival_ms,
         )
 
--- a/citronmount/cli/losses_command.py
+++ b/citronmount/cli/losses_command.py
@@ -4,7 +4,7 @@
 
 import click
 
-from citronmount.bench import day_losses
+from citronmount.bench import score_losses
 from citronmount.cli import options
 from citronmount.cli import output
 from citronmount.platform import day_journal
@@ -31,13 +31,14 @@
     lines = [
         line
         for name, (site, days) in journals.items()
-        for line in (f"{site} ({name})", *day_losses.table(days))
+        for line in (f"{site} ({name})", *score_losses.markdown_table(days))
     ]
     output.print_lines(value, lines, as_json=as_json)
 
 
-def _make_day_body(day: day_losses.Day) -> dict[str, object]:
+def _make_day_body(day: score_losses.ScoredDay) -> dict[str, object]:
     lost = {
-        cause.value: share for cause, share in day_losses.losses(day).items()
+        cause.value: share
+        for cause, share in score_losses.losses_by_cause(day).items()
     }
     return {"kind": day.kind, "worth": day.worth, "lost": lost}
