--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -39,7 +39,7 @@
     (65, 65, 280),
 )
 TEAMS = (70, 140, 280)
-IDLE_WORKERS_EACH = (4, 16)
+IDLE_WORKERS_PER_DOMAIN = (4, 16)
 SAMPLE_EVENTS = 2_000
 
 _NS_PER_US = 1_000
@@ -54,7 +54,7 @@
     return capacity_plan.Measured(
         traffic=tuple(_traffic(*site) for site in SITES),
         costs=capacity_agents.measure_costs(
-            failure_domains=5, vms_each=8, workers_each=32
+            failure_domains=5, vms_per_domain=8, workers_per_domain=32
         ),
         state=tuple(
             capacity_agents.measure_state(
@@ -62,7 +62,7 @@
             )
             for workers, job_count, teams in STATE_POINTS
         ),
-        idle=tuple(map(capacity_daemon.measure_idle, IDLE_WORKERS_EACH)),
+        idle=tuple(map(capacity_daemon.measure_idle, IDLE_WORKERS_PER_DOMAIN)),
         exchange=capacity_daemon.measure_exchange(),
         message_us=capacity_daemon.measure_message_us(_heartbeat()),
         change_bytes={n: len(records.encode(_change(n))) for n in TEAMS},
@@ -72,13 +72,13 @@
 
 
 def _traffic(
-    failure_domains: int, vms_each: int, workers_each: int
+    failure_domains: int, vms_per_domain: int, workers_per_domain: int
 ) -> harness_traffic.TrafficRow:
     return harness_traffic.measure_traffic(
         capacity_agents.make_agent,
         failure_domains=failure_domains,
-        vms_each=vms_each,
-        workers_each=workers_each,
+        vms_per_domain=vms_per_domain,
+        workers_per_domain=workers_per_domain,
     )
 
 
@@ -207,12 +207,12 @@
 def main(as_json: bool, page: str | None) -> None:
     """Measures slopes and works out the two-year size."""
     found = measure()
-    plan = capacity_plan.work_out(found)
+    plan = capacity_plan.compute_plan(found)
     text = capacity_page.render(found, plan)
     if page is not None:
         target = pathlib.Path(page)
         before = target.read_text("utf-8") if target.exists() else ""
-        kept = capacity_page.kept_part(before)
+        kept = capacity_page.preserved_part(before)
         target.write_text(text + kept, encoding="utf-8")
     if as_json:
         output = Output(
--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -127,14 +127,14 @@
 
 
 def measure_costs(
-    *, failure_domains: int, vms_each: int, workers_each: int
+    *, failure_domains: int, vms_per_domain: int, workers_per_domain: int
 ) -> tuple[EventCost, ...]:
     """Runs an idle site and times its agents.
 
     Args:
         failure_domains: Failure domains of the site.
-        vms_each: VMs in each.
-        workers_each: Workers in each.
+        vms_per_domain: VMs in each.
+        workers_per_domain: Workers in each.
 
     Returns:
         One row for each kind of event.
@@ -144,8 +144,8 @@
     harness = harness_lib.Harness(
         site=harness_site.make_site(
             failure_domains=failure_domains,
-            vms_each=vms_each,
-            workers_each=workers_each,
+            vms_per_domain=vms_per_domain,
+            workers_per_domain=workers_per_domain,
         ),
         make_agent=lambda vm, incarnation_ms: _TimedAgent(
             make_agent(vm, incarnation_ms), spent_ns, counts
@@ -157,7 +157,7 @@
     spent_ns.clear()
     counts.clear()
     harness.run_until_ms(WARM_UP_MS + RUN_MS)
-    vms = failure_domains * vms_each
+    vms = failure_domains * vms_per_domain
     return tuple(
         EventCost(
             kind=kind,
@@ -217,7 +217,10 @@
 
 def _site(workers: int, teams: int) -> harness_site.Site:
     site = harness_site.make_site(
-        failure_domains=1, vms_each=2, workers_each=workers, runners_each=1
+        failure_domains=1,
+        vms_per_domain=2,
+        workers_per_domain=workers,
+        runners_per_domain=1,
     )
     names = [ids.AccountId(f"team-{number:03}") for number in range(teams)]
     content = configuration_lib.Configuration(
--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -73,19 +73,19 @@
     wire_bytes: float
 
 
-def measure_idle(workers_each: int) -> IdleDaemon:
+def measure_idle(workers_per_domain: int) -> IdleDaemon:
     """Runs six idle daemons on loopback.
 
     Args:
-        workers_each: Workers in each of three failure domains.
+        workers_per_domain: Workers in each of three failure domains.
 
     Returns:
         What they used.
     """
     site = harness_site.make_site(
         failure_domains=DOMAINS,
-        vms_each=VMS_PER_DOMAIN,
-        workers_each=workers_each,
+        vms_per_domain=VMS_PER_DOMAIN,
+        workers_per_domain=workers_per_domain,
     )
     pool = pool_file.Pool(workers=site.view.workers, runners=site.view.runners)
     with loopback_cluster.open_cluster(pool, VMS_PER_DOMAIN) as cluster:
@@ -109,7 +109,7 @@
     http = rates("http.sent_bytes", "http.received_bytes")
     peers = rates("peers.sent_bytes", "peers.received_bytes")
     return IdleDaemon(
-        workers_kept=workers_each / VMS_PER_DOMAIN,
+        workers_kept=workers_per_domain / VMS_PER_DOMAIN,
         processor_share=round(statistics.mean(shares), 4),
         most_processor_share=round(max(shares), 4),
         resident_mb=round(statistics.mean(resident), 1),
@@ -132,7 +132,10 @@
         The cost of one renewal.
     """
     site = harness_site.make_site(
-        failure_domains=1, vms_each=1, workers_each=1, runners_each=0
+        failure_domains=1,
+        vms_per_domain=1,
+        workers_per_domain=1,
+        runners_per_domain=0,
     )
     pool = pool_file.Pool(workers=site.view.workers, runners=())
     with loopback_cluster.open_cluster(pool, 0) as cluster:
--- a/citronmount/bench/capacity_page.py
+++ b/citronmount/bench/capacity_page.py
@@ -4,9 +4,9 @@
 
 from citronmount.bench import capacity_plan
 
-__all__ = ["KEPT_TITLE", "kept_part", "render"]
+__all__ = ["PRESERVED_TITLE", "preserved_part", "render"]
 
-KEPT_TITLE = "## A pool on the users' platform"
+PRESERVED_TITLE = "## A pool on the users' platform"
 
 _HEAD = """\
 # Capacity
@@ -118,7 +118,7 @@
     return "".join(parts)
 
 
-def kept_part(page: str) -> str:
+def preserved_part(page: str) -> str:
     """Returns the part of an older page that other runs have measured.
 
     Args:
@@ -127,7 +127,7 @@
     Returns:
         Everything from the title of that part on, after an empty line.
     """
-    _, title, rest = page.partition(KEPT_TITLE)
+    _, title, rest = page.partition(PRESERVED_TITLE)
     return f"\n{title}{rest}" if title else ""
 
 
--- a/citronmount/bench/capacity_plan.py
+++ b/citronmount/bench/capacity_plan.py
@@ -17,8 +17,8 @@
     "Need",
     "Plan",
     "Size",
+    "compute_plan",
     "state_slopes",
-    "work_out",
 ]
 
 _DAY_S = 24 * 60 * 60
@@ -146,7 +146,7 @@
     within: dict[str, bool]
 
 
-def work_out(found: Measured) -> Plan:
+def compute_plan(found: Measured) -> Plan:
     """Works out what the busiest VM needs at the two-year size.
 
     Args:
--- a/citronmount/bench/faults/__main__.py
+++ b/citronmount/bench/faults/__main__.py
@@ -83,10 +83,10 @@
                 vm, incarnation_ms, registry.DAY_MS
             ),
             failure_domains=failure_domains,
-            vms_each=vms_each,
-            workers_each=workers_each,
+            vms_per_domain=vm_count,
+            workers_per_domain=worker_count,
         )
-        for failure_domains, vms_each, workers_each in _TRAFFIC_SIZES
+        for failure_domains, vm_count, worker_count in _TRAFFIC_SIZES
     ]
     by_vms, by_workers = rows[:3], rows[2:]
     return {
--- a/citronmount/bench/faults/availability.py
+++ b/citronmount/bench/faults/availability.py
@@ -86,7 +86,7 @@
     vm: str, seed: int, requests: int, gap_ms: int
 ) -> evidence_lib.Evidence:
     harness = harness_lib.Harness(
-        site=harness_site.make_site(workers_each=3),
+        site=harness_site.make_site(workers_per_domain=3),
         make_agent=lambda listed, incarnation_ms: agents.make_agent(
             listed, incarnation_ms, registry.DAY_MS
         ),
@@ -94,7 +94,7 @@
     )
     seen = evidence_lib.Evidence(harness=harness)
     harness.watchers.append(seen.watch)
-    harness.arrivals.append(seen.arrive)
+    harness.arrival_watchers.append(seen.arrive)
     callers = callers_lib.Callers(harness=harness, rng=random.Random(seed))
     harness.start_all()
     harness.run_until_ms(_WARM_UP_MS)
--- a/citronmount/bench/faults/cell.py
+++ b/citronmount/bench/faults/cell.py
@@ -142,7 +142,7 @@
         self.evidence = evidence_lib.Evidence(harness=self.harness)
         self._content = site.configuration
         self.harness.watchers.append(self.evidence.watch)
-        self.harness.arrivals.append(self.evidence.arrive)
+        self.harness.arrival_watchers.append(self.evidence.arrive)
 
     # What faults use.
 
--- a/citronmount/bench/faults/matrix.py
+++ b/citronmount/bench/faults/matrix.py
@@ -126,7 +126,7 @@
         ),
         seed=plan.seed,
         make_agent=make_agent,
-        site=harness_site.make_site(workers_each=3),
+        site=harness_site.make_site(workers_per_domain=3),
     )
     prepare(cell)
     cell.run()
--- a/citronmount/bench/faults/promises_of_answers.py
+++ b/citronmount/bench/faults/promises_of_answers.py
@@ -9,7 +9,7 @@
 from citronmount.bench.faults import promises
 from citronmount.core import codes
 from citronmount.peers import peer_messages
-from citronmount.standins import runner
+from citronmount.standins import runner_model
 from citronmount.telemetry import timeline_events
 
 __all__: list[str] = []
@@ -55,7 +55,7 @@
     result = told.body.result
     if result.request != told.request:
         yield told.at_ms, f"{told.request} got the answer to {result.request}"
-    whole = runner.answer_payload(case.specs[told.request])
+    whole = runner_model.answer_payload(case.specs[told.request])
     if result.code is codes.ResultCode.DONE and result.payload != whole:
         yield told.at_ms, f"{told.request} got payload {result.payload!r}"
 
--- a/citronmount/bench/faults/sabotage.py
+++ b/citronmount/bench/faults/sabotage.py
@@ -27,7 +27,7 @@
 from citronmount.core import decisions
 from citronmount.core import scheduler
 from citronmount.core import states
-from citronmount.standins import worker as worker_lib
+from citronmount.standins import worker_model as worker_lib
 from citronmount.state import records
 
 __all__ = [
--- a/citronmount/bench/harness.py
+++ b/citronmount/bench/harness.py
@@ -75,11 +75,11 @@
         self.timeline: list[tuple[int, timeline_events.TimelineEvent]] = []
         self.crashes: list[tuple[int, ids.VmId, list[str]]] = []
         self.watchers: list[Callable[[process_lib.Process, object], None]] = []
-        self.arrivals: list[Callable[[str, str, object], None]] = []
+        self.arrival_watchers: list[Callable[[str, str, object], None]] = []
         self._make_agent = make_agent
         self._count_traffic = count_traffic
         self._tickets = 0
-        self.services = services_lib.Services(
+        self.services = services_lib.PlatformServices(
             clock=self.clock,
             view=site.view,
             emit=self._emit,
@@ -233,13 +233,17 @@
     # Inside.
 
     def _place_all(self, site: harness_site.Site) -> None:
-        self.network.place(services_lib.LOG, harness_network.PLATFORM)
-        self.network.place(services_lib.VM_LIST, harness_network.PLATFORM)
-        self.network.place(harness_network.CALLERS, harness_network.CALLERS)
+        self.network.set_location(services_lib.LOG, harness_network.PLATFORM)
+        self.network.set_location(
+            services_lib.VM_LIST, harness_network.PLATFORM
+        )
+        self.network.set_location(
+            harness_network.CALLERS, harness_network.CALLERS
+        )
         for vm in site.view.vms:
-            self.network.place(vm.vm, vm.failure_domain)
+            self.network.set_location(vm.vm, vm.failure_domain)
         for target in (*site.view.workers, *site.view.runners):
-            self.network.place(target.name, target.failure_domain)
+            self.network.set_location(target.name, target.failure_domain)
 
     def _publish_first(self, site: harness_site.Site) -> None:
         change = records.ConfigurationChange(
@@ -346,7 +350,7 @@
         self, process: process_lib.Process, effect: effects.Reply
     ) -> None:
         tell = process.tickets.pop(effect.ticket, None)
-        for arrival in self.arrivals:
+        for arrival in self.arrival_watchers:
             arrival(process.vm.vm, harness_network.CALLERS, effect)
         if tell is None:
             return
@@ -389,7 +393,7 @@
         effect: effects.Effect,
     ) -> None:
         """Sends a call; the answer or a timeout comes back as one event."""
-        target = services_lib.target_of(effect)
+        target = services_lib.call_target(effect)
         process.calls.add(effect.call)
         incarnation = process.incarnation
         self.clock.after_ms(
@@ -398,7 +402,7 @@
         repeatable = not isinstance(effect, effects.CallRunner)
         if self._count_traffic:
             process.traffic.add_call(effect)
-        known = target in self.network._places
+        known = target in self.network._locations
         delays_us = (
             self.network.delays_us(process.vm.vm, target, repeatable=repeatable)
             if known
@@ -428,9 +432,9 @@
         target: str,
         respond: Callable[[events.Event], None],
     ) -> None:
-        if not self.services.reached(effect, target, respond):
+        if not self.services.check_reachable(effect, target, respond):
             return
-        for arrival in self.arrivals:
+        for arrival in self.arrival_watchers:
             arrival(process.vm.vm, target, effect)
         self.services.serve(effect, respond)
 
@@ -447,5 +451,5 @@
             return
         process.calls.remove(effect.call)
         self._post(
-            process, incarnation, event or services_lib.no_answer(effect)
+            process, incarnation, event or services_lib.no_answer_event(effect)
         )
--- a/citronmount/bench/harness_network.py
+++ b/citronmount/bench/harness_network.py
@@ -50,20 +50,23 @@
         self.cuts: set[tuple[str, str]] = set()
         self.faults: list[LinkFault] = []
         self._rng = rng
-        self._places: dict[str, str] = {}
+        self._locations: dict[str, str] = {}
 
-    def place(self, end_point: str, place: str) -> None:
+    def set_location(self, end_point: str, place: str) -> None:
         """Says where an end point is.
 
         Args:
             end_point: A VM, target, service or the callers.
             place: A failure domain, `PLATFORM` or `CALLERS`.
         """
-        self._places[end_point] = place
+        self._locations[end_point] = place
 
     def reachable(self, source: str, target: str) -> bool:
         """Returns whether no cut lies on the way from source to target."""
-        return (self._places[source], self._places[target]) not in self.cuts
+        return (
+            self._locations[source],
+            self._locations[target],
+        ) not in self.cuts
 
     def delays_us(
         self, source: str, target: str, *, repeatable: bool = True
--- a/citronmount/bench/harness_services.py
+++ b/citronmount/bench/harness_services.py
@@ -8,13 +8,20 @@
 from citronmount.clients import messages
 from citronmount.core import ids
 from citronmount.core import states
-from citronmount.standins import log
-from citronmount.standins import platform
-from citronmount.standins import runner
-from citronmount.standins import worker
+from citronmount.standins import log_model
+from citronmount.standins import platform_model
+from citronmount.standins import runner_model
+from citronmount.standins import worker_model
 from citronmount.telemetry import timeline_events
 
-__all__ = ["EPOCH_MS", "LOG", "Services", "VM_LIST", "no_answer", "target_of"]
+__all__ = [
+    "EPOCH_MS",
+    "LOG",
+    "PlatformServices",
+    "VM_LIST",
+    "call_target",
+    "no_answer_event",
+]
 
 EPOCH_MS = 1_800_000_000_000
 LOG = "log"
@@ -25,7 +32,7 @@
 Respond = Callable[[events.Event], None]
 
 
-class Services:
+class PlatformServices:
     """Models of the platform's services on the harness's clock.
 
     Attributes:
@@ -57,23 +64,30 @@
             retention_ms: How long the log keeps records.
             list_lag_ms: How far the list lags.
         """
-        self.log = log.LogModel(retention_ms=retention_ms, keep_history=True)
-        self.platform = platform.PlatformModel(lag_ms=list_lag_ms, view=view)
+        self.log = log_model.LogModel(
+            retention_ms=retention_ms, keep_history=True
+        )
+        self.platform = platform_model.PlatformModel(
+            lag_ms=list_lag_ms, view=view
+        )
         self.down: set[str] = set()
         self.refusing: set[str] = set()
         self.log_delay_ms = _SERVICE_MS
         self.lose_append_answers = False
         self._clock = clock
         self._due_ms: dict[str, int] = {}
-        saved: dict[ids.JobId, float] = {}
+        saved_progress: dict[ids.JobId, float] = {}
         self.workers = {
-            target.name: worker.WorkerModel(
-                target=target, emit=emit, epoch_ms=EPOCH_MS, saved=saved
+            target.name: worker_model.WorkerModel(
+                target=target,
+                emit=emit,
+                epoch_ms=EPOCH_MS,
+                saved_progress=saved_progress,
             )
             for target in view.workers
         }
         self.runners = {
-            target.name: runner.RunnerModel(
+            target.name: runner_model.RunnerModel(
                 target=target, emit=emit, epoch_ms=EPOCH_MS
             )
             for target in view.runners
@@ -116,7 +130,7 @@
             self.runners[name].leaving = leaving
         self.platform.set_target_state(name, state, self._clock.now_ms)
 
-    def reached(
+    def check_reachable(
         self, effect: effects.Effect, target: str, respond: Respond
     ) -> bool:
         """Returns whether a call reaches its target.
@@ -130,7 +144,7 @@
             Whether the call is to be served.
         """
         if target in self.refusing:
-            respond(no_answer(effect, sent=False))
+            respond(no_answer_event(effect, sent=False))
         return target not in self.down
 
     def serve(self, effect: effects.Effect, respond: Respond) -> None:
@@ -204,7 +218,7 @@
         )
 
     def _wake_worker(self, name: str) -> None:
-        due_ms = self.workers[name].next_change_ms()
+        due_ms = self.workers[name].next_end_ms()
         if due_ms is None or self._due_ms.get(name, due_ms + 1) <= due_ms:
             return
         self._due_ms[name] = due_ms
@@ -233,7 +247,7 @@
             )
             return
         self._clock.after_ms(
-            runner.service_ms(effect.spec), self._ran, effect, respond
+            runner_model.service_ms(effect.spec), self._ran, effect, respond
         )
 
     def _ran(
@@ -252,7 +266,7 @@
         )
 
 
-def target_of(effect: effects.Effect) -> str | None:
+def call_target(effect: effects.Effect) -> str | None:
     """Returns the service or target that an effect calls, if it calls one."""
     match effect:
         case effects.AppendLog() | effects.ReadLog():
@@ -266,7 +280,9 @@
     return None
 
 
-def no_answer(effect: effects.Effect, *, sent: bool = True) -> events.Event:
+def no_answer_event(
+    effect: effects.Effect, *, sent: bool = True
+) -> events.Event:
     """Returns the event of a call that got no answer.
 
     Args:
--- a/citronmount/bench/harness_site.py
+++ b/citronmount/bench/harness_site.py
@@ -36,11 +36,11 @@
 def make_site(
     *,
     failure_domains: int = 3,
-    vms_each: int = 2,
-    workers_each: int = 2,
-    runners_each: int = 2,
+    vms_per_domain: int = 2,
+    workers_per_domain: int = 2,
+    runners_per_domain: int = 2,
     accelerators: int = 8,
-    racks_of: int = 8,
+    workers_per_rack: int = 8,
     slots: int = 8,
 ) -> Site:
     """Makes a site of equal failure domains.
@@ -50,11 +50,11 @@
 
     Args:
         failure_domains: How many there are.
-        vms_each: VMs of the system in each.
-        workers_each: Workers in each.
-        runners_each: Runners in each.
+        vms_per_domain: VMs of the system in each.
+        workers_per_domain: Workers in each.
+        runners_per_domain: Runners in each.
         accelerators: Accelerators of a worker.
-        racks_of: Workers in a rack.
+        workers_per_rack: Workers in a rack.
         slots: Slots of a runner.
 
     Returns:
@@ -72,20 +72,20 @@
             peer_address=f"127.0.0.1:{next(ports)}",
         )
         for name in names
-        for index in range(vms_each)
+        for index in range(vms_per_domain)
     )
     workers = tuple(
         messages.ListedTarget(
             name=f"{name}.w{index:03}",
             address=f"127.0.0.1:{next(ports)}",
             failure_domain=name,
-            rack=ids.RackId(f"{name}.rack{index // racks_of}"),
+            rack=ids.RackId(f"{name}.rack{index // workers_per_rack}"),
             capacity=jobs.Resources(
                 accelerators=accelerators, cores=64, memory_gb=128
             ),
         )
         for name in names
-        for index in range(workers_each)
+        for index in range(workers_per_domain)
     )
     runners = tuple(
         messages.ListedTarget(
@@ -96,16 +96,16 @@
             connections=60,
         )
         for name in names
-        for index in range(runners_each)
+        for index in range(runners_per_domain)
     )
     return Site(
         view=messages.PlatformView(vms=vms, workers=workers, runners=runners),
-        configuration=_configuration(names, workers_each, accelerators),
+        configuration=_configuration(names, workers_per_domain, accelerators),
     )
 
 
 def _configuration(
-    names: list[ids.FailureDomainId], workers_each: int, accelerators: int
+    names: list[ids.FailureDomainId], workers_per_domain: int, accelerators: int
 ) -> configuration.Configuration:
     return configuration.Configuration(
         failure_domains=tuple(
@@ -127,7 +127,7 @@
                 account=PAYING,
                 failure_domain=name,
                 copies=1,
-                tasks=min(2, workers_each),
+                tasks=min(2, workers_per_domain),
                 per_task=jobs.Resources(
                     accelerators=accelerators, cores=8, memory_gb=16
                 ),
@@ -138,7 +138,7 @@
         allowances=(
             configuration.Allowance(
                 account=TRIAL,
-                accelerators=len(names) * workers_each * accelerators,
+                accelerators=len(names) * workers_per_domain * accelerators,
             ),
         ),
     )
--- a/citronmount/bench/harness_traffic.py
+++ b/citronmount/bench/harness_traffic.py
@@ -43,9 +43,9 @@
     make_agent: Callable[[messages.ListedVm, int], harness_process.AgentLike],
     *,
     failure_domains: int,
-    vms_each: int,
-    workers_each: int,
-    runners_each: int = 2,
+    vms_per_domain: int,
+    workers_per_domain: int,
+    runners_per_domain: int = 2,
     seconds: int = 30,
     seed: int = 1,
 ) -> TrafficRow:
@@ -55,9 +55,9 @@
         make_agent: Makes the agent of a VM from its list entry and the
             wall-clock time of its start.
         failure_domains: Failure domains of the site.
-        vms_each: VMs in each.
-        workers_each: Workers in each.
-        runners_each: Runners in each.
+        vms_per_domain: VMs in each.
+        workers_per_domain: Workers in each.
+        runners_per_domain: Runners in each.
         seconds: How long to count, after a warm-up.
         seed: The seed of all randomness.
 
@@ -67,9 +67,9 @@
     harness = harness_lib.Harness(
         site=harness_site.make_site(
             failure_domains=failure_domains,
-            vms_each=vms_each,
-            workers_each=workers_each,
-            runners_each=runners_each,
+            vms_per_domain=vms_per_domain,
+            workers_per_domain=workers_per_domain,
+            runners_per_domain=runners_per_domain,
         ),
         make_agent=make_agent,
         seed=seed,
--- a/citronmount/bench/loopback.py
+++ b/citronmount/bench/loopback.py
@@ -188,7 +188,7 @@
         steps.publish(cluster, _SHEET)
         steps.wait_until_ready(cluster)
         report = await _Trial(cluster).run()
-        steps.drain_all(cluster, gone=(report.killed, report.drained))
+        steps.drain_all(cluster, stopped=(report.killed, report.drained))
     return report
 
 
--- a/citronmount/bench/loopback_cluster.py
+++ b/citronmount/bench/loopback_cluster.py
@@ -76,7 +76,7 @@
         self.process: subprocess.Popen[bytes] | None = None
 
     @property
-    def listed(self) -> messages.ListedVm:
+    def list_entry(self) -> messages.ListedVm:
         """Its entry in the platform's list."""
         return messages.ListedVm(
             vm=ids.VmId(self.name),
@@ -184,7 +184,7 @@
             }
         )
         groups = {
-            "vms": [vm.listed for vm in self.vms],
+            "vms": [vm.list_entry for vm in self.vms],
             "workers": self.pool.workers,
             "runners": self.pool.runners,
         }
--- a/citronmount/bench/loopback_steps.py
+++ b/citronmount/bench/loopback_steps.py
@@ -15,9 +15,9 @@
     "drain_all",
     "publish",
     "require",
-    "result",
     "submit",
-    "until",
+    "wait_for_result",
+    "wait_until",
     "wait_until_ready",
 ]
 
@@ -66,7 +66,7 @@
     return loopback_cluster.call(vm.caller_address, method, path, body)
 
 
-def until(
+def wait_until(
     ask: Callable[[], loopback_cluster.Answer],
     good: Callable[[loopback_cluster.Answer], bool],
 ) -> loopback_cluster.Answer:
@@ -102,7 +102,7 @@
         The version in force.
     """
     path = "/v1/configuration?base_version=0&author=trial"
-    answer = until(
+    answer = wait_until(
         lambda: call(cluster.vms[0], "PUT", path, data),
         lambda found: found.body["code"] // _FAMILY != _RETRYABLE_FAMILY,
     )
@@ -119,11 +119,11 @@
     """
     domains = {vm.failure_domain for vm in cluster.vms}
     for vm in cluster.vms:
-        until(
+        wait_until(
             lambda vm=vm: call(vm, "GET", "/v1/ready"),
             lambda found: found.status == _OK,
         )
-        until(
+        wait_until(
             lambda vm=vm: call(vm, "GET", "/v1/membership"),
             lambda found: _owned(found.body) == domains,
         )
@@ -145,7 +145,7 @@
     return answer.body["job"]
 
 
-def result(vm: loopback_cluster.Vm, job: str) -> dict[str, typing.Any]:
+def wait_for_result(vm: loopback_cluster.Vm, job: str) -> dict[str, typing.Any]:
     """Waits for the final status of a job.
 
     Args:
@@ -157,7 +157,7 @@
     """
     path = f"/v1/jobs/{job}?wait_ms={WAIT_MS}"
     try:
-        return until(
+        return wait_until(
             lambda: call(vm, "GET", path), lambda found: _is_final(found.body)
         ).body
     except TrialError as error:
@@ -165,15 +165,15 @@
 
 
 def drain_all(
-    cluster: loopback_cluster.Cluster, gone: tuple[str, ...] = ()
+    cluster: loopback_cluster.Cluster, stopped: tuple[str, ...] = ()
 ) -> None:
     """Stops every daemon by SIGTERM; each must end with status 0.
 
     Args:
         cluster: The cluster.
-        gone: VMs that were stopped before.
+        stopped: Names of VMs whose daemons are already stopped.
     """
-    running = [vm for vm in cluster.vms if vm.name not in gone]
+    running = [vm for vm in cluster.vms if vm.name not in stopped]
     for vm in running:
         vm.process.terminate()
     found = {
--- a/citronmount/bench/tests/test_capacity.py
+++ b/citronmount/bench/tests/test_capacity.py
@@ -13,9 +13,11 @@
 
 class KeptPartTest(unittest.TestCase):
     def test_part_that_other_runs_measured_outlives_a_new_page(self) -> None:
-        part = f"\n{capacity_page.KEPT_TITLE}\n\nslopes\n"
-        self.assertEqual(part, capacity_page.kept_part("# Capacity\n" + part))
-        self.assertEqual("", capacity_page.kept_part("# Capacity\n"))
+        part = f"\n{capacity_page.PRESERVED_TITLE}\n\nslopes\n"
+        self.assertEqual(
+            part, capacity_page.preserved_part("# Capacity\n" + part)
+        )
+        self.assertEqual("", capacity_page.preserved_part("# Capacity\n"))
 
 
 def _state(workers: int, jobs: int, teams: int) -> capacity_agents.StateRow:
@@ -80,7 +82,7 @@
 
     def test_roles_add_up_and_misses_are_told(self) -> None:
         found = _measured()
-        plan = capacity_plan.work_out(found)
+        plan = capacity_plan.compute_plan(found)
         needs = {need.role: need for need in plan.needs}
         self.assertEqual(5_000 + 40 * 40, needs["member"].bytes_per_s)
         self.assertAlmostEqual(
@@ -97,7 +99,7 @@
                 msgspec.structs.replace(found.idle[0], processor_share=0.04),
             ),
         )
-        plan = capacity_plan.work_out(slow)
+        plan = capacity_plan.compute_plan(slow)
         self.assertFalse(plan.within["processor_share"])
         self.assertIn("**misses**", capacity_page.render(slow, plan))
 
--- a/citronmount/bench/tests/test_loopback_cluster.py
+++ b/citronmount/bench/tests/test_loopback_cluster.py
@@ -54,7 +54,9 @@
             }
             leftover = {**gang, "account": "duri", "tasks": 1}
             found = [steps.submit(first, body) for body in (gang, leftover)]
-            ends = [steps.result(second, job)["state"] for job in found]
+            ends = [
+                steps.wait_for_result(second, job)["state"] for job in found
+            ]
             self.assertEqual(["done", "done"], ends)
             body = {"account": "hana", "request": "q", "payload": "mine"}
             data = json.dumps(body).encode("ascii")
--- a/citronmount/clients/tests/test_platform_api.py
+++ b/citronmount/clients/tests/test_platform_api.py
@@ -18,8 +18,8 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.standins import http
 from citronmount.standins import http_faults
+from citronmount.standins import http_servers
 from citronmount.testing import reactor_loop
 
 _TIMEOUT_MS = 30_000
@@ -65,14 +65,14 @@
     """Each call against its stand-in, over loopback sockets."""
 
     def setUp(self) -> None:
-        self.settings = http.StandinSettings(
+        self.settings = http_servers.StandinSettings(
             log_address=_unused_address(),
             vm_list_address=_unused_address(),
             workers=(_worker(),),
             runners=(_runner(),),
         )
         self.events = []
-        stack = http.serve_all(self.settings, reactor, self.events)
+        stack = http_servers.serve_all(self.settings, reactor, self.events)
         self.addCleanup(_close, stack)
         self.http = http_client.HttpClient(reactor=reactor)
         self.addCleanup(lambda: reactor_loop.run(_wait(self.http.close())))
--- a/citronmount/fleet_service/tests/pool_fixture.py
+++ b/citronmount/fleet_service/tests/pool_fixture.py
@@ -78,7 +78,7 @@
         self.log = pool_log.PoolLog(clock=self.clock)
         self.plans: dict[str, pool_workers.TaskPlan] = {}
         self.pool_workers = pool_workers.PoolWorkers(
-            clock=self.clock, plans=self.task_plan
+            clock=self.clock, plan_task=self.task_plan
         )
         self.steps: dict[tuple[str, int], spec.Step] = {}
         self.run_time_ms: Callable[[units.TaskName, int], int] = (
@@ -97,7 +97,7 @@
         self.run_for(3.0)
 
     def tearDown(self) -> None:
-        self.assertEqual([], self.pool_workers.broken)
+        self.assertEqual([], self.pool_workers.violations)
 
     def make_vm(
         self, number: int, sized_for_ownership: bool = True
@@ -145,12 +145,12 @@
         """Writes a worker's entry; the record's value is only a key to it."""
         entry_key = f"{entry.worker}/{len(self.entries)}"
         self.entries[entry_key] = entry
-        self.log.write(
+        self.log.append_records(
             ports.Topic.WORKERS, [(entry.worker, entry_key.encode("ascii"))]
         )
 
     def remove_entry(self, name: str) -> None:
-        self.log.write(ports.Topic.WORKERS, [(name, None)])
+        self.log.append_records(ports.Topic.WORKERS, [(name, None)])
 
     def publish_configuration(
         self, *more: fleet_configuration.Queue, version: int = 1
@@ -168,7 +168,7 @@
             queues=(make_queue(), make_queue("urgent", priority=0), *more),
             accounts=accounts,
         )
-        self.log.write(ports.Topic.CONFIGURATION, [("config", b"x")])
+        self.log.append_records(ports.Topic.CONFIGURATION, [("config", b"x")])
 
     def decode(
         self, topic: ports.Topic, record: ports.LogRecord
--- a/citronmount/fleet_service/tests/test_faults.py
+++ b/citronmount/fleet_service/tests/test_faults.py
@@ -84,7 +84,7 @@
             vm.stop()
         self.run_for(1.0)
         self.log.faults.clear()
-        self.log.expire(ports.Topic.JOBS)
+        self.log.drop_history(ports.Topic.JOBS)
         self.pool_vms = [
             self.make_vm(n + self.vm_count) for n in range(self.vm_count)
         ]
@@ -104,7 +104,7 @@
         self,
     ) -> None:
         owner = self.owner_index()
-        self.log.deal_to_last()
+        self.log.prefer_newest_member()
         self.run_for(3.0)
         self.assertEqual(owner, self.owner_index())
 
@@ -260,7 +260,7 @@
         self.submit("j", pool_fixture.make_step())
         self.run_for(0.2)
         for topic in ports.Topic:
-            self.log.expire(topic)
+            self.log.drop_history(topic)
         self.run_for(4.0)
         for vm in range(self.vm_count):
             self.assertIs(DONE, self.state("j", vm=vm))
@@ -275,7 +275,7 @@
         self.assertTrue(self.pool_vms[1].ready)
 
     def test_invalid_records_are_ignored(self) -> None:
-        self.log.write(
+        self.log.append_records(
             ports.Topic.JOBS, [("u/x", b"\xff"), ("", b""), ("j/1", b"[]")]
         )
         self.submit("j", pool_fixture.make_step())
@@ -287,7 +287,7 @@
                 places=(records.Place(worker=ids.WorkerId("w"), life_ms=1),),
             )
             entry = (records.key_of(record), records.encode(record))
-            self.log.write(ports.Topic.JOBS, [entry])
+            self.log.append_records(ports.Topic.JOBS, [entry])
         self.run_for(3.0)
         self.assertIs(DONE, self.state("j", vm=1))
         self.submit("k", pool_fixture.make_step())
@@ -323,7 +323,7 @@
 
     def test_tasks_without_progress_are_moved_within_seconds(self) -> None:
         for name in ("w00", "w01"):
-            self.pool_workers.workers[ids.WorkerId(name)].stands_still = True
+            self.pool_workers.workers[ids.WorkerId(name)].stalled = True
         self.submit(
             "j", pool_fixture.make_step(tasks=4, max_tasks_per_worker=1)
         )
@@ -507,13 +507,17 @@
         )
 
     def test_domain_out_of_service_gets_no_new_tasks(self) -> None:
-        self.log.write(ports.Topic.CONFIGURATION, [("out/fd-rack0", b"{}")])
+        self.log.append_records(
+            ports.Topic.CONFIGURATION, [("out/fd-rack0", b"{}")]
+        )
         self.run_for(1.0)
         self.submit("j", pool_fixture.make_step(tasks=20))
         self.run_for(1.0)
         places = {place for _, _, place in self.starts_of("j")}
         self.assertEqual({"w10", "w11"}, places)
-        self.log.write(ports.Topic.CONFIGURATION, [("out/fd-rack0", None)])
+        self.log.append_records(
+            ports.Topic.CONFIGURATION, [("out/fd-rack0", None)]
+        )
         self.run_for(1.0)
         self.assertEqual(20, len(self.starts_of("j")))
 
--- a/citronmount/fleet_service/tests/test_jobs.py
+++ b/citronmount/fleet_service/tests/test_jobs.py
@@ -274,7 +274,7 @@
         advised = pool_fixture.make_queue("advised", needs_advice=True)
         self.publish_configuration(advised, version=2)
         self.run_for(0.5)
-        self.pool_workers.allowed = {ids.WorkerId("w11")}
+        self.pool_workers.allowed_workers = {ids.WorkerId("w11")}
         step = pool_fixture.make_step(tasks=3)
         self.submit("j", step, queue="advised")
         self.run_for(3.0)
@@ -282,7 +282,7 @@
             {"w11"}, {worker for _, _, worker in self.starts_of("j")}
         )
         self.assertEqual("j.0.0/w11", self.pool_workers.tickets["j.0.0.0"])
-        self.assertEqual(1, self.pool_workers.questions)
+        self.assertEqual(1, self.pool_workers.advice_request_count)
         self.assertIs(DONE, self.state("j", queue=2))
 
 
@@ -343,7 +343,7 @@
         self.submit("k", filling)
         self.run_for(0.5)
         self.assertEqual(1, len(self.starts_of("k")))
-        self.pool_workers.broken.clear()
+        self.pool_workers.violations.clear()
 
 
 if __name__ == "__main__":
--- a/citronmount/fleet_service/tests/test_large_pool.py
+++ b/citronmount/fleet_service/tests/test_large_pool.py
@@ -12,7 +12,7 @@
 
     def test_new_owner_limits_concurrent_first_lease_renewals(self) -> None:
         self.assertLessEqual(
-            self.pool_workers.most_open_holds,
+            self.pool_workers.max_open_renewals,
             worker_sessions.MAX_FIRST_RENEWALS,
         )
         gang = pool_fixture.make_step(tasks=160, accelerators=8, gang=True)
--- a/citronmount/fleet_service/tests/test_lost_commands.py
+++ b/citronmount/fleet_service/tests/test_lost_commands.py
@@ -12,7 +12,7 @@
 
     def test_lost_start_command_is_retried_soon(self) -> None:
         for name in self.pool_workers.workers:
-            self.set_fault(name, pool_workers.WorkerFault.LOSES_ONE)
+            self.set_fault(name, pool_workers.WorkerFault.LOSES_NEXT_START)
         self.submit(
             "j", pool_fixture.make_step(tasks=6, accelerators=8, gang=True)
         )
@@ -24,7 +24,7 @@
     ) -> None:
         self.run_time_ms = lambda task, run: 100
         for name in self.pool_workers.workers:
-            self.set_fault(name, pool_workers.WorkerFault.LOSES_ANSWERS)
+            self.set_fault(name, pool_workers.WorkerFault.LOSES_NEXT_ANSWER)
         self.submit("j", pool_fixture.make_step(tasks=6, accelerators=8))
         self.run_for(0.02)
         for name in self.pool_workers.workers:
@@ -51,7 +51,7 @@
     def test_refused_retry_does_not_prove_that_the_lost_start_had_no_effect(
         self,
     ) -> None:
-        self.pool_workers.workers[ids.WorkerId("w00")].late_s = 1.0
+        self.pool_workers.workers[ids.WorkerId("w00")].start_delay_s = 1.0
         self.set_fault("w00", pool_workers.WorkerFault.LATE)
         gang = pool_fixture.make_step(
             tasks=3, accelerators=8, gang=True, data_rack="rack0"
--- a/citronmount/fleet_service/tests/test_ownership_handover.py
+++ b/citronmount/fleet_service/tests/test_ownership_handover.py
@@ -29,7 +29,7 @@
     def test_late_join_request_does_not_delay_the_handover(
         self,
     ) -> None:
-        self.log.join_s = 0.15
+        self.log.extra_join_delay_s = 0.15
         for _ in range(6):
             self.run_for(0.065)
             self.assertLess(self.handover_time_s(), 0.8)
--- a/citronmount/platform/tests/loopback_site.py
+++ b/citronmount/platform/tests/loopback_site.py
@@ -54,7 +54,7 @@
         epoch = request.args.get(b"epoch")
         try:
             if epoch is None:
-                offset = self.log.write(ports.Topic.JOBS, records)
+                offset = self.log.append_records(ports.Topic.JOBS, records)
             else:
                 sequence = int(request.args[b"seq"][0])
                 offset = self.log.append_as_owner(
@@ -71,10 +71,10 @@
     async def read(self, request: iweb.IRequest) -> bytes:
         topic = _TOPICS[request.args[b"topic"][0].decode()]
         offset = int(request.args[b"from"][0])
-        page = self.log.page(topic, offset)
+        page = self.log.read_page(topic, offset)
         if not page.records and int(request.args[b"wait_ms"][0]):
-            await self.log.next_write(int(request.args[b"wait_ms"][0]))
-            page = self.log.page(topic, offset)
+            await self.log.wait_for_append(int(request.args[b"wait_ms"][0]))
+            page = self.log.read_page(topic, offset)
         header = page.end_offset.to_bytes(8, "big") + bytes(8)
         records = [(each.key, each.value) for each in page.records]
         return header + framing.encode(records)
@@ -82,7 +82,7 @@
     @app.route("/-/log-newest", methods=["GET"])
     def newest(self, request: iweb.IRequest) -> bytes:
         topic = _TOPICS[request.args[b"topic"][0].decode()]
-        snapshot = self.log.newest(topic)
+        snapshot = self.log.snapshot(topic)
         items = [
             {
                 "key": each.key,
--- a/citronmount/platform/tests/soak.py
+++ b/citronmount/platform/tests/soak.py
@@ -99,7 +99,9 @@
         self.vm_count = vm_count
         self.folder = pathlib.Path(folder)
         self.log = pool_log.PoolLog(clock=reactor)
-        self.pool = pool_workers.PoolWorkers(clock=reactor, plans=self.plan_run)
+        self.pool = pool_workers.PoolWorkers(
+            clock=reactor, plan_task=self.plan_run
+        )
         self.http = http_client.HttpClient(reactor=reactor)
         self.proxies: list[loopback_site.FaultyProxy] = []
         self.client_addresses: list[str] = []
@@ -139,7 +141,7 @@
             self.processes[number].terminate()
         await loopback_site.sleep(VM_STOP_S)
         self.check_exits()
-        return self.violations + self.pool.broken
+        return self.violations + self.pool.violations
 
     def set_up(self) -> None:
         store = loopback_site.StoreResource(log=self.log).app.resource()
@@ -160,7 +162,7 @@
         tenant = {"name": "t", "api_keys": ["key"], "guaranteed": {"gpu": 0}}
         content = {"version": 1, "routes": [route], "tenants": [tenant]}
         record = ("config", msgspec.json.encode(content))
-        self.log.write(ports.Topic.CONFIGURATION, [record])
+        self.log.append_records(ports.Topic.CONFIGURATION, [record])
         for number in range(self.vm_count):
             proxy = loopback_site.FaultyProxy(port=store_port)
             self.proxies.append(proxy)
@@ -198,7 +200,7 @@
             "host_machine": entry.machine,
         }
         record = (entry.worker, msgspec.json.encode(content))
-        self.log.write(ports.Topic.WORKERS, [record])
+        self.log.append_records(ports.Topic.WORKERS, [record])
 
     def write_settings(self, number: int, store_port: int) -> None:
         client_port, ready_port, metrics_port = (free_port() for _ in range(3))
@@ -299,14 +301,14 @@
         If the owner or a worker of a gang is killed, frozen or silent during
         the gang's start, its members wait for others that are never started.
         """
-        new = self.pool.broken[self.checked :]
+        new = self.pool.violations[self.checked :]
         calm_s = 0 if self.open_faults else reactor.seconds() - self.fault_end_s
-        recent = calm_s < pool_workers.GANG_WAIT_MS / 1_000 + GANG_MARGIN_S
+        recent = calm_s < pool_workers.GANG_TIMEOUT_MS / 1_000 + GANG_MARGIN_S
         kept = [
             each for each in new if not (recent and each.startswith("GANG"))
         ]
-        self.pool.broken[self.checked :] = kept
-        self.checked = len(self.pool.broken)
+        self.pool.violations[self.checked :] = kept
+        self.checked = len(self.pool.violations)
 
     async def heal(self) -> None:
         self.healing = True
@@ -419,7 +421,7 @@
     worker = soak.rng.choice(list(soak.pool.workers.values()))
     faults = (pool_workers.WorkerFault.SILENT, pool_workers.WorkerFault.LATE)
     worker.fault = soak.rng.choice(faults)
-    worker.late_s = time_s
+    worker.start_delay_s = time_s
     await loopback_site.sleep(time_s)
     worker.fault = pool_workers.WorkerFault.NONE
 
--- a/citronmount/standins/__main__.py
+++ b/citronmount/standins/__main__.py
@@ -6,7 +6,7 @@
 import msgspec
 from twisted.internet import reactor
 
-from citronmount.standins import http
+from citronmount.standins import http_servers
 
 __all__ = ["main"]
 
@@ -16,8 +16,8 @@
 def main(settings_path: str) -> None:
     """Serves the stand-ins of SETTINGS_PATH until a signal ends it."""
     data = pathlib.Path(settings_path).read_bytes()
-    settings = msgspec.toml.decode(data, type=http.StandinSettings)
-    with http.serve_all(settings, reactor, []):
+    settings = msgspec.toml.decode(data, type=http_servers.StandinSettings)
+    with http_servers.serve_all(settings, reactor, []):
         click.echo("ready")
         reactor.run()
 
--- a/citronmount/standins/http.py
+++ b/citronmount/standins/http_servers.py
@@ -20,10 +20,10 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.standins import http_faults
-from citronmount.standins import log
-from citronmount.standins import platform
-from citronmount.standins import runner
-from citronmount.standins import worker
+from citronmount.standins import log_model
+from citronmount.standins import platform_model
+from citronmount.standins import runner_model
+from citronmount.standins import worker_model
 from citronmount.telemetry import timeline_events
 
 __all__ = [
@@ -100,7 +100,7 @@
     app = klein.Klein()
 
     def __init__(
-        self, *, reactor: interfaces.IReactorTime, model: log.LogModel
+        self, *, reactor: interfaces.IReactorTime, model: log_model.LogModel
     ) -> None:
         """Initializes the server.
 
@@ -156,7 +156,7 @@
         self,
         *,
         reactor: interfaces.IReactorTime,
-        model: platform.PlatformModel,
+        model: platform_model.PlatformModel,
         timeline: typing.Sequence[timeline_events.TimelineEvent] = (),
         on_target_state: Callable[[str, states.TargetState], None],
     ) -> None:
@@ -224,7 +224,10 @@
     app = klein.Klein()
 
     def __init__(
-        self, *, reactor: interfaces.IReactorTime, model: worker.WorkerModel
+        self,
+        *,
+        reactor: interfaces.IReactorTime,
+        model: worker_model.WorkerModel,
     ) -> None:
         """Initializes the server.
 
@@ -256,7 +259,10 @@
     app = klein.Klein()
 
     def __init__(
-        self, *, reactor: interfaces.IReactorTime, model: runner.RunnerModel
+        self,
+        *,
+        reactor: interfaces.IReactorTime,
+        model: runner_model.RunnerModel,
     ) -> None:
         """Initializes the server.
 
@@ -283,7 +289,7 @@
     async def _run(self, spec: jobs.RequestSpec) -> bytes:
         answer = self._model.begin(spec, _now_ms())
         if answer is None:
-            service_s = runner.service_ms(spec) / _MS_PER_S
+            service_s = runner_model.service_ms(spec) / _MS_PER_S
             await task.deferLater(self._reactor, service_s)
             answer = self._model.finish(spec.request, _now_ms())
         return wire_format.encode(answer)
@@ -294,15 +300,18 @@
 
     def __init__(self, settings: StandinSettings, emit: Emit) -> None:
         epoch_ms = int(time.time_ns() * _MS_PER_NS) - _now_ms()
-        saved: dict[ids.JobId, float] = {}
+        saved_progress: dict[ids.JobId, float] = {}
         self.workers = {
-            target.name: worker.WorkerModel(
-                target=target, emit=emit, epoch_ms=epoch_ms, saved=saved
+            target.name: worker_model.WorkerModel(
+                target=target,
+                emit=emit,
+                epoch_ms=epoch_ms,
+                saved_progress=saved_progress,
             )
             for target in settings.workers
         }
         self.runners = {
-            target.name: runner.RunnerModel(
+            target.name: runner_model.RunnerModel(
                 target=target, emit=emit, epoch_ms=epoch_ms
             )
             for target in settings.runners
@@ -333,20 +342,20 @@
         Stops listening when it is closed.
     """
     fleet = _Fleet(settings, emit.append)
-    log_model = log.LogModel(retention_ms=settings.log_retention_ms)
+    log_service = log_model.LogModel(retention_ms=settings.log_retention_ms)
     view = messages.PlatformView(
         vms=settings.vms, workers=settings.workers, runners=settings.runners
     )
-    list_model = platform.PlatformModel(
+    vm_list = platform_model.PlatformModel(
         lag_ms=settings.vm_list_lag_ms, view=view
     )
     servers: list[tuple[str, _Server]] = [
-        (settings.log_address, LogServer(reactor=reactor, model=log_model)),
+        (settings.log_address, LogServer(reactor=reactor, model=log_service)),
         (
             settings.vm_list_address,
             PlatformServer(
                 reactor=reactor,
-                model=list_model,
+                model=vm_list,
                 timeline=emit,
                 on_target_state=fleet.set_state,
             ),
--- a/citronmount/standins/pool_log.py
+++ b/citronmount/standins/pool_log.py
@@ -16,7 +16,7 @@
 __all__ = ["LogFault", "PoolLog", "PoolLogClient"]
 
 ANSWER_S = 0.006
-PARTITIONS = 12
+PARTITION_COUNT = 12
 
 _MS_PER_S = 1_000
 _PROCESSES = itertools.count(1)
@@ -58,14 +58,14 @@
         }
         self.faults: dict[ids.VmId, LogFault] = {}
         self.silent_topics: set[ports.Topic] = set()
-        self.join_s = 0.0
+        self.extra_join_delay_s = 0.0
         self._first: dict[ports.Topic, int] = dict.fromkeys(ports.Topic, 0)
         self._waiting: list[defer.Deferred[None]] = []
         self._producer = _Producer()
         self._members: dict[str, float] = {}
         self._generation = 0
 
-    def write(
+    def append_records(
         self, topic: ports.Topic, entries: Sequence[tuple[str, bytes | None]]
     ) -> int:
         """Appends records and returns the offset of the first."""
@@ -80,11 +80,11 @@
             each.callback(None)
         return first
 
-    def expire(self, topic: ports.Topic) -> None:
+    def drop_history(self, topic: ports.Topic) -> None:
         """Drops the history of a topic; the newest of each key stays."""
         self._first[topic] = len(self.topics[topic])
 
-    def page(self, topic: ports.Topic, offset: int) -> ports.LogPage:
+    def read_page(self, topic: ports.Topic, offset: int) -> ports.LogPage:
         """Returns the records from an offset on.
 
         Raises:
@@ -96,7 +96,7 @@
         end = len(self.topics[topic])
         return ports.LogPage(records=records, next_offset=end, end_offset=end)
 
-    def newest(self, topic: ports.Topic) -> ports.Snapshot:
+    def snapshot(self, topic: ports.Topic) -> ports.Snapshot:
         """Returns the newest record of each key."""
         newest = {record.key: record for record in self.topics[topic]}
         kept = [each for each in newest.values() if each.value is not None]
@@ -117,7 +117,7 @@
         if epoch > self._producer.epoch:
             self._producer = _Producer(epoch=epoch, answers={})
         if sequence not in self._producer.answers:
-            offset = self.write(ports.Topic.JOBS, entries)
+            offset = self.append_records(ports.Topic.JOBS, entries)
             self._producer.answers[sequence] = offset
         return self._producer.answers[sequence]
 
@@ -133,14 +133,14 @@
         self._members.setdefault(member, 0)
         self._members[member] = now_s + ttl_ms / _MS_PER_S
         self._generation += before != list(self._members)
-        dealt = list(self._members).index(member) < PARTITIONS
+        dealt = list(self._members).index(member) < PARTITION_COUNT
         return ports.Membership(
             generation=self._generation,
             dealt=dealt,
             candidate=next(iter(self._members)) == member,
         )
 
-    def deal_to_last(self) -> None:
+    def prefer_newest_member(self) -> None:
         """Makes the newest member the candidate."""
         self._members = dict(reversed(self._members.items()))
         self._generation += 1
@@ -153,14 +153,14 @@
             for member, until_s in self._members.items()
             if until_s > now_s
         )
-        return frozenset(itertools.islice(alive, PARTITIONS))
+        return frozenset(itertools.islice(alive, PARTITION_COUNT))
 
     def leave(self, member: str) -> None:
         """Leaves the group."""
         self._members.pop(member, None)
         self._generation += 1
 
-    def next_write(self, wait_ms: int) -> defer.Deferred[None]:
+    def wait_for_append(self, wait_ms: int) -> defer.Deferred[None]:
         """Fires when something is appended or the time is over."""
         waiting: defer.Deferred[None] = defer.Deferred()
         self._waiting.append(waiting)
@@ -199,7 +199,7 @@
     ) -> int:
         """Appends to the job topic."""
         await self._arrive(timeout_ms, ports.Topic.JOBS)
-        offset = self._log.write(ports.Topic.JOBS, records)
+        offset = self._log.append_records(ports.Topic.JOBS, records)
         await self._answer(timeout_ms)
         return offset
 
@@ -221,11 +221,11 @@
     ) -> ports.LogPage:
         """Reads records, waiting for the first if there is none yet."""
         await self._arrive(timeout_ms, topic)
-        page = self._log.page(topic, offset)
+        page = self._log.read_page(topic, offset)
         if not page.records and wait_ms:
-            await self._log.next_write(wait_ms)
+            await self._log.wait_for_append(wait_ms)
             await self._arrive(timeout_ms, topic)
-            page = self._log.page(topic, offset)
+            page = self._log.read_page(topic, offset)
         await task.deferLater(self._log.clock, ANSWER_S / 2)
         return page
 
@@ -234,14 +234,14 @@
     ) -> ports.Snapshot:
         """Reads the newest record of each key."""
         await self._arrive(timeout_ms, topic)
-        return self._log.newest(topic)
+        return self._log.snapshot(topic)
 
     async def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> ports.Membership:
         """Joins the owners' group or stays in it."""
         await self._arrive(timeout_ms)
-        await task.deferLater(self._log.clock, self._log.join_s)
+        await task.deferLater(self._log.clock, self._log.extra_join_delay_s)
         return self._log.join(self.member, ttl_ms)
 
     async def members(self, timeout_ms: int) -> frozenset[str]:
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -17,11 +17,11 @@
 
 __all__ = ["PoolWorker", "PoolWorkers", "TaskPlan", "WorkerFault"]
 
-TRIP_S = 0.001
-GANG_WAIT_MS = 3_000
-ADVICE_S = 0.1
-TICKET_MS = 3_000
-STOP_MS = 200
+REQUEST_DELAY_S = 0.001
+GANG_TIMEOUT_MS = 3_000
+ADVICE_DELAY_S = 0.1
+TICKET_TTL_MS = 3_000
+STOP_DELAY_MS = 200
 
 _MS_PER_S = 1_000
 
@@ -37,8 +37,8 @@
     NONE = "none"
     SILENT = "silent"
     LATE = "late"
-    LOSES_ONE = "loses_one"
-    LOSES_ANSWERS = "loses_answers"
+    LOSES_NEXT_START = "loses_one"
+    LOSES_NEXT_ANSWER = "loses_answers"
     REFUSING = "refusing"
 
 
@@ -73,7 +73,7 @@
     finished: bool = False
 
 
-Plans = Callable[[units.TaskName, int], TaskPlan]
+TaskPlanner = Callable[[units.TaskName, int], TaskPlan]
 
 
 class PoolWorkers:
@@ -90,23 +90,25 @@
         most_open_holds: The most holds that were on their way at once.
     """
 
-    def __init__(self, *, clock: interfaces.IReactorTime, plans: Plans) -> None:
+    def __init__(
+        self, *, clock: interfaces.IReactorTime, plan_task: TaskPlanner
+    ) -> None:
         """Initializes without workers.
 
         Args:
             clock: The clock of all workers.
-            plans: Tells what a task and run turns out to do.
+            plan_task: Returns the plan of a task and run.
         """
         self.workers: dict[ids.WorkerId, PoolWorker] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.starts: list[tuple[units.TaskName, int, ids.WorkerId]] = []
-        self.allowed: set[ids.WorkerId] = set()
-        self.questions = 0
-        self.open_holds = 0
-        self.most_open_holds = 0
+        self.allowed_workers: set[ids.WorkerId] = set()
+        self.advice_request_count = 0
+        self.open_renewals = 0
+        self.max_open_renewals = 0
         self.tickets: dict[units.TaskName, str] = {}
-        self.done: set[units.TaskName] = set()
-        self.plans = plans
+        self.finished_tasks: set[units.TaskName] = set()
+        self.plan_task = plan_task
         self.clock = clock
 
     def now_ms(self) -> int:
@@ -137,17 +139,17 @@
         if worker is None:
             await self._time_out(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
-        if worker.fault is WorkerFault.LOSES_ANSWERS:
+        if worker.fault is WorkerFault.LOSES_NEXT_ANSWER:
             worker.fault = WorkerFault.NONE
             worker.start(command)
             await self._time_out(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
-        if worker.fault is WorkerFault.LOSES_ONE:
+        if worker.fault is WorkerFault.LOSES_NEXT_START:
             worker.fault = WorkerFault.NONE
             await self._time_out(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
         if worker.fault is WorkerFault.LATE:
-            self.clock.callLater(worker.late_s, worker.start, command)
+            self.clock.callLater(worker.start_delay_s, worker.start, command)
             await self._time_out(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
         return worker.start(command), worker.now_ms()
@@ -166,27 +168,27 @@
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> commands.AdviceAnswer | None:
         """Allows the workers in `allowed` for every step."""
-        await task.deferLater(self.clock, ADVICE_S)
-        self.questions += 1
+        await task.deferLater(self.clock, ADVICE_DELAY_S)
+        self.advice_request_count += 1
         return commands.AdviceAnswer(
             tickets={
                 worker.worker: f"{advice_request.step}/{worker.worker}"
                 for worker in advice_request.workers
-                if worker.worker in self.allowed
+                if worker.worker in self.allowed_workers
             },
-            valid_ms=TICKET_MS,
+            valid_ms=TICKET_TTL_MS,
         )
 
     async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
         """Renews leases and asks what runs."""
-        self.open_holds += 1
-        self.most_open_holds = max(self.most_open_holds, self.open_holds)
+        self.open_renewals += 1
+        self.max_open_renewals = max(self.max_open_renewals, self.open_renewals)
         try:
             return await self._hold(command, timeout_ms)
         finally:
-            self.open_holds -= 1
+            self.open_renewals -= 1
 
     async def _hold(
         self, command: commands.RenewLeases, timeout_ms: int
@@ -207,7 +209,7 @@
         return worker.report()
 
     async def _reach(self, command: commands.Command) -> "PoolWorker | None":
-        await task.deferLater(self.clock, TRIP_S)
+        await task.deferLater(self.clock, REQUEST_DELAY_S)
         worker = self.workers.get(command.worker.worker)
         if worker is None or worker.fault in _UNREACHABLE:
             return None
@@ -276,9 +278,9 @@
         self.running: dict[units.TaskName, _Running] = {}
         self.ends: list[commands.EndedTask] = []
         self.fault = WorkerFault.NONE
-        self.late_s = 4.0
+        self.start_delay_s = 4.0
         self.slowdown = 1.0
-        self.stands_still = False
+        self.stalled = False
         self.clock_rate = 1.0
         self._pool = pool
         self._token = 0
@@ -305,7 +307,7 @@
             return commands.StartOutcome.LEASE_EXPIRED
         self._check_start(command)
         self._pool.tickets[command.task] = command.ticket
-        plan = self._pool.plans(command.task, command.run)
+        plan = self._pool.plan_task(command.task, command.run)
         run = _Running(
             task=command.task,
             run=command.run,
@@ -321,7 +323,7 @@
         )
         if plan.gang > 1:
             self._pool.clock.callLater(
-                GANG_WAIT_MS / _MS_PER_S, self._check_gang, run
+                GANG_TIMEOUT_MS / _MS_PER_S, self._check_gang, run
             )
         self._pool.clock.callLater(0.1, self._check_lease)
         return commands.StartOutcome.STARTED
@@ -336,7 +338,10 @@
         if run is not None and run.run <= command.run and not run.stopping:
             run.stopping = True
             self._pool.clock.callLater(
-                STOP_MS / _MS_PER_S, self.end, run, commands.EndKind.STOPPED
+                STOP_DELAY_MS / _MS_PER_S,
+                self.end,
+                run,
+                commands.EndKind.STOPPED,
             )
         return commands.StopOutcome.STOPPED
 
@@ -380,7 +385,7 @@
         began_ms = run.began_ms
         if run.plan.gang > 1:
             began_ms = self._pool.gang_began_ms(run.task, run.run)
-        if self.stands_still:
+        if self.stalled:
             return 0
         whole_ms = run.plan.run_time_ms * self.slowdown
         done = (self._pool.now_ms() - began_ms) / max(whole_ms, 1)
@@ -399,7 +404,7 @@
         del self.running[run.task]
         self._bar(run.task, run.run)
         if kind is commands.EndKind.DONE and not run.plan.lasting:
-            self._pool.done.add(run.task)
+            self._pool.finished_tasks.add(run.task)
         self.ends.append(
             commands.EndedTask(
                 number=next(self._numbers),
@@ -416,7 +421,7 @@
     def _finish(self, run: _Running) -> None:
         if self.running.get(run.task) is not run or run.stopping:
             return
-        if self.stands_still:
+        if self.stalled:
             return
         failed = run.plan.fails
         kind = commands.EndKind.FAILED if failed else commands.EndKind.DONE
@@ -436,7 +441,9 @@
         if self.running.get(run.task) is not run or run.stopping:
             return
         if not self._pool.gang_present(run.task, run.run, run.plan.gang):
-            self._pool.broken.append(f"GANG: {run.task} run {run.run} alone")
+            self._pool.violations.append(
+                f"GANG: {run.task} run {run.run} alone"
+            )
             self.end(run, commands.EndKind.MEMBER_MISSING)
 
     def _check_lease(self) -> None:
@@ -449,13 +456,13 @@
         self._pool.clock.callLater(0.1, self._check_lease)
 
     def _check_start(self, command: commands.Start) -> None:
-        if command.task in self._pool.done:
-            self._pool.broken.append(f"TWICE: {command.task} after its end")
+        if command.task in self._pool.finished_tasks:
+            self._pool.violations.append(f"TWICE: {command.task} after its end")
         elsewhere = [
             name for task, name in self._pool.running() if task == command.task
         ]
         if elsewhere:
-            self._pool.broken.append(
+            self._pool.violations.append(
                 f"TWICE: {command.task} on {elsewhere} and {self.entry.worker}"
             )
 
@@ -464,4 +471,4 @@
         for run in self.running.values():
             used = worker_allocations.add_demands(used, run.plan.demand)
         if not worker_allocations.max_task_count(self.entry.capacity, used, 1):
-            self._pool.broken.append(f"LIMIT: {self.entry.worker} {used}")
+            self._pool.violations.append(f"LIMIT: {self.entry.worker} {used}")
--- a/citronmount/standins/tests/test_models.py
+++ b/citronmount/standins/tests/test_models.py
@@ -4,10 +4,10 @@
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
-from citronmount.standins import log
-from citronmount.standins import platform
-from citronmount.standins import runner
-from citronmount.standins import worker
+from citronmount.standins import log_model
+from citronmount.standins import platform_model
+from citronmount.standins import runner_model
+from citronmount.standins import worker_model
 from citronmount.telemetry import timeline_events
 
 _ONE = jobs.Resources(accelerators=1, cores=1, memory_gb=1)
@@ -45,7 +45,7 @@
 class WorkerModelTest(unittest.TestCase):
     def setUp(self):
         self.events = []
-        self.worker = worker.WorkerModel(
+        self.worker = worker_model.WorkerModel(
             target=messages.ListedTarget(
                 name="w",
                 address="127.0.0.1:1",
@@ -136,7 +136,7 @@
 
 class LogModelTest(unittest.TestCase):
     def test_keeps_order_and_both_copies_until_retention(self):
-        model = log.LogModel(retention_ms=100)
+        model = log_model.LogModel(retention_ms=100)
         stream = ids.StreamName("s")
         pair = (ids.RecordId("r"), b"x")
         self.assertEqual(0, model.append(stream, (pair, pair), 0))
@@ -155,7 +155,7 @@
 class RunnerModelTest(unittest.TestCase):
     def test_slots_and_leaving(self):
         seen = []
-        model = runner.RunnerModel(
+        model = runner_model.RunnerModel(
             target=messages.ListedTarget(
                 name="r",
                 address="127.0.0.1:1",
@@ -169,11 +169,11 @@
             account=ids.AccountId("a"),
             payload='{"service_ms": 7}',
         )
-        self.assertEqual(7, runner.service_ms(one))
+        self.assertEqual(7, runner_model.service_ms(one))
         self.assertIsNone(model.begin(one, 0))
         self.assertIs(model.begin(one, 1).outcome, messages.RunnerOutcome.BUSY)
         answer = model.finish(one.request, 7)
-        self.assertEqual(runner.answer_payload(one), answer.payload)
+        self.assertEqual(runner_model.answer_payload(one), answer.payload)
         model.leaving = True
         self.assertIs(
             model.begin(one, 8).outcome, messages.RunnerOutcome.LEAVING
@@ -189,7 +189,7 @@
 
 class PlatformModelTest(unittest.TestCase):
     def test_changes_show_after_the_lag(self):
-        model = platform.PlatformModel(lag_ms=10)
+        model = platform_model.PlatformModel(lag_ms=10)
         vm = messages.ListedVm(
             vm=ids.VmId("v"),
             failure_domain=ids.FailureDomainId("d"),
--- a/citronmount/standins/worker.py
+++ b/citronmount/standins/worker_model.py
@@ -76,7 +76,7 @@
             None
         ),
         epoch_ms: int = 0,
-        saved: dict[ids.JobId, float] | None = None,
+        saved_progress: dict[ids.JobId, float] | None = None,
     ) -> None:
         """Initializes an idle worker.
 
@@ -84,7 +84,7 @@
             target: Its entry in the platform's list.
             emit: Takes the events of the time line.
             epoch_ms: Wall-clock time at which the worker's clock shows zero.
-            saved: Saved work of jobs, which workers may share.
+            saved_progress: Saved work of jobs, which workers may share.
         """
         self.target = target
         self.worker = ids.WorkerId(target.name)
@@ -94,7 +94,7 @@
         self.sequence = 0
         self._emit = emit
         self._epoch_ms = epoch_ms
-        self._saved = {} if saved is None else saved
+        self._saved_progress = {} if saved_progress is None else saved_progress
         self._leases: dict[ids.AttemptId, _Lease] = {}
         self._stopped: dict[ids.AttemptId, bool] = {}
         self._now_ms = 0
@@ -147,7 +147,7 @@
             self._end(attempt, states.LeaseState(state))
         self._now_ms = max(self._now_ms, now_ms)
 
-    def next_change_ms(self) -> int | None:
+    def next_end_ms(self) -> int | None:
         """Returns when `advance` will next end an attempt, if ever."""
         due = self._next_end()
         return None if due is None else due[0]
@@ -233,7 +233,7 @@
         lease.ran = True
         lease.started_ms = lease.worked_until_ms = self._now_ms
         lease.expires_ms = self._now_ms + act.ttl_ms
-        lease.progress = self._saved.get(lease.reserve.spec.job, 0.0)
+        lease.progress = self._saved_progress.get(lease.reserve.spec.job, 0.0)
         lease.work_ms = lease.progress * _run_ms(lease)
         self.sequence += 1
         self._trace(timeline_events.EventKind.TASK_STARTED, lease.reserve)
@@ -351,7 +351,7 @@
     def _save(self, lease: _Lease) -> None:
         self._work(lease)
         lease.progress = min(1.0, lease.work_ms / _run_ms(lease))
-        self._saved[lease.reserve.spec.job] = lease.progress
+        self._saved_progress[lease.reserve.spec.job] = lease.progress
 
     def _lease_report(self, lease: _Lease) -> messages.LeaseReport:
         until_ms = (
--- a/citronmount/testing/tests/test_tutorial.py
+++ b/citronmount/testing/tests/test_tutorial.py
@@ -11,7 +11,7 @@
 from citronmount.config import sheet
 from citronmount.config import sheet_feasibility
 from citronmount.service import settings
-from citronmount.standins import http
+from citronmount.standins import http_servers
 
 _TUTORIAL_FILES = pathlib.Path("examples/tutorial")
 _PAGES = (
@@ -33,7 +33,7 @@
 class TutorialTest(unittest.TestCase):
     def test_tutorial_files_are_consistent(self):
         data = (_TUTORIAL_FILES / "standins.toml").read_bytes()
-        standins = msgspec.toml.decode(data, type=http.StandinSettings)
+        standins = msgspec.toml.decode(data, type=http_servers.StandinSettings)
         peer_addresses = {vm.vm: vm.peer_address for vm in standins.vms}
         for vm, peer_address in peer_addresses.items():
             loaded = settings.load(_TUTORIAL_FILES / f"{vm}.toml")
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -144,7 +144,7 @@
     cluster: loopback_cluster.Cluster, jobs: Iterable[str]
 ) -> list[typing.Any]:
     """Waits for the final result of each job."""
-    return [steps.result(cluster.vms[0], job) for job in jobs]
+    return [steps.wait_for_result(cluster.vms[0], job) for job in jobs]
 
 
 def _print_accounts(
