--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -15,16 +15,16 @@
 
 LAME_DUCK_MS = 2_000
 RESUME_GRACE_MS = 1_000
-HANDOVER_TIMEOUT_MS = 1_000
+REPLICATE_TIMEOUT_MS = 1_000
 
 
 class Drain:
     """Drains the VM and exits the process.
 
-    The VM first stops reporting readiness but still serves calls, so that the
-    load balancer can redirect traffic. After that it refuses new calls,
-    finishes open ones, and replicates records that are not in the log yet to
-    a peer.
+    For `LAME_DUCK_MS`, the VM no longer reports readiness but still serves
+    calls, so that the load balancer can redirect traffic. After that it
+    refuses new calls, finishes open ones, and replicates records that are not
+    in the log yet to a peer.
     """
 
     def __init__(
@@ -88,15 +88,15 @@
         if not self.refusing or self._exited:
             return
         if self._ownership.domain is not None:
-            self._ownership.domain.table.answer_all()
+            self._ownership.domain.table.answer_all_waiters()
         open_work = (
             open_tickets
             or self._calls.has_open_work()
             or self._requests.has_open_work()
         )
-        if open_work or self._just_resumed() or not self._may_release_domain():
+        if open_work or self._just_resumed() or not self._may_step_down():
             return
-        if self._outbox.streams():
+        if self._outbox.unappended_streams():
             self._replicate_unappended()
         else:
             self._exit()
@@ -112,8 +112,8 @@
             and self._ctx.now_ms - self._resumed_ms < RESUME_GRACE_MS
         )
 
-    def _may_release_domain(self) -> bool:
-        """Returns whether the VM may stop scheduling its failure domain.
+    def _may_step_down(self) -> bool:
+        """Returns whether the VM may step down as owner.
 
         If there is another candidate, the VM waits until that one has taken
         over; otherwise until all attempts are running. Either wait ends at
@@ -141,10 +141,10 @@
         if not peers or self._replicating:
             return
         self._replicating = True
-        streams = self._outbox.streams()
+        streams = self._outbox.unappended_streams()
         unacknowledged = set(streams)
 
-        def acknowledged(
+        def handle_acknowledgement(
             stream: ids.StreamName,
             answer: peer_messages.Acknowledge | None,
         ) -> None:
@@ -165,8 +165,10 @@
                     stream=stream,
                     records=self._outbox.unappended(stream),
                 ),
-                lambda answer, stream=stream: acknowledged(stream, answer),
-                timeout_ms=HANDOVER_TIMEOUT_MS,
+                lambda answer, stream=stream: handle_acknowledgement(
+                    stream, answer
+                ),
+                timeout_ms=REPLICATE_TIMEOUT_MS,
             )
 
     def _exit(self) -> None:
