--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -28,8 +28,8 @@
 
 __all__ = ["main", "measure"]
 
-SITES = ((3, 2, 8), (3, 8, 8), (5, 8, 8), (5, 8, 32))
-STATE_POINTS = (
+SITE_SIZES = ((3, 2, 8), (3, 8, 8), (5, 8, 8), (5, 8, 32))
+STATE_SIZES = (
     (65, 65, 70),
     (130, 65, 70),
     (260, 65, 70),
@@ -38,9 +38,9 @@
     (65, 65, 140),
     (65, 65, 280),
 )
-TEAMS = (70, 140, 280)
+TEAM_COUNTS = (70, 140, 280)
 IDLE_WORKERS_PER_DOMAIN = (4, 16)
-SAMPLE_EVENTS = 2_000
+SAMPLE_EVENT_COUNT = 2_000
 
 _NS_PER_US = 1_000
 
@@ -52,7 +52,7 @@
         What was measured.
     """
     return capacity_plan.Measured(
-        traffic=tuple(_traffic(*site) for site in SITES),
+        traffic=tuple(_measure_site_traffic(*site) for site in SITE_SIZES),
         costs=capacity_agents.measure_costs(
             failure_domains=5, vms_per_domain=8, workers_per_domain=32
         ),
@@ -60,18 +60,20 @@
             capacity_agents.measure_state(
                 workers=workers, job_count=job_count, teams=teams
             )
-            for workers, job_count, teams in STATE_POINTS
+            for workers, job_count, teams in STATE_SIZES
         ),
         idle=tuple(map(capacity_daemon.measure_idle, IDLE_WORKERS_PER_DOMAIN)),
         exchange=capacity_daemon.measure_exchange(),
-        message_us=capacity_daemon.measure_message_us(_heartbeat()),
-        change_bytes={n: len(records.encode(_change(n))) for n in TEAMS},
-        change_us={n: _change_us(n) for n in TEAMS},
-        event_bytes=_event_bytes(),
+        message_us=capacity_daemon.measure_message_us(_make_heartbeat()),
+        change_bytes={
+            n: len(records.encode(_make_change(n))) for n in TEAM_COUNTS
+        },
+        change_us={n: _measure_change_us(n) for n in TEAM_COUNTS},
+        event_bytes=_measure_event_bytes(),
     )
 
 
-def _traffic(
+def _measure_site_traffic(
     failure_domains: int, vms_per_domain: int, workers_per_domain: int
 ) -> harness_traffic.TrafficRow:
     return harness_traffic.measure_traffic(
@@ -82,7 +84,7 @@
     )
 
 
-def _heartbeat() -> peer_messages.Heartbeat:
+def _make_heartbeat() -> peer_messages.Heartbeat:
     return peer_messages.Heartbeat(
         failure_domain=ids.FailureDomainId("kr-a"),
         incarnation=1_800_000_000_000,
@@ -95,7 +97,7 @@
     )
 
 
-def _change(teams: int) -> records.ConfigurationChange:
+def _make_change(teams: int) -> records.ConfigurationChange:
     names = [ids.AccountId(f"team-{number:04}") for number in range(teams)]
     domains = [ids.FailureDomainId(f"kr-{letter}") for letter in "abcde"]
     content = configuration_lib.Configuration(
@@ -131,13 +133,13 @@
     )
 
 
-def _change_us(teams: int) -> float:
+def _measure_change_us(teams: int) -> float:
     """Times decoding, folding and taking a change over by a scheduler."""
-    data = records.encode(_change(teams))
-    decider = scheduler.DomainScheduler(
+    data = records.encode(_make_change(teams))
+    domain_scheduler = scheduler.DomainScheduler(
         failure_domain=ids.FailureDomainId("kr-a")
     )
-    decider.set_workers(
+    domain_scheduler.set_workers(
         tuple(
             messages.ListedTarget(
                 name=f"w{number:03}",
@@ -161,14 +163,14 @@
         end=ids.Offset(1),
     )
     fold = configuration_fold.ConfigurationFold()
-    begin_ns = time.process_time_ns()
+    start_ns = time.process_time_ns()
     fold.fold_page(page)
-    decider.set_configuration(fold.current)
-    decider.decide(0)
-    return round((time.process_time_ns() - begin_ns) / _NS_PER_US, 1)
+    domain_scheduler.set_configuration(fold.current)
+    domain_scheduler.decide(0)
+    return round((time.process_time_ns() - start_ns) / _NS_PER_US, 1)
 
 
-def _event_bytes() -> float:
+def _measure_event_bytes() -> float:
     sample = [
         timeline_events.TimelineEvent(
             physical_ms=1_800_000_000_000 + number,
@@ -180,9 +182,9 @@
             account="team-0001",
             count=24,
         )
-        for number in range(SAMPLE_EVENTS)
+        for number in range(SAMPLE_EVENT_COUNT)
     ]
-    return round(capacity_agents.deep_bytes(sample) / SAMPLE_EVENTS, 1)
+    return round(capacity_agents.deep_bytes(sample) / SAMPLE_EVENT_COUNT, 1)
 
 
 class Output(msgspec.Struct, frozen=True, kw_only=True):
@@ -206,9 +208,9 @@
 @click.option("--page", type=click.Path(), help="Write the page to this file.")
 def main(as_json: bool, page: str | None) -> None:
     """Measures slopes and works out the two-year size."""
-    found = measure()
-    plan = capacity_plan.compute_plan(found)
-    text = capacity_page.render(found, plan)
+    measured = measure()
+    plan = capacity_plan.compute_plan(measured)
+    text = capacity_page.render(measured, plan)
     if page is not None:
         target = pathlib.Path(page)
         before = target.read_text("utf-8") if target.exists() else ""
@@ -218,7 +220,7 @@
         output = Output(
             size=capacity_plan.SIZE,
             budget=capacity_plan.BUDGET,
-            measured=found,
+            measured=measured,
             plan=plan,
         )
         click.echo(msgspec.json.encode(output).decode("utf-8"))
--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -38,7 +38,7 @@
 SEED = 1
 
 _NS_PER_US = 1_000
-_OPAQUE = (
+_UNCOUNTED_TYPES = (
     type,
     types.ModuleType,
     types.FunctionType,
@@ -117,13 +117,13 @@
         self, event: events.Event, now_ms: int, wall_ms: int
     ) -> list[effects.Effect]:
         """Passes an event on and times it."""
-        begin_ns = time.process_time_ns()
-        found = self._agent.handle(event, now_ms, wall_ms)
-        spent_ns = time.process_time_ns() - begin_ns
+        start_ns = time.process_time_ns()
+        agent_effects = self._agent.handle(event, now_ms, wall_ms)
+        spent_ns = time.process_time_ns() - start_ns
         kind = type(event).__name__
         self._spent_ns[kind] += spent_ns
         self._counts[kind] += 1
-        return found
+        return agent_effects
 
 
 def measure_costs(
@@ -180,7 +180,7 @@
     Returns:
         The memory of the agents once all jobs run.
     """
-    site = _site(workers, teams)
+    site = _make_site(workers, teams)
     harness = harness_lib.Harness(site=site, make_agent=make_agent, seed=SEED)
     harness.start_all()
     harness.run_until_ms(WARM_UP_MS)
@@ -191,31 +191,33 @@
             number * SUBMIT_PERIOD_MS,
             harness.call,
             vm,
-            peer_messages.SubmitJob(spec=_job(number, teams)),
+            peer_messages.SubmitJob(spec=_make_job(number, teams)),
             accepted.append,
         )
     harness.run_until_ms(WARM_UP_MS + job_count * SUBMIT_PERIOD_MS + RUN_MS)
     _require_accepted(accepted, job_count)
-    weights = sorted(
+    agent_bytes = sorted(
         deep_bytes(process.agent) for process in harness.processes.values()
     )
     return StateRow(
         workers=workers,
         jobs=job_count,
         teams=teams,
-        owner_bytes=weights[-1],
-        member_bytes=weights[0],
+        owner_bytes=agent_bytes[-1],
+        member_bytes=agent_bytes[0],
     )
 
 
 def _require_accepted(answers: list[object], job_count: int) -> None:
-    good = [a for a in answers if isinstance(a, peer_messages.JobAnswer)]
-    if len(good) != job_count:
-        bad = next((a for a in answers if a not in good), None)
-        raise RuntimeError(f"{len(good)} of {job_count} accepted: {bad}")
+    job_answers = [a for a in answers if isinstance(a, peer_messages.JobAnswer)]
+    if len(job_answers) != job_count:
+        first_refusal = next((a for a in answers if a not in job_answers), None)
+        raise RuntimeError(
+            f"{len(job_answers)} of {job_count} accepted: {first_refusal}"
+        )
 
 
-def _site(workers: int, teams: int) -> harness_site.Site:
+def _make_site(workers: int, teams: int) -> harness_site.Site:
     site = harness_site.make_site(
         failure_domains=1,
         vms_per_domain=2,
@@ -246,7 +248,7 @@
     return msgspec.structs.replace(site, configuration=content)
 
 
-def _job(number: int, teams: int) -> jobs.JobSpec:
+def _make_job(number: int, teams: int) -> jobs.JobSpec:
     return jobs.JobSpec(
         job=ids.JobId(""),
         account=ids.AccountId(f"team-{number % teams:03}"),
@@ -275,11 +277,11 @@
         item = queue.pop()
         total += sys.getsizeof(item)
         for other in gc.get_referents(item):
-            if id(other) not in seen and _is_weighed(other):
+            if id(other) not in seen and _is_counted(other):
                 seen.add(id(other))
                 queue.append(other)
     return total
 
 
-def _is_weighed(item: object) -> bool:
-    return not isinstance(item, _OPAQUE)
+def _is_counted(item: object) -> bool:
+    return not isinstance(item, _UNCOUNTED_TYPES)
--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -8,7 +8,7 @@
 
 from citronmount.bench import harness_site
 from citronmount.bench import loopback_cluster
-from citronmount.bench import loopback_steps as steps
+from citronmount.bench import loopback_steps
 from citronmount.clients import http_client
 from citronmount.clients import messages
 from citronmount.clients import platform_api
@@ -28,13 +28,13 @@
     "measure_message_us",
 ]
 
-SETTLE_S = 4.0
-COUNT_S = 12.0
-CALLS = 400
-MESSAGES = 4_000
+WARM_UP_S = 4.0
+MEASUREMENT_S = 12.0
+RENEWAL_COUNT = 400
+MESSAGE_COUNT = 4_000
 BURST_MESSAGES = 200
 VMS_PER_DOMAIN = 2
-DOMAINS = 3
+DOMAIN_COUNT = 3
 
 _TIMEOUT_MS = 10_000
 _US_PER_S = 1_000_000
@@ -83,20 +83,22 @@
         What they used.
     """
     site = harness_site.make_site(
-        failure_domains=DOMAINS,
+        failure_domains=DOMAIN_COUNT,
         vms_per_domain=VMS_PER_DOMAIN,
         workers_per_domain=workers_per_domain,
     )
     pool = pool_file.Pool(workers=site.view.workers, runners=site.view.runners)
     with loopback_cluster.open_cluster(pool, VMS_PER_DOMAIN) as cluster:
-        steps.publish(cluster, sheet.write(site.configuration).encode("utf-8"))
-        steps.wait_until_ready(cluster)
-        time.sleep(SETTLE_S)
-        before, begin_s = _gauges(cluster), time.monotonic()
-        time.sleep(COUNT_S)
-        after = _gauges(cluster)
+        loopback_steps.publish(
+            cluster, sheet.write(site.configuration).encode("utf-8")
+        )
+        loopback_steps.wait_until_ready(cluster)
+        time.sleep(WARM_UP_S)
+        before, begin_s = _read_gauges(cluster), time.monotonic()
+        time.sleep(MEASUREMENT_S)
+        after = _read_gauges(cluster)
         elapsed_s = time.monotonic() - begin_s
-        steps.drain_all(cluster)
+        loopback_steps.drain_all(cluster)
 
     def rates(*names: str) -> list[float]:
         return [
@@ -118,9 +120,9 @@
     )
 
 
-def _gauges(cluster: loopback_cluster.Cluster) -> list[dict[str, float]]:
+def _read_gauges(cluster: loopback_cluster.Cluster) -> list[dict[str, float]]:
     return [
-        steps.call(vm, "GET", "/v1/metrics").body["gauges"]
+        loopback_steps.call(vm, "GET", "/v1/metrics").body["gauges"]
         for vm in cluster.vms
     ]
 
@@ -139,29 +141,31 @@
     )
     pool = pool_file.Pool(workers=site.view.workers, runners=())
     with loopback_cluster.open_cluster(pool, 0) as cluster:
-        return reactor_loop.run(_renew_often(cluster.pool.workers[0].address))
+        return reactor_loop.run(
+            _measure_renewals(cluster.pool.workers[0].address)
+        )
 
 
-async def _renew_often(address: str) -> ExchangeCost:
+async def _measure_renewals(address: str) -> ExchangeCost:
     http = http_client.HttpClient(reactor=reactor)
     call = messages.WorkerCall(
         token=ids.FenceToken(1), acts=(messages.Renew(ttl_ms=10_000),)
     )
     answer = await platform_api.call_worker(http, address, call, _TIMEOUT_MS)
     known = msgspec.structs.replace(call, known_sequence=answer.report.sequence)
-    before, begin_s = _bytes(http), time.process_time()
-    for _ in range(CALLS):
+    before, begin_s = _traffic_bytes(http), time.process_time()
+    for _ in range(RENEWAL_COUNT):
         await platform_api.call_worker(http, address, known, _TIMEOUT_MS)
     spent_s = time.process_time() - begin_s
-    wire_bytes = (_bytes(http) - before) / CALLS
+    wire_bytes = (_traffic_bytes(http) - before) / RENEWAL_COUNT
     await http.close()
     return ExchangeCost(
-        processor_us=round(spent_s * _US_PER_S / CALLS),
+        processor_us=round(spent_s * _US_PER_S / RENEWAL_COUNT),
         wire_bytes=round(wire_bytes),
     )
 
 
-def _bytes(http: http_client.HttpClient) -> int:
+def _traffic_bytes(http: http_client.HttpClient) -> int:
     return http.traffic.sent_bytes + http.traffic.received_bytes
 
 
@@ -190,14 +194,14 @@
         node.open()
     try:
         return reactor_loop.run(
-            _send_often(nodes[0], nodes[1], message, received)
+            _measure_messages(nodes[0], nodes[1], message, received)
         )
     finally:
         for node in nodes:
             node.close()
 
 
-async def _send_often(
+async def _measure_messages(
     source: peer_transport.PeerTransport,
     target: peer_transport.PeerTransport,
     message: peer_messages.PeerMessage,
@@ -211,7 +215,7 @@
     await reactor_loop.wait_until(connected)
     await reactor_loop.wait_until(lambda: bool(received))
     begin_s = time.process_time()
-    for _ in range(MESSAGES // BURST_MESSAGES):
+    for _ in range(MESSAGE_COUNT // BURST_MESSAGES):
         wanted = len(received) + BURST_MESSAGES
         for _ in range(BURST_MESSAGES):
             source.send(target.vm, message)
@@ -219,4 +223,4 @@
             lambda wanted=wanted: len(received) >= wanted
         )
     spent_s = time.process_time() - begin_s
-    return round(spent_s * _US_PER_S / MESSAGES, 1)
+    return round(spent_s * _US_PER_S / MESSAGE_COUNT, 1)
--- a/citronmount/bench/capacity_page.py
+++ b/citronmount/bench/capacity_page.py
@@ -65,19 +65,19 @@
 """
 
 
-def render(found: capacity_plan.Measured, plan: capacity_plan.Plan) -> str:
+def render(measured: capacity_plan.Measured, plan: capacity_plan.Plan) -> str:
     """Returns the page.
 
     Args:
-        found: The measurements.
+        measured: The measurements.
         plan: What follows from them.
 
     Returns:
         Markdown.
     """
     size, budget = capacity_plan.SIZE, capacity_plan.BUDGET
-    worker, job, team = capacity_plan.state_slopes(found.state)
-    largest = max(found.change_bytes)
+    worker, job, team = capacity_plan.state_slopes(measured.state)
+    largest = max(measured.change_bytes)
     head = _HEAD.format(
         s=size,
         b=budget,
@@ -87,33 +87,33 @@
     method = _METHOD.format(
         n=6,
         idle_s=12,
-        vms=found.traffic[-1].vms,
+        vms=measured.traffic[-1].vms,
         framing=capacity_plan.FRAMING_BYTES,
         header=capacity_plan.PACKET_HEADER_BYTES,
-        message_us=found.message_us,
+        message_us=measured.message_us,
         kept=size.workers / size.vms,
-        exchange_us=found.exchange.processor_us,
-        exchange_bytes=found.exchange.wire_bytes,
+        exchange_us=measured.exchange.processor_us,
+        exchange_bytes=measured.exchange.wire_bytes,
         worker=worker,
         job=job,
         team=team,
         tasks=capacity_plan.TASKS_PER_JOB,
         teams=largest,
-        change_bytes=found.change_bytes[largest],
-        change_us=found.change_us[largest],
-        event=found.event_bytes,
+        change_bytes=measured.change_bytes[largest],
+        change_us=measured.change_us[largest],
+        event=measured.event_bytes,
         packets=plan.packet_bytes_per_s,
         events=size.events_kept,
     )
     parts = (
         head,
         _needs_table(plan),
-        _verdicts(plan),
+        _budget_list(plan),
         method,
-        _traffic_table(found),
-        _idle_table(found),
-        _state_table(found),
-        _costs_table(found),
+        _traffic_table(measured),
+        _idle_table(measured),
+        _state_table(measured),
+        _costs_table(measured),
     )
     return "".join(parts)
 
@@ -172,7 +172,7 @@
     return _table(titles, rows)
 
 
-def _verdicts(plan: capacity_plan.Plan) -> str:
+def _budget_list(plan: capacity_plan.Plan) -> str:
     budget = capacity_plan.BUDGET
     rows = (
         (
@@ -196,17 +196,17 @@
         f"the budget of {limit}.\n"
         for name, need, limit in rows
     )
-    on_the_wire = plan.bytes_per_s + plan.packet_bytes_per_s
-    kept = on_the_wire <= budget.bytes_per_s
+    wire_bytes_per_s = plan.bytes_per_s + plan.packet_bytes_per_s
+    is_within = wire_bytes_per_s <= budget.bytes_per_s
     last = (
-        f"- {on_the_wire:,.0f} bytes/s with the headers of TCP and IP, at "
-        f"most: {'within' if kept else '**misses**'} the budget if these "
+        f"- {wire_bytes_per_s:,.0f} bytes/s with the headers of TCP and IP, at "
+        f"most: {'within' if is_within else '**misses**'} the budget if these "
         "count.\n"
     )
     return "\n" + "".join(lines) + last
 
 
-def _traffic_table(found: capacity_plan.Measured) -> str:
+def _traffic_table(measured: capacity_plan.Measured) -> str:
     rows = (
         (
             row.vms,
@@ -216,7 +216,7 @@
             f"{row.bytes_per_s_by_kind['Heartbeat']:,.0f}",
             f"{row.bytes_per_s_by_kind['PlatformListed']:,.0f}",
         )
-        for row in found.traffic
+        for row in measured.traffic
     )
     titles = (
         "VMs",
@@ -229,7 +229,7 @@
     return _table(titles, rows)
 
 
-def _idle_table(found: capacity_plan.Measured) -> str:
+def _idle_table(measured: capacity_plan.Measured) -> str:
     rows = (
         (
             f"{row.workers_kept:g}",
@@ -239,7 +239,7 @@
             f"{row.http_bytes_per_s:,.0f}",
             f"{row.peer_bytes_per_s:,.0f}",
         )
-        for row in found.idle
+        for row in measured.idle
     )
     titles = (
         "workers a VM",
@@ -252,7 +252,7 @@
     return "\nIdle daemons, six on loopback.\n\n" + _table(titles, rows)
 
 
-def _state_table(found: capacity_plan.Measured) -> str:
+def _state_table(measured: capacity_plan.Measured) -> str:
     rows = (
         (
             row.workers,
@@ -261,16 +261,16 @@
             f"{row.owner_bytes:,}",
             f"{row.member_bytes:,}",
         )
-        for row in found.state
+        for row in measured.state
     )
     titles = ("workers", "jobs", "teams", "owner bytes", "member bytes")
     return "\nState of agents in one failure domain.\n\n" + _table(titles, rows)
 
 
-def _costs_table(found: capacity_plan.Measured) -> str:
+def _costs_table(measured: capacity_plan.Measured) -> str:
     rows = (
         (row.kind, f"{row.mean_us:.1f}", f"{row.per_vm_per_s:.2f}")
-        for row in found.costs
+        for row in measured.costs
     )
     titles = ("event", "mean us", "events/s a VM")
     text = "\nProcessor time of agents at 40 VMs and 160 workers.\n\n"
--- a/citronmount/bench/capacity_plan.py
+++ b/citronmount/bench/capacity_plan.py
@@ -146,22 +146,22 @@
     within: dict[str, bool]
 
 
-def compute_plan(found: Measured) -> Plan:
+def compute_plan(measured: Measured) -> Plan:
     """Works out what the busiest VM needs at the two-year size.
 
     Args:
-        found: The measurements.
+        measured: The measurements.
 
     Returns:
         The needs by role, their sums and the comparison with the budget.
     """
     needs = (
-        _process(found),
-        _member(found),
-        _keeper(found),
-        _owner(found),
-        _configuration(found),
-        _timeline(found),
+        _process_need(measured),
+        _member_need(measured),
+        _lease_renewer_need(measured),
+        _owner_need(measured),
+        _configuration_need(measured),
+        _timeline_need(measured),
     )
     share = sum(need.processor_share for need in needs)
     memory_mb = sum(need.memory_mb for need in needs)
@@ -183,11 +183,11 @@
     )
 
 
-def _cost_us(found: Measured, kind: str) -> float:
-    return next(row.mean_us for row in found.costs if row.kind == kind)
+def _cost_us(measured: Measured, kind: str) -> float:
+    return next(row.mean_us for row in measured.costs if row.kind == kind)
 
 
-def _need(
+def _make_need(
     role: str,
     mechanism: str,
     *,
@@ -206,57 +206,61 @@
     )
 
 
-def _process(found: Measured) -> Need:
+def _process_need(measured: Measured) -> Need:
     """The process itself, as measured idle on loopback."""
-    small = found.idle[0]
-    return _need(
+    idle_daemon = measured.idle[0]
+    return _make_need(
         "process",
         "one Twisted loop; tick each 250 ms, poll of list and configuration",
         messages_per_s=2 / LIST_PERIOD_S * 2,
         bytes_per_s=2 * UNCHANGED_LIST_BYTES / LIST_PERIOD_S,
-        processor_us_per_s=small.processor_share * _US_PER_S,
-        memory_bytes=small.resident_mb * _MB,
+        processor_us_per_s=idle_daemon.processor_share * _US_PER_S,
+        memory_bytes=idle_daemon.resident_mb * _MB,
     )
 
 
-def _member(found: Measured) -> Need:
+def _member_need(measured: Measured) -> Need:
     """Heartbeats to and from all other VMs."""
-    row = found.traffic[-1]
-    size = row.bytes_per_s_by_kind["Heartbeat"]
+    row = measured.traffic[-1]
+    heartbeat_bytes_per_s = row.bytes_per_s_by_kind["Heartbeat"]
     per_s = next(
-        cost.per_vm_per_s for cost in found.costs if cost.kind == "PeerArrived"
+        cost.per_vm_per_s
+        for cost in measured.costs
+        if cost.kind == "PeerArrived"
     )
     both_ways = 2 * per_s
-    each_us = found.message_us + _cost_us(found, "PeerArrived")
-    return _need(
+    us_per_message = measured.message_us + _cost_us(measured, "PeerArrived")
+    return _make_need(
         "member",
         "heartbeats, each 1 s within and each 3 s between failure domains",
         messages_per_s=both_ways,
-        bytes_per_s=size + both_ways * FRAMING_BYTES,
-        processor_us_per_s=per_s * each_us,
+        bytes_per_s=heartbeat_bytes_per_s + both_ways * FRAMING_BYTES,
+        processor_us_per_s=per_s * us_per_message,
     )
 
 
-def _keeper(found: Measured) -> Need:
+def _lease_renewer_need(measured: Measured) -> Need:
     """Renewal of the leases of some workers of the failure domain."""
-    kept = SIZE.workers / SIZE.vms
-    per_s = kept / RENEW_PERIOD_S
-    each_us = found.exchange.processor_us + _cost_us(found, "WorkerAnswered")
-    return _need(
+    workers_per_vm = SIZE.workers / SIZE.vms
+    per_s = workers_per_vm / RENEW_PERIOD_S
+    us_per_renewal = measured.exchange.processor_us + _cost_us(
+        measured, "WorkerAnswered"
+    )
+    return _make_need(
         "keeper",
         "one renewal a worker for all its leases; reports only when changed",
         messages_per_s=2 * per_s,
-        bytes_per_s=per_s * found.exchange.wire_bytes,
-        processor_us_per_s=per_s * each_us,
+        bytes_per_s=per_s * measured.exchange.wire_bytes,
+        processor_us_per_s=per_s * us_per_renewal,
     )
 
 
-def _owner(found: Measured) -> Need:
+def _owner_need(measured: Measured) -> Need:
     """Scheduling of one failure domain."""
     domain_workers = SIZE.workers / SIZE.failure_domains
     running = SIZE.tasks / TASKS_PER_JOB / SIZE.failure_domains
     ended = SIZE.jobs_per_day / SIZE.failure_domains
-    per_worker, per_job, per_team = state_slopes(found.state)
+    per_worker, per_job, per_team = state_slopes(measured.state)
     memory_bytes = (
         domain_workers * per_worker
         + (running + ended * ENDED_JOB_SHARE) * per_job
@@ -265,12 +269,12 @@
     workers_per_job = 8
     changes_per_s = ended * workers_per_job * 4 / _DAY_S
     report_bytes = 3 * _KB
-    return _need(
+    return _make_need(
         "owner",
         "decisions on state in memory; keepers pass changed reports",
         messages_per_s=changes_per_s * 2,
         bytes_per_s=changes_per_s * report_bytes,
-        processor_us_per_s=TICKS_PER_S * _cost_us(found, "Tick"),
+        processor_us_per_s=TICKS_PER_S * _cost_us(measured, "Tick"),
         memory_bytes=memory_bytes,
     )
 
@@ -289,7 +293,7 @@
     """
     base = rows[0]
 
-    def along(name: str) -> float:
+    def slope_by(name: str) -> float:
         others = {"workers", "jobs", "teams"} - {name}
         points = [
             (float(getattr(row, name)), float(row.owner_bytes))
@@ -298,30 +302,30 @@
         ]
         return max(0.0, harness_traffic.slope(points))
 
-    return along("workers"), along("jobs"), along("teams")
+    return slope_by("workers"), slope_by("jobs"), slope_by("teams")
 
 
-def _configuration(found: Measured) -> Need:
+def _configuration_need(measured: Measured) -> Need:
     """Reading every change of the configuration."""
     per_s = SIZE.changes_per_day / _DAY_S
-    points = [(float(n), float(b)) for n, b in found.change_bytes.items()]
-    largest = max(found.change_us)
-    change_bytes = found.change_bytes[largest] + (
+    points = [(float(n), float(b)) for n, b in measured.change_bytes.items()]
+    largest = max(measured.change_us)
+    change_bytes = measured.change_bytes[largest] + (
         (SIZE.teams - largest) * harness_traffic.slope(points)
     )
-    return _need(
+    return _make_need(
         "configuration",
         "whole changes through the log, folded by offset at every VM",
         messages_per_s=per_s,
         bytes_per_s=per_s * change_bytes,
-        processor_us_per_s=per_s * found.change_us[largest],
+        processor_us_per_s=per_s * measured.change_us[largest],
     )
 
 
-def _timeline(found: Measured) -> Need:
+def _timeline_need(measured: Measured) -> Need:
     """The bounded time line in memory."""
-    return _need(
+    return _make_need(
         "time line",
         "a bounded queue of events at each VM, merged by the reader",
-        memory_bytes=SIZE.events_kept * found.event_bytes,
+        memory_bytes=SIZE.events_kept * measured.event_bytes,
     )
--- a/citronmount/bench/faults/callers.py
+++ b/citronmount/bench/faults/callers.py
@@ -65,7 +65,7 @@
         """
         serving = [
             vm
-            for vm in self._harness.live()
+            for vm in self._harness.running_vms()
             if not self._harness.processes[vm].draining
         ]
         others = [vm for vm in serving if vm != avoid]
--- a/citronmount/bench/harness.py
+++ b/citronmount/bench/harness.py
@@ -14,8 +14,8 @@
 from citronmount.agent import events
 from citronmount.bench import harness_clock
 from citronmount.bench import harness_network
-from citronmount.bench import harness_process as process_lib
-from citronmount.bench import harness_services as services_lib
+from citronmount.bench import harness_process
+from citronmount.bench import harness_services
 from citronmount.bench import harness_site
 from citronmount.clients import messages
 from citronmount.core import ids
@@ -26,10 +26,10 @@
 
 __all__ = ["Harness"]
 
-_TICK_MS = 250
-_REFUSED_MS = 2
-_RESTART_MS = 1_000
-_TRACE_LINES = 5
+_TICK_PERIOD_MS = 250
+_REFUSAL_DELAY_MS = 2
+_RESTART_DELAY_MS = 1_000
+_TRACEBACK_LINES = 5
 
 
 class Harness:
@@ -50,7 +50,9 @@
         self,
         *,
         site: harness_site.Site,
-        make_agent: Callable[[messages.ListedVm, int], process_lib.AgentLike],
+        make_agent: Callable[
+            [messages.ListedVm, int], harness_process.AgentLike
+        ],
         seed: int,
         retention_ms: int = 24 * 60 * 60 * 1_000,
         list_lag_ms: int = 1_000,
@@ -74,12 +76,14 @@
         )
         self.timeline: list[tuple[int, timeline_events.TimelineEvent]] = []
         self.crashes: list[tuple[int, ids.VmId, list[str]]] = []
-        self.watchers: list[Callable[[process_lib.Process, object], None]] = []
+        self.watchers: list[
+            Callable[[harness_process.Process, object], None]
+        ] = []
         self.arrival_watchers: list[Callable[[str, str, object], None]] = []
         self._make_agent = make_agent
         self._count_traffic = count_traffic
-        self._tickets = 0
-        self.services = services_lib.PlatformServices(
+        self._ticket_count = 0
+        self.services = harness_services.PlatformServices(
             clock=self.clock,
             view=site.view,
             emit=self._emit,
@@ -87,13 +91,13 @@
             list_lag_ms=list_lag_ms,
         )
         self.processes = {
-            vm.vm: process_lib.Process(
+            vm.vm: harness_process.Process(
                 vm=vm, clock_start_ms=self.rng.randrange(10_000, 9_000_000)
             )
             for vm in site.view.vms
         }
-        self._place_all(site)
-        self._publish_first(site)
+        self._set_locations(site)
+        self._publish_initial_configuration(site)
 
     # Control of processes.
 
@@ -116,12 +120,12 @@
         process.exited_ms = None
         process.started_ms = self.clock.now_ms
         incarnation_ms = (
-            services_lib.EPOCH_MS + self.clock.now_ms + process.wall_skew_ms
+            harness_services.EPOCH_MS + self.clock.now_ms + process.wall_skew_ms
         )
         process.agent = self._make_agent(process.vm, incarnation_ms)
         live = msgspec.structs.replace(process.vm, state=states.VmState.LIVE)
         self.services.platform.set_vm(live, self.clock.now_ms)
-        self._post(process, process.incarnation, events.Started())
+        self._deliver(process, process.incarnation, events.Started())
         self._tick(process, process.incarnation)
 
     def kill(self, vm: ids.VmId) -> None:
@@ -138,7 +142,7 @@
         process.calls.clear()
         self.services.platform.remove_vm(vm, self.clock.now_ms)
         for tell in list(process.tickets.values()):
-            self.clock.after_ms(_REFUSED_MS, tell, None)
+            self.clock.after_ms(_REFUSAL_DELAY_MS, tell, None)
         process.tickets.clear()
 
     def pause(self, vm: ids.VmId) -> None:
@@ -159,7 +163,7 @@
         process.paused = False
         waiting, process.inbox = process.inbox, []
         for event in waiting:
-            self._post(process, process.incarnation, event)
+            self._deliver(process, process.incarnation, event)
 
     def drain(self, vm: ids.VmId) -> None:
         """Asks a process to stop; the list shows the VM as leaving.
@@ -176,7 +180,7 @@
             process.vm, state=states.VmState.LEAVING
         )
         self.services.platform.set_vm(leaving, self.clock.now_ms)
-        self._post(process, process.incarnation, events.DrainRequested())
+        self._deliver(process, process.incarnation, events.DrainRequested())
 
     # Calls from outside.
 
@@ -198,8 +202,8 @@
         Returns:
             The ticket.
         """
-        self._tickets += 1
-        ticket = ids.TicketId(f"t{self._tickets}")
+        self._ticket_count += 1
+        ticket = ids.TicketId(f"t{self._ticket_count}")
         done: list[object] = []
 
         def tell_once(answer: peer_messages.Answer | None) -> None:
@@ -207,14 +211,14 @@
                 done.append(answer)
                 tell(answer)
 
-        self.clock.after_ms(timeout_ms, self._caller_gives_up, vm, ticket)
+        self.clock.after_ms(timeout_ms, self._time_out_caller, vm, ticket)
         self.clock.after_ms(timeout_ms, tell_once, None)
         delays_us = self.network.delays_us(
             harness_network.CALLERS, vm, repeatable=False
         )
         for delay_us in delays_us:
             self.clock.after_us(
-                delay_us, self._call_arrives, vm, ticket, body, tell_once
+                delay_us, self._receive_call, vm, ticket, body, tell_once
             )
         return ticket
 
@@ -226,16 +230,18 @@
         """
         self.clock.run_until_ms(until_ms)
 
-    def live(self) -> tuple[ids.VmId, ...]:
+    def running_vms(self) -> tuple[ids.VmId, ...]:
         """Returns the VMs whose process runs, in the order of their names."""
         return tuple(vm for vm, p in sorted(self.processes.items()) if p.agent)
 
     # Inside.
 
-    def _place_all(self, site: harness_site.Site) -> None:
-        self.network.set_location(services_lib.LOG, harness_network.PLATFORM)
+    def _set_locations(self, site: harness_site.Site) -> None:
         self.network.set_location(
-            services_lib.VM_LIST, harness_network.PLATFORM
+            harness_services.LOG, harness_network.PLATFORM
+        )
+        self.network.set_location(
+            harness_services.VM_LIST, harness_network.PLATFORM
         )
         self.network.set_location(
             harness_network.CALLERS, harness_network.CALLERS
@@ -245,7 +251,7 @@
         for target in (*site.view.workers, *site.view.runners):
             self.network.set_location(target.name, target.failure_domain)
 
-    def _publish_first(self, site: harness_site.Site) -> None:
+    def _publish_initial_configuration(self, site: harness_site.Site) -> None:
         change = records.ConfigurationChange(
             record=ids.RecordId("first"),
             base_version=ids.Version(0),
@@ -258,19 +264,19 @@
     def _emit(self, event: timeline_events.TimelineEvent) -> None:
         self.timeline.append((self.clock.now_ms, event))
 
-    def _tick(self, process: process_lib.Process, incarnation: int) -> None:
+    def _tick(self, process: harness_process.Process, incarnation: int) -> None:
         if process.agent is None or process.incarnation != incarnation:
             return
         tick_waits = process.paused and any(
             isinstance(event, events.Tick) for event in process.inbox
         )
         if not tick_waits:
-            self._post(process, incarnation, events.Tick())
-        self.clock.after_ms(_TICK_MS, self._tick, process, incarnation)
+            self._deliver(process, incarnation, events.Tick())
+        self.clock.after_ms(_TICK_PERIOD_MS, self._tick, process, incarnation)
 
-    def _post(
+    def _deliver(
         self,
-        process: process_lib.Process,
+        process: harness_process.Process,
         incarnation: int,
         event: events.Event,
     ) -> None:
@@ -291,10 +297,10 @@
                 watcher(process, effect)
             if process.agent is None:
                 return
-            self._carry_out(process, effect)
+            self._execute(process, effect)
 
     def _handle(
-        self, process: process_lib.Process, event: events.Event
+        self, process: harness_process.Process, event: events.Event
     ) -> list[effects.Effect]:
         """Lets the agent handle an event; an exception ends the process."""
         now_ms = self.clock.now_ms
@@ -302,17 +308,17 @@
             return process.agent.handle(
                 event,
                 now_ms + process.clock_start_ms,
-                services_lib.EPOCH_MS + now_ms + process.wall_skew_ms,
+                harness_services.EPOCH_MS + now_ms + process.wall_skew_ms,
             )
         except Exception:
-            last_lines = traceback.format_exc().splitlines()[-_TRACE_LINES:]
+            last_lines = traceback.format_exc().splitlines()[-_TRACEBACK_LINES:]
             self.crashes.append((now_ms, process.vm.vm, last_lines))
             self.kill(process.vm.vm)
-            self.clock.after_ms(_RESTART_MS, self.start, process.vm.vm)
+            self.clock.after_ms(_RESTART_DELAY_MS, self.start, process.vm.vm)
             return []
 
-    def _carry_out(
-        self, process: process_lib.Process, effect: effects.Effect
+    def _execute(
+        self, process: harness_process.Process, effect: effects.Effect
     ) -> None:
         match effect:
             case effects.Trace():
@@ -324,30 +330,32 @@
             case effects.Exit():
                 self._exit(process)
             case _:
-                self._call_out(process, effect)
+                self._send_call(process, effect)
 
     def _send_peer(
-        self, process: process_lib.Process, effect: effects.SendPeer
+        self, process: harness_process.Process, effect: effects.SendPeer
     ) -> None:
         sender, to = process.vm.vm, effect.to
         if self._count_traffic:
             size = len(peer_messages.encode(effect.message))
             kind = type(effect.message).__name__
-            process.traffic.add(kind, size)
+            process.traffic.count_message(kind, size)
             if to in self.processes:
-                self.processes[to].traffic.add(kind, size)
+                self.processes[to].traffic.count_message(kind, size)
         if to not in self.processes:
             return
         event = events.PeerArrived(sender=sender, message=effect.message)
         for delay_us in self.network.delays_us(sender, to):
-            self.clock.after_us(delay_us, self._peer_arrives, to, event)
+            self.clock.after_us(delay_us, self._receive_peer_message, to, event)
 
-    def _peer_arrives(self, to: ids.VmId, event: events.PeerArrived) -> None:
+    def _receive_peer_message(
+        self, to: ids.VmId, event: events.PeerArrived
+    ) -> None:
         process = self.processes[to]
-        self._post(process, process.incarnation, event)
+        self._deliver(process, process.incarnation, event)
 
     def _reply(
-        self, process: process_lib.Process, effect: effects.Reply
+        self, process: harness_process.Process, effect: effects.Reply
     ) -> None:
         tell = process.tickets.pop(effect.ticket, None)
         for arrival in self.arrival_watchers:
@@ -360,13 +368,13 @@
         for delay_us in delays_us:
             self.clock.after_us(delay_us, tell, effect.body)
 
-    def _exit(self, process: process_lib.Process) -> None:
+    def _exit(self, process: harness_process.Process) -> None:
         process.exited_ms = self.clock.now_ms
         if process.tickets:
             process.cut_ms.append(self.clock.now_ms)
         self.kill(process.vm.vm)
 
-    def _call_arrives(
+    def _receive_call(
         self,
         vm: ids.VmId,
         ticket: ids.TicketId,
@@ -375,33 +383,38 @@
     ) -> None:
         process = self.processes[vm]
         if process.agent is None:
-            self.clock.after_ms(_REFUSED_MS, tell, None)
+            self.clock.after_ms(_REFUSAL_DELAY_MS, tell, None)
             return
         process.tickets[ticket] = tell
         event = events.CallArrived(ticket=ticket, body=body)
-        self._post(process, process.incarnation, event)
+        self._deliver(process, process.incarnation, event)
 
-    def _caller_gives_up(self, vm: ids.VmId, ticket: ids.TicketId) -> None:
+    def _time_out_caller(self, vm: ids.VmId, ticket: ids.TicketId) -> None:
         process = self.processes[vm]
         if process.tickets.pop(ticket, None) is not None:
             event = events.CallerLeft(ticket=ticket)
-            self._post(process, process.incarnation, event)
+            self._deliver(process, process.incarnation, event)
 
-    def _call_out(
+    def _send_call(
         self,
-        process: process_lib.Process,
+        process: harness_process.Process,
         effect: effects.Effect,
     ) -> None:
         """Sends a call; the answer or a timeout comes back as one event."""
-        target = services_lib.call_target(effect)
+        target = harness_services.call_target(effect)
         process.calls.add(effect.call)
         incarnation = process.incarnation
         self.clock.after_ms(
-            effect.timeout_ms, self._answer, process, incarnation, effect, None
+            effect.timeout_ms,
+            self._deliver_answer,
+            process,
+            incarnation,
+            effect,
+            None,
         )
         repeatable = not isinstance(effect, effects.CallRunner)
         if self._count_traffic:
-            process.traffic.add_call(effect)
+            process.traffic.count_call(effect)
         known = target in self.network._locations
         delays_us = (
             self.network.delays_us(process.vm.vm, target, repeatable=repeatable)
@@ -411,13 +424,18 @@
 
         def respond(event: events.Event) -> None:
             if self._count_traffic:
-                process.traffic.add_answer(event)
+                process.traffic.count_answer(event)
             back_us = self.network.delays_us(
                 target, process.vm.vm, repeatable=False
             )
             for delay_us in back_us:
                 self.clock.after_us(
-                    delay_us, self._answer, process, incarnation, effect, event
+                    delay_us,
+                    self._deliver_answer,
+                    process,
+                    incarnation,
+                    effect,
+                    event,
                 )
 
         for delay_us in delays_us:
@@ -427,7 +445,7 @@
 
     def _serve(
         self,
-        process: process_lib.Process,
+        process: harness_process.Process,
         effect: effects.Effect,
         target: str,
         respond: Callable[[events.Event], None],
@@ -438,9 +456,9 @@
             arrival(process.vm.vm, target, effect)
         self.services.serve(effect, respond)
 
-    def _answer(
+    def _deliver_answer(
         self,
-        process: process_lib.Process,
+        process: harness_process.Process,
         incarnation: int,
         effect: effects.Effect,
         event: events.Event | None,
@@ -450,6 +468,8 @@
         if effect.call not in process.calls:
             return
         process.calls.remove(effect.call)
-        self._post(
-            process, incarnation, event or services_lib.no_answer_event(effect)
+        self._deliver(
+            process,
+            incarnation,
+            event or harness_services.no_answer_event(effect),
         )
--- a/citronmount/bench/harness_network.py
+++ b/citronmount/bench/harness_network.py
@@ -52,14 +52,14 @@
         self._rng = rng
         self._locations: dict[str, str] = {}
 
-    def set_location(self, end_point: str, place: str) -> None:
-        """Says where an end point is.
+    def set_location(self, endpoint: str, location: str) -> None:
+        """Sets the location of an endpoint.
 
         Args:
-            end_point: A VM, target, service or the callers.
-            place: A failure domain, `PLATFORM` or `CALLERS`.
+            endpoint: Name of a VM, target or service, or `CALLERS`.
+            location: A failure domain, `PLATFORM` or `CALLERS`.
         """
-        self._locations[end_point] = place
+        self._locations[endpoint] = location
 
     def reachable(self, source: str, target: str) -> bool:
         """Returns whether no cut lies on the way from source to target."""
--- a/citronmount/bench/harness_process.py
+++ b/citronmount/bench/harness_process.py
@@ -15,7 +15,7 @@
 
 HTTP_HEADER_BYTES = 200
 
-_BODIES = {
+_BODY_FIELDS = {
     events.LogRead: "page",
     events.PlatformListed: "view",
     events.WorkerAnswered: "answer",
@@ -47,7 +47,7 @@
         default_factory=collections.Counter
     )
 
-    def add(self, kind: str, size: int) -> None:
+    def count_message(self, kind: str, size: int) -> None:
         """Counts one message.
 
         Args:
@@ -57,7 +57,7 @@
         self.messages[kind] += 1
         self.bytes[kind] += size
 
-    def add_call(self, effect: effects.Effect) -> None:
+    def count_call(self, effect: effects.Effect) -> None:
         """Counts a call at a service.
 
         Args:
@@ -70,17 +70,17 @@
             size += len(msgspec.json.encode(effect.spec))
         elif isinstance(effect, effects.AppendLog):
             size += len(msgspec.json.encode(effect.records))
-        self.add(type(effect).__name__, size)
+        self.count_message(type(effect).__name__, size)
 
-    def add_answer(self, event: events.Event) -> None:
+    def count_answer(self, event: events.Event) -> None:
         """Counts the answer to a call.
 
         Args:
             event: The answer.
         """
-        body = getattr(event, _BODIES.get(type(event), ""), None)
+        body = getattr(event, _BODY_FIELDS.get(type(event), ""), None)
         size = HTTP_HEADER_BYTES + len(msgspec.json.encode(body))
-        self.add(type(event).__name__, size)
+        self.count_message(type(event).__name__, size)
 
 
 class Process(msgspec.Struct, kw_only=True):
--- a/citronmount/bench/harness_services.py
+++ b/citronmount/bench/harness_services.py
@@ -27,7 +27,7 @@
 LOG = "log"
 VM_LIST = "vm-list"
 
-_SERVICE_MS = 1
+_LOG_DELAY_MS = 1
 
 Respond = Callable[[events.Event], None]
 
@@ -72,10 +72,10 @@
         )
         self.down: set[str] = set()
         self.refusing: set[str] = set()
-        self.log_delay_ms = _SERVICE_MS
+        self.log_delay_ms = _LOG_DELAY_MS
         self.lose_append_answers = False
         self._clock = clock
-        self._due_ms: dict[str, int] = {}
+        self._scheduled_end_ms: dict[str, int] = {}
         saved_progress: dict[ids.JobId, float] = {}
         self.workers = {
             target.name: worker_model.WorkerModel(
@@ -156,26 +156,26 @@
         """
         match effect:
             case effects.AppendLog():
-                self._append(effect, respond)
+                self._append_to_log(effect, respond)
             case effects.ReadLog():
-                self._read(effect, respond)
+                self._read_log(effect, respond)
             case effects.ListPlatform():
-                self._list(effect, respond)
+                self._list_platform(effect, respond)
             case effects.CallWorker():
-                self._work(effect, respond)
+                self._call_worker(effect, respond)
             case effects.CallRunner():
-                self._run(effect, respond)
+                self._call_runner(effect, respond)
 
-    def _append(
+    def _append_to_log(
         self,
         effect: effects.AppendLog,
         respond: Respond,
     ) -> None:
         self._clock.after_ms(
-            self.log_delay_ms, self._append_now, effect, respond
+            self.log_delay_ms, self._complete_append, effect, respond
         )
 
-    def _append_now(
+    def _complete_append(
         self,
         effect: effects.AppendLog,
         respond: Respond,
@@ -188,14 +188,14 @@
         if not self.lose_append_answers:
             respond(events.LogAppended(call=effect.call, offset=offset))
 
-    def _read(self, effect: effects.ReadLog, respond: Respond) -> None:
+    def _read_log(self, effect: effects.ReadLog, respond: Respond) -> None:
         page = self.log.read(
             effect.stream, effect.start, effect.limit, self._clock.now_ms
         )
         event = events.LogRead(call=effect.call, page=page)
         self._clock.after_ms(self.log_delay_ms, respond, event)
 
-    def _list(
+    def _list_platform(
         self,
         effect: effects.ListPlatform,
         respond: Respond,
@@ -203,36 +203,39 @@
         view = self.platform.view(self._clock.now_ms)
         respond(events.PlatformListed(call=effect.call, view=view))
 
-    def _work(
+    def _call_worker(
         self,
         effect: effects.CallWorker,
         respond: Respond,
     ) -> None:
         model = self.workers[effect.worker]
         answer = model.call(effect.body, self._clock.now_ms)
-        self._wake_worker(effect.worker)
+        self._schedule_worker_end(effect.worker)
         respond(
             events.WorkerAnswered(
                 call=effect.call, worker=effect.worker, answer=answer
             )
         )
 
-    def _wake_worker(self, name: str) -> None:
+    def _schedule_worker_end(self, name: str) -> None:
         due_ms = self.workers[name].next_end_ms()
-        if due_ms is None or self._due_ms.get(name, due_ms + 1) <= due_ms:
+        if (
+            due_ms is None
+            or self._scheduled_end_ms.get(name, due_ms + 1) <= due_ms
+        ):
             return
-        self._due_ms[name] = due_ms
+        self._scheduled_end_ms[name] = due_ms
         self._clock.after_ms(
             due_ms - self._clock.now_ms, self._advance_worker, name, due_ms
         )
 
     def _advance_worker(self, name: str, due_ms: int) -> None:
-        if self._due_ms.get(name) == due_ms:
-            del self._due_ms[name]
+        if self._scheduled_end_ms.get(name) == due_ms:
+            del self._scheduled_end_ms[name]
         self.workers[name].advance(self._clock.now_ms)
-        self._wake_worker(name)
+        self._schedule_worker_end(name)
 
-    def _run(
+    def _call_runner(
         self,
         effect: effects.CallRunner,
         respond: Respond,
@@ -247,16 +250,19 @@
             )
             return
         self._clock.after_ms(
-            runner_model.service_ms(effect.spec), self._ran, effect, respond
+            runner_model.service_ms(effect.spec),
+            self._finish_request,
+            effect,
+            respond,
         )
 
-    def _ran(
+    def _finish_request(
         self,
         effect: effects.CallRunner,
         respond: Respond,
     ) -> None:
         model = self.runners[effect.runner]
-        if not model.serving(effect.spec.request):
+        if not model.is_serving(effect.spec.request):
             return
         answer = model.finish(effect.spec.request, self._clock.now_ms)
         respond(
--- a/citronmount/bench/loopback.py
+++ b/citronmount/bench/loopback.py
@@ -19,7 +19,7 @@
 
 from citronmount.bench import loopback_cluster
 from citronmount.bench import loopback_load
-from citronmount.bench import loopback_steps as steps
+from citronmount.bench import loopback_steps
 from citronmount.clients import messages
 from citronmount.config import pool_file
 from citronmount.core import ids
@@ -50,7 +50,7 @@
         "",
     )
 ).encode("ascii")
-_TRAFFIC = (
+_TRAFFIC_GAUGES = (
     "peers.sent_bytes",
     "peers.received_bytes",
     "http.sent_bytes",
@@ -100,7 +100,7 @@
     faults: tuple[str, ...]
 
 
-def _pool() -> pool_file.Pool:
+def _make_pool() -> pool_file.Pool:
     workers = tuple(
         messages.ListedTarget(
             name=f"{domain}-w{number}",
@@ -126,7 +126,7 @@
     return pool_file.Pool(workers=workers, runners=runners)
 
 
-class _Trial:
+class _LoadTest:
     """One run under load on a cluster that is ready."""
 
     def __init__(self, cluster: loopback_cluster.Cluster) -> None:
@@ -143,28 +143,28 @@
         """Loads the cluster, kills one daemon and drains another."""
         parts = self._load.start(CALLERS)
         await _sleep(WARM_UP_S)
-        before, begin_s = _gauges(self._survivors), time.monotonic()
+        before, begin_s = _read_gauges(self._survivors), time.monotonic()
         await _sleep(PHASE_S)
         self._killed.process.kill()
         await _sleep(PHASE_S)
         status, cut = await self._drain()
         await _sleep(PHASE_S)
-        after, end_s = _gauges(self._survivors), time.monotonic()
+        after, end_s = _read_gauges(self._survivors), time.monotonic()
         self._load.stop()
         await defer.gatherResults(parts)
         await self._load.close()
         report = Report(
             tally=self._load.tally,
             latencies=self._load.metrics.snapshot().histograms,
-            doubled=_doubled(self._cluster),
+            doubled=_count_doubled(self._cluster),
             killed=self._killed.name,
             drained=self._drained.name,
             drain_status=status,
             cut_by_drain=cut,
-            use=_use(before, after, end_s - begin_s),
+            use=_usage_by_vm(before, after, end_s - begin_s),
             faults=(),
         )
-        return msgspec.structs.replace(report, faults=_faults(report))
+        return msgspec.structs.replace(report, faults=_find_faults(report))
 
     async def _drain(self) -> tuple[int, int]:
         """Returns the exit status and how many calls were cut meanwhile."""
@@ -172,9 +172,9 @@
         before = self._load.tally.cut.get(name, 0)
         self._drained.process.terminate()
         status = await threads.deferToThread(
-            self._drained.process.wait, loopback_cluster.STOP_LIMIT_S
+            self._drained.process.wait, loopback_cluster.STOP_TIMEOUT_S
         )
-        await _sleep(loopback_load.RETRY_S)
+        await _sleep(loopback_load.RETRY_DELAY_S)
         return status, self._load.tally.cut.get(name, 0) - before
 
 
@@ -184,11 +184,13 @@
     Returns:
         What was measured and checked.
     """
-    with loopback_cluster.open_cluster(_pool()) as cluster:
-        steps.publish(cluster, _SHEET)
-        steps.wait_until_ready(cluster)
-        report = await _Trial(cluster).run()
-        steps.drain_all(cluster, stopped=(report.killed, report.drained))
+    with loopback_cluster.open_cluster(_make_pool()) as cluster:
+        loopback_steps.publish(cluster, _SHEET)
+        loopback_steps.wait_until_ready(cluster)
+        report = await _LoadTest(cluster).run()
+        loopback_steps.drain_all(
+            cluster, stopped=(report.killed, report.drained)
+        )
     return report
 
 
@@ -196,16 +198,16 @@
     return task.deferLater(reactor, seconds)
 
 
-def _gauges(
+def _read_gauges(
     vms: tuple[loopback_cluster.Vm, ...],
 ) -> dict[str, dict[str, float]]:
     return {
-        vm.name: steps.call(vm, "GET", "/v1/metrics").body["gauges"]
+        vm.name: loopback_steps.call(vm, "GET", "/v1/metrics").body["gauges"]
         for vm in vms
     }
 
 
-def _use(
+def _usage_by_vm(
     before: dict[str, dict[str, float]],
     after: dict[str, dict[str, float]],
     elapsed_s: float,
@@ -216,8 +218,8 @@
 
     return {
         name: VmUse(
-            peer_bytes_per_s=rate(name, *_TRAFFIC[:2]),
-            http_bytes_per_s=rate(name, *_TRAFFIC[2:]),
+            peer_bytes_per_s=rate(name, *_TRAFFIC_GAUGES[:2]),
+            http_bytes_per_s=rate(name, *_TRAFFIC_GAUGES[2:]),
             processor_share=rate(name, "process.processor_s"),
             resident_mb=round(gauges["process.resident_bytes"] / 1e6, 1),
         )
@@ -225,7 +227,7 @@
     }
 
 
-def _doubled(cluster: loopback_cluster.Cluster) -> int:
+def _count_doubled(cluster: loopback_cluster.Cluster) -> int:
     """Counts keys that runners began more than once."""
     data = loopback_cluster.call(cluster.list_address, "GET", "/timeline").body
     started = collections.Counter(
@@ -237,7 +239,7 @@
     return sum(count > 1 for count in started.values())
 
 
-def _faults(report: Report) -> tuple[str, ...]:
+def _find_faults(report: Report) -> tuple[str, ...]:
     tally = report.tally
     unfinished = [state for state in tally.jobs_by_state if state != "done"]
     checks = (
--- a/citronmount/bench/loopback_cluster.py
+++ b/citronmount/bench/loopback_cluster.py
@@ -29,10 +29,10 @@
 
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
-START_LIMIT_S = 30.0
-STOP_LIMIT_S = 40.0
-POLL_S = 0.1
-CALL_LIMIT_S = 90.0
+START_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 40.0
+POLL_PERIOD_S = 0.1
+CALL_TIMEOUT_S = 90.0
 
 _HOST = "127.0.0.1"
 
@@ -215,7 +215,7 @@
     """
     with contextlib.ExitStack() as stack:
         directory = stack.enter_context(tempfile.TemporaryDirectory())
-        cluster = _lay_out(pathlib.Path(directory), pool, vms_per_domain)
+        cluster = _make_cluster(pathlib.Path(directory), pool, vms_per_domain)
         standins = cluster.start_standins()
         stack.callback(stop_process, standins)
         _wait_for_port(cluster.list_address)
@@ -244,7 +244,7 @@
     Raises:
         OSError: The server does not answer.
     """
-    connection = http.client.HTTPConnection(address, timeout=CALL_LIMIT_S)
+    connection = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_S)
     with contextlib.closing(connection):
         connection.request(method, path, body)
         response = connection.getresponse()
@@ -265,7 +265,7 @@
     """
     process.terminate()
     try:
-        return process.wait(STOP_LIMIT_S)
+        return process.wait(STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         return process.wait()
@@ -277,7 +277,7 @@
         vm.process.wait()
 
 
-def _lay_out(
+def _make_cluster(
     directory: pathlib.Path, pool: pool_file.Pool, vms_per_domain: int
 ) -> Cluster:
     addresses = _free_addresses()
@@ -333,14 +333,14 @@
 
 def _wait_for_port(address: str) -> None:
     host, _, port = address.rpartition(":")
-    limit_s = time.monotonic() + START_LIMIT_S
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         with socket.socket() as probe:
             if probe.connect_ex((host, int(port))) == 0:
                 return
-        if time.monotonic() > limit_s:
+        if time.monotonic() > deadline_s:
             raise TimeoutError(f"nothing listens at {address}")
-        time.sleep(POLL_S)
+        time.sleep(POLL_PERIOD_S)
 
 
 def _toml_lines(values: dict[str, typing.Any]) -> list[str]:
--- a/citronmount/bench/loopback_load.py
+++ b/citronmount/bench/loopback_load.py
@@ -24,11 +24,11 @@
 __all__ = ["Load", "Tally"]
 
 REQUEST_TIMEOUT_MS = 5_000
-SERVICE_MS = (2, 5, 10, 20)
-JOB_RUN_MS = (200, 500, 1_000)
-JOB_WAIT_MS = 30_000
+SERVICE_TIMES_MS = (2, 5, 10, 20)
+JOB_RUN_TIMES_MS = (200, 500, 1_000)
+JOB_TIMEOUT_MS = 30_000
 BALANCER_PERIOD_S = 0.25
-RETRY_S = 0.05
+RETRY_DELAY_S = 0.05
 JOB_PERIOD_S = 0.25
 
 _MS_PER_S = 1_000
@@ -107,7 +107,7 @@
             One Deferred for each part, which fires once it has stopped.
         """
         parts = (
-            self._balance(),
+            self._update_ready_vms(),
             self._submit_jobs(),
             *(self._send_requests() for _ in range(callers)),
         )
@@ -125,7 +125,7 @@
         """
         return self._pool.closeCachedConnections()
 
-    async def _balance(self) -> None:
+    async def _update_ready_vms(self) -> None:
         while not self._stopped:
             self.ready = [
                 vm for vm in self._vms if await self._is_ready(vm)
@@ -146,56 +146,59 @@
 
     async def _send_request(self, number: int, vm: loopback_cluster.Vm) -> None:
         payload = json.dumps(
-            {"service_ms": self._pick(SERVICE_MS, number), "number": number}
+            {
+                "service_ms": self._pick(SERVICE_TIMES_MS, number),
+                "number": number,
+            }
         )
-        once = number % 2 == 0
-        key = f"key-{number}" if once else ""
-        if once:
+        at_most_once = number % 2 == 0
+        key = f"key-{number}" if at_most_once else ""
+        if at_most_once:
             self.tally.keys.append(key)
         body = {
             "account": self._pick(self._accounts, number),
             "request": f"q{number}",
             "payload": payload,
             "timeout_ms": REQUEST_TIMEOUT_MS,
-            "idempotent": not once,
+            "idempotent": not at_most_once,
             "idempotency_key": key,
         }
         begin_s = time.monotonic()
-        found = await self._try(vm, "POST", "/v1/requests", body)
+        found = await self._call_or_none(vm, "POST", "/v1/requests", body)
         if found is None:
-            await self._sleep(RETRY_S)
+            await self._sleep(RETRY_DELAY_S)
             return
         duration_ms = (time.monotonic() - begin_s) * _MS_PER_S
         self.metrics.record_duration(
-            "request", "once" if once else "any", duration_ms
+            "request", "once" if at_most_once else "any", duration_ms
         )
-        self._judge(found, body)
+        self._check_answer(found, body)
 
-    def _judge(
+    def _check_answer(
         self, found: dict[str, typing.Any], body: dict[str, typing.Any]
     ) -> None:
         code = codes.ResultCode(found["code"])
         if code is codes.ResultCode.DONE:
-            mine = found["request"] == body["request"]
-            whole = found["payload"].endswith(body["payload"])
-            self.tally.answered += mine and whole
-            self.tally.wrong += not (mine and whole)
+            same_request = found["request"] == body["request"]
+            complete = found["payload"].endswith(body["payload"])
+            self.tally.answered += same_request and complete
+            self.tally.wrong += not (same_request and complete)
         elif codes.info(code).proves_not_run:
             self.tally.refused += 1
         else:
             self.tally.unknown += 1
 
     async def _submit_jobs(self) -> None:
-        ends = []
+        job_runs = []
         while not self._stopped:
             number = next(self._numbers)
             run = self._run_job(number, self._pick(self.ready, number))
-            ends.append(defer.ensureDeferred(run))
+            job_runs.append(defer.ensureDeferred(run))
             await self._sleep(JOB_PERIOD_S)
-        await defer.gatherResults(ends)
+        await defer.gatherResults(job_runs)
 
     async def _run_job(self, number: int, vm: loopback_cluster.Vm) -> None:
-        run_ms = self._pick(JOB_RUN_MS, number)
+        run_ms = self._pick(JOB_RUN_TIMES_MS, number)
         body = {
             "account": self._pick(self._accounts, number),
             "tasks": 1 + number % 2,
@@ -204,7 +207,7 @@
             "run_time_s": run_ms / _MS_PER_S,
         }
         begin_s = time.monotonic()
-        found = await self._try(vm, "POST", "/v1/jobs", body)
+        found = await self._call_or_none(vm, "POST", "/v1/jobs", body)
         if found is None or "job" not in found:
             self.tally.refused += found is not None
             return
@@ -216,21 +219,21 @@
         self.metrics.record_duration("job", "beyond_run", duration_ms - run_ms)
 
     async def _final_state(self, job: str, number: int) -> str:
-        limit_s = time.monotonic() + 2 * JOB_WAIT_MS / _MS_PER_S
+        deadline_s = time.monotonic() + 2 * JOB_TIMEOUT_MS / _MS_PER_S
         path = f"/v1/jobs/{job}?wait_ms=1000"
         last = "no answer"
         for attempt in itertools.count(number):
             vm = self._pick(self.ready, attempt)
-            found = await self._try(vm, "GET", path) or {}
+            found = await self._call_or_none(vm, "GET", path) or {}
             if "state" in found and states.JobState(found["state"]).final:
                 return found["state"]
             last = found.get("name") or found.get("state") or last
-            if time.monotonic() > limit_s:
+            if time.monotonic() > deadline_s:
                 return f"not final: {last}"
-            await self._sleep(RETRY_S)
+            await self._sleep(RETRY_DELAY_S)
         raise AssertionError("unreachable")
 
-    async def _try(
+    async def _call_or_none(
         self,
         vm: loopback_cluster.Vm,
         method: str,
--- a/citronmount/bench/loopback_steps.py
+++ b/citronmount/bench/loopback_steps.py
@@ -10,7 +10,7 @@
 from citronmount.core import states
 
 __all__ = [
-    "TrialError",
+    "StepFailedError",
     "call",
     "drain_all",
     "publish",
@@ -21,17 +21,17 @@
     "wait_until_ready",
 ]
 
-LIMIT_S = 40.0
-POLL_S = 0.2
+TIMEOUT_S = 40.0
+POLL_PERIOD_S = 0.2
 WAIT_MS = 30_000
 
 _OK = 200
 _ACCEPTED = 202
-_FAMILY = 1_000
+_CODES_PER_FAMILY = 1_000
 _RETRYABLE_FAMILY = 3
 
 
-class TrialError(Exception):
+class StepFailedError(Exception):
     """Something did not go as it must."""
 
 
@@ -46,7 +46,7 @@
         TrialError: The condition does not hold.
     """
     if not condition:
-        raise TrialError(message)
+        raise StepFailedError(message)
 
 
 def call(
@@ -67,28 +67,28 @@
 
 
 def wait_until(
-    ask: Callable[[], loopback_cluster.Answer],
-    good: Callable[[loopback_cluster.Answer], bool],
+    send_call: Callable[[], loopback_cluster.Answer],
+    is_expected: Callable[[loopback_cluster.Answer], bool],
 ) -> loopback_cluster.Answer:
-    """Repeats a call until its answer is good.
+    """Repeats a call until its answer is the expected one.
 
     Args:
-        ask: The call.
-        good: Judges the answer.
+        send_call: Sends the call and returns its answer.
+        is_expected: Returns whether an answer ends the wait.
 
     Returns:
-        The good answer.
+        The first expected answer.
 
     Raises:
-        TrialError: No answer was good within `LIMIT_S`.
+        StepFailedError: No expected answer came within `TIMEOUT_S`.
     """
-    limit_s = time.monotonic() + LIMIT_S
+    deadline_s = time.monotonic() + TIMEOUT_S
     while True:
-        answer = ask()
-        if good(answer):
+        answer = send_call()
+        if is_expected(answer):
             return answer
-        require(time.monotonic() < limit_s, f"gave up: {answer.body}")
-        time.sleep(POLL_S)
+        require(time.monotonic() < deadline_s, f"gave up: {answer.body}")
+        time.sleep(POLL_PERIOD_S)
 
 
 def publish(cluster: loopback_cluster.Cluster, data: bytes) -> int:
@@ -104,7 +104,9 @@
     path = "/v1/configuration?base_version=0&author=trial"
     answer = wait_until(
         lambda: call(cluster.vms[0], "PUT", path, data),
-        lambda found: found.body["code"] // _FAMILY != _RETRYABLE_FAMILY,
+        lambda found: (
+            found.body["code"] // _CODES_PER_FAMILY != _RETRYABLE_FAMILY
+        ),
     )
     accepted = codes.ResultCode.CONFIGURATION_ACCEPTED
     require(answer.body["code"] == accepted, f"publish: {answer.body}")
@@ -125,7 +127,7 @@
         )
         wait_until(
             lambda vm=vm: call(vm, "GET", "/v1/membership"),
-            lambda found: _owned(found.body) == domains,
+            lambda found: _owned_domains(found.body) == domains,
         )
 
 
@@ -160,8 +162,8 @@
         return wait_until(
             lambda: call(vm, "GET", path), lambda found: _is_final(found.body)
         ).body
-    except TrialError as error:
-        raise TrialError(f"{job}: {error}") from error
+    except StepFailedError as error:
+        raise StepFailedError(f"{job}: {error}") from error
 
 
 def drain_all(
@@ -177,13 +179,13 @@
     for vm in running:
         vm.process.terminate()
     found = {
-        vm.name: vm.process.wait(loopback_cluster.STOP_LIMIT_S)
+        vm.name: vm.process.wait(loopback_cluster.STOP_TIMEOUT_S)
         for vm in running
     }
     require(not any(found.values()), f"exit statuses: {found}")
 
 
-def _owned(body: dict[str, typing.Any]) -> set[str]:
+def _owned_domains(body: dict[str, typing.Any]) -> set[str]:
     return {m["failure_domain"] for m in body["members"] if m["owner"]}
 
 
--- a/citronmount/bench/tests/test_loopback_cluster.py
+++ b/citronmount/bench/tests/test_loopback_cluster.py
@@ -4,7 +4,7 @@
 import unittest
 
 from citronmount.bench import loopback_cluster
-from citronmount.bench import loopback_steps as steps
+from citronmount.bench import loopback_steps
 from citronmount.clients import messages
 from citronmount.config import pool_file
 from citronmount.core import ids
@@ -43,8 +43,8 @@
 
     def test_publish_run_and_drain(self) -> None:
         with loopback_cluster.open_cluster(_pool()) as cluster:
-            self.assertEqual(1, steps.publish(cluster, _SHEET))
-            steps.wait_until_ready(cluster)
+            self.assertEqual(1, loopback_steps.publish(cluster, _SHEET))
+            loopback_steps.wait_until_ready(cluster)
             first, second = cluster.vms
             gang = {
                 "account": "hana",
@@ -53,14 +53,17 @@
                 "command": json.dumps({"run_ms": 100}),
             }
             leftover = {**gang, "account": "duri", "tasks": 1}
-            found = [steps.submit(first, body) for body in (gang, leftover)]
+            found = [
+                loopback_steps.submit(first, body) for body in (gang, leftover)
+            ]
             ends = [
-                steps.wait_for_result(second, job)["state"] for job in found
+                loopback_steps.wait_for_result(second, job)["state"]
+                for job in found
             ]
             self.assertEqual(["done", "done"], ends)
             body = {"account": "hana", "request": "q", "payload": "mine"}
             data = json.dumps(body).encode("ascii")
-            answer = steps.call(second, "POST", "/v1/requests", data)
+            answer = loopback_steps.call(second, "POST", "/v1/requests", data)
             self.assertEqual(1002, answer.body["code"])
             self.assertTrue(answer.body["payload"].endswith("mine"))
-            steps.drain_all(cluster)
+            loopback_steps.drain_all(cluster)
--- a/citronmount/bench/timings.py
+++ b/citronmount/bench/timings.py
@@ -27,9 +27,9 @@
 TEAM_SCALE = 0.25
 GANG_SIZES = (1, 8, 32, 128)
 FILL_SHARE = 0.7
-DECISIONS = 30
+PROBE_COUNT = 30
 DAY_S = 86_400.0
-MEGABYTE = 1 << 20
+BYTES_PER_MIB = 1 << 20
 _TASK = jobs.Resources(accelerators=1, cores=2, memory_gb=8)
 
 
@@ -76,10 +76,15 @@
     Returns:
         The report.
     """
-    by_pool = _rows(
-        [(_workers(scale), _cost_s(seed, scale, 1)) for scale in POOL_SCALES]
+    by_pool = _cost_rows(
+        [
+            (_worker_count(scale), _median_cost_s(seed, scale, 1))
+            for scale in POOL_SCALES
+        ]
+    )
+    by_gang = _cost_rows(
+        [(size, _median_cost_s(seed, 1.0, size)) for size in GANG_SIZES]
     )
-    by_gang = _rows([(size, _cost_s(seed, 1.0, size)) for size in GANG_SIZES])
     log_growth = math.log(by_pool[-1].size) / math.log(by_pool[0].size)
     gang_growth = by_gang[-1].size / by_gang[0].size
     return TimingReport(
@@ -92,7 +97,7 @@
     )
 
 
-def _rows(costs: list[tuple[int, float]]) -> tuple[CostRow, ...]:
+def _cost_rows(costs: list[tuple[int, float]]) -> tuple[CostRow, ...]:
     first_s = costs[0][1]
     return tuple(
         CostRow(size=size, cost_ratio=report.rounded(cost_s / first_s))
@@ -100,7 +105,7 @@
     )
 
 
-def _workers(scale: float) -> int:
+def _worker_count(scale: float) -> int:
     return len(_domain_workers(sites.two_year(scale)))
 
 
@@ -109,7 +114,7 @@
     return tuple(w for w in site.workers if w.failure_domain == domain)
 
 
-def _filled(
+def _fill_scheduler(
     seed: int, scale: float, team_scale: float = TEAM_SCALE
 ) -> tuple[scheduler_lib.DomainScheduler, sites.Site, int]:
     """Returns a scheduler whose pool is mostly taken, and the time."""
@@ -146,9 +151,9 @@
     return placed
 
 
-def _cost_s(seed: int, scale: float, tasks: int) -> float:
+def _median_cost_s(seed: int, scale: float, tasks: int) -> float:
     """Returns the processor time to submit, place and end one gang."""
-    scheduler, site, now_ms = _filled(seed, scale)
+    scheduler, site, now_ms = _fill_scheduler(seed, scale)
     for job in scheduler.queued():
         scheduler.cancel(job)
     account = next(
@@ -157,7 +162,7 @@
         if account.account_class is states.AccountClass.PAYING
     )
     costs_s = []
-    for number in range(DECISIONS):
+    for number in range(PROBE_COUNT):
         spec = jobs.JobSpec(
             job=ids.job_id(site.domains[0], f"probe{number}"),
             account=account,
@@ -185,10 +190,10 @@
 def _state_mb(seed: int) -> float:
     gc.collect()
     tracemalloc.start()
-    scheduler, _, now_ms = _filled(seed, 1.0, team_scale=1.0)
+    scheduler, _, now_ms = _fill_scheduler(seed, 1.0, team_scale=1.0)
     later_ms = now_ms + workload.HOUR_MS
     scheduler.decide(later_ms)
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held / MEGABYTE
+    return allocated_bytes / BYTES_PER_MIB
--- a/citronmount/standins/http_servers.py
+++ b/citronmount/standins/http_servers.py
@@ -71,7 +71,7 @@
     return int(time.monotonic_ns() * _MS_PER_NS)
 
 
-class _Server:
+class _FaultyServer:
     """What all servers share: faults, a clock and the time line."""
 
     def __init__(self, *, reactor: interfaces.IReactorTime) -> None:
@@ -94,7 +94,7 @@
         return b""
 
 
-class LogServer(_Server):
+class LogServer(_FaultyServer):
     """The log service over HTTP."""
 
     app = klein.Klein()
@@ -147,7 +147,7 @@
         return wire_format.encode(wire_format.AppendAnswer(offset=offset))
 
 
-class PlatformServer(_Server):
+class PlatformServer(_FaultyServer):
     """The platform's list of VMs and targets over HTTP."""
 
     app = klein.Klein()
@@ -218,7 +218,7 @@
         return self._set_faults(request)
 
 
-class WorkerServer(_Server):
+class WorkerServer(_FaultyServer):
     """A worker over HTTP."""
 
     app = klein.Klein()
@@ -253,7 +253,7 @@
         return self._set_faults(request)
 
 
-class RunnerServer(_Server):
+class RunnerServer(_FaultyServer):
     """A runner over HTTP."""
 
     app = klein.Klein()
@@ -295,7 +295,7 @@
         return wire_format.encode(answer)
 
 
-class _Fleet:
+class _Targets:
     """The targets of one process by name."""
 
     def __init__(self, settings: StandinSettings, emit: Emit) -> None:
@@ -341,7 +341,7 @@
     Returns:
         Stops listening when it is closed.
     """
-    fleet = _Fleet(settings, emit.append)
+    targets = _Targets(settings, emit.append)
     log_service = log_model.LogModel(retention_ms=settings.log_retention_ms)
     view = messages.PlatformView(
         vms=settings.vms, workers=settings.workers, runners=settings.runners
@@ -349,7 +349,7 @@
     vm_list = platform_model.PlatformModel(
         lag_ms=settings.vm_list_lag_ms, view=view
     )
-    servers: list[tuple[str, _Server]] = [
+    servers: list[tuple[str, _FaultyServer]] = [
         (settings.log_address, LogServer(reactor=reactor, model=log_service)),
         (
             settings.vm_list_address,
@@ -357,17 +357,17 @@
                 reactor=reactor,
                 model=vm_list,
                 timeline=emit,
-                on_target_state=fleet.set_state,
+                on_target_state=targets.set_state,
             ),
         ),
     ]
     servers += [
         (model.target.address, WorkerServer(reactor=reactor, model=model))
-        for model in fleet.workers.values()
+        for model in targets.workers.values()
     ]
     servers += [
         (model.target.address, RunnerServer(reactor=reactor, model=model))
-        for model in fleet.runners.values()
+        for model in targets.runners.values()
     ]
     with contextlib.ExitStack() as stack:
         for address, one in servers:
@@ -378,7 +378,7 @@
 def _listen(
     reactor: interfaces.IReactorTCP,
     address: str,
-    one: _Server,
+    one: _FaultyServer,
     stack: contextlib.ExitStack,
 ) -> None:
     host, _, port = address.rpartition(":")
--- a/citronmount/standins/log_model.py
+++ b/citronmount/standins/log_model.py
@@ -41,9 +41,11 @@
         self._streams: dict[ids.StreamName, collections.deque[_Entry]] = (
             collections.defaultdict(collections.deque)
         )
-        self._ends: dict[ids.StreamName, int] = collections.defaultdict(int)
-        self._all: dict[ids.StreamName, list[_Entry]] = collections.defaultdict(
-            list
+        self._end_offsets: dict[ids.StreamName, int] = collections.defaultdict(
+            int
+        )
+        self._history: dict[ids.StreamName, list[_Entry]] = (
+            collections.defaultdict(list)
         )
 
     def append(
@@ -62,7 +64,7 @@
         Returns:
             The offset of the first record.
         """
-        first = self._ends[stream]
+        first = self._end_offsets[stream]
         entries = [
             _Entry(
                 appended_ms=now_ms,
@@ -74,8 +76,8 @@
         ]
         self._streams[stream].extend(entries)
         if self.keep_history:
-            self._all[stream].extend(entries)
-        self._ends[stream] = first + len(records)
+            self._history[stream].extend(entries)
+        self._end_offsets[stream] = first + len(records)
         return ids.Offset(first)
 
     def read(
@@ -95,7 +97,7 @@
         entries = self._streams[stream]
         while entries and entries[0].appended_ms + self.retention_ms <= now_ms:
             entries.popleft()
-        end = self._ends[stream]
+        end = self._end_offsets[stream]
         oldest = entries[0].record.offset if entries else end
         skipped = max(0, start - oldest)
         wanted = itertools.islice(entries, skipped, skipped + limit)
@@ -116,4 +118,4 @@
         Returns:
             Pairs of the time of the append and the record.
         """
-        return [(e.appended_ms, e.record) for e in self._all[stream]]
+        return [(e.appended_ms, e.record) for e in self._history[stream]]
--- a/citronmount/standins/platform_model.py
+++ b/citronmount/standins/platform_model.py
@@ -58,7 +58,7 @@
             now_ms: Time of the change.
         """
         others = tuple(v for v in self.latest().vms if v.vm != vm.vm)
-        self._change(now_ms, vms=(*others, vm))
+        self._record_change(now_ms, vms=(*others, vm))
 
     def remove_vm(self, vm: ids.VmId, now_ms: int) -> None:
         """Removes a VM.
@@ -67,8 +67,8 @@
             vm: The VM.
             now_ms: Time of the change.
         """
-        left = tuple(v for v in self.latest().vms if v.vm != vm)
-        self._change(now_ms, vms=left)
+        remaining = tuple(v for v in self.latest().vms if v.vm != vm)
+        self._record_change(now_ms, vms=remaining)
 
     def set_worker(self, worker: messages.ListedTarget, now_ms: int) -> None:
         """Adds a worker or replaces its entry.
@@ -77,8 +77,8 @@
             worker: The entry.
             now_ms: Time of the change.
         """
-        workers = _replaced(self.latest().workers, worker)
-        self._change(now_ms, workers=workers)
+        workers = _with_target(self.latest().workers, worker)
+        self._record_change(now_ms, workers=workers)
 
     def set_runner(self, runner: messages.ListedTarget, now_ms: int) -> None:
         """Adds a runner or replaces its entry.
@@ -87,8 +87,8 @@
             runner: The entry.
             now_ms: Time of the change.
         """
-        runners = _replaced(self.latest().runners, runner)
-        self._change(now_ms, runners=runners)
+        runners = _with_target(self.latest().runners, runner)
+        self._record_change(now_ms, runners=runners)
 
     def remove_target(self, name: str, now_ms: int) -> None:
         """Removes a worker or runner.
@@ -98,7 +98,7 @@
             now_ms: Time of the change.
         """
         latest = self.latest()
-        self._change(
+        self._record_change(
             now_ms,
             workers=tuple(t for t in latest.workers if t.name != name),
             runners=tuple(t for t in latest.runners if t.name != name),
@@ -115,18 +115,18 @@
             now_ms: Time of the change.
         """
         latest = self.latest()
-        self._change(
+        self._record_change(
             now_ms,
             workers=_with_state(latest.workers, name, state),
             runners=_with_state(latest.runners, name, state),
         )
 
-    def _change(self, now_ms: int, **fields: object) -> None:
+    def _record_change(self, now_ms: int, **fields: object) -> None:
         view = msgspec.structs.replace(self.latest(), **fields)
         self._history.append((now_ms, view))
 
 
-def _replaced(
+def _with_target(
     targets: tuple[messages.ListedTarget, ...], target: messages.ListedTarget
 ) -> tuple[messages.ListedTarget, ...]:
     return (*(t for t in targets if t.name != target.name), target)
--- a/citronmount/standins/pool_log.py
+++ b/citronmount/standins/pool_log.py
@@ -19,7 +19,7 @@
 PARTITION_COUNT = 12
 
 _MS_PER_S = 1_000
-_PROCESSES = itertools.count(1)
+_PROCESS_NUMBERS = itertools.count(1)
 
 
 class LogFault(enum.Enum):
@@ -59,8 +59,10 @@
         self.faults: dict[ids.VmId, LogFault] = {}
         self.silent_topics: set[ports.Topic] = set()
         self.extra_join_delay_s = 0.0
-        self._first: dict[ports.Topic, int] = dict.fromkeys(ports.Topic, 0)
-        self._waiting: list[defer.Deferred[None]] = []
+        self._first_offsets: dict[ports.Topic, int] = dict.fromkeys(
+            ports.Topic, 0
+        )
+        self._append_waiters: list[defer.Deferred[None]] = []
         self._producer = _Producer()
         self._members: dict[str, float] = {}
         self._generation = 0
@@ -75,14 +77,14 @@
             ports.LogRecord(key=key, value=value, offset=first + number)
             for number, (key, value) in enumerate(entries)
         ]
-        waiting, self._waiting = self._waiting, []
+        waiting, self._append_waiters = self._append_waiters, []
         for each in waiting:
             each.callback(None)
         return first
 
     def drop_history(self, topic: ports.Topic) -> None:
         """Drops the history of a topic; the newest of each key stays."""
-        self._first[topic] = len(self.topics[topic])
+        self._first_offsets[topic] = len(self.topics[topic])
 
     def read_page(self, topic: ports.Topic, offset: int) -> ports.LogPage:
         """Returns the records from an offset on.
@@ -90,7 +92,7 @@
         Raises:
             LogTruncatedError: They expired.
         """
-        if offset < self._first[topic]:
+        if offset < self._first_offsets[topic]:
             raise ports.LogTruncatedError
         records = tuple(self.topics[topic][offset:])
         end = len(self.topics[topic])
@@ -124,7 +126,7 @@
     def join(self, member: str, ttl_ms: int) -> ports.Membership:
         """Joins the group; the first member that is alive is the owner."""
         now_s = self.clock.seconds()
-        before = list(self._members)
+        old_members = list(self._members)
         self._members = {
             each: until_s
             for each, until_s in self._members.items()
@@ -132,7 +134,7 @@
         }
         self._members.setdefault(member, 0)
         self._members[member] = now_s + ttl_ms / _MS_PER_S
-        self._generation += before != list(self._members)
+        self._generation += old_members != list(self._members)
         dealt = list(self._members).index(member) < PARTITION_COUNT
         return ports.Membership(
             generation=self._generation,
@@ -163,14 +165,14 @@
     def wait_for_append(self, wait_ms: int) -> defer.Deferred[None]:
         """Fires when something is appended or the time is over."""
         waiting: defer.Deferred[None] = defer.Deferred()
-        self._waiting.append(waiting)
+        self._append_waiters.append(waiting)
 
-        def give_up() -> None:
+        def fire_on_timeout() -> None:
             if not waiting.called:
-                self._waiting.remove(waiting)
+                self._append_waiters.remove(waiting)
                 waiting.callback(None)
 
-        self.clock.callLater(wait_ms / _MS_PER_S, give_up)
+        self.clock.callLater(wait_ms / _MS_PER_S, fire_on_timeout)
         return waiting
 
 
@@ -190,7 +192,7 @@
             vm: The VM that calls.
         """
         self.calls = itertools.count()
-        self.member = f"{vm}/{next(_PROCESSES)}"
+        self.member = f"{vm}/{next(_PROCESS_NUMBERS)}"
         self._log = log
         self._vm = vm
 
@@ -198,9 +200,9 @@
         self, records: Sequence[tuple[str, bytes | None]], timeout_ms: int
     ) -> int:
         """Appends to the job topic."""
-        await self._arrive(timeout_ms, ports.Topic.JOBS)
+        await self._send_request(timeout_ms, ports.Topic.JOBS)
         offset = self._log.append_records(ports.Topic.JOBS, records)
-        await self._answer(timeout_ms)
+        await self._receive_answer(timeout_ms)
         return offset
 
     async def append_as_owner(
@@ -211,20 +213,20 @@
         timeout_ms: int,
     ) -> int:
         """Appends to the job topic unless a newer epoch was seen."""
-        await self._arrive(timeout_ms, ports.Topic.JOBS)
+        await self._send_request(timeout_ms, ports.Topic.JOBS)
         offset = self._log.append_as_owner(records, epoch, sequence)
-        await self._answer(timeout_ms)
+        await self._receive_answer(timeout_ms)
         return offset
 
     async def read(
         self, topic: ports.Topic, offset: int, wait_ms: int, timeout_ms: int
     ) -> ports.LogPage:
         """Reads records, waiting for the first if there is none yet."""
-        await self._arrive(timeout_ms, topic)
+        await self._send_request(timeout_ms, topic)
         page = self._log.read_page(topic, offset)
         if not page.records and wait_ms:
             await self._log.wait_for_append(wait_ms)
-            await self._arrive(timeout_ms, topic)
+            await self._send_request(timeout_ms, topic)
             page = self._log.read_page(topic, offset)
         await task.deferLater(self._log.clock, ANSWER_S / 2)
         return page
@@ -233,33 +235,33 @@
         self, topic: ports.Topic, timeout_ms: int
     ) -> ports.Snapshot:
         """Reads the newest record of each key."""
-        await self._arrive(timeout_ms, topic)
+        await self._send_request(timeout_ms, topic)
         return self._log.snapshot(topic)
 
     async def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> ports.Membership:
         """Joins the owners' group or stays in it."""
-        await self._arrive(timeout_ms)
+        await self._send_request(timeout_ms)
         await task.deferLater(self._log.clock, self._log.extra_join_delay_s)
         return self._log.join(self.member, ttl_ms)
 
     async def members(self, timeout_ms: int) -> frozenset[str]:
         """Tells which members of the owners' group are alive."""
-        await self._arrive(timeout_ms)
+        await self._send_request(timeout_ms)
         return self._log.members()
 
     async def leave(self, timeout_ms: int) -> None:
         """Leaves the owners' group."""
-        await self._arrive(timeout_ms)
+        await self._send_request(timeout_ms)
         self._log.leave(self.member)
 
-    async def _arrive(
+    async def _send_request(
         self, timeout_ms: int, topic: ports.Topic | None = None
     ) -> None:
         next(self.calls)
         if timeout_ms < ANSWER_S * _MS_PER_S:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
         await task.deferLater(self._log.clock, ANSWER_S / 2)
         fault = self._log.faults.get(self._vm, LogFault.NONE)
         if fault is LogFault.REFUSES:
@@ -267,15 +269,15 @@
                 "refused", code=codes.ResultCode.UNREACHABLE
             )
         if fault is LogFault.SILENT or topic in self._log.silent_topics:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
 
-    async def _answer(self, timeout_ms: int) -> None:
+    async def _receive_answer(self, timeout_ms: int) -> None:
         await task.deferLater(self._log.clock, ANSWER_S / 2)
         fault = self._log.faults.get(self._vm, LogFault.NONE)
         if fault is LogFault.LOSES_ANSWERS:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
 
-    async def _time_out(self, timeout_ms: int) -> None:
+    async def _wait_for_timeout(self, timeout_ms: int) -> None:
         await task.deferLater(self._log.clock, timeout_ms / _MS_PER_S)
         raise ports.UnknownOutcomeError(
             "no answer", code=codes.ResultCode.TIMED_OUT
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -133,24 +133,24 @@
         self, command: commands.Start, timeout_ms: int
     ) -> tuple[commands.StartOutcome, int | None]:
         """Starts a task."""
-        worker = await self._reach(command)
+        worker = await self._reach_worker(command)
         if self._refuses(command):
             return commands.StartOutcome.UNREACHABLE, None
         if worker is None:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
         if worker.fault is WorkerFault.LOSES_NEXT_ANSWER:
             worker.fault = WorkerFault.NONE
             worker.start(command)
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
         if worker.fault is WorkerFault.LOSES_NEXT_START:
             worker.fault = WorkerFault.NONE
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
         if worker.fault is WorkerFault.LATE:
             self.clock.callLater(worker.start_delay_s, worker.start, command)
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
         return worker.start(command), worker.now_ms()
 
@@ -158,9 +158,9 @@
         self, command: commands.Stop, timeout_ms: int
     ) -> tuple[commands.StopOutcome, int | None]:
         """Stops a run."""
-        worker = await self._reach(command)
+        worker = await self._reach_worker(command)
         if worker is None:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StopOutcome.UNKNOWN, None
         return worker.stop(command), worker.now_ms()
 
@@ -186,16 +186,16 @@
         self.open_renewals += 1
         self.max_open_renewals = max(self.max_open_renewals, self.open_renewals)
         try:
-            return await self._hold(command, timeout_ms)
+            return await self._renew_leases(command, timeout_ms)
         finally:
             self.open_renewals -= 1
 
-    async def _hold(
+    async def _renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
-        worker = await self._reach(command)
+        worker = await self._reach_worker(command)
         if worker is None:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StopOutcome.UNKNOWN
         outcome = worker.renew(command)
         if outcome is not None:
@@ -204,11 +204,13 @@
         while not worker.ends and self.now_ms() < end_ms:
             await task.deferLater(self.clock, 0.01)
         if worker.fault is WorkerFault.SILENT:
-            await self._time_out(timeout_ms - command.wait_ms)
+            await self._wait_for_timeout(timeout_ms - command.wait_ms)
             return commands.StopOutcome.UNKNOWN
         return worker.report()
 
-    async def _reach(self, command: commands.Command) -> "PoolWorker | None":
+    async def _reach_worker(
+        self, command: commands.Command
+    ) -> "PoolWorker | None":
         await task.deferLater(self.clock, REQUEST_DELAY_S)
         worker = self.workers.get(command.worker.worker)
         if worker is None or worker.fault in _UNREACHABLE:
@@ -221,29 +223,31 @@
         worker = self.workers.get(command.worker.worker)
         return worker is not None and worker.fault is WorkerFault.REFUSING
 
-    async def _time_out(self, timeout_ms: int) -> None:
+    async def _wait_for_timeout(self, timeout_ms: int) -> None:
         await task.deferLater(self.clock, timeout_ms / _MS_PER_S)
 
-    def gang_present(self, name: units.TaskName, run: int, size: int) -> bool:
+    def is_gang_present(
+        self, name: units.TaskName, run: int, size: int
+    ) -> bool:
         """Returns whether all members of a gang's run are at workers."""
-        return len(self._members(name, run)) == size
+        return len(self._gang_members(name, run)) == size
 
-    def gang_finished(self, name: units.TaskName, run: int) -> bool:
+    def is_gang_finished(self, name: units.TaskName, run: int) -> bool:
         """Returns whether all members of a gang's run have done their work."""
-        return all(each.finished for _, each in self._members(name, run))
+        return all(each.finished for _, each in self._gang_members(name, run))
 
-    def gang_began_ms(self, name: units.TaskName, run: int) -> int:
+    def gang_start_ms(self, name: units.TaskName, run: int) -> int:
         """Returns when the last member of a gang's run came."""
-        return max(each.began_ms for _, each in self._members(name, run))
+        return max(each.began_ms for _, each in self._gang_members(name, run))
 
     def end_gang(
         self, name: units.TaskName, run: int, kind: commands.EndKind
     ) -> None:
         """Ends every member of a gang's run."""
-        for worker, each in self._members(name, run):
+        for worker, each in self._gang_members(name, run):
             worker.end(each, kind)
 
-    def _members(
+    def _gang_members(
         self, name: units.TaskName, run: int
     ) -> list[tuple["PoolWorker", _Running]]:
         """Returns the members of a gang's run and where they are."""
@@ -284,9 +288,9 @@
         self.clock_rate = 1.0
         self._pool = pool
         self._token = 0
-        self._until_ms = 0
-        self._barred: dict[units.TaskName, int] = {}
-        self._numbers = itertools.count(1)
+        self._lease_until_ms = 0
+        self._refused_runs: dict[units.TaskName, int] = {}
+        self._end_numbers = itertools.count(1)
 
     def now_ms(self) -> int:
         """Returns the worker's own clock, on which leases are measured."""
@@ -297,15 +301,15 @@
         if command.token < self._token:
             return commands.StartOutcome.FENCED
         self._token = command.token
-        self._until_ms = max(self._until_ms, command.until_ms)
+        self._lease_until_ms = max(self._lease_until_ms, command.until_ms)
         present = self.running.get(command.task)
         if present is not None and present.run == command.run:
             return commands.StartOutcome.STARTED
-        if command.run <= self._barred.get(command.task, 0):
+        if command.run <= self._refused_runs.get(command.task, 0):
             return commands.StartOutcome.STALE_RUN
         if command.until_ms <= self.now_ms():
             return commands.StartOutcome.LEASE_EXPIRED
-        self._check_start(command)
+        self._check_exactly_once(command)
         self._pool.tickets[command.task] = command.ticket
         plan = self._pool.plan_task(command.task, command.run)
         run = _Running(
@@ -317,7 +321,7 @@
         )
         self.running[command.task] = run
         self._pool.starts.append((command.task, command.run, self.entry.worker))
-        self._check_room()
+        self._check_capacity()
         self._pool.clock.callLater(
             plan.run_time_ms * self.slowdown / _MS_PER_S, self._finish, run
         )
@@ -333,7 +337,7 @@
         if command.token < self._token:
             return commands.StopOutcome.FENCED
         self._token = command.token
-        self._bar(command.task, command.run)
+        self._refuse_run(command.task, command.run)
         run = self.running.get(command.task)
         if run is not None and run.run <= command.run and not run.stopping:
             run.stopping = True
@@ -353,7 +357,7 @@
             return commands.StopOutcome.FENCED
         self._token = command.token
         if command.until_ms is not None:
-            self._until_ms = max(self._until_ms, command.until_ms)
+            self._lease_until_ms = max(self._lease_until_ms, command.until_ms)
         self.ends = [end for end in self.ends if end.number > command.last_seen]
         return None
 
@@ -384,11 +388,11 @@
             return 100
         began_ms = run.began_ms
         if run.plan.gang > 1:
-            began_ms = self._pool.gang_began_ms(run.task, run.run)
+            began_ms = self._pool.gang_start_ms(run.task, run.run)
         if self.stalled:
             return 0
-        whole_ms = run.plan.run_time_ms * self.slowdown
-        done = (self._pool.now_ms() - began_ms) / max(whole_ms, 1)
+        total_ms = run.plan.run_time_ms * self.slowdown
+        done = (self._pool.now_ms() - began_ms) / max(total_ms, 1)
         return int(max(min(done, 1.0), 0.0) * 100)
 
     def crash(self) -> None:
@@ -402,12 +406,12 @@
         if self.running.get(run.task) is not run:
             return
         del self.running[run.task]
-        self._bar(run.task, run.run)
+        self._refuse_run(run.task, run.run)
         if kind is commands.EndKind.DONE and not run.plan.lasting:
             self._pool.finished_tasks.add(run.task)
         self.ends.append(
             commands.EndedTask(
-                number=next(self._numbers),
+                number=next(self._end_numbers),
                 task=run.task,
                 run=run.run,
                 kind=kind,
@@ -415,8 +419,8 @@
             )
         )
 
-    def _bar(self, name: units.TaskName, run: int) -> None:
-        self._barred[name] = max(self._barred.get(name, 0), run)
+    def _refuse_run(self, name: units.TaskName, run: int) -> None:
+        self._refused_runs[name] = max(self._refused_runs.get(name, 0), run)
 
     def _finish(self, run: _Running) -> None:
         if self.running.get(run.task) is not run or run.stopping:
@@ -428,19 +432,19 @@
         if run.plan.gang == 1:
             self.end(run, kind)
             return
-        if not self._pool.gang_present(run.task, run.run, run.plan.gang):
+        if not self._pool.is_gang_present(run.task, run.run, run.plan.gang):
             return
         run.finished = True
-        if not failed and not self._pool.gang_finished(run.task, run.run):
+        if not failed and not self._pool.is_gang_finished(run.task, run.run):
             return
         self.end(run, kind)
-        rest = commands.EndKind.MEMBER_LOST if failed else kind
-        self._pool.end_gang(run.task, run.run, rest)
+        other_members_kind = commands.EndKind.MEMBER_LOST if failed else kind
+        self._pool.end_gang(run.task, run.run, other_members_kind)
 
     def _check_gang(self, run: _Running) -> None:
         if self.running.get(run.task) is not run or run.stopping:
             return
-        if not self._pool.gang_present(run.task, run.run, run.plan.gang):
+        if not self._pool.is_gang_present(run.task, run.run, run.plan.gang):
             self._pool.violations.append(
                 f"GANG: {run.task} run {run.run} alone"
             )
@@ -449,13 +453,13 @@
     def _check_lease(self) -> None:
         if not self.running:
             return
-        if self.now_ms() > self._until_ms:
+        if self.now_ms() > self._lease_until_ms:
             for run in list(self.running.values()):
                 self.end(run, commands.EndKind.LEASE_EXPIRED)
             return
         self._pool.clock.callLater(0.1, self._check_lease)
 
-    def _check_start(self, command: commands.Start) -> None:
+    def _check_exactly_once(self, command: commands.Start) -> None:
         if command.task in self._pool.finished_tasks:
             self._pool.violations.append(f"TWICE: {command.task} after its end")
         elsewhere = [
@@ -466,7 +470,7 @@
                 f"TWICE: {command.task} on {elsewhere} and {self.entry.worker}"
             )
 
-    def _check_room(self) -> None:
+    def _check_capacity(self) -> None:
         used = worker_allocations.NO_DEMAND
         for run in self.running.values():
             used = worker_allocations.add_demands(used, run.plan.demand)
--- a/citronmount/standins/runner_model.py
+++ b/citronmount/standins/runner_model.py
@@ -24,7 +24,9 @@
     Returns:
         The service time.
     """
-    return int(_fields(spec.payload).get("service_ms", DEFAULT_SERVICE_MS))
+    return int(
+        _parse_payload(spec.payload).get("service_ms", DEFAULT_SERVICE_MS)
+    )
 
 
 def answer_payload(spec: jobs.RequestSpec) -> str:
@@ -62,18 +64,18 @@
         self.leaving = target.state is states.TargetState.LEAVING
         self._emit = emit
         self._epoch_ms = epoch_ms
-        self._serving: dict[ids.RequestId, list[jobs.RequestSpec]] = (
+        self._active_requests: dict[ids.RequestId, list[jobs.RequestSpec]] = (
             collections.defaultdict(list)
         )
 
     @property
     def busy_slots(self) -> int:
         """How many requests it works on."""
-        return sum(len(specs) for specs in self._serving.values())
+        return sum(len(specs) for specs in self._active_requests.values())
 
-    def serving(self, request: ids.RequestId) -> bool:
+    def is_serving(self, request: ids.RequestId) -> bool:
         """Returns whether it works on a request."""
-        return bool(self._serving.get(request))
+        return bool(self._active_requests.get(request))
 
     def begin(
         self, spec: jobs.RequestSpec, now_ms: int
@@ -92,7 +94,7 @@
             return self._answer(spec, messages.RunnerOutcome.LEAVING)
         if self.busy_slots >= self.target.slots:
             return self._answer(spec, messages.RunnerOutcome.BUSY)
-        self._serving[spec.request].append(spec)
+        self._active_requests[spec.request].append(spec)
         self._trace(timeline_events.EventKind.RUNNER_STARTED, spec, now_ms)
         return None
 
@@ -108,8 +110,8 @@
         Returns:
             The whole answer.
         """
-        spec = self._serving[request].pop()
-        failed = _fields(spec.payload).get("fail", False)
+        spec = self._active_requests[request].pop()
+        failed = _parse_payload(spec.payload).get("fail", False)
         outcome = (
             messages.RunnerOutcome.FAILED
             if failed
@@ -129,14 +131,16 @@
         Args:
             now_ms: Time of the runner.
         """
-        for spec in [s for specs in self._serving.values() for s in specs]:
+        for spec in [
+            s for specs in self._active_requests.values() for s in specs
+        ]:
             self._trace(
                 timeline_events.EventKind.RUNNER_ENDED,
                 spec,
                 now_ms,
                 detail="crashed",
             )
-        self._serving.clear()
+        self._active_requests.clear()
 
     def _answer(
         self,
@@ -174,7 +178,7 @@
         )
 
 
-def _fields(payload: str) -> dict[str, object]:
+def _parse_payload(payload: str) -> dict[str, object]:
     try:
         fields = json.loads(payload)
     except ValueError:
--- a/citronmount/standins/worker_model.py
+++ b/citronmount/standins/worker_model.py
@@ -10,12 +10,12 @@
 from citronmount.core import states
 from citronmount.telemetry import timeline_events
 
-__all__ = ["Behaviour", "WorkerModel", "behaviour"]
+__all__ = ["TaskBehaviour", "WorkerModel", "parse_behaviour"]
 
-_EMPTY = '{"run_ms": 1000}'
+_DEFAULT_COMMAND = '{"run_ms": 1000}'
 
 
-class Behaviour(msgspec.Struct, frozen=True, kw_only=True):
+class TaskBehaviour(msgspec.Struct, frozen=True, kw_only=True):
     """How the tasks of a job behave, read from its command.
 
     Attributes:
@@ -29,7 +29,7 @@
     save_ms: int = 0
 
 
-def behaviour(spec: jobs.JobSpec) -> Behaviour:
+def parse_behaviour(spec: jobs.JobSpec) -> TaskBehaviour:
     """Reads the behaviour of a job from its command.
 
     Args:
@@ -39,9 +39,11 @@
         The behaviour.
     """
     try:
-        return msgspec.json.decode(spec.command or _EMPTY, type=Behaviour)
+        return msgspec.json.decode(
+            spec.command or _DEFAULT_COMMAND, type=TaskBehaviour
+        )
     except msgspec.MsgspecError:
-        return Behaviour()
+        return TaskBehaviour()
 
 
 class _Lease(msgspec.Struct, kw_only=True):
@@ -96,7 +98,7 @@
         self._epoch_ms = epoch_ms
         self._saved_progress = {} if saved_progress is None else saved_progress
         self._leases: dict[ids.AttemptId, _Lease] = {}
-        self._stopped: dict[ids.AttemptId, bool] = {}
+        self._stopped_attempts: dict[ids.AttemptId, bool] = {}
         self._now_ms = 0
 
     def call(
@@ -112,7 +114,7 @@
             The answer, with a report if the caller has no recent one.
         """
         self.advance(now_ms)
-        results = tuple(self._acts(call))
+        results = tuple(self._execute_acts(call))
         stale = self.sequence != call.known_sequence
         return messages.WorkerAnswer(
             token=self.token,
@@ -144,7 +146,7 @@
         while (due := self._next_end()) is not None and due[0] <= now_ms:
             end_ms, state, attempt = due
             self._now_ms = max(self._now_ms, end_ms)
-            self._end(attempt, states.LeaseState(state))
+            self._end_lease(attempt, states.LeaseState(state))
         self._now_ms = max(self._now_ms, now_ms)
 
     def next_end_ms(self) -> int | None:
@@ -170,22 +172,26 @@
         self.advance(now_ms)
         for attempt, lease in self._leases.items():
             if lease.state.holds_resources:
-                self._end(attempt, states.LeaseState.LAPSED)
+                self._end_lease(attempt, states.LeaseState.LAPSED)
 
-    def _acts(self, call: messages.WorkerCall) -> list[messages.ActResult]:
+    def _execute_acts(
+        self, call: messages.WorkerCall
+    ) -> list[messages.ActResult]:
         if call.token < self.token:
-            return [_result(messages.ActOutcome.STALE_TOKEN)] * len(call.acts)
+            return [_make_result(messages.ActOutcome.STALE_TOKEN)] * len(
+                call.acts
+            )
         if call.token > self.token:
             self.token = call.token
             self.sequence += 1
-        return [self._act(act) for act in call.acts]
+        return [self._execute_act(act) for act in call.acts]
 
-    def _act(self, act: messages.Act) -> messages.ActResult:
+    def _execute_act(self, act: messages.Act) -> messages.ActResult:
         match act:
             case messages.Reserve():
-                return _result(self._reserve(act))
+                return _make_result(self._reserve(act))
             case messages.Start():
-                return _result(self._start(act))
+                return _make_result(self._start(act))
             case messages.Renew():
                 return self._renew(act)
             case messages.Checkpoint():
@@ -193,7 +199,7 @@
             case messages.Throttle():
                 return self._throttle(act)
             case messages.Stop():
-                return _result(self._stop(act))
+                return _make_result(self._stop(act))
             case messages.Forget():
                 return self._forget(act)
 
@@ -201,11 +207,11 @@
         lease = self._leases.get(act.attempt)
         if lease is not None and lease.state.holds_resources:
             return messages.ActOutcome.DONE
-        if lease is not None or act.attempt in self._stopped:
+        if lease is not None or act.attempt in self._stopped_attempts:
             return messages.ActOutcome.STOPPED_BEFORE
         if self.leaving:
             return messages.ActOutcome.LEAVING
-        if not self._has_room(act):
+        if not self._has_capacity(act):
             return messages.ActOutcome.NO_CAPACITY
         self._leases[act.attempt] = _Lease(
             reserve=act,
@@ -227,7 +233,7 @@
         if lease.state is not states.LeaseState.RESERVED:
             return messages.ActOutcome.NOT_RESERVED
         if self.fail_every_start:
-            self._end(act.attempt, states.LeaseState.FAILED)
+            self._end_lease(act.attempt, states.LeaseState.FAILED)
             return messages.ActOutcome.FAILED_TO_START
         lease.state = states.LeaseState.RUNNING
         lease.ran = True
@@ -244,44 +250,44 @@
             running = lease.state is states.LeaseState.RUNNING
             if running and attempt not in act.lapse:
                 lease.expires_ms = self._now_ms + act.ttl_ms
-        return _result(messages.ActOutcome.DONE)
+        return _make_result(messages.ActOutcome.DONE)
 
     def _checkpoint(self, act: messages.Checkpoint) -> messages.ActResult:
-        lease = self._running(act.attempt)
+        lease = self._running_lease(act.attempt)
         if lease is None:
-            return _result(messages.ActOutcome.NOT_RUNNING)
-        self._save(lease)
+            return _make_result(messages.ActOutcome.NOT_RUNNING)
+        self._save_progress(lease)
         self.sequence += 1
         return messages.ActResult(
             outcome=messages.ActOutcome.DONE, progress=lease.progress
         )
 
     def _throttle(self, act: messages.Throttle) -> messages.ActResult:
-        lease = self._running(act.attempt)
+        lease = self._running_lease(act.attempt)
         if lease is None:
-            return _result(messages.ActOutcome.NOT_RUNNING)
-        self._work(lease)
+            return _make_result(messages.ActOutcome.NOT_RUNNING)
+        self._update_work(lease)
         lease.share = act.share
-        return _result(messages.ActOutcome.DONE)
+        return _make_result(messages.ActOutcome.DONE)
 
     def _stop(self, act: messages.Stop) -> messages.ActOutcome:
         lease = self._leases.get(act.attempt)
-        ran = self._stopped.get(act.attempt, False)
+        ran = self._stopped_attempts.get(act.attempt, False)
         if lease is not None:
             ran = lease.ran
-        self._stopped[act.attempt] = ran
+        self._stopped_attempts[act.attempt] = ran
         if lease is not None and lease.state.holds_resources:
-            self._stop_held(lease, act)
+            self._stop_lease(lease, act)
         if ran:
             return messages.ActOutcome.RAN
         return messages.ActOutcome.NEVER_RAN
 
-    def _stop_held(self, lease: _Lease, act: messages.Stop) -> None:
-        save_ms = min(act.grace_ms, behaviour(lease.reserve.spec).save_ms)
+    def _stop_lease(self, lease: _Lease, act: messages.Stop) -> None:
+        save_ms = min(act.grace_ms, parse_behaviour(lease.reserve.spec).save_ms)
         if lease.ran and act.grace_ms:
-            self._save(lease)
+            self._save_progress(lease)
         if not lease.ran or not save_ms:
-            self._end(act.attempt, states.LeaseState.STOPPED)
+            self._end_lease(act.attempt, states.LeaseState.STOPPED)
             return
         stop_ms = self._now_ms + save_ms
         lease.stop_ms = min(stop_ms, lease.stop_ms or stop_ms)
@@ -291,17 +297,17 @@
             lease = self._leases.get(attempt)
             if lease is not None and not lease.state.holds_resources:
                 del self._leases[attempt]
-                self._stopped[attempt] = lease.ran
+                self._stopped_attempts[attempt] = lease.ran
                 self.sequence += 1
-        return _result(messages.ActOutcome.DONE)
+        return _make_result(messages.ActOutcome.DONE)
 
-    def _running(self, attempt: ids.AttemptId) -> _Lease | None:
+    def _running_lease(self, attempt: ids.AttemptId) -> _Lease | None:
         lease = self._leases.get(attempt)
         if lease is None or lease.state is not states.LeaseState.RUNNING:
             return None
         return lease
 
-    def _has_room(self, act: messages.Reserve) -> bool:
+    def _has_capacity(self, act: messages.Reserve) -> bool:
         held = [
             (lease.reserve.tasks, lease.reserve.spec.per_task)
             for lease in self._leases.values()
@@ -317,17 +323,19 @@
 
     def _next_end(self) -> tuple[int, str, ids.AttemptId] | None:
         ends = [
-            (*_end_of(lease), attempt)
+            (*_expected_end(lease), attempt)
             for attempt, lease in self._leases.items()
             if lease.state.holds_resources
         ]
         return min(ends, default=None)
 
-    def _end(self, attempt: ids.AttemptId, state: states.LeaseState) -> None:
+    def _end_lease(
+        self, attempt: ids.AttemptId, state: states.LeaseState
+    ) -> None:
         lease = self._leases[attempt]
-        self._work(lease)
+        self._update_work(lease)
         if state is states.LeaseState.FINISHED:
-            lease.exit_code = behaviour(lease.reserve.spec).exit_code
+            lease.exit_code = parse_behaviour(lease.reserve.spec).exit_code
             if lease.exit_code:
                 state = states.LeaseState.FAILED
             else:
@@ -342,14 +350,14 @@
             detail=state.value,
         )
 
-    def _work(self, lease: _Lease) -> None:
+    def _update_work(self, lease: _Lease) -> None:
         if lease.state is states.LeaseState.RUNNING:
             elapsed_ms = self._now_ms - lease.worked_until_ms
             lease.work_ms += elapsed_ms * lease.share
             lease.worked_until_ms = self._now_ms
 
-    def _save(self, lease: _Lease) -> None:
-        self._work(lease)
+    def _save_progress(self, lease: _Lease) -> None:
+        self._update_work(lease)
         lease.progress = min(1.0, lease.work_ms / _run_ms(lease))
         self._saved_progress[lease.reserve.spec.job] = lease.progress
 
@@ -395,21 +403,21 @@
         )
 
 
-def _result(outcome: messages.ActOutcome) -> messages.ActResult:
+def _make_result(outcome: messages.ActOutcome) -> messages.ActResult:
     return messages.ActResult(outcome=outcome)
 
 
 def _run_ms(lease: _Lease) -> int:
-    return max(1, behaviour(lease.reserve.spec).run_ms)
+    return max(1, parse_behaviour(lease.reserve.spec).run_ms)
 
 
-def _end_of(lease: _Lease) -> tuple[int, str]:
+def _expected_end(lease: _Lease) -> tuple[int, str]:
     """Returns when and how a held lease ends if nothing else happens."""
     ends = [(lease.expires_ms, states.LeaseState.LAPSED.value)]
     if lease.stop_ms is not None:
         ends.append((lease.stop_ms, states.LeaseState.STOPPED.value))
     if lease.state is states.LeaseState.RUNNING and lease.share > 0:
-        left_ms = max(0.0, _run_ms(lease) - lease.work_ms) / lease.share
-        finish_ms = lease.worked_until_ms + round(left_ms)
+        remaining_ms = max(0.0, _run_ms(lease) - lease.work_ms) / lease.share
+        finish_ms = lease.worked_until_ms + round(remaining_ms)
         ends.append((finish_ms, states.LeaseState.FINISHED.value))
     return min(ends)
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -15,7 +15,7 @@
 import typing
 
 from citronmount.bench import loopback_cluster
-from citronmount.bench import loopback_steps as steps
+from citronmount.bench import loopback_steps
 from citronmount.config import configuration as configuration_lib
 from citronmount.config import pool_file
 from citronmount.config import sheet
@@ -49,20 +49,20 @@
     content = sheet.load(_EXAMPLES / name / "sheet.csv")
     with loopback_cluster.open_cluster(pool) as cluster:
         data = (_EXAMPLES / name / "sheet.csv").read_bytes()
-        print(f"published version {steps.publish(cluster, data)}")
-        steps.wait_until_ready(cluster)
+        print(f"published version {loopback_steps.publish(cluster, data)}")
+        loopback_steps.wait_until_ready(cluster)
         print(f"{len(cluster.vms)} VMs ready")
-        fillers = _fill(cluster, content)
+        fillers = _submit_fillers(cluster, content)
         gangs = _submit_gangs(cluster, content)
         requests = _send_requests(cluster, content)
-        statuses = _results(cluster, [*gangs, *fillers])
+        statuses = _wait_for_results(cluster, [*gangs, *fillers])
         _print_accounts(content, statuses, requests)
         _check_reclaim(content, statuses)
-        steps.drain_all(cluster)
+        loopback_steps.drain_all(cluster)
         print(f"{len(cluster.vms)} daemons drained with status 0")
 
 
-def _fill(
+def _submit_fillers(
     cluster: loopback_cluster.Cluster,
     content: configuration_lib.Configuration,
 ) -> list[str]:
@@ -75,7 +75,7 @@
     }
     allowance = content.allowances[0]
     trials = allowance.accelerators // ACCELERATORS_PER_WORKER
-    eager = _paying(content)[-1]
+    eager = _paying_accounts(content)[-1]
     bodies = [{"account": allowance.account, **whole_worker}] * trials
     others = len(cluster.pool.workers) - trials
     bodies += [{"account": eager, **whole_worker}] * others
@@ -88,7 +88,7 @@
 ) -> list[str]:
     """Submits what other paying accounts are guaranteed."""
     time.sleep(1)
-    eager = _paying(content)[-1]
+    eager = _paying_accounts(content)[-1]
     bodies = [
         {
             "account": guarantee.account,
@@ -114,7 +114,8 @@
 ) -> list[str]:
     vms = itertools.cycle(cluster.vms)
     return [
-        steps.submit(vm, body) for vm, body in zip(vms, bodies, strict=False)
+        loopback_steps.submit(vm, body)
+        for vm, body in zip(vms, bodies, strict=False)
     ]
 
 
@@ -124,7 +125,7 @@
 ) -> collections.Counter[str]:
     """Sends one short request at each VM and checks each answer."""
     served: collections.Counter[str] = collections.Counter()
-    accounts = _paying(content)
+    accounts = _paying_accounts(content)
     for number, vm in enumerate(cluster.vms):
         account = accounts[number % len(accounts)]
         body = {
@@ -133,18 +134,18 @@
             "payload": json.dumps({"service_ms": 20, "number": number}),
         }
         data = json.dumps(body).encode("utf-8")
-        answer = steps.call(vm, "POST", "/v1/requests", data)
-        whole = answer.body.get("payload", "").endswith(body["payload"])
-        steps.require(whole, f"request: {answer.body}")
+        answer = loopback_steps.call(vm, "POST", "/v1/requests", data)
+        complete = answer.body.get("payload", "").endswith(body["payload"])
+        loopback_steps.require(complete, f"request: {answer.body}")
         served[account] += 1
     return served
 
 
-def _results(
+def _wait_for_results(
     cluster: loopback_cluster.Cluster, jobs: Iterable[str]
 ) -> list[typing.Any]:
     """Waits for the final result of each job."""
-    return [steps.wait_for_result(cluster.vms[0], job) for job in jobs]
+    return [loopback_steps.wait_for_result(cluster.vms[0], job) for job in jobs]
 
 
 def _print_accounts(
@@ -164,7 +165,7 @@
             f"{requests[account.name]:>9}"
         )
     bad = [s for s in statuses if s["state"] != "done"]
-    steps.require(not bad, f"jobs that did not complete: {bad}")
+    loopback_steps.require(not bad, f"jobs that did not complete: {bad}")
 
 
 def _check_reclaim(
@@ -176,11 +177,11 @@
         for s in statuses
         if s["account"] in trials and s["attempts"] > 1
     ]
-    steps.require(bool(evicted), "no trial job had to give way")
+    loopback_steps.require(bool(evicted), "no trial job had to give way")
     print(f"trial jobs that gave way and completed later: {len(evicted)}")
 
 
-def _paying(content: configuration_lib.Configuration) -> list[str]:
+def _paying_accounts(content: configuration_lib.Configuration) -> list[str]:
     return [
         account.name
         for account in content.accounts
@@ -191,5 +192,5 @@
 if __name__ == "__main__":
     try:
         sys.exit(main())
-    except steps.TrialError as error:
+    except loopback_steps.StepFailedError as error:
         sys.exit(f"demo failed: {error}")
