--- a/citronmount/standins/__init__.py
+++ b/citronmount/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform's services for tests."""
+"""In-memory stand-ins for the platform's services, for tests and demos."""
--- a/citronmount/standins/__main__.py
+++ b/citronmount/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Serves stand-ins of the platform and its targets from a TOML file."""
+"""Serves stand-ins for the platform and its targets over HTTP."""
 
 import pathlib
 
--- a/citronmount/standins/http_faults.py
+++ b/citronmount/standins/http_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in server can be told to show."""
+"""Fault injection for the HTTP stand-ins."""
 
 from collections.abc import Callable
 
@@ -14,13 +14,13 @@
 
 
 class Faults(msgspec.Struct, kw_only=True):
-    """How a server misbehaves until told otherwise.
+    """Faults that a server injects until they are replaced.
 
     Attributes:
-        down: Whether every request gets status 503 and has no effect.
-        delay_ms: How long every request waits before it takes effect.
-        lost_answers: How many next requests take effect and then lose their
-            connection in place of an answer.
+        down: Whether every request fails with status 503 without effect.
+        delay_ms: Delay of every request before it takes effect.
+        lost_answers: Number of requests to come that take effect but whose
+            connection is aborted instead of answered.
     """
 
     down: bool = False
@@ -32,18 +32,18 @@
     faults: Faults,
     reactor: interfaces.IReactorTime,
     request: http.Request,
-    act: Callable[[], bytes | defer.Deferred[bytes]],
+    handle: Callable[[], bytes | defer.Deferred[bytes]],
 ) -> bytes:
-    """Carries out a request under the faults of the moment.
+    """Handles a request with the current faults applied.
 
     Args:
-        faults: The faults.
-        reactor: The reactor to wait with.
+        faults: The faults; `lost_answers` is counted down.
+        reactor: Times the delay.
         request: The HTTP request.
-        act: Carries the request out and returns the body of the answer.
+        handle: Handles the request and returns the body of the answer.
 
     Returns:
-        The body of the answer.
+        The body of the answer, empty while the server is down.
     """
     if faults.delay_ms:
         delay_s = faults.delay_ms / _MS_PER_S
@@ -51,7 +51,7 @@
     if faults.down:
         request.setResponseCode(http.SERVICE_UNAVAILABLE)
         return b""
-    body = await defer.maybeDeferred(act)
+    body = await defer.maybeDeferred(handle)
     if faults.lost_answers:
         faults.lost_answers -= 1
         request.transport.abortConnection()
--- a/citronmount/standins/http_servers.py
+++ b/citronmount/standins/http_servers.py
@@ -1,4 +1,4 @@
-"""Serves the models of the platform's services and the targets over HTTP."""
+"""HTTP servers around the in-memory stand-ins."""
 
 from collections.abc import Callable
 import contextlib
@@ -46,16 +46,16 @@
 class StandinSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What one process of stand-ins serves.
+    """Settings of one process that serves stand-ins.
 
     Attributes:
         log_address: ``ip:port`` of the log service.
         vm_list_address: ``ip:port`` of the list of VMs and targets.
-        log_retention_ms: How long the log keeps a record.
-        vm_list_lag_ms: How long the list hides a change.
-        vms: The VMs listed at the start.
-        workers: The workers, each served at its address.
-        runners: The runners, each served at its address.
+        log_retention_ms: Retention time of a log record.
+        vm_list_lag_ms: Time until the list shows a change.
+        vms: VMs that the list contains at the start.
+        workers: Workers to serve, each at its listed address.
+        runners: Runners to serve, each at its listed address.
     """
 
     log_address: str
@@ -72,7 +72,7 @@
 
 
 class _FaultyServer:
-    """What all servers share: faults, a clock and the time line."""
+    """Base of all servers: applies faults to the handling of requests."""
 
     def __init__(self, *, reactor: interfaces.IReactorTime) -> None:
         self.faults = http_faults.Faults()
@@ -81,11 +81,11 @@
     def _serve(
         self,
         request: http.Request,
-        act: Callable[[], bytes | defer.Deferred[bytes]],
+        handle: Callable[[], bytes | defer.Deferred[bytes]],
     ) -> defer.Deferred[bytes]:
         request.setHeader("Content-Type", wire_format.CONTENT_TYPE)
         return defer.ensureDeferred(
-            http_faults.serve(self.faults, self._reactor, request, act)
+            http_faults.serve(self.faults, self._reactor, request, handle)
         )
 
     def _set_faults(self, request: http.Request) -> bytes:
@@ -95,7 +95,7 @@
 
 
 class LogServer(_FaultyServer):
-    """The log service over HTTP."""
+    """Serves the log service over HTTP."""
 
     app = klein.Klein()
 
@@ -105,8 +105,8 @@
         """Initializes the server.
 
         Args:
-            reactor: The reactor to wait with.
-            model: The streams.
+            reactor: Times injected delays.
+            model: The log.
         """
         super().__init__(reactor=reactor)
         self._model = model
@@ -115,7 +115,7 @@
     def append(
         self, request: http.Request, stream: str
     ) -> defer.Deferred[bytes]:
-        """Appends the records of the body to a stream."""
+        """Appends the records in the request body to a stream."""
         body = wire_format.decode(
             request.content.read(), wire_format.AppendRequest
         )
@@ -124,7 +124,7 @@
 
     @app.route("/streams/<stream>/records", methods=["GET"])
     def read(self, request: http.Request, stream: str) -> defer.Deferred[bytes]:
-        """Returns records from the offset that the query names."""
+        """Returns a page of records from the offset in the query."""
         name = ids.StreamName(stream)
         start = ids.Offset(int(request.args[b"start"][0]))
         limit = min(int(request.args[b"limit"][0]), _MAX_PAGE_RECORDS)
@@ -137,7 +137,7 @@
 
     @app.route("/faults", methods=["PUT"])
     def set_faults(self, request: http.Request) -> bytes:
-        """Replaces the faults of this server."""
+        """Replaces the injected faults of this server with the JSON body."""
         return self._set_faults(request)
 
     def _append(
@@ -148,7 +148,7 @@
 
 
 class PlatformServer(_FaultyServer):
-    """The platform's list of VMs and targets over HTTP."""
+    """Serves the platform's list of VMs and targets over HTTP."""
 
     app = klein.Klein()
 
@@ -163,10 +163,11 @@
         """Initializes the server.
 
         Args:
-            reactor: The reactor to wait with.
+            reactor: Times injected delays.
             model: The list.
-            timeline: What the targets have emitted.
-            on_target_state: Called when a target starts or stops leaving.
+            timeline: Events emitted by the targets, in order.
+            on_target_state: Called with the name and new state of a target
+                whose state was set.
         """
         super().__init__(reactor=reactor)
         self._model = model
@@ -175,7 +176,7 @@
 
     @app.route(wire_format.PLATFORM_PATH, methods=["GET"])
     def view(self, request: http.Request) -> defer.Deferred[bytes]:
-        """Returns the list, or 304 if the caller has it."""
+        """Returns the list, or status 304 if the caller's ETag matches."""
         return self._serve(request, lambda: self._view(request))
 
     def _view(self, request: http.Request) -> bytes:
@@ -187,7 +188,7 @@
 
     @app.route("/vms/<vm>", methods=["PUT"])
     def set_vm(self, request: http.Request, vm: str) -> bytes:
-        """Adds the VM of the JSON body or replaces its entry."""
+        """Adds or replaces the entry of a VM from the JSON body."""
         body = request.content.read()
         entry = msgspec.json.decode(body, type=messages.ListedVm)
         self._model.set_vm(entry, _now_ms())
@@ -195,13 +196,13 @@
 
     @app.route("/vms/<vm>", methods=["DELETE"])
     def remove_vm(self, request: http.Request, vm: str) -> bytes:
-        """Removes a VM."""
+        """Removes a VM from the list."""
         self._model.remove_vm(ids.VmId(vm), _now_ms())
         return b""
 
     @app.route("/targets/<name>/state", methods=["PUT"])
     def set_target_state(self, request: http.Request, name: str) -> bytes:
-        """Sets the state of a target to the text of the body."""
+        """Sets the state of a target to the value in the body."""
         state = states.TargetState(request.content.read().decode("ascii"))
         self._model.set_target_state(name, state, _now_ms())
         self._on_target_state(name, state)
@@ -209,17 +210,17 @@
 
     @app.route("/timeline", methods=["GET"])
     def timeline(self, request: http.Request) -> bytes:
-        """Returns what the targets have emitted, as JSON."""
+        """Returns the events emitted by the targets as JSON."""
         return msgspec.json.encode(list(self._timeline))
 
     @app.route("/faults", methods=["PUT"])
     def set_faults(self, request: http.Request) -> bytes:
-        """Replaces the faults of this server."""
+        """Replaces the injected faults of this server with the JSON body."""
         return self._set_faults(request)
 
 
 class WorkerServer(_FaultyServer):
-    """A worker over HTTP."""
+    """Serves a worker over HTTP."""
 
     app = klein.Klein()
 
@@ -232,7 +233,7 @@
         """Initializes the server.
 
         Args:
-            reactor: The reactor to wait with.
+            reactor: Times injected delays.
             model: The worker.
         """
         super().__init__(reactor=reactor)
@@ -240,7 +241,7 @@
 
     @app.route(wire_format.ACTS_PATH, methods=["POST"])
     def acts(self, request: http.Request) -> defer.Deferred[bytes]:
-        """Carries out the acts of the body."""
+        """Executes the acts in the request body."""
         call = wire_format.decode(request.content.read(), messages.WorkerCall)
         return self._serve(
             request,
@@ -249,12 +250,12 @@
 
     @app.route("/faults", methods=["PUT"])
     def set_faults(self, request: http.Request) -> bytes:
-        """Replaces the faults of this server."""
+        """Replaces the injected faults of this server with the JSON body."""
         return self._set_faults(request)
 
 
 class RunnerServer(_FaultyServer):
-    """A runner over HTTP."""
+    """Serves a runner over HTTP."""
 
     app = klein.Klein()
 
@@ -267,7 +268,7 @@
         """Initializes the server.
 
         Args:
-            reactor: The reactor to wait with.
+            reactor: Times service and injected delays.
             model: The runner.
         """
         super().__init__(reactor=reactor)
@@ -275,7 +276,7 @@
 
     @app.route(wire_format.REQUESTS_PATH, methods=["POST"])
     def run(self, request: http.Request) -> defer.Deferred[bytes]:
-        """Runs the request of the body to its end."""
+        """Runs the request in the body and answers when it has ended."""
         spec = wire_format.decode(request.content.read(), jobs.RequestSpec)
         return self._serve(
             request, lambda: defer.ensureDeferred(self._run(spec))
@@ -283,7 +284,7 @@
 
     @app.route("/faults", methods=["PUT"])
     def set_faults(self, request: http.Request) -> bytes:
-        """Replaces the faults of this server."""
+        """Replaces the injected faults of this server with the JSON body."""
         return self._set_faults(request)
 
     async def _run(self, spec: jobs.RequestSpec) -> bytes:
@@ -296,7 +297,7 @@
 
 
 class _Targets:
-    """The targets of one process by name."""
+    """The workers and runners of one process by name."""
 
     def __init__(self, settings: StandinSettings, emit: Emit) -> None:
         epoch_ms = int(time.time_ns() * _MS_PER_NS) - _now_ms()
@@ -318,7 +319,7 @@
         }
 
     def set_state(self, name: str, state: states.TargetState) -> None:
-        """Turns leaving on or off at one target."""
+        """Makes a target leave, or return, according to its listed state."""
         leaving = state is states.TargetState.LEAVING
         if name in self.workers:
             self.workers[name].set_leaving(leaving)
@@ -329,19 +330,19 @@
 def serve_all(
     settings: StandinSettings,
     reactor: interfaces.IReactorTCP,
-    emit: list[timeline_events.TimelineEvent],
+    timeline: list[timeline_events.TimelineEvent],
 ) -> contextlib.ExitStack:
     """Serves the log, the list and every target.
 
     Args:
-        settings: What to serve, and where.
-        reactor: The reactor to listen with.
-        emit: Gets the events of the targets.
+        settings: Addresses and initial content.
+        reactor: Opens the listening sockets.
+        timeline: Receives the events of the targets.
 
     Returns:
-        Stops listening when it is closed.
+        A stack that stops all listening when it is closed.
     """
-    targets = _Targets(settings, emit.append)
+    targets = _Targets(settings, timeline.append)
     log_service = log_model.LogModel(retention_ms=settings.log_retention_ms)
     view = messages.PlatformView(
         vms=settings.vms, workers=settings.workers, runners=settings.runners
@@ -356,7 +357,7 @@
             PlatformServer(
                 reactor=reactor,
                 model=vm_list,
-                timeline=emit,
+                timeline=timeline,
                 on_target_state=targets.set_state,
             ),
         ),
@@ -370,18 +371,18 @@
         for model in targets.runners.values()
     ]
     with contextlib.ExitStack() as stack:
-        for address, one in servers:
-            _listen(reactor, address, one, stack)
+        for address, http_server in servers:
+            _listen(reactor, address, http_server, stack)
         return stack.pop_all()
 
 
 def _listen(
     reactor: interfaces.IReactorTCP,
     address: str,
-    one: _FaultyServer,
+    http_server: _FaultyServer,
     stack: contextlib.ExitStack,
 ) -> None:
     host, _, port = address.rpartition(":")
-    site = server.Site(one.app.resource())
+    site = server.Site(http_server.app.resource())
     listening = reactor.listenTCP(int(port), site, interface=host)
     stack.callback(listening.stopListening)
--- a/citronmount/standins/log_model.py
+++ b/citronmount/standins/log_model.py
@@ -1,4 +1,4 @@
-"""An in-memory stand-in of the platform's log service."""
+"""In-memory stand-in for the platform's log service."""
 
 import collections
 import itertools
@@ -14,17 +14,17 @@
 
 
 class _Entry(msgspec.Struct, frozen=True, kw_only=True):
-    """A record with the time of its append."""
+    """A record and the time at which it was appended."""
 
     appended_ms: int
     record: messages.LogRecord
 
 
 class LogModel:
-    """Streams of records that are kept for a limited time.
+    """Streams of records with a retention time.
 
-    Offsets rise by one in each stream. Record ids are not compared: an append
-    that is retried stands in the stream twice.
+    Offsets in a stream are consecutive. Appends are not deduplicated by record
+    id: a retried append stores its records twice.
     """
 
     def __init__(
@@ -33,8 +33,8 @@
         """Initializes an empty log.
 
         Args:
-            retention_ms: How long a record can be read.
-            keep_history: Whether `history` returns what was ever appended.
+            retention_ms: Time after its append until a record expires.
+            keep_history: Whether `history` also keeps expired records.
         """
         self.retention_ms = retention_ms
         self.keep_history = keep_history
@@ -54,12 +54,12 @@
         records: tuple[tuple[ids.RecordId, bytes], ...],
         now_ms: int,
     ) -> ids.Offset:
-        """Appends records at the end of a stream.
+        """Appends records to a stream.
 
         Args:
-            stream: The stream; it is made by its first append.
+            stream: The stream, which is created by its first append.
             records: Pairs of record id and encoded record.
-            now_ms: Time of the service.
+            now_ms: Current time of the service.
 
         Returns:
             The offset of the first record.
@@ -83,16 +83,17 @@
     def read(
         self, stream: ids.StreamName, start: ids.Offset, limit: int, now_ms: int
     ) -> messages.LogPage:
-        """Reads a stream.
+        """Reads a page of a stream.
 
         Args:
             stream: The stream.
-            start: The first offset wanted; older ones may be gone.
-            limit: The most records to return.
-            now_ms: Time of the service.
+            start: First offset to read; if it has expired, the page starts at
+                the oldest retained record.
+            limit: Maximum number of records to return.
+            now_ms: Current time of the service.
 
         Returns:
-            The records that are still kept, in order.
+            Retained records in offset order.
         """
         entries = self._streams[stream]
         while entries and entries[0].appended_ms + self.retention_ms <= now_ms:
@@ -110,12 +111,14 @@
     def history(
         self, stream: ids.StreamName
     ) -> list[tuple[int, messages.LogRecord]]:
-        """Returns all records ever appended, for checks.
+        """Returns every record appended, including expired ones.
+
+        It is empty unless the log was created with `keep_history`.
 
         Args:
             stream: The stream.
 
         Returns:
-            Pairs of the time of the append and the record.
+            Pairs of append time in ms and record.
         """
         return [(e.appended_ms, e.record) for e in self._history[stream]]
--- a/citronmount/standins/platform_model.py
+++ b/citronmount/standins/platform_model.py
@@ -1,4 +1,4 @@
-"""An in-memory stand-in of the platform's list of VMs and targets."""
+"""In-memory stand-in for the platform's list of VMs and targets."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class PlatformModel:
-    """A list that shows every change only after a lag."""
+    """List of VMs and targets in which every change appears after a lag."""
 
     def __init__(
         self,
@@ -21,40 +21,41 @@
         """Initializes the list.
 
         Args:
-            lag_ms: How long a change stays unseen.
-            view: The list at the start, or None for an empty one.
+            lag_ms: Time until a change appears.
+            view: Initial list; None for an empty one.
         """
         self.lag_ms = lag_ms
         self._history = [(0, view or messages.PlatformView())]
 
     def view(self, now_ms: int) -> messages.PlatformView:
-        """Returns the list as the platform shows it.
+        """Returns the list that the platform shows, which lags.
 
         Args:
-            now_ms: Time of the service.
+            now_ms: Current time of the service.
 
         Returns:
-            The list as it was `lag_ms` ago, or the first one.
+            The list as it was `lag_ms` ago, or the initial list if that is
+            before the first change.
         """
-        seen_ms = now_ms - self.lag_ms
+        shown_ms = now_ms - self.lag_ms
         return next(
             (
                 view
-                for since, view in reversed(self._history)
-                if since <= seen_ms
+                for since_ms, view in reversed(self._history)
+                if since_ms <= shown_ms
             ),
             self._history[0][1],
         )
 
     def latest(self) -> messages.PlatformView:
-        """Returns the list without the lag."""
+        """Returns the list including changes that do not appear yet."""
         return self._history[-1][1]
 
     def set_vm(self, vm: messages.ListedVm, now_ms: int) -> None:
         """Adds a VM or replaces its entry.
 
         Args:
-            vm: The entry.
+            vm: The new entry.
             now_ms: Time of the change.
         """
         others = tuple(v for v in self.latest().vms if v.vm != vm.vm)
@@ -74,7 +75,7 @@
         """Adds a worker or replaces its entry.
 
         Args:
-            worker: The entry.
+            worker: The new entry.
             now_ms: Time of the change.
         """
         workers = _with_target(self.latest().workers, worker)
@@ -84,7 +85,7 @@
         """Adds a runner or replaces its entry.
 
         Args:
-            runner: The entry.
+            runner: The new entry.
             now_ms: Time of the change.
         """
         runners = _with_target(self.latest().runners, runner)
@@ -94,7 +95,7 @@
         """Removes a worker or runner.
 
         Args:
-            name: Its id.
+            name: Id of the worker or runner.
             now_ms: Time of the change.
         """
         latest = self.latest()
@@ -110,7 +111,7 @@
         """Changes the state of a worker or runner.
 
         Args:
-            name: Its id.
+            name: Id of the worker or runner.
             state: The new state.
             now_ms: Time of the change.
         """
--- a/citronmount/standins/pool_log.py
+++ b/citronmount/standins/pool_log.py
@@ -1,4 +1,4 @@
-"""An in-memory log of a pool, with the faults that a real one has."""
+"""In-memory log of a pool with fault injection."""
 
 from collections.abc import Sequence
 import enum
@@ -23,7 +23,11 @@
 
 
 class LogFault(enum.Enum):
-    """How the log treats a VM; answers are lost to writes only."""
+    """Faults of the log for one VM.
+
+    REFUSES fails every call without effect, SILENT lets every call time out
+    without effect, and LOSES_ANSWERS executes appends but lets them time out.
+    """
 
     NONE = "none"
     REFUSES = "refuses"
@@ -37,20 +41,21 @@
 
 
 class PoolLog:
-    """The topics, shared by the clients of all VMs.
+    """Topics and owners' group of a pool, shared by the clients of all VMs.
 
     Attributes:
+        clock: Times the calls and the membership of the owners' group.
         topics: The records of each topic.
-        faults: How each VM is treated; those missing are served.
-        silent_topics: Topics at which no call is answered.
-        join_s: How much longer a join takes on its way than other calls.
+        faults: Fault of each VM; a VM without an entry has none.
+        silent_topics: Topics on which every call times out without effect.
+        extra_join_delay_s: Delay of a join request beyond that of other calls.
     """
 
     def __init__(self, *, clock: interfaces.IReactorTime) -> None:
         """Initializes empty topics.
 
         Args:
-            clock: Times the answers.
+            clock: Times the calls and the expiry of members.
         """
         self.clock = clock
         self.topics: dict[ports.Topic, list[ports.LogRecord]] = {
@@ -70,27 +75,30 @@
     def append_records(
         self, topic: ports.Topic, entries: Sequence[tuple[str, bytes | None]]
     ) -> int:
-        """Appends records and returns the offset of the first."""
+        """Appends records to a topic and returns the offset of the first."""
         records = self.topics[topic]
         first = len(records)
         records += [
             ports.LogRecord(key=key, value=value, offset=first + number)
             for number, (key, value) in enumerate(entries)
         ]
-        waiting, self._append_waiters = self._append_waiters, []
-        for each in waiting:
-            each.callback(None)
+        waiters, self._append_waiters = self._append_waiters, []
+        for waiter in waiters:
+            waiter.callback(None)
         return first
 
     def drop_history(self, topic: ports.Topic) -> None:
-        """Drops the history of a topic; the newest of each key stays."""
+        """Makes all present records of a topic unreadable by offset.
+
+        A snapshot still contains the newest record of each key.
+        """
         self._first_offsets[topic] = len(self.topics[topic])
 
     def read_page(self, topic: ports.Topic, offset: int) -> ports.LogPage:
-        """Returns the records from an offset on.
+        """Returns all records from an offset on.
 
         Raises:
-            LogTruncatedError: They expired.
+            LogTruncatedError: The record at the offset was dropped.
         """
         if offset < self._first_offsets[topic]:
             raise ports.LogTruncatedError
@@ -99,9 +107,13 @@
         return ports.LogPage(records=records, next_offset=end, end_offset=end)
 
     def snapshot(self, topic: ports.Topic) -> ports.Snapshot:
-        """Returns the newest record of each key."""
-        newest = {record.key: record for record in self.topics[topic]}
-        kept = [each for each in newest.values() if each.value is not None]
+        """Returns the newest record of each key that was not deleted."""
+        records_by_key = {record.key: record for record in self.topics[topic]}
+        kept = [
+            record
+            for record in records_by_key.values()
+            if record.value is not None
+        ]
         kept.sort(key=lambda record: record.offset)
         return ports.Snapshot(
             records=tuple(kept), end_offset=len(self.topics[topic])
@@ -113,7 +125,14 @@
         epoch: int,
         sequence: int,
     ) -> int:
-        """Appends unless a newer epoch was seen; see `ports.Log`."""
+        """Appends to the job topic unless a newer epoch was seen.
+
+        An append with a known epoch and sequence is a retry: it returns the
+        offset of the first one. See `ports.Log`.
+
+        Raises:
+            FencedError: A newer epoch was seen.
+        """
         if epoch < self._producer.epoch:
             raise ports.FencedError(self._producer.epoch)
         if epoch > self._producer.epoch:
@@ -124,12 +143,15 @@
         return self._producer.answers[sequence]
 
     def join(self, member: str, ttl_ms: int) -> ports.Membership:
-        """Joins the group; the first member that is alive is the owner."""
+        """Joins the owners' group or extends the membership.
+
+        The first member that is alive is the candidate for ownership.
+        """
         now_s = self.clock.seconds()
         old_members = list(self._members)
         self._members = {
-            each: until_s
-            for each, until_s in self._members.items()
+            name: until_s
+            for name, until_s in self._members.items()
             if until_s > now_s
         }
         self._members.setdefault(member, 0)
@@ -143,12 +165,12 @@
         )
 
     def prefer_newest_member(self) -> None:
-        """Makes the newest member the candidate."""
+        """Reverses the order of members; the newest becomes the candidate."""
         self._members = dict(reversed(self._members.items()))
         self._generation += 1
 
     def members(self) -> frozenset[str]:
-        """Returns the members that are alive and were dealt a partition."""
+        """Returns the live members that are assigned a partition."""
         now_s = self.clock.seconds()
         alive = (
             member
@@ -158,30 +180,30 @@
         return frozenset(itertools.islice(alive, PARTITION_COUNT))
 
     def leave(self, member: str) -> None:
-        """Leaves the group."""
+        """Removes a member from the owners' group."""
         self._members.pop(member, None)
         self._generation += 1
 
     def wait_for_append(self, wait_ms: int) -> defer.Deferred[None]:
-        """Fires when something is appended or the time is over."""
-        waiting: defer.Deferred[None] = defer.Deferred()
-        self._append_waiters.append(waiting)
+        """Returns a Deferred that fires on an append or after `wait_ms`."""
+        waiter: defer.Deferred[None] = defer.Deferred()
+        self._append_waiters.append(waiter)
 
         def fire_on_timeout() -> None:
-            if not waiting.called:
-                self._append_waiters.remove(waiting)
-                waiting.callback(None)
+            if not waiter.called:
+                self._append_waiters.remove(waiter)
+                waiter.callback(None)
 
         self.clock.callLater(wait_ms / _MS_PER_S, fire_on_timeout)
-        return waiting
+        return waiter
 
 
 class PoolLogClient:
-    """One VM's calls at a `PoolLog`; implements `ports.Log`.
+    """Client of one VM for a `PoolLog`; implements `ports.Log`.
 
     Attributes:
-        calls: Counts the calls.
-        member: The name of the process in the owners' group.
+        calls: Counter that each call advances by one.
+        member: Name of the process in the owners' group.
     """
 
     def __init__(self, *, log: PoolLog, vm: ids.VmId) -> None:
@@ -189,7 +211,7 @@
 
         Args:
             log: The log.
-            vm: The VM that calls.
+            vm: The VM whose faults apply to the calls.
         """
         self.calls = itertools.count()
         self.member = f"{vm}/{next(_PROCESS_NUMBERS)}"
@@ -199,7 +221,7 @@
     async def append(
         self, records: Sequence[tuple[str, bytes | None]], timeout_ms: int
     ) -> int:
-        """Appends to the job topic."""
+        """Appends records to the job topic and returns the first offset."""
         await self._send_request(timeout_ms, ports.Topic.JOBS)
         offset = self._log.append_records(ports.Topic.JOBS, records)
         await self._receive_answer(timeout_ms)
@@ -212,7 +234,7 @@
         sequence: int,
         timeout_ms: int,
     ) -> int:
-        """Appends to the job topic unless a newer epoch was seen."""
+        """Appends to the job topic as owner; fails if the epoch is stale."""
         await self._send_request(timeout_ms, ports.Topic.JOBS)
         offset = self._log.append_as_owner(records, epoch, sequence)
         await self._receive_answer(timeout_ms)
@@ -221,7 +243,7 @@
     async def read(
         self, topic: ports.Topic, offset: int, wait_ms: int, timeout_ms: int
     ) -> ports.LogPage:
-        """Reads records, waiting for the first if there is none yet."""
+        """Reads records from an offset, waiting for an append if needed."""
         await self._send_request(timeout_ms, topic)
         page = self._log.read_page(topic, offset)
         if not page.records and wait_ms:
@@ -241,13 +263,13 @@
     async def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> ports.Membership:
-        """Joins the owners' group or stays in it."""
+        """Joins the owners' group or extends the membership."""
         await self._send_request(timeout_ms)
         await task.deferLater(self._log.clock, self._log.extra_join_delay_s)
         return self._log.join(self.member, ttl_ms)
 
     async def members(self, timeout_ms: int) -> frozenset[str]:
-        """Tells which members of the owners' group are alive."""
+        """Returns the members of the owners' group that are alive."""
         await self._send_request(timeout_ms)
         return self._log.members()
 
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -1,4 +1,4 @@
-"""In-memory workers of a pool that note every broken promise they see."""
+"""In-memory workers of a pool, which record violations that they observe."""
 
 from collections.abc import Callable
 import enum
@@ -27,11 +27,12 @@
 
 
 class WorkerFault(enum.Enum):
-    """How a worker treats orders.
+    """Faults of a worker.
 
-    LATE carries out orders to start late and does not answer them, LOSES_ONE
-    loses the next such order, LOSES_ANSWERS carries out the next one without
-    an answer, and REFUSING takes no connection.
+    SILENT lets every command time out without effect. LATE executes start
+    commands after `PoolWorker.start_delay_s` and lets them time out.
+    LOSES_NEXT_START drops the next start command, LOSES_NEXT_ANSWER executes
+    it but lets it time out. REFUSING refuses connections.
     """
 
     NONE = "none"
@@ -46,14 +47,15 @@
 
 
 class TaskPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What a task turns out to do.
+    """Simulated behaviour of one run of a task.
 
     Attributes:
-        run_time_ms: How long it works.
-        demand: What it takes of the room.
-        gang: How many tasks work only together, or 1.
-        fails: Whether it ends by a failure of its own.
-        lasting: Whether it is to run again after an end without failure.
+        run_time_ms: Run time at the worker's normal speed.
+        demand: Capacity that the task uses.
+        gang: Number of tasks in its gang, which progress only together; 1 for
+            a single task.
+        fails: Whether the run ends with a failure.
+        lasting: Whether the task runs again after a run that succeeded.
     """
 
     run_time_ms: int
@@ -77,27 +79,33 @@
 
 
 class PoolWorkers:
-    """All workers; implements `ports.WorkerCommands`.
+    """All workers of a pool; implements `ports.WorkerCommands`.
 
     Attributes:
         workers: The workers by id.
-        broken: Every broken promise, in words.
+        violations: Descriptions of violated guarantees. GANG: a member of a
+            gang ran without the others. TWICE: a task was started while it
+            ran elsewhere or after it had finished. LIMIT: a worker was given
+            more tasks than fit its capacity.
         starts: Every start as (task, run, worker).
-        allowed: Workers for which tickets are given.
-        tickets: The ticket of each task's last start.
-        questions: Counts questions to the policies' service.
-        open_holds: Holds on their way.
-        most_open_holds: The most holds that were on their way at once.
+        allowed_workers: Workers for which advice requests return tickets.
+        tickets: Ticket of each task's last start.
+        finished_tasks: Tasks that ended successfully and must not run again.
+        advice_request_count: Number of advice requests answered.
+        open_renewals: Number of lease renewals in progress.
+        max_open_renewals: Highest number of concurrent lease renewals.
+        plan_task: Returns the simulated behaviour of a task and run.
+        clock: Clock of all workers.
     """
 
     def __init__(
         self, *, clock: interfaces.IReactorTime, plan_task: TaskPlanner
     ) -> None:
-        """Initializes without workers.
+        """Initializes a pool without workers.
 
         Args:
-            clock: The clock of all workers.
-            plan_task: Returns the plan of a task and run.
+            clock: Clock of all workers.
+            plan_task: Returns the simulated behaviour of a task and run.
         """
         self.workers: dict[ids.WorkerId, PoolWorker] = {}
         self.violations: list[str] = []
@@ -112,27 +120,27 @@
         self.clock = clock
 
     def now_ms(self) -> int:
-        """Returns the workers' clock."""
+        """Returns the time of the pool's clock in ms."""
         return round(self.clock.seconds() * _MS_PER_S)
 
     def add(self, entry: worker_directory.Worker) -> "PoolWorker":
-        """Adds a worker that runs nothing."""
+        """Adds an idle worker."""
         worker = PoolWorker(pool=self, entry=entry)
         self.workers[entry.worker] = worker
         return worker
 
     def running(self) -> list[tuple[units.TaskName, ids.WorkerId]]:
-        """Returns every task at work and where."""
+        """Returns every running task with its worker."""
         return [
-            (each.task, name)
-            for name, worker in self.workers.items()
-            for each in worker.running.values()
+            (run.task, worker_id)
+            for worker_id, worker in self.workers.items()
+            for run in worker.running.values()
         ]
 
     async def start(
         self, command: commands.Start, timeout_ms: int
     ) -> tuple[commands.StartOutcome, int | None]:
-        """Starts a task."""
+        """Starts a task, with the fault of the worker applied."""
         worker = await self._reach_worker(command)
         if self._refuses(command):
             return commands.StartOutcome.UNREACHABLE, None
@@ -157,7 +165,7 @@
     async def stop(
         self, command: commands.Stop, timeout_ms: int
     ) -> tuple[commands.StopOutcome, int | None]:
-        """Stops a run."""
+        """Stops a run of a task."""
         worker = await self._reach_worker(command)
         if worker is None:
             await self._wait_for_timeout(timeout_ms)
@@ -167,7 +175,7 @@
     async def request_advice(
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> commands.AdviceAnswer | None:
-        """Allows the workers in `allowed` for every step."""
+        """Returns tickets for the requested workers in `allowed_workers`."""
         await task.deferLater(self.clock, ADVICE_DELAY_S)
         self.advice_request_count += 1
         return commands.AdviceAnswer(
@@ -182,7 +190,7 @@
     async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
-        """Renews leases and asks what runs."""
+        """Renews the leases of a worker and returns its report."""
         self.open_renewals += 1
         self.max_open_renewals = max(self.max_open_renewals, self.open_renewals)
         try:
@@ -229,15 +237,15 @@
     def is_gang_present(
         self, name: units.TaskName, run: int, size: int
     ) -> bool:
-        """Returns whether all members of a gang's run are at workers."""
+        """Returns whether all members of a gang's run have started."""
         return len(self._gang_members(name, run)) == size
 
     def is_gang_finished(self, name: units.TaskName, run: int) -> bool:
-        """Returns whether all members of a gang's run have done their work."""
+        """Returns whether all members of a gang's run have finished."""
         return all(each.finished for _, each in self._gang_members(name, run))
 
     def gang_start_ms(self, name: units.TaskName, run: int) -> int:
-        """Returns when the last member of a gang's run came."""
+        """Returns when the last member of a gang's run started."""
         return max(each.began_ms for _, each in self._gang_members(name, run))
 
     def end_gang(
@@ -250,7 +258,7 @@
     def _gang_members(
         self, name: units.TaskName, run: int
     ) -> list[tuple["PoolWorker", _Running]]:
-        """Returns the members of a gang's run and where they are."""
+        """Returns the running members of a gang's run with their workers."""
         prefix = name.rpartition(".")[0]
         return [
             (worker, each)
@@ -261,23 +269,23 @@
 
 
 class PoolWorker:
-    """One worker.
+    """One worker of a pool.
 
     Attributes:
-        entry: What it says of itself.
-        running: What it runs.
-        ends: Ends that it was not told to forget.
-        fault: How it treats orders.
-        late_s: How late it carries out orders with the fault LATE.
-        slowdown: How much longer it takes than a plan says.
-        stands_still: Whether what starts there never gets on.
-        clock_rate: How fast its own clock runs.
+        entry: Entry of the worker in the worker directory.
+        running: Running tasks by name.
+        ends: Ended runs that were not acknowledged by a lease renewal.
+        fault: Fault that applies to commands.
+        start_delay_s: Delay of start commands with the fault LATE.
+        slowdown: Factor on the run time of every plan.
+        stalled: Whether runs report no progress and never finish.
+        clock_rate: Rate of the worker's clock relative to the pool's.
     """
 
     def __init__(
         self, *, pool: PoolWorkers, entry: worker_directory.Worker
     ) -> None:
-        """Initializes a worker that runs nothing."""
+        """Initializes an idle worker."""
         self.entry = entry
         self.running: dict[units.TaskName, _Running] = {}
         self.ends: list[commands.EndedTask] = []
@@ -293,11 +301,11 @@
         self._end_numbers = itertools.count(1)
 
     def now_ms(self) -> int:
-        """Returns the worker's own clock, on which leases are measured."""
+        """Returns the time of the worker's clock, which measures leases."""
         return round(self._pool.now_ms() * self.clock_rate)
 
     def start(self, command: commands.Start) -> commands.StartOutcome:
-        """Carries out an order to start."""
+        """Executes a start command."""
         if command.token < self._token:
             return commands.StartOutcome.FENCED
         self._token = command.token
@@ -333,7 +341,7 @@
         return commands.StartOutcome.STARTED
 
     def stop(self, command: commands.Stop) -> commands.StopOutcome:
-        """Carries out an order to stop."""
+        """Executes a stop command."""
         if command.token < self._token:
             return commands.StopOutcome.FENCED
         self._token = command.token
@@ -352,7 +360,11 @@
     def renew(
         self, command: commands.RenewLeases
     ) -> commands.StopOutcome | None:
-        """Carries out a hold, but for its answer."""
+        """Extends the lease and drops acknowledged ends.
+
+        Returns:
+            FENCED for a stale token, otherwise None.
+        """
         if command.token < self._token:
             return commands.StopOutcome.FENCED
         self._token = command.token
@@ -362,7 +374,7 @@
         return None
 
     def report(self) -> commands.LeaseReport:
-        """Returns what runs and what ended."""
+        """Returns running tasks and runs that ended."""
         return commands.LeaseReport(
             clock_ms=self.now_ms(),
             life_ms=self.entry.life_ms,
@@ -380,9 +392,10 @@
         )
 
     def _percent(self, run: _Running) -> int:
-        """Returns the whole percent that are done; a lasting task's are 100.
+        """Returns the progress of a run in whole percent.
 
-        The members of a gang begin together.
+        It is 100 for a lasting task. The progress of a gang counts from the
+        start of its last member, because the members work only together.
         """
         if run.plan.lasting:
             return 100
@@ -396,13 +409,13 @@
         return int(max(min(done, 1.0), 0.0) * 100)
 
     def crash(self) -> None:
-        """Loses everything that it runs and knows."""
+        """Loses all state and leaves the pool."""
         self.running.clear()
         self.ends.clear()
         self._pool.workers.pop(self.entry.worker, None)
 
     def end(self, run: _Running, kind: commands.EndKind) -> None:
-        """Ends a run and lists its end."""
+        """Ends a run and reports it in `ends`, unless it has ended before."""
         if self.running.get(run.task) is not run:
             return
         del self.running[run.task]
--- a/citronmount/standins/runner_model.py
+++ b/citronmount/standins/runner_model.py
@@ -1,4 +1,4 @@
-"""An in-memory stand-in of a runner, the target of short requests."""
+"""In-memory stand-in for a runner, the target of short requests."""
 
 import collections
 from collections.abc import Callable
@@ -16,13 +16,14 @@
 
 
 def service_ms(spec: jobs.RequestSpec) -> int:
-    """Returns how long a runner works on a request.
+    """Returns the service time of a request in ms.
 
     Args:
-        spec: The request; its payload may be JSON with ``service_ms``.
+        spec: The request; its payload may be a JSON object that sets
+            ``service_ms``.
 
     Returns:
-        The service time.
+        The value from the payload, or `DEFAULT_SERVICE_MS`.
     """
     return int(
         _parse_payload(spec.payload).get("service_ms", DEFAULT_SERVICE_MS)
@@ -30,19 +31,24 @@
 
 
 def answer_payload(spec: jobs.RequestSpec) -> str:
-    """Returns the whole answer that a runner gives to a request.
+    """Returns the complete payload of the answer to a request.
 
     Args:
         spec: The request.
 
     Returns:
-        The answer, which no request with another key or payload gets.
+        A text that is unique to the account, idempotency key and payload, so
+        that an answer to another request can be recognized.
     """
     return f"{spec.account}:{spec.idempotency_key}:{spec.payload}"
 
 
 class RunnerModel:
-    """A runner with slots, which neither queues nor compares requests."""
+    """A runner with a fixed number of slots.
+
+    It refuses requests when all slots are taken, instead of queueing them, and
+    does not deduplicate requests.
+    """
 
     def __init__(
         self,
@@ -56,9 +62,9 @@
         """Initializes an idle runner.
 
         Args:
-            target: Its entry in the platform's list.
-            emit: Takes the events of the time line.
-            epoch_ms: Wall-clock time at which the runner's clock shows zero.
+            target: Entry of the runner in the platform's list.
+            emit: Receives the timeline events.
+            epoch_ms: Unix time in ms at which the runner's clock is zero.
         """
         self.target = target
         self.leaving = target.state is states.TargetState.LEAVING
@@ -70,25 +76,25 @@
 
     @property
     def busy_slots(self) -> int:
-        """How many requests it works on."""
+        """Number of requests in service."""
         return sum(len(specs) for specs in self._active_requests.values())
 
     def is_serving(self, request: ids.RequestId) -> bool:
-        """Returns whether it works on a request."""
+        """Returns whether a request is in service."""
         return bool(self._active_requests.get(request))
 
     def begin(
         self, spec: jobs.RequestSpec, now_ms: int
     ) -> messages.RunnerAnswer | None:
-        """Begins a request.
+        """Starts a request unless the runner is leaving or has no free slot.
 
         Args:
             spec: The request.
-            now_ms: Time of the runner.
+            now_ms: Current time of the runner.
 
         Returns:
-            A refusal, which proves that the request was not run, or None once
-            it has begun.
+            None if the request was started; otherwise a refusal, which proves
+            that the request did not run.
         """
         if self.leaving:
             return self._answer(spec, messages.RunnerOutcome.LEAVING)
@@ -101,14 +107,15 @@
     def finish(
         self, request: ids.RequestId, now_ms: int
     ) -> messages.RunnerAnswer:
-        """Ends a request that has begun.
+        """Ends a request in service.
 
         Args:
             request: The request.
-            now_ms: Time of the runner.
+            now_ms: Current time of the runner.
 
         Returns:
-            The whole answer.
+            The complete answer; it reports a failure if the payload sets
+            ``fail``.
         """
         spec = self._active_requests[request].pop()
         failed = _parse_payload(spec.payload).get("fail", False)
@@ -126,10 +133,10 @@
         return self._answer(spec, outcome, payload=answer_payload(spec))
 
     def crash(self, now_ms: int) -> None:
-        """Drops every request that it works on.
+        """Drops every request in service.
 
         Args:
-            now_ms: Time of the runner.
+            now_ms: Current time of the runner.
         """
         for spec in [
             s for specs in self._active_requests.values() for s in specs
--- a/citronmount/standins/tests/test_models.py
+++ b/citronmount/standins/tests/test_models.py
@@ -1,3 +1,5 @@
+"""Tests of the in-memory stand-ins."""
+
 import unittest
 
 from citronmount.clients import messages
@@ -10,14 +12,14 @@
 from citronmount.standins import worker_model
 from citronmount.telemetry import timeline_events
 
-_ONE = jobs.Resources(accelerators=1, cores=1, memory_gb=1)
+_TASK_DEMAND = jobs.Resources(accelerators=1, cores=1, memory_gb=1)
 
 
 def _spec(run_ms=5_000, exit_code=0, name="d/1"):
     return jobs.JobSpec(
         job=ids.JobId(name),
         account=ids.AccountId("a"),
-        per_task=_ONE,
+        per_task=_TASK_DEMAND,
         command=f'{{"run_ms": {run_ms}, "exit_code": {exit_code}}}',
     )
 
@@ -57,9 +59,11 @@
             emit=self.events.append,
         )
 
-    def call(self, now_ms, *acts, token=1, known=-1):
+    def call(self, now_ms, *acts, token=1, known_sequence=-1):
         call = messages.WorkerCall(
-            token=ids.FenceToken(token), acts=acts, known_sequence=known
+            token=ids.FenceToken(token),
+            acts=acts,
+            known_sequence=known_sequence,
         )
         answer = self.worker.call(call, now_ms)
         self.outcomes = [r.outcome.name for r in answer.results]
@@ -69,7 +73,7 @@
         report = self.call(now_ms).report
         return {lease.attempt: lease.state for lease in report.leases}
 
-    def test_runs_to_its_end_under_renewal(self):
+    def test_attempt_finishes_after_its_run_time(self):
         self.call(0, _reserve(), _start(), _start())
         self.assertEqual(["DONE"] * 3, self.outcomes)
         report = self.call(6_000).report
@@ -79,7 +83,7 @@
             [0, 0, 5_000], [event.physical_ms for event in self.events]
         )
 
-    def test_reservation_and_lease_lapse(self):
+    def test_unrenewed_reservation_and_lease_lapse(self):
         spec = _spec(run_ms=60_000)
         self.call(0, _reserve(spec=spec))
         self.call(2_000, _start())
@@ -93,14 +97,14 @@
         self.assertIs(self.states(21_999)["b"], states.LeaseState.RUNNING)
         self.assertIs(self.states(22_000)["b"], states.LeaseState.LAPSED)
 
-    def test_stale_token_changes_nothing(self):
+    def test_stale_token_has_no_effect(self):
         self.call(0, token=5)
         answer = self.call(1, _reserve(), token=4)
         self.assertEqual(["STALE_TOKEN"], self.outcomes)
         self.assertEqual(5, answer.token)
         self.assertFalse(answer.report.leases)
 
-    def test_stop_is_remembered(self):
+    def test_stopped_attempt_cannot_be_reserved_again(self):
         self.call(0, _stop(), _reserve(), _reserve("b"), _start("b"))
         self.assertEqual(
             ["NEVER_RAN", "STOPPED_BEFORE", "DONE", "DONE"], self.outcomes
@@ -111,7 +115,7 @@
             ["RAN", "DONE", "STOPPED_BEFORE", "RAN"], self.outcomes
         )
 
-    def test_capacity_leaving_and_failing_starts(self):
+    def test_full_failing_or_leaving_worker_refuses_acts(self):
         self.call(0, _reserve(tasks=8), _reserve("b"))
         self.assertEqual(["DONE", "NO_CAPACITY"], self.outcomes)
         self.worker.fail_every_start = True
@@ -121,21 +125,21 @@
         self.call(2, _reserve("b"))
         self.assertEqual(["LEAVING"], self.outcomes)
 
-    def test_saved_work_shortens_the_next_attempt(self):
+    def test_next_attempt_resumes_from_saved_progress(self):
         self.call(0, _reserve(), _start())
         self.call(4_000, _stop(grace_ms=1_000))
         self.call(4_000, _reserve("b"), _start("b"))
         self.assertIs(self.states(5_000)["b"], states.LeaseState.FINISHED)
 
-    def test_known_report_is_left_out(self):
+    def test_report_is_omitted_if_the_caller_knows_it(self):
         answer = self.call(0, _reserve())
         sequence = answer.report.sequence
-        self.assertIsNone(self.call(1, known=sequence).report)
-        self.assertIsNotNone(self.call(2_000, known=sequence).report)
+        self.assertIsNone(self.call(1, known_sequence=sequence).report)
+        self.assertIsNotNone(self.call(2_000, known_sequence=sequence).report)
 
 
 class LogModelTest(unittest.TestCase):
-    def test_keeps_order_and_both_copies_until_retention(self):
+    def test_retried_append_is_kept_twice_until_retention_passes(self):
         model = log_model.LogModel(retention_ms=100)
         stream = ids.StreamName("s")
         pair = (ids.RecordId("r"), b"x")
@@ -153,8 +157,8 @@
 
 
 class RunnerModelTest(unittest.TestCase):
-    def test_slots_and_leaving(self):
-        seen = []
+    def test_full_or_leaving_runner_refuses_requests(self):
+        events = []
         model = runner_model.RunnerModel(
             target=messages.ListedTarget(
                 name="r",
@@ -162,33 +166,35 @@
                 failure_domain=ids.FailureDomainId("d"),
                 slots=1,
             ),
-            emit=seen.append,
+            emit=events.append,
         )
-        one = jobs.RequestSpec(
+        request = jobs.RequestSpec(
             request=ids.RequestId("1"),
             account=ids.AccountId("a"),
             payload='{"service_ms": 7}',
         )
-        self.assertEqual(7, runner_model.service_ms(one))
-        self.assertIsNone(model.begin(one, 0))
-        self.assertIs(model.begin(one, 1).outcome, messages.RunnerOutcome.BUSY)
-        answer = model.finish(one.request, 7)
-        self.assertEqual(runner_model.answer_payload(one), answer.payload)
+        self.assertEqual(7, runner_model.service_ms(request))
+        self.assertIsNone(model.begin(request, 0))
+        self.assertIs(
+            model.begin(request, 1).outcome, messages.RunnerOutcome.BUSY
+        )
+        answer = model.finish(request.request, 7)
+        self.assertEqual(runner_model.answer_payload(request), answer.payload)
         model.leaving = True
         self.assertIs(
-            model.begin(one, 8).outcome, messages.RunnerOutcome.LEAVING
+            model.begin(request, 8).outcome, messages.RunnerOutcome.LEAVING
         )
         self.assertEqual(
             [
                 timeline_events.EventKind.RUNNER_STARTED,
                 timeline_events.EventKind.RUNNER_ENDED,
             ],
-            [event.kind for event in seen],
+            [event.kind for event in events],
         )
 
 
 class PlatformModelTest(unittest.TestCase):
-    def test_changes_show_after_the_lag(self):
+    def test_changes_appear_after_the_lag(self):
         model = platform_model.PlatformModel(lag_ms=10)
         vm = messages.ListedVm(
             vm=ids.VmId("v"),
--- a/citronmount/standins/worker_model.py
+++ b/citronmount/standins/worker_model.py
@@ -1,4 +1,4 @@
-"""An in-memory stand-in of a worker, the target of jobs."""
+"""In-memory stand-in for a worker, the target of jobs."""
 
 from collections.abc import Callable
 
@@ -16,12 +16,12 @@
 
 
 class TaskBehaviour(msgspec.Struct, frozen=True, kw_only=True):
-    """How the tasks of a job behave, read from its command.
+    """Simulated behaviour of the tasks of a job, set by its command.
 
     Attributes:
-        run_ms: Work of one task at full speed.
-        exit_code: How it exits; 0 for success.
-        save_ms: How long it takes to save its work before a stop.
+        run_ms: Run time of a task at full speed.
+        exit_code: Exit code of a task; 0 for success.
+        save_ms: Time that a task needs to save its progress before a stop.
     """
 
     run_ms: int = 1_000
@@ -30,13 +30,13 @@
 
 
 def parse_behaviour(spec: jobs.JobSpec) -> TaskBehaviour:
-    """Reads the behaviour of a job from its command.
+    """Parses the behaviour of a job from its command.
 
     Args:
-        spec: The job; any command that is not such JSON means the defaults.
+        spec: The job, whose command is a JSON `TaskBehaviour`.
 
     Returns:
-        The behaviour.
+        The behaviour; the defaults for any other command.
     """
     try:
         return msgspec.json.decode(
@@ -47,7 +47,7 @@
 
 
 class _Lease(msgspec.Struct, kw_only=True):
-    """One attempt at the worker."""
+    """State of one attempt on the worker."""
 
     reserve: messages.Reserve
     state: states.LeaseState
@@ -64,10 +64,10 @@
 
 
 class WorkerModel:
-    """A worker that runs attempts under leases and refuses stale tokens.
+    """A worker that runs attempts under leases and rejects stale tokens.
 
-    The tasks of an attempt take the time that the job's command names, for
-    example ``{"run_ms": 5000, "exit_code": 0}``.
+    The command of a job sets the simulated behaviour of its tasks, for example
+    ``{"run_ms": 5000, "exit_code": 0}``.
     """
 
     def __init__(
@@ -83,10 +83,11 @@
         """Initializes an idle worker.
 
         Args:
-            target: Its entry in the platform's list.
-            emit: Takes the events of the time line.
-            epoch_ms: Wall-clock time at which the worker's clock shows zero.
-            saved_progress: Saved work of jobs, which workers may share.
+            target: Entry of the worker in the platform's list.
+            emit: Receives the timeline events.
+            epoch_ms: Unix time in ms at which the worker's clock is zero.
+            saved_progress: Checkpointed share of the work of each job, from 0
+                to 1. Workers that share the mapping resume each other's jobs.
         """
         self.target = target
         self.worker = ids.WorkerId(target.name)
@@ -104,14 +105,15 @@
     def call(
         self, call: messages.WorkerCall, now_ms: int
     ) -> messages.WorkerAnswer:
-        """Carries out a batch of acts.
+        """Executes a batch of acts.
 
         Args:
-            call: The acts.
-            now_ms: Time of the worker.
+            call: The acts and the fencing token of the caller.
+            now_ms: Current time of the worker.
 
         Returns:
-            The answer, with a report if the caller has no recent one.
+            One result for each act, and a report if the caller does not know
+            the newest sequence number.
         """
         self.advance(now_ms)
         results = tuple(self._execute_acts(call))
@@ -123,7 +125,7 @@
         )
 
     def report(self) -> messages.Report:
-        """Returns what the worker tells of itself."""
+        """Returns the state of the worker and of all its leases."""
         state = (
             states.TargetState.LEAVING
             if self.leaving
@@ -138,10 +140,10 @@
         )
 
     def advance(self, now_ms: int) -> None:
-        """Lets time pass: tasks finish and leases lapse, in their order.
+        """Advances the clock and ends attempts that are due, in time order.
 
         Args:
-            now_ms: Time of the worker.
+            now_ms: Current time of the worker.
         """
         while (due := self._next_end()) is not None and due[0] <= now_ms:
             end_ms, state, attempt = due
@@ -150,12 +152,12 @@
         self._now_ms = max(self._now_ms, now_ms)
 
     def next_end_ms(self) -> int | None:
-        """Returns when `advance` will next end an attempt, if ever."""
+        """Returns when the next attempt is due to end, or None."""
         due = self._next_end()
         return None if due is None else due[0]
 
     def set_leaving(self, leaving: bool) -> None:
-        """Turns leaving on or off.
+        """Sets whether the worker is leaving.
 
         Args:
             leaving: Whether the worker refuses new reservations.
@@ -164,10 +166,12 @@
         self.sequence += 1
 
     def crash(self, now_ms: int) -> None:
-        """Ends every attempt; what it remembers of tokens and stops stays.
+        """Ends every attempt.
+
+        The fencing token and the record of stopped attempts survive.
 
         Args:
-            now_ms: Time of the worker.
+            now_ms: Current time of the worker.
         """
         self.advance(now_ms)
         for attempt, lease in self._leases.items():
@@ -412,7 +416,7 @@
 
 
 def _expected_end(lease: _Lease) -> tuple[int, str]:
-    """Returns when and how a held lease ends if nothing else happens."""
+    """Returns the time and final state of a lease if no act changes it."""
     ends = [(lease.expires_ms, states.LeaseState.LAPSED.value)]
     if lease.stop_ms is not None:
         ends.append((lease.stop_ms, states.LeaseState.STOPPED.value))
