--- a/citronmount/bench/harness.py
+++ b/citronmount/bench/harness.py
@@ -1,7 +1,7 @@
-"""Drives agents against models of the platform on a virtual clock.
+"""Simulates agents and the platform on a virtual clock.
 
-Every agent gets its own monotonic clock, which starts anywhere and never goes
-back, and a wall clock, which may jump. All randomness comes from one seed.
+Every agent has a monotonic clock with a random start and a wall clock, which
+may jump. All random numbers derive from one seed, so a run can be repeated.
 """
 
 from collections.abc import Callable
@@ -33,17 +33,22 @@
 
 
 class Harness:
-    """A site of agents and models on one virtual clock.
+    """Simulation of a site: its processes, network and platform services.
 
     Attributes:
+        rng: Source of start times and delays.
         clock: The virtual clock.
-        network: The network.
-        services: The log, the list and the targets.
-        processes: The system's processes by VM.
-        timeline: All events with the true time in ms, in order of time.
-        crashes: Time, VM and last lines of every exception of an agent.
-        watchers: Called with the process and each event or effect before it
-            is carried out.
+        network: The network between VMs, callers, targets and services.
+        services: The log, the list of VMs and targets, and the targets.
+        processes: The process of each VM.
+        timeline: Timeline events of all processes and targets, each with the
+            virtual time of its emission in ms.
+        crashes: Time in ms, VM and last traceback lines of every exception
+            that an agent raised.
+        watchers: Called with a process and an event before the agent handles
+            the event, or an effect before the harness executes it.
+        arrival_watchers: Called with source, target and effect when a call
+            reaches its target or when a reply is sent to a caller.
     """
 
     def __init__(
@@ -58,16 +63,16 @@
         list_lag_ms: int = 1_000,
         count_traffic: bool = False,
     ) -> None:
-        """Initializes a site in which no process runs yet.
+        """Initializes a site in which no process runs.
 
         Args:
-            site: The site.
-            make_agent: Makes the agent of a VM from its list entry and the
-                wall-clock time of its start in ms.
-            seed: The seed of all randomness.
-            retention_ms: How long the log keeps records.
-            list_lag_ms: How far the platform's list lags.
-            count_traffic: Whether to count messages and bytes.
+            site: The VMs, targets and initial configuration.
+            make_agent: Creates the agent of a VM from its list entry and the
+                Unix time of its start in ms.
+            seed: Seed of all random numbers.
+            retention_ms: Retention time of log records.
+            list_lag_ms: Time until the platform's list shows a change.
+            count_traffic: Whether to count messages and bytes of processes.
         """
         self.rng = random.Random(seed)
         self.clock = harness_clock.VirtualClock()
@@ -99,15 +104,15 @@
         self._set_locations(site)
         self._publish_initial_configuration(site)
 
-    # Control of processes.
+    # Process control.
 
     def start_all(self) -> None:
-        """Starts every process within a few hundred milliseconds."""
+        """Starts every process at a random time within 300 ms."""
         for vm in self.processes:
             self.clock.after_ms(self.rng.randrange(300), self.start, vm)
 
     def start(self, vm: ids.VmId) -> None:
-        """Starts the process of a VM that does not run.
+        """Starts the process of a VM unless it runs already.
 
         Args:
             vm: The VM.
@@ -129,7 +134,7 @@
         self._tick(process, process.incarnation)
 
     def kill(self, vm: ids.VmId) -> None:
-        """Ends a process at once; callers see their connections break.
+        """Kills a process; its open calls from callers get no answer.
 
         Args:
             vm: The VM.
@@ -141,12 +146,12 @@
         process.inbox.clear()
         process.calls.clear()
         self.services.platform.remove_vm(vm, self.clock.now_ms)
-        for tell in list(process.tickets.values()):
-            self.clock.after_ms(_REFUSAL_DELAY_MS, tell, None)
+        for on_answer in list(process.tickets.values()):
+            self.clock.after_ms(_REFUSAL_DELAY_MS, on_answer, None)
         process.tickets.clear()
 
     def pause(self, vm: ids.VmId) -> None:
-        """Stops a process without its notice.
+        """Suspends a process; events for it wait in its inbox.
 
         Args:
             vm: The VM.
@@ -154,19 +159,19 @@
         self.processes[vm].paused = True
 
     def resume(self, vm: ids.VmId) -> None:
-        """Lets a paused process go on with what has come in meanwhile.
+        """Resumes a paused process and delivers the events in its inbox.
 
         Args:
             vm: The VM.
         """
         process = self.processes[vm]
         process.paused = False
-        waiting, process.inbox = process.inbox, []
-        for event in waiting:
+        inbox, process.inbox = process.inbox, []
+        for event in inbox:
             self._deliver(process, process.incarnation, event)
 
     def drain(self, vm: ids.VmId) -> None:
-        """Asks a process to stop; the list shows the VM as leaving.
+        """Requests a graceful stop and lists the VM as leaving.
 
         Args:
             vm: The VM.
@@ -182,59 +187,64 @@
         self.services.platform.set_vm(leaving, self.clock.now_ms)
         self._deliver(process, process.incarnation, events.DrainRequested())
 
-    # Calls from outside.
+    # Calls from callers and operators.
 
     def call(
         self,
         vm: ids.VmId,
         body: peer_messages.CallerCall,
-        tell: Callable[[peer_messages.Answer | None], None],
+        on_answer: Callable[[peer_messages.Answer | None], None],
         timeout_ms: int = 6_000,
     ) -> ids.TicketId:
         """Sends a call to a VM as a caller or operator does.
 
         Args:
-            vm: The VM that the balancer picked.
+            vm: The VM that the load balancer chose.
             body: The call.
-            tell: Gets the answer, or None without one; called once.
-            timeout_ms: How long the caller waits.
+            on_answer: Called once, with the answer or with None if the
+                connection broke or the call timed out.
+            timeout_ms: Time that the caller waits for an answer.
 
         Returns:
-            The ticket.
+            The ticket that identifies the call.
         """
         self._ticket_count += 1
         ticket = ids.TicketId(f"t{self._ticket_count}")
         done: list[object] = []
 
-        def tell_once(answer: peer_messages.Answer | None) -> None:
+        def answer_once(answer: peer_messages.Answer | None) -> None:
             if not done:
                 done.append(answer)
-                tell(answer)
+                on_answer(answer)
 
         self.clock.after_ms(timeout_ms, self._time_out_caller, vm, ticket)
-        self.clock.after_ms(timeout_ms, tell_once, None)
+        self.clock.after_ms(timeout_ms, answer_once, None)
         delays_us = self.network.delays_us(
-            harness_network.CALLERS, vm, repeatable=False
+            harness_network.CALLERS, vm, may_duplicate=False
         )
         for delay_us in delays_us:
             self.clock.after_us(
-                delay_us, self._receive_call, vm, ticket, body, tell_once
+                delay_us, self._receive_call, vm, ticket, body, answer_once
             )
         return ticket
 
     def run_until_ms(self, until_ms: int) -> None:
-        """Lets virtual time pass.
+        """Advances virtual time and runs everything that is due.
 
         Args:
-            until_ms: When to stop.
+            until_ms: Virtual time to stop at.
         """
         self.clock.run_until_ms(until_ms)
 
     def running_vms(self) -> tuple[ids.VmId, ...]:
-        """Returns the VMs whose process runs, in the order of their names."""
-        return tuple(vm for vm, p in sorted(self.processes.items()) if p.agent)
+        """Returns the VMs whose process runs, sorted by name."""
+        return tuple(
+            vm
+            for vm, process in sorted(self.processes.items())
+            if process.agent
+        )
 
-    # Inside.
+    # Events and effects.
 
     def _set_locations(self, site: harness_site.Site) -> None:
         self.network.set_location(
@@ -258,8 +268,8 @@
             author="operator",
             content=site.configuration,
         )
-        pair = (change.record, records.encode(change))
-        self.services.log.append(records.CONFIG_STREAM, (pair,), 0)
+        record = (change.record, records.encode(change))
+        self.services.log.append(records.CONFIG_STREAM, (record,), 0)
 
     def _emit(self, event: timeline_events.TimelineEvent) -> None:
         self.timeline.append((self.clock.now_ms, event))
@@ -267,10 +277,10 @@
     def _tick(self, process: harness_process.Process, incarnation: int) -> None:
         if process.agent is None or process.incarnation != incarnation:
             return
-        tick_waits = process.paused and any(
+        tick_pending = process.paused and any(
             isinstance(event, events.Tick) for event in process.inbox
         )
-        if not tick_waits:
+        if not tick_pending:
             self._deliver(process, incarnation, events.Tick())
         self.clock.after_ms(_TICK_PERIOD_MS, self._tick, process, incarnation)
 
@@ -302,7 +312,7 @@
     def _handle(
         self, process: harness_process.Process, event: events.Event
     ) -> list[effects.Effect]:
-        """Lets the agent handle an event; an exception ends the process."""
+        """Passes an event to the agent; an exception restarts the process."""
         now_ms = self.clock.now_ms
         try:
             return process.agent.handle(
@@ -357,16 +367,16 @@
     def _reply(
         self, process: harness_process.Process, effect: effects.Reply
     ) -> None:
-        tell = process.tickets.pop(effect.ticket, None)
+        on_answer = process.tickets.pop(effect.ticket, None)
         for arrival in self.arrival_watchers:
             arrival(process.vm.vm, harness_network.CALLERS, effect)
-        if tell is None:
+        if on_answer is None:
             return
         delays_us = self.network.delays_us(
-            process.vm.vm, harness_network.CALLERS, repeatable=False
+            process.vm.vm, harness_network.CALLERS, may_duplicate=False
         )
         for delay_us in delays_us:
-            self.clock.after_us(delay_us, tell, effect.body)
+            self.clock.after_us(delay_us, on_answer, effect.body)
 
     def _exit(self, process: harness_process.Process) -> None:
         process.exited_ms = self.clock.now_ms
@@ -379,13 +389,13 @@
         vm: ids.VmId,
         ticket: ids.TicketId,
         body: peer_messages.CallerCall,
-        tell: Callable[[peer_messages.Answer | None], None],
+        on_answer: Callable[[peer_messages.Answer | None], None],
     ) -> None:
         process = self.processes[vm]
         if process.agent is None:
-            self.clock.after_ms(_REFUSAL_DELAY_MS, tell, None)
+            self.clock.after_ms(_REFUSAL_DELAY_MS, on_answer, None)
             return
-        process.tickets[ticket] = tell
+        process.tickets[ticket] = on_answer
         event = events.CallArrived(ticket=ticket, body=body)
         self._deliver(process, process.incarnation, event)
 
@@ -400,7 +410,7 @@
         process: harness_process.Process,
         effect: effects.Effect,
     ) -> None:
-        """Sends a call; the answer or a timeout comes back as one event."""
+        """Sends a call; its answer or timeout is delivered as one event."""
         target = harness_services.call_target(effect)
         process.calls.add(effect.call)
         incarnation = process.incarnation
@@ -412,12 +422,14 @@
             effect,
             None,
         )
-        repeatable = not isinstance(effect, effects.CallRunner)
+        may_duplicate = not isinstance(effect, effects.CallRunner)
         if self._count_traffic:
             process.traffic.count_call(effect)
-        known = target in self.network._locations
+        known = target in self.network.locations
         delays_us = (
-            self.network.delays_us(process.vm.vm, target, repeatable=repeatable)
+            self.network.delays_us(
+                process.vm.vm, target, may_duplicate=may_duplicate
+            )
             if known
             else ()
         )
@@ -425,10 +437,10 @@
         def respond(event: events.Event) -> None:
             if self._count_traffic:
                 process.traffic.count_answer(event)
-            back_us = self.network.delays_us(
-                target, process.vm.vm, repeatable=False
+            answer_delays_us = self.network.delays_us(
+                target, process.vm.vm, may_duplicate=False
             )
-            for delay_us in back_us:
+            for delay_us in answer_delays_us:
                 self.clock.after_us(
                     delay_us,
                     self._deliver_answer,
--- a/citronmount/bench/harness_network.py
+++ b/citronmount/bench/harness_network.py
@@ -1,4 +1,4 @@
-"""A network between named places with cuts and faulty links."""
+"""Simulated network between locations, with cuts and faulty links."""
 
 from collections.abc import Callable
 import random
@@ -17,14 +17,14 @@
 
 
 class LinkFault(msgspec.Struct, kw_only=True):
-    """What happens to the messages of some links.
+    """Fault of the links that it matches.
 
     Attributes:
-        matches: Whether the fault applies to a message from one end point to
-            another.
-        loss: Share of messages that are lost.
-        copies: Share of messages that arrive twice.
-        delay_ms: Least and most extra delay.
+        matches: Returns whether the fault applies to messages from a source to
+            a target endpoint.
+        loss: Probability that a message is lost.
+        copies: Probability that a message arrives twice.
+        delay_ms: Minimum and maximum of the additional delay.
     """
 
     matches: Callable[[str, str], bool]
@@ -34,23 +34,25 @@
 
 
 class Network:
-    """Decides when, and how often, a message arrives.
+    """Draws the delay, loss and duplication of messages.
 
     Attributes:
-        cuts: Pairs of places; no message goes from the first to the second.
-        faults: Faults of links, applied to every message that they match.
+        cuts: Pairs of locations; every message from the first to the second is
+            lost.
+        faults: Faults, each applied to every message that it matches.
+        locations: Location of each endpoint.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
         """Initializes a network without cuts.
 
         Args:
-            rng: Source of latencies and losses.
+            rng: Source of delays, losses and duplicates.
         """
         self.cuts: set[tuple[str, str]] = set()
         self.faults: list[LinkFault] = []
         self._rng = rng
-        self._locations: dict[str, str] = {}
+        self.locations: dict[str, str] = {}
 
     def set_location(self, endpoint: str, location: str) -> None:
         """Sets the location of an endpoint.
@@ -59,37 +61,37 @@
             endpoint: Name of a VM, target or service, or `CALLERS`.
             location: A failure domain, `PLATFORM` or `CALLERS`.
         """
-        self._locations[endpoint] = location
+        self.locations[endpoint] = location
 
     def reachable(self, source: str, target: str) -> bool:
-        """Returns whether no cut lies on the way from source to target."""
+        """Returns whether no cut separates the source from the target."""
         return (
-            self._locations[source],
-            self._locations[target],
+            self.locations[source],
+            self.locations[target],
         ) not in self.cuts
 
     def delays_us(
-        self, source: str, target: str, *, repeatable: bool = True
+        self, source: str, target: str, *, may_duplicate: bool = True
     ) -> tuple[int, ...]:
         """Returns the delay of each copy of a message that arrives.
 
         Args:
-            source: The end point that sends.
-            target: The end point that receives.
-            repeatable: Whether the network may double the message.
+            source: The sending endpoint.
+            target: The receiving endpoint.
+            may_duplicate: Whether faults may duplicate the message.
 
         Returns:
-            One delay for each copy; none if the message is lost.
+            One delay in us for each copy; empty if the message is lost.
         """
         if self.cuts and not self.reachable(source, target):
             return ()
         hop_us = self._rng.randint(_MIN_HOP_US, _MAX_HOP_US)
         if not self.faults:
             return (hop_us,)
-        return self._faulty_delays_us(source, target, hop_us, repeatable)
+        return self._faulty_delays_us(source, target, hop_us, may_duplicate)
 
     def _faulty_delays_us(
-        self, source: str, target: str, hop_us: int, repeatable: bool
+        self, source: str, target: str, hop_us: int, may_duplicate: bool
     ) -> tuple[int, ...]:
         delays_us = [hop_us]
         for fault in self.faults:
@@ -99,7 +101,7 @@
                 return ()
             extra_ms = self._rng.randint(*fault.delay_ms)
             delays_us[0] += extra_ms * harness_clock.US_PER_MS
-            if repeatable and self._rng.random() < fault.copies:
+            if may_duplicate and self._rng.random() < fault.copies:
                 extra_ms = self._rng.randint(0, max(50, fault.delay_ms[1]))
                 delays_us.append(hop_us + extra_ms * harness_clock.US_PER_MS)
         return tuple(delays_us)
--- a/citronmount/bench/harness_process.py
+++ b/citronmount/bench/harness_process.py
@@ -1,4 +1,4 @@
-"""One process of the system as the harness runs it, and its traffic."""
+"""State of a simulated process and counters of its traffic."""
 
 import collections
 from collections.abc import Callable
@@ -24,20 +24,20 @@
 
 
 class AgentLike(Protocol):
-    """What the harness needs of an agent."""
+    """Interface of an agent to the harness."""
 
     def handle(
         self, event: events.Event, now_ms: int, wall_ms: int
     ) -> list[effects.Effect]:
-        """Handles one event and returns what to do."""
+        """Handles an event and returns the effects to execute, in order."""
 
 
 class Traffic(msgspec.Struct, kw_only=True):
-    """Messages and bytes of one VM by kind, both directions.
+    """Messages and bytes that a VM sent and received, by kind.
 
     Attributes:
-        messages: Messages by kind.
-        bytes: Bytes by kind.
+        messages: Number of messages by class name.
+        bytes: Number of bytes by class name.
     """
 
     messages: collections.Counter = msgspec.field(
@@ -51,14 +51,14 @@
         """Counts one message.
 
         Args:
-            kind: Its kind.
-            size: Its bytes.
+            kind: Class name of the message, event or effect.
+            size: Size in bytes.
         """
         self.messages[kind] += 1
         self.bytes[kind] += size
 
     def count_call(self, effect: effects.Effect) -> None:
-        """Counts a call at a service.
+        """Counts a call to a service or target, with HTTP headers.
 
         Args:
             effect: The call.
@@ -73,7 +73,7 @@
         self.count_message(type(effect).__name__, size)
 
     def count_answer(self, event: events.Event) -> None:
-        """Counts the answer to a call.
+        """Counts the answer to a call, with HTTP headers.
 
         Args:
             event: The answer.
@@ -84,24 +84,24 @@
 
 
 class Process(msgspec.Struct, kw_only=True):
-    """One process of the system.
+    """Simulated process of a VM.
 
     Attributes:
-        vm: Its entry in the VM list.
-        agent: Its agent, or None while the process does not run.
-        incarnation: Counts its starts.
-        paused: Whether the process is stopped by its VM.
-        wall_skew_ms: How far its wall clock is off.
-        clock_start_ms: What its monotonic clock showed at time zero.
-        inbox: Events that wait for the end of a pause.
-        calls: Calls that are not answered yet.
-        tickets: Open requests of callers, with what to tell the caller.
-        draining: Whether it was asked to stop.
-        started_ms: When it was started last.
-        exited_ms: When it ended itself, if it did.
-        drained_ms: When it was asked to stop.
-        cut_ms: When it ended itself with requests of callers open.
-        traffic: Its messages and bytes.
+        vm: Entry of the VM in the platform's list.
+        agent: The agent, or None while the process does not run.
+        incarnation: Number of starts.
+        paused: Whether the process is suspended.
+        wall_skew_ms: Offset of the wall clock from virtual time.
+        clock_start_ms: Value of the monotonic clock at virtual time zero.
+        inbox: Events that arrived during a pause.
+        calls: Outgoing calls without an answer.
+        tickets: Callback for the answer of each open call from a caller.
+        draining: Whether a graceful stop was requested.
+        started_ms: Time of the last start.
+        exited_ms: Time at which the process exited by itself, or None.
+        drained_ms: Time at which a graceful stop was last requested, or None.
+        cut_ms: Times at which the process exited with calls from callers open.
+        traffic: Messages and bytes sent and received.
     """
 
     vm: messages.ListedVm
--- a/citronmount/bench/harness_services.py
+++ b/citronmount/bench/harness_services.py
@@ -1,4 +1,4 @@
-"""The services that a harness's agents call: log, list, workers, runners."""
+"""Simulated services that agents call: log, list, workers and runners."""
 
 from collections.abc import Callable
 
@@ -33,17 +33,17 @@
 
 
 class PlatformServices:
-    """Models of the platform's services on the harness's clock.
+    """The platform's services and targets on the virtual clock.
 
     Attributes:
         log: The log service.
         platform: The list of VMs and targets.
         workers: The workers by id.
         runners: The runners by id.
-        down: Services and targets that do not answer.
-        refusing: Those of them that refuse connections at once.
-        log_delay_ms: How long the log takes for each call.
-        lose_append_answers: Whether appends take effect without an answer.
+        down: Services and targets that do not answer calls.
+        refusing: Those of `down` that refuse connections at once.
+        log_delay_ms: Time that the log takes for each call.
+        lose_append_answers: Whether appends take effect but get no answer.
     """
 
     def __init__(
@@ -55,14 +55,14 @@
         retention_ms: int,
         list_lag_ms: int,
     ) -> None:
-        """Initializes services that all answer.
+        """Initializes services without faults.
 
         Args:
             clock: The virtual clock.
             view: The VMs and targets of the site.
-            emit: Takes in the events of targets.
-            retention_ms: How long the log keeps records.
-            list_lag_ms: How far the list lags.
+            emit: Receives the timeline events of the targets.
+            retention_ms: Retention time of log records.
+            list_lag_ms: Time until the list shows a change.
         """
         self.log = log_model.LogModel(
             retention_ms=retention_ms, keep_history=True
@@ -94,12 +94,12 @@
         }
 
     def crash_target(self, name: str, *, refuses: bool = False) -> None:
-        """Ends a worker or runner with all that runs there.
+        """Crashes a worker or runner with everything that runs there.
 
         Args:
-            name: The worker or runner.
-            refuses: Whether its machine lives on and refuses connections;
-                otherwise calls get no answer at all.
+            name: Id of the worker or runner.
+            refuses: Whether its machine stays up and refuses connections;
+                otherwise calls time out.
         """
         self.down.add(name)
         if refuses:
@@ -108,19 +108,19 @@
         model.crash(self._clock.now_ms)
 
     def restore_target(self, name: str) -> None:
-        """Lets a worker or runner answer again.
+        """Makes a crashed worker or runner answer calls again.
 
         Args:
-            name: The worker or runner.
+            name: Id of the worker or runner.
         """
         self.down.discard(name)
         self.refusing.discard(name)
 
     def set_leaving(self, name: str, leaving: bool) -> None:
-        """Lets a target start or stop leaving.
+        """Sets and lists whether a target is leaving.
 
         Args:
-            name: The worker or runner.
+            name: Id of the worker or runner.
             leaving: Whether it refuses new work.
         """
         state = states.TargetState.LEAVING if leaving else states.TargetState.UP
@@ -137,11 +137,12 @@
 
         Args:
             effect: The call.
-            target: The service or target.
-            respond: Told at once if the target refuses connections.
+            target: Name of the service or target.
+            respond: Called at once with a failed call if the target refuses
+                connections.
 
         Returns:
-            Whether the call is to be served.
+            Whether the target is up and can serve the call.
         """
         if target in self.refusing:
             respond(no_answer_event(effect, sent=False))
@@ -152,7 +153,7 @@
 
         Args:
             effect: The call.
-            respond: Gets the answer, if there is one.
+            respond: Called with the answer; not called if it is lost.
         """
         match effect:
             case effects.AppendLog():
@@ -273,7 +274,7 @@
 
 
 def call_target(effect: effects.Effect) -> str | None:
-    """Returns the service or target that an effect calls, if it calls one."""
+    """Returns the service or target that an effect calls, or None."""
     match effect:
         case effects.AppendLog() | effects.ReadLog():
             return LOG
@@ -289,14 +290,14 @@
 def no_answer_event(
     effect: effects.Effect, *, sent: bool = True
 ) -> events.Event:
-    """Returns the event of a call that got no answer.
+    """Returns the event that reports a call without an answer.
 
     Args:
         effect: The call.
-        sent: Whether any byte of it may have left.
+        sent: Whether any byte of the call may have been sent.
 
     Returns:
-        The event.
+        The event, whose answer is None.
     """
     match effect:
         case effects.AppendLog():
--- a/citronmount/bench/harness_site.py
+++ b/citronmount/bench/harness_site.py
@@ -1,4 +1,4 @@
-"""Sites for the harness: failure domains with VMs and targets."""
+"""Synthetic sites: failure domains with VMs, workers and runners."""
 
 import itertools
 
@@ -17,11 +17,11 @@
 
 
 class Site(msgspec.Struct, frozen=True, kw_only=True):
-    """What the platform lists at the start, and the first configuration.
+    """Initial platform list and initial configuration of a site.
 
     Attributes:
         view: All VMs, workers and runners.
-        configuration: The content of the first published configuration.
+        configuration: Content of the first published configuration.
     """
 
     view: messages.PlatformView
@@ -29,7 +29,7 @@
 
     @property
     def failure_domains(self) -> tuple[ids.FailureDomainId, ...]:
-        """The names of the failure domains."""
+        """Names of the failure domains."""
         return tuple(d.name for d in self.configuration.failure_domains)
 
 
@@ -43,19 +43,20 @@
     workers_per_rack: int = 8,
     slots: int = 8,
 ) -> Site:
-    """Makes a site of equal failure domains.
+    """Creates a site of equal failure domains.
 
-    One paying account is guaranteed a gang of one task on each worker of a
-    failure domain, in every failure domain; one trial account may use all.
+    In every failure domain, one paying account is guaranteed a gang of up to
+    two tasks, each of which takes all accelerators of a worker. One trial
+    account has an allowance of all accelerators of the site.
 
     Args:
-        failure_domains: How many there are.
-        vms_per_domain: VMs of the system in each.
-        workers_per_domain: Workers in each.
-        runners_per_domain: Runners in each.
-        accelerators: Accelerators of a worker.
-        workers_per_rack: Workers in a rack.
-        slots: Slots of a runner.
+        failure_domains: Number of failure domains.
+        vms_per_domain: VMs of the system in each failure domain.
+        workers_per_domain: Workers in each failure domain.
+        runners_per_domain: Runners in each failure domain.
+        accelerators: Accelerators of each worker.
+        workers_per_rack: Workers in each rack.
+        slots: Slots of each runner.
 
     Returns:
         The site.
--- a/citronmount/bench/harness_traffic.py
+++ b/citronmount/bench/harness_traffic.py
@@ -1,4 +1,4 @@
-"""Counts messages and bytes of a VM per second at several sizes."""
+"""Measures the messages and bytes per second of the VMs of idle sites."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class TrafficRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What the busiest and the average VM of a site send and receive.
+    """Traffic of the average and the busiest VM of a site.
 
     Attributes:
         vms: VMs of the site.
@@ -49,20 +49,20 @@
     seconds: int = 30,
     seed: int = 1,
 ) -> TrafficRow:
-    """Runs an idle site and counts what its VMs send and receive.
+    """Simulates an idle site and counts the traffic of its VMs.
 
     Args:
-        make_agent: Makes the agent of a VM from its list entry and the
-            wall-clock time of its start.
-        failure_domains: Failure domains of the site.
-        vms_per_domain: VMs in each.
-        workers_per_domain: Workers in each.
-        runners_per_domain: Runners in each.
-        seconds: How long to count, after a warm-up.
-        seed: The seed of all randomness.
+        make_agent: Creates the agent of a VM from its list entry and the Unix
+            time of its start in ms.
+        failure_domains: Number of failure domains.
+        vms_per_domain: VMs in each failure domain.
+        workers_per_domain: Workers in each failure domain.
+        runners_per_domain: Runners in each failure domain.
+        seconds: Virtual time to count for after the warm-up.
+        seed: Seed of all random numbers.
 
     Returns:
-        The counts for each second of virtual time.
+        The traffic per second of virtual time.
     """
     harness = harness_lib.Harness(
         site=harness_site.make_site(
@@ -103,7 +103,7 @@
     """Returns the least-squares slope of a line through points.
 
     Args:
-        points: Pairs of x and y with at least two distinct x.
+        points: Pairs of x and y, with at least two distinct values of x.
 
     Examples:
         >>> slope([(1, 3.0), (2, 5.0), (3, 7.0)])
--- a/citronmount/bench/tests/test_harness.py
+++ b/citronmount/bench/tests/test_harness.py
@@ -1,3 +1,5 @@
+"""Tests of the virtual-time harness."""
+
 import unittest
 
 from citronmount.agent import effects
@@ -17,22 +19,26 @@
 
 
 class _Recorder:
-    """An agent that keeps its events and does what it is told once."""
+    """An agent that records events and returns queued effects once."""
 
     def __init__(self):
-        self.seen = []
-        self.todo = []
+        self.received = []
+        self.pending_effects = []
 
     def handle(self, event, now_ms, wall_ms):
-        self.seen.append((now_ms, wall_ms, event))
-        todo, self.todo = self.todo, []
-        return todo
+        self.received.append((now_ms, wall_ms, event))
+        pending_effects, self.pending_effects = self.pending_effects, []
+        return pending_effects
 
     def kinds(self):
-        return [type(event).__name__ for _, _, event in self.seen]
+        return [type(event).__name__ for _, _, event in self.received]
 
-    def answers(self, kind):
-        return [e for _, _, e in self.seen if isinstance(e, kind)]
+    def received_events(self, event_type):
+        return [
+            event
+            for _, _, event in self.received
+            if isinstance(event, event_type)
+        ]
 
 
 class HarnessTest(unittest.TestCase):
@@ -52,82 +58,84 @@
     def run_ms(self, duration_ms):
         self.harness.run_until_ms(self.harness.clock.now_ms + duration_ms)
 
-    def test_clocks_tick_and_only_the_wall_clock_jumps(self):
-        before = self.agent.seen[-1]
+    def test_skew_moves_the_wall_clock_but_not_the_monotonic_clock(self):
+        before = self.agent.received[-1]
         self.harness.processes[_VM].wall_skew_ms = -60_000
         self.run_ms(1_000)
-        after = self.agent.seen[-1]
+        after = self.agent.received[-1]
         self.assertEqual(1_000, after[0] - before[0])
         self.assertEqual(-59_000, after[1] - before[1])
 
-    def test_log_takes_effect_though_the_answer_is_lost(self):
+    def test_append_takes_effect_if_its_answer_is_lost(self):
         append = effects.AppendLog(
             call=ids.CallId("c"),
             stream=ids.StreamName("s"),
             records=((ids.RecordId("r"), b"x"),),
         )
         self.harness.services.lose_append_answers = True
-        self.agent.todo = [append]
+        self.agent.pending_effects = [append]
         self.run_ms(3_000)
-        answers = self.agent.answers(events.LogAppended)
+        answers = self.agent.received_events(events.LogAppended)
         self.assertEqual([None], [answer.offset for answer in answers])
         history = self.harness.services.log.history(ids.StreamName("s"))
         self.assertEqual(1, len(history))
 
-    def test_cuts_and_doubled_messages(self):
+    def test_cut_drops_messages_and_link_fault_duplicates_them(self):
         message = peer_messages.Acknowledge(call=ids.CallId("c"))
         send = effects.SendPeer(to=_OTHER, message=message)
         self.harness.network.cuts.add(("fd-a", "fd-b"))
-        self.agent.todo = [send]
+        self.agent.pending_effects = [send]
         self.run_ms(500)
         other = self.agents[_OTHER]
-        self.assertFalse(other.answers(events.PeerArrived))
+        self.assertFalse(other.received_events(events.PeerArrived))
         self.harness.network.cuts.clear()
         self.harness.network.faults.append(
             harness_network.LinkFault(
                 matches=lambda source, target: True, copies=1.0
             )
         )
-        self.agent.todo = [send]
+        self.agent.pending_effects = [send]
         self.run_ms(500)
-        self.assertEqual(2, len(other.answers(events.PeerArrived)))
+        self.assertEqual(2, len(other.received_events(events.PeerArrived)))
 
-    def test_paused_process_gets_one_tick_and_what_came_in(self):
+    def test_resumed_process_gets_one_tick_for_a_whole_pause(self):
         self.harness.pause(_VM)
-        seen = len(self.agent.seen)
+        received_count = len(self.agent.received)
         self.run_ms(5_000)
-        self.assertEqual(seen, len(self.agent.seen))
+        self.assertEqual(received_count, len(self.agent.received))
         self.harness.resume(_VM)
-        self.assertEqual(["Tick"], self.agent.kinds()[seen:])
+        self.assertEqual(["Tick"], self.agent.kinds()[received_count:])
 
-    def test_killed_process_breaks_calls_and_starts_anew(self):
-        told = []
+    def test_killed_process_breaks_calls_and_restarts_with_a_new_agent(self):
+        answers = []
         body = peer_messages.GetJob(job=ids.JobId("j"))
-        self.harness.call(_VM, body, told.append)
+        self.harness.call(_VM, body, answers.append)
         self.run_ms(100)
         self.assertIn("CallArrived", self.agent.kinds())
         self.harness.kill(_VM)
         self.run_ms(100)
-        self.assertEqual([None], told)
+        self.assertEqual([None], answers)
         self.harness.start(_VM)
         self.run_ms(100)
         self.assertIsNot(self.agent, self.agents[_VM])
         self.assertIn("Started", self.agents[_VM].kinds())
 
-    def test_answer_reaches_its_caller_once(self):
-        told = []
+    def test_repeated_reply_reaches_the_caller_once(self):
+        answers = []
         body = peer_messages.GetJob(job=ids.JobId("j"))
-        ticket = self.harness.call(_VM, body, told.append)
+        ticket = self.harness.call(_VM, body, answers.append)
         answer = peer_messages.Failure(
             result=jobs.JobResult(code=codes.ResultCode.UNKNOWN_JOB)
         )
         self.run_ms(100)
-        self.agent.todo = [effects.Reply(ticket=ticket, body=answer)] * 2
+        self.agent.pending_effects = [
+            effects.Reply(ticket=ticket, body=answer)
+        ] * 2
         self.run_ms(20_000)
-        self.assertEqual([answer], told)
+        self.assertEqual([answer], answers)
 
-    def test_worker_and_runner_calls(self):
-        self.agent.todo = [
+    def test_worker_answers_and_runner_that_is_down_does_not(self):
+        self.agent.pending_effects = [
             effects.CallWorker(
                 call=ids.CallId("w"),
                 worker=ids.WorkerId("fd-a.w000"),
@@ -145,14 +153,14 @@
         ]
         self.harness.services.down.add("fd-a.r000")
         self.run_ms(2_000)
-        (worker,) = self.agent.answers(events.WorkerAnswered)
+        (worker,) = self.agent.received_events(events.WorkerAnswered)
         self.assertEqual(7, worker.answer.token)
-        (runner,) = self.agent.answers(events.RunnerAnswered)
+        (runner,) = self.agent.received_events(events.RunnerAnswered)
         self.assertIsNone(runner.answer)
 
 
 class TrafficTest(unittest.TestCase):
-    def test_slope(self):
+    def test_slope_of_points_on_a_line(self):
         points = [(1.0, 3.0), (2.0, 5.0), (3.0, 7.0)]
         self.assertEqual(2.0, harness_traffic.slope(points))
 
