--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Measures slopes at several sizes and works out the two-year size.
+"""Measures resource use at several sizes and plans for the two-year size.
 
 ``python -m citronmount.bench.capacity --json`` prints one JSON object;
-``--page FILE`` writes the page for people from the same run.
+``--page FILE`` writes the capacity page of the documentation.
 """
 
 import pathlib
@@ -46,11 +46,7 @@
 
 
 def measure() -> capacity_plan.Measured:
-    """Runs every measurement.
-
-    Returns:
-        What was measured.
-    """
+    """Runs every measurement and returns the results."""
     return capacity_plan.Measured(
         traffic=tuple(_measure_site_traffic(*site) for site in SITE_SIZES),
         costs=capacity_agents.measure_costs(
@@ -134,8 +130,12 @@
 
 
 def _measure_change_us(teams: int) -> float:
-    """Times decoding, folding and taking a change over by a scheduler."""
-    data = records.encode(_make_change(teams))
+    """Returns the processor time in us for a configuration change.
+
+    It covers decoding and folding the change and the first decision of a
+    scheduler with 260 workers under the new configuration.
+    """
+    encoded_change = records.encode(_make_change(teams))
     domain_scheduler = scheduler.DomainScheduler(
         failure_domain=ids.FailureDomainId("kr-a")
     )
@@ -156,7 +156,9 @@
     page = messages.LogPage(
         records=(
             messages.LogRecord(
-                offset=ids.Offset(0), record=ids.RecordId("r"), data=data
+                offset=ids.Offset(0),
+                record=ids.RecordId("r"),
+                data=encoded_change,
             ),
         ),
         oldest=ids.Offset(0),
@@ -188,13 +190,13 @@
 
 
 class Output(msgspec.Struct, frozen=True, kw_only=True):
-    """What the script prints.
+    """JSON output of the script.
 
     Attributes:
         size: The two-year size.
-        budget: What a node may spend.
+        budget: Resources that a node may use.
         measured: The measurements.
-        plan: What follows from them.
+        plan: Resource needs at the two-year size.
     """
 
     size: capacity_plan.Size
@@ -210,12 +212,12 @@
     """Measures slopes and works out the two-year size."""
     measured = measure()
     plan = capacity_plan.compute_plan(measured)
-    text = capacity_page.render(measured, plan)
+    page_text = capacity_page.render(measured, plan)
     if page is not None:
-        target = pathlib.Path(page)
-        before = target.read_text("utf-8") if target.exists() else ""
-        kept = capacity_page.preserved_part(before)
-        target.write_text(text + kept, encoding="utf-8")
+        page_path = pathlib.Path(page)
+        before = page_path.read_text("utf-8") if page_path.exists() else ""
+        preserved = capacity_page.preserved_part(before)
+        page_path.write_text(page_text + preserved, encoding="utf-8")
     if as_json:
         output = Output(
             size=capacity_plan.SIZE,
@@ -225,7 +227,7 @@
         )
         click.echo(msgspec.json.encode(output).decode("utf-8"))
     elif page is None:
-        click.echo(text)
+        click.echo(page_text)
 
 
 if __name__ == "__main__":
--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -1,4 +1,4 @@
-"""Measures agents in the virtual-time harness: bytes, events and state."""
+"""Measures processor time and memory of agents in the virtual-time harness."""
 
 import collections
 import gc
@@ -48,13 +48,13 @@
 
 
 class EventCost(msgspec.Struct, frozen=True, kw_only=True):
-    """Processor time that agents take for one kind of event.
+    """Processor time of agents for one kind of event.
 
     Attributes:
-        kind: The kind of event.
-        count: How many were taken in.
-        mean_us: Their mean processor time.
-        per_vm_per_s: How many a VM takes in each second.
+        kind: Class name of the event.
+        count: Number of events handled.
+        mean_us: Mean processor time of an event.
+        per_vm_per_s: Events that a VM handles per second.
     """
 
     kind: str
@@ -64,14 +64,14 @@
 
 
 class StateRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Memory of the agent that owns a failure domain of one size.
+    """Memory of the agents of one failure domain.
 
     Attributes:
-        workers: Workers of the failure domain.
-        jobs: Running jobs, of `TASKS_PER_JOB` tasks each.
-        teams: Paying accounts with one guarantee each.
-        owner_bytes: Memory of the owner's agent.
-        member_bytes: Memory of another VM's agent.
+        workers: Number of workers.
+        jobs: Number of running jobs, of `TASKS_PER_JOB` tasks each.
+        teams: Number of paying accounts, with one guarantee each.
+        owner_bytes: Memory of the agent that owns the failure domain.
+        member_bytes: Memory of the agent that uses least.
     """
 
     workers: int
@@ -82,14 +82,11 @@
 
 
 def make_agent(vm: messages.ListedVm, incarnation_ms: int) -> agent_lib.Agent:
-    """Returns the agent of a VM with the default timing.
+    """Returns an agent with default timing.
 
     Args:
-        vm: Its entry in the platform's list.
-        incarnation_ms: Wall-clock time of its start.
-
-    Returns:
-        The agent.
+        vm: Entry of the VM in the platform's list.
+        incarnation_ms: Unix time of its start in ms.
     """
     return agent_lib.Agent(
         settings=agent_settings.AgentSettings(
@@ -101,7 +98,7 @@
 
 
 class _TimedAgent:
-    """An agent whose processor time is added up by kind of event."""
+    """Wraps an agent and adds up its processor time by kind of event."""
 
     def __init__(
         self,
@@ -116,7 +113,7 @@
     def handle(
         self, event: events.Event, now_ms: int, wall_ms: int
     ) -> list[effects.Effect]:
-        """Passes an event on and times it."""
+        """Handles an event and records its processor time."""
         start_ns = time.process_time_ns()
         agent_effects = self._agent.handle(event, now_ms, wall_ms)
         spent_ns = time.process_time_ns() - start_ns
@@ -129,15 +126,15 @@
 def measure_costs(
     *, failure_domains: int, vms_per_domain: int, workers_per_domain: int
 ) -> tuple[EventCost, ...]:
-    """Runs an idle site and times its agents.
+    """Simulates an idle site and measures the processor time of its agents.
 
     Args:
-        failure_domains: Failure domains of the site.
-        vms_per_domain: VMs in each.
-        workers_per_domain: Workers in each.
+        failure_domains: Number of failure domains.
+        vms_per_domain: VMs in each failure domain.
+        workers_per_domain: Workers in each failure domain.
 
     Returns:
-        One row for each kind of event.
+        One row for each kind of event, sorted by kind.
     """
     spent_ns: collections.Counter[str] = collections.Counter()
     counts: collections.Counter[str] = collections.Counter()
@@ -170,32 +167,35 @@
 
 
 def measure_state(*, workers: int, job_count: int, teams: int) -> StateRow:
-    """Fills one failure domain with running jobs and weighs its agents.
+    """Runs jobs in one failure domain and measures the memory of its agents.
 
     Args:
-        workers: Workers of the failure domain.
-        job_count: Jobs to start.
-        teams: Paying accounts.
+        workers: Number of workers.
+        job_count: Number of jobs to run.
+        teams: Number of paying accounts.
 
     Returns:
-        The memory of the agents once all jobs run.
+        The memory of the agents after all jobs were started.
+
+    Raises:
+        RuntimeError: A job was not accepted.
     """
     site = _make_site(workers, teams)
     harness = harness_lib.Harness(site=site, make_agent=make_agent, seed=SEED)
     harness.start_all()
     harness.run_until_ms(WARM_UP_MS)
     vm = next(iter(harness.processes))
-    accepted: list[object] = []
+    answers: list[object] = []
     for number in range(job_count):
         harness.clock.after_ms(
             number * SUBMIT_PERIOD_MS,
             harness.call,
             vm,
             peer_messages.SubmitJob(spec=_make_job(number, teams)),
-            accepted.append,
+            answers.append,
         )
     harness.run_until_ms(WARM_UP_MS + job_count * SUBMIT_PERIOD_MS + RUN_MS)
-    _require_accepted(accepted, job_count)
+    _require_accepted(answers, job_count)
     agent_bytes = sorted(
         deep_bytes(process.agent) for process in harness.processes.values()
     )
@@ -260,15 +260,15 @@
 
 
 def deep_bytes(root: object) -> int:
-    """Returns the memory of all objects that belong to an object.
+    """Returns the size in bytes of an object and all objects it refers to.
 
-    Classes, functions and modules are not counted.
+    Classes, functions, code and modules are not counted.
 
     Args:
         root: The object.
 
     Returns:
-        The sum of the sizes, each object counted once.
+        Sum of the sizes, with every object counted once.
     """
     seen = {id(root)}
     queue = [root]
--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -1,4 +1,4 @@
-"""Measures real processes: idle daemons, HTTP exchanges and peer messages."""
+"""Measures idle daemon processes, HTTP exchanges and peer messages."""
 
 import statistics
 import time
@@ -42,12 +42,13 @@
 
 
 class IdleDaemon(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon of an idle site uses; the mean and the most of six.
+    """Resource use of the six daemons of an idle site.
 
     Attributes:
-        workers_kept: Workers of the site by its VMs.
-        processor_share: Mean processor time by elapsed time.
-        most_processor_share: That of the busiest daemon.
+        workers_kept: Workers per VM, whose leases the VM renews.
+        processor_share: Mean processor time over elapsed time.
+        most_processor_share: Processor time over elapsed time of the busiest
+            daemon.
         resident_mb: Mean resident memory.
         http_bytes_per_s: Mean bytes to and from platform and targets.
         peer_bytes_per_s: Mean bytes to and from other VMs.
@@ -62,11 +63,11 @@
 
 
 class ExchangeCost(msgspec.Struct, frozen=True, kw_only=True):
-    """What one renewal of a worker costs the VM that sends it.
+    """Cost of one lease renewal for the VM that sends it.
 
     Attributes:
         processor_us: Processor time of the client.
-        wire_bytes: Bytes in both directions, HTTP headers included.
+        wire_bytes: Bytes in both directions, including HTTP headers.
     """
 
     processor_us: float
@@ -74,13 +75,13 @@
 
 
 def measure_idle(workers_per_domain: int) -> IdleDaemon:
-    """Runs six idle daemons on loopback.
+    """Runs six idle daemons on loopback and measures their resource use.
 
     Args:
         workers_per_domain: Workers in each of three failure domains.
 
     Returns:
-        What they used.
+        The resource use of the daemons.
     """
     site = harness_site.make_site(
         failure_domains=DOMAIN_COUNT,
@@ -94,10 +95,10 @@
         )
         loopback_steps.wait_until_ready(cluster)
         time.sleep(WARM_UP_S)
-        before, begin_s = _read_gauges(cluster), time.monotonic()
+        before, start_s = _read_gauges(cluster), time.monotonic()
         time.sleep(MEASUREMENT_S)
         after = _read_gauges(cluster)
-        elapsed_s = time.monotonic() - begin_s
+        elapsed_s = time.monotonic() - start_s
         loopback_steps.drain_all(cluster)
 
     def rates(*names: str) -> list[float]:
@@ -106,14 +107,16 @@
             for old, new in zip(before, after, strict=True)
         ]
 
-    shares = rates("process.processor_s")
-    resident = [g["process.resident_bytes"] / _BYTES_PER_MB for g in after]
+    processor_shares = rates("process.processor_s")
+    resident = [
+        gauges["process.resident_bytes"] / _BYTES_PER_MB for gauges in after
+    ]
     http = rates("http.sent_bytes", "http.received_bytes")
     peers = rates("peers.sent_bytes", "peers.received_bytes")
     return IdleDaemon(
         workers_kept=workers_per_domain / VMS_PER_DOMAIN,
-        processor_share=round(statistics.mean(shares), 4),
-        most_processor_share=round(max(shares), 4),
+        processor_share=round(statistics.mean(processor_shares), 4),
+        most_processor_share=round(max(processor_shares), 4),
         resident_mb=round(statistics.mean(resident), 1),
         http_bytes_per_s=round(statistics.mean(http)),
         peer_bytes_per_s=round(statistics.mean(peers)),
@@ -128,10 +131,10 @@
 
 
 def measure_exchange() -> ExchangeCost:
-    """Renews a worker over HTTP many times, one call after the other.
+    """Measures lease renewals of one worker over HTTP, sent one by one.
 
     Returns:
-        The cost of one renewal.
+        The mean cost of a renewal.
     """
     site = harness_site.make_site(
         failure_domains=1,
@@ -152,15 +155,19 @@
         token=ids.FenceToken(1), acts=(messages.Renew(ttl_ms=10_000),)
     )
     answer = await platform_api.call_worker(http, address, call, _TIMEOUT_MS)
-    known = msgspec.structs.replace(call, known_sequence=answer.report.sequence)
-    before, begin_s = _traffic_bytes(http), time.process_time()
+    call_without_report = msgspec.structs.replace(
+        call, known_sequence=answer.report.sequence
+    )
+    before, start_s = _traffic_bytes(http), time.process_time()
     for _ in range(RENEWAL_COUNT):
-        await platform_api.call_worker(http, address, known, _TIMEOUT_MS)
-    spent_s = time.process_time() - begin_s
+        await platform_api.call_worker(
+            http, address, call_without_report, _TIMEOUT_MS
+        )
+    processor_s = time.process_time() - start_s
     wire_bytes = (_traffic_bytes(http) - before) / RENEWAL_COUNT
     await http.close()
     return ExchangeCost(
-        processor_us=round(spent_s * _US_PER_S / RENEWAL_COUNT),
+        processor_us=round(processor_s * _US_PER_S / RENEWAL_COUNT),
         wire_bytes=round(wire_bytes),
     )
 
@@ -170,35 +177,35 @@
 
 
 def measure_message_us(message: peer_messages.PeerMessage) -> float:
-    """Sends a message many times between two encrypted transports.
+    """Measures sending a message between two encrypted transports.
 
     Args:
         message: The message.
 
     Returns:
-        Processor time of sending and receiving one, in us.
+        Mean processor time to send and receive the message, in us.
     """
-    shared = curve_keys.generate_keys()
+    shared_keys = curve_keys.generate_keys()
     received: list[ids.VmId] = []
-    nodes = [
+    transports = [
         peer_transport.PeerTransport(
             reactor=reactor,
             vm=ids.VmId(name),
             bind_address="127.0.0.1:0",
-            keys=shared,
+            keys=shared_keys,
             on_message=lambda sender, _: received.append(sender),
         )
         for name in ("a", "b")
     ]
-    for node in nodes:
-        node.open()
+    for transport in transports:
+        transport.open()
     try:
         return reactor_loop.run(
-            _measure_messages(nodes[0], nodes[1], message, received)
+            _measure_messages(transports[0], transports[1], message, received)
         )
     finally:
-        for node in nodes:
-            node.close()
+        for transport in transports:
+            transport.close()
 
 
 async def _measure_messages(
@@ -214,13 +221,13 @@
 
     await reactor_loop.wait_until(connected)
     await reactor_loop.wait_until(lambda: bool(received))
-    begin_s = time.process_time()
+    start_s = time.process_time()
     for _ in range(MESSAGE_COUNT // BURST_MESSAGES):
-        wanted = len(received) + BURST_MESSAGES
+        target_count = len(received) + BURST_MESSAGES
         for _ in range(BURST_MESSAGES):
             source.send(target.vm, message)
         await reactor_loop.wait_until(
-            lambda wanted=wanted: len(received) >= wanted
+            lambda target_count=target_count: len(received) >= target_count
         )
-    spent_s = time.process_time() - begin_s
-    return round(spent_s * _US_PER_S / MESSAGE_COUNT, 1)
+    processor_s = time.process_time() - start_s
+    return round(processor_s * _US_PER_S / MESSAGE_COUNT, 1)
--- a/citronmount/bench/capacity_page.py
+++ b/citronmount/bench/capacity_page.py
@@ -1,4 +1,4 @@
-"""Writes the capacity page from measurements and the plan."""
+"""Renders the capacity page from the measurements and the plan."""
 
 from collections.abc import Iterable
 
@@ -66,18 +66,20 @@
 
 
 def render(measured: capacity_plan.Measured, plan: capacity_plan.Plan) -> str:
-    """Returns the page.
+    """Renders the page, without the part that other scripts measure.
 
     Args:
         measured: The measurements.
-        plan: What follows from them.
+        plan: The resource needs at the two-year size.
 
     Returns:
-        Markdown.
+        The page in Markdown.
     """
     size, budget = capacity_plan.SIZE, capacity_plan.BUDGET
-    worker, job, team = capacity_plan.state_slopes(measured.state)
-    largest = max(measured.change_bytes)
+    worker_bytes, job_bytes, team_bytes = capacity_plan.state_slopes(
+        measured.state
+    )
+    largest_team_count = max(measured.change_bytes)
     head = _HEAD.format(
         s=size,
         b=budget,
@@ -94,13 +96,13 @@
         kept=size.workers / size.vms,
         exchange_us=measured.exchange.processor_us,
         exchange_bytes=measured.exchange.wire_bytes,
-        worker=worker,
-        job=job,
-        team=team,
+        worker=worker_bytes,
+        job=job_bytes,
+        team=team_bytes,
         tasks=capacity_plan.TASKS_PER_JOB,
-        teams=largest,
-        change_bytes=measured.change_bytes[largest],
-        change_us=measured.change_us[largest],
+        teams=largest_team_count,
+        change_bytes=measured.change_bytes[largest_team_count],
+        change_us=measured.change_us[largest_team_count],
         event=measured.event_bytes,
         packets=plan.packet_bytes_per_s,
         events=size.events_kept,
@@ -119,13 +121,14 @@
 
 
 def preserved_part(page: str) -> str:
-    """Returns the part of an older page that other runs have measured.
+    """Returns the part of an existing page that other scripts measured.
 
     Args:
-        page: The older page, or empty.
+        page: The existing page; may be empty.
 
     Returns:
-        Everything from the title of that part on, after an empty line.
+        An empty line and everything from `PRESERVED_TITLE` on; empty if the
+        page has no such title.
     """
     _, title, rest = page.partition(PRESERVED_TITLE)
     return f"\n{title}{rest}" if title else ""
@@ -198,12 +201,12 @@
     )
     wire_bytes_per_s = plan.bytes_per_s + plan.packet_bytes_per_s
     is_within = wire_bytes_per_s <= budget.bytes_per_s
-    last = (
+    packet_line = (
         f"- {wire_bytes_per_s:,.0f} bytes/s with the headers of TCP and IP, at "
         f"most: {'within' if is_within else '**misses**'} the budget if these "
         "count.\n"
     )
-    return "\n" + "".join(lines) + last
+    return "\n" + "".join(lines) + packet_line
 
 
 def _traffic_table(measured: capacity_plan.Measured) -> str:
--- a/citronmount/bench/capacity_plan.py
+++ b/citronmount/bench/capacity_plan.py
@@ -1,4 +1,4 @@
-"""Works the two-year size out from measured slopes."""
+"""Extrapolates resource needs to the two-year size from measurements."""
 
 import msgspec
 
@@ -28,17 +28,17 @@
 
 
 class Size(msgspec.Struct, frozen=True, kw_only=True):
-    """The size to design for.
+    """Size of a site.
 
     Attributes:
-        workers: Workers of all failure domains.
+        workers: Workers in all failure domains.
         failure_domains: Failure domains.
-        vms: VMs of the system.
+        vms: VMs of the system in all failure domains.
         tasks: Running tasks.
-        jobs_per_day: Jobs in a day.
+        jobs_per_day: Submitted jobs per day.
         teams: Client accounts with guarantees.
-        changes_per_day: Configuration changes in a day.
-        events_kept: Events of the time line that a VM keeps.
+        changes_per_day: Configuration changes per day.
+        events_kept: Timeline events that a VM retains.
     """
 
     workers: int = 1_300
@@ -52,12 +52,12 @@
 
 
 class Budget(msgspec.Struct, frozen=True, kw_only=True):
-    """What a node may spend on control.
+    """Resources that a node may use for control.
 
     Attributes:
-        processor_share: Of one core.
-        resident_mb: Memory.
-        bytes_per_s: Bytes in both directions.
+        processor_share: Processor time as a share of one core.
+        resident_mb: Resident memory.
+        bytes_per_s: Bytes in both directions together.
     """
 
     processor_share: float = 0.035
@@ -71,26 +71,30 @@
 LIST_PERIOD_S = 2.0
 TICKS_PER_S = 4.0
 ENDED_JOB_SHARE = 1.0
+# ZeroMQ framing and encryption of one message.
 FRAMING_BYTES = 40
+# TCP and IP headers of one packet.
 PACKET_HEADER_BYTES = 52
 PACKETS_PER_MESSAGE = 2
+# HTTP headers of a poll that is answered by status 304.
 UNCHANGED_LIST_BYTES = 400
 TASKS_PER_JOB = capacity_agents.TASKS_PER_JOB
 
 
 class Measured(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run of the script measured.
+    """Measurements of one run of the script.
 
     Attributes:
-        traffic: Bytes of idle sites at several sizes, in the harness.
+        traffic: Traffic of simulated idle sites at several sizes.
         costs: Processor time of agents at 40 VMs and 160 workers.
         state: Memory of agents at several sizes.
-        idle: Idle daemons at two numbers of workers.
-        exchange: One renewal over HTTP.
-        message_us: Processor time of one heartbeat sent and received.
-        change_bytes: A configuration change by number of teams.
-        change_us: Processor time to take it in, by number of teams.
-        event_bytes: Memory of one event of the time line.
+        idle: Resource use of idle daemons for two numbers of workers.
+        exchange: Cost of one lease renewal over HTTP.
+        message_us: Processor time to send and receive one heartbeat.
+        change_bytes: Size of a configuration change by number of teams.
+        change_us: Processor time to apply a configuration change by number of
+            teams.
+        event_bytes: Memory of one timeline event.
     """
 
     traffic: tuple[harness_traffic.TrafficRow, ...]
@@ -105,14 +109,14 @@
 
 
 class Need(msgspec.Struct, frozen=True, kw_only=True):
-    """What one role takes of a VM at the two-year size.
+    """Resources that one role of a VM needs at the two-year size.
 
     Attributes:
-        role: The role.
-        mechanism: What carries it.
-        messages_per_s: Messages and calls, both directions.
-        bytes_per_s: Bytes, both directions.
-        processor_share: Of one core.
+        role: Name of the role.
+        mechanism: How the role is implemented.
+        messages_per_s: Messages and calls in both directions.
+        bytes_per_s: Bytes in both directions.
+        processor_share: Processor time as a share of one core.
         memory_mb: Memory.
     """
 
@@ -125,16 +129,16 @@
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """The needs of the busiest VM, which has every role.
+    """Resource needs of the busiest VM, which has every role.
 
     Attributes:
-        needs: One row for each role.
-        messages_per_s: Their sum.
-        bytes_per_s: Their sum.
-        packet_bytes_per_s: Headers of TCP and IP besides, at most.
-        processor_share: Their sum.
-        memory_mb: Their sum.
-        within: Whether each budget is kept.
+        needs: Needs of each role.
+        messages_per_s: Sum over the roles.
+        bytes_per_s: Sum over the roles, without TCP and IP headers.
+        packet_bytes_per_s: Upper bound for TCP and IP headers.
+        processor_share: Sum over the roles.
+        memory_mb: Sum over the roles.
+        within: Whether the sum is within the budget, by field of `Budget`.
     """
 
     needs: tuple[Need, ...]
@@ -147,7 +151,7 @@
 
 
 def compute_plan(measured: Measured) -> Plan:
-    """Works out what the busiest VM needs at the two-year size.
+    """Computes the needs of the busiest VM at the two-year size.
 
     Args:
         measured: The measurements.
@@ -207,7 +211,7 @@
 
 
 def _process_need(measured: Measured) -> Need:
-    """The process itself, as measured idle on loopback."""
+    """Returns the need of an idle process, as measured on loopback."""
     idle_daemon = measured.idle[0]
     return _make_need(
         "process",
@@ -220,7 +224,7 @@
 
 
 def _member_need(measured: Measured) -> Need:
-    """Heartbeats to and from all other VMs."""
+    """Returns the need of heartbeats to and from all other VMs."""
     row = measured.traffic[-1]
     heartbeat_bytes_per_s = row.bytes_per_s_by_kind["Heartbeat"]
     per_s = next(
@@ -240,7 +244,7 @@
 
 
 def _lease_renewer_need(measured: Measured) -> Need:
-    """Renewal of the leases of some workers of the failure domain."""
+    """Returns the need of renewing the leases of a VM's share of workers."""
     workers_per_vm = SIZE.workers / SIZE.vms
     per_s = workers_per_vm / RENEW_PERIOD_S
     us_per_renewal = measured.exchange.processor_us + _cost_us(
@@ -256,18 +260,18 @@
 
 
 def _owner_need(measured: Measured) -> Need:
-    """Scheduling of one failure domain."""
+    """Returns the need of scheduling one failure domain."""
     domain_workers = SIZE.workers / SIZE.failure_domains
-    running = SIZE.tasks / TASKS_PER_JOB / SIZE.failure_domains
-    ended = SIZE.jobs_per_day / SIZE.failure_domains
-    per_worker, per_job, per_team = state_slopes(measured.state)
+    running_jobs = SIZE.tasks / TASKS_PER_JOB / SIZE.failure_domains
+    ended_jobs = SIZE.jobs_per_day / SIZE.failure_domains
+    worker_bytes, job_bytes, team_bytes = state_slopes(measured.state)
     memory_bytes = (
-        domain_workers * per_worker
-        + (running + ended * ENDED_JOB_SHARE) * per_job
-        + SIZE.teams * per_team
+        domain_workers * worker_bytes
+        + (running_jobs + ended_jobs * ENDED_JOB_SHARE) * job_bytes
+        + SIZE.teams * team_bytes
     )
     workers_per_job = 8
-    changes_per_s = ended * workers_per_job * 4 / _DAY_S
+    changes_per_s = ended_jobs * workers_per_job * 4 / _DAY_S
     report_bytes = 3 * _KB
     return _make_need(
         "owner",
@@ -282,23 +286,27 @@
 def state_slopes(
     rows: tuple[capacity_agents.StateRow, ...],
 ) -> tuple[float, float, float]:
-    """Returns the owner's bytes for a worker, a job and a team.
+    """Returns the owner's bytes per worker, per job and per team.
 
     Args:
-        rows: Measurements; the first one is the base, from which others
-            differ in one size each.
+        rows: Measurements; every row differs from the first in at most one of
+            the three sizes.
 
     Returns:
-        Least-squares slopes, each from the rows that differ in that size.
+        Least-squares slopes, each over the rows that vary only that size; 0
+        for a negative slope.
     """
     base = rows[0]
 
     def slope_by(name: str) -> float:
-        others = {"workers", "jobs", "teams"} - {name}
+        other_names = {"workers", "jobs", "teams"} - {name}
         points = [
             (float(getattr(row, name)), float(row.owner_bytes))
             for row in rows
-            if all(getattr(row, o) == getattr(base, o) for o in others)
+            if all(
+                getattr(row, other) == getattr(base, other)
+                for other in other_names
+            )
         ]
         return max(0.0, harness_traffic.slope(points))
 
@@ -306,24 +314,27 @@
 
 
 def _configuration_need(measured: Measured) -> Need:
-    """Reading every change of the configuration."""
+    """Returns the need of applying every configuration change."""
     per_s = SIZE.changes_per_day / _DAY_S
-    points = [(float(n), float(b)) for n, b in measured.change_bytes.items()]
-    largest = max(measured.change_us)
-    change_bytes = measured.change_bytes[largest] + (
-        (SIZE.teams - largest) * harness_traffic.slope(points)
+    points = [
+        (float(teams), float(size))
+        for teams, size in measured.change_bytes.items()
+    ]
+    largest_team_count = max(measured.change_us)
+    change_bytes = measured.change_bytes[largest_team_count] + (
+        (SIZE.teams - largest_team_count) * harness_traffic.slope(points)
     )
     return _make_need(
         "configuration",
         "whole changes through the log, folded by offset at every VM",
         messages_per_s=per_s,
         bytes_per_s=per_s * change_bytes,
-        processor_us_per_s=per_s * measured.change_us[largest],
+        processor_us_per_s=per_s * measured.change_us[largest_team_count],
     )
 
 
 def _timeline_need(measured: Measured) -> Need:
-    """The bounded time line in memory."""
+    """Returns the need of the bounded timeline in memory."""
     return _make_need(
         "time line",
         "a bounded queue of events at each VM, merged by the reader",
--- a/citronmount/bench/tests/test_capacity.py
+++ b/citronmount/bench/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of the capacity script's arithmetic and of its measurements."""
+"""Tests of the plan and the measurements of the capacity script."""
 
 import unittest
 
@@ -11,8 +11,8 @@
 from citronmount.bench import harness_traffic
 
 
-class KeptPartTest(unittest.TestCase):
-    def test_part_that_other_runs_measured_outlives_a_new_page(self) -> None:
+class PreservedPartTest(unittest.TestCase):
+    def test_part_measured_by_other_scripts_survives_a_new_page(self) -> None:
         part = f"\n{capacity_page.PRESERVED_TITLE}\n\nslopes\n"
         self.assertEqual(
             part, capacity_page.preserved_part("# Capacity\n" + part)
@@ -74,15 +74,15 @@
 
 
 class PlanTest(unittest.TestCase):
-    """From measurements to the needs of the busiest VM."""
+    """Tests of the needs computed from measurements."""
 
-    def test_slopes_are_taken_from_their_own_rows(self) -> None:
-        found = capacity_plan.state_slopes(_measured().state)
-        self.assertEqual((10, 20, 30), tuple(map(round, found)))
+    def test_slope_of_one_size_ignores_rows_that_vary_another(self) -> None:
+        slopes = capacity_plan.state_slopes(_measured().state)
+        self.assertEqual((10, 20, 30), tuple(map(round, slopes)))
 
-    def test_roles_add_up_and_misses_are_told(self) -> None:
-        found = _measured()
-        plan = capacity_plan.compute_plan(found)
+    def test_needs_add_up_and_an_exceeded_budget_is_reported(self) -> None:
+        measured = _measured()
+        plan = capacity_plan.compute_plan(measured)
         needs = {need.role: need for need in plan.needs}
         self.assertEqual(5_000 + 40 * 40, needs["member"].bytes_per_s)
         self.assertAlmostEqual(
@@ -94,9 +94,9 @@
         )
         self.assertTrue(plan.within["resident_mb"])
         slow = msgspec.structs.replace(
-            found,
+            measured,
             idle=(
-                msgspec.structs.replace(found.idle[0], processor_share=0.04),
+                msgspec.structs.replace(measured.idle[0], processor_share=0.04),
             ),
         )
         plan = capacity_plan.compute_plan(slow)
@@ -105,16 +105,16 @@
 
 
 class MeasureTest(unittest.TestCase):
-    """Small runs of what needs no process."""
+    """Small runs of the measurements that start no process."""
 
-    def test_shared_objects_are_weighed_once(self) -> None:
+    def test_shared_objects_are_counted_once(self) -> None:
         shared = bytes(10_000)
-        once = capacity_agents.deep_bytes([shared])
-        twice = capacity_agents.deep_bytes([shared, [shared]])
-        self.assertLess(twice, once + 10_000)
-        self.assertLess(10_000, once)
+        single = capacity_agents.deep_bytes([shared])
+        doubled = capacity_agents.deep_bytes([shared, [shared]])
+        self.assertLess(doubled, single + 10_000)
+        self.assertLess(10_000, single)
 
-    def test_owner_grows_with_its_jobs(self) -> None:
+    def test_owner_uses_more_memory_for_more_jobs(self) -> None:
         few, more = (
             capacity_agents.measure_state(workers=4, job_count=n, teams=2)
             for n in (1, 6)
