--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -213,7 +213,8 @@
     if len(job_answers) != job_count:
         first_refusal = next((a for a in answers if a not in job_answers), None)
         raise RuntimeError(
-            f"{len(job_answers)} of {job_count} accepted: {first_refusal}"
+            f"{len(job_answers)} of {job_count} jobs accepted; first refusal: "
+            f"{first_refusal}"
         )
 
 
--- a/citronmount/bench/loopback.py
+++ b/citronmount/bench/loopback.py
@@ -1,8 +1,9 @@
-"""Load on six daemons over loopback while one is killed and one drained.
+"""Load test of six daemons on loopback; one is killed and one is drained.
 
 ``python -m citronmount.bench.loopback --json`` prints one JSON object with
-latencies, bytes of each daemon and the checks. It exits with 1 if an answer
-was wrong or doubled or a request was cut by the drain.
+latencies, the resource use of each daemon and failed checks. The exit status
+is 1 if a check failed, for example if an answer was wrong, a request ran twice
+or the drain broke a connection with an open call.
 """
 
 import collections
@@ -33,9 +34,9 @@
 WORKERS_PER_DOMAIN = 4
 RUNNERS_PER_DOMAIN = 3
 SLOTS = 8
-CALLERS = 12
+CALLER_COUNT = 12
 WARM_UP_S = 4.0
-PHASE_S = 8.0
+PHASE_DURATION_S = 8.0
 ACCOUNTS = ("hana", "duri")
 
 _SHEET = "\n".join(
@@ -59,12 +60,13 @@
 
 
 class VmUse(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon used under load.
+    """Resource use of a daemon under load.
 
     Attributes:
-        peer_bytes_per_s: Bytes to and from other VMs, without ZeroMQ's own.
+        peer_bytes_per_s: Bytes to and from other VMs, without ZeroMQ's framing
+            and encryption.
         http_bytes_per_s: Bytes to and from platform and targets.
-        processor_share: Processor time by elapsed time.
+        processor_share: Processor time over elapsed time.
         resident_mb: Resident memory at the end.
     """
 
@@ -75,18 +77,19 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run brought.
+    """Result of a load test.
 
     Attributes:
-        tally: What became of the calls.
-        latencies: Latencies that callers saw, by kind.
-        doubled: Requests not to be repeated that a runner began twice.
-        killed: The VM that was killed under load.
-        drained: The VM that was drained under load.
-        drain_status: Its exit status.
-        cut_by_drain: Calls that it cut.
-        use: What each surviving daemon used.
-        faults: What must not happen but did.
+        tally: Outcomes of the calls.
+        latencies: Latencies seen by callers, by kind of call.
+        doubled: Number of idempotency keys whose request was started more than
+            once by runners.
+        killed: Name of the VM that was killed under load.
+        drained: Name of the VM that was drained under load.
+        drain_status: Exit status of the drained daemon.
+        cut_by_drain: Number of open calls whose connection the drain broke.
+        use: Resource use of each surviving daemon.
+        faults: Descriptions of failed checks.
     """
 
     tally: loopback_load.Tally
@@ -127,7 +130,7 @@
 
 
 class _LoadTest:
-    """One run under load on a cluster that is ready."""
+    """One load test on a cluster that is ready."""
 
     def __init__(self, cluster: loopback_cluster.Cluster) -> None:
         self._cluster = cluster
@@ -140,15 +143,15 @@
         )
 
     async def run(self) -> Report:
-        """Loads the cluster, kills one daemon and drains another."""
-        parts = self._load.start(CALLERS)
+        """Runs the load while it kills one daemon and drains another."""
+        parts = self._load.start(CALLER_COUNT)
         await _sleep(WARM_UP_S)
-        before, begin_s = _read_gauges(self._survivors), time.monotonic()
-        await _sleep(PHASE_S)
+        before, start_s = _read_gauges(self._survivors), time.monotonic()
+        await _sleep(PHASE_DURATION_S)
         self._killed.process.kill()
-        await _sleep(PHASE_S)
+        await _sleep(PHASE_DURATION_S)
         status, cut = await self._drain()
-        await _sleep(PHASE_S)
+        await _sleep(PHASE_DURATION_S)
         after, end_s = _read_gauges(self._survivors), time.monotonic()
         self._load.stop()
         await defer.gatherResults(parts)
@@ -161,13 +164,13 @@
             drained=self._drained.name,
             drain_status=status,
             cut_by_drain=cut,
-            use=_usage_by_vm(before, after, end_s - begin_s),
+            use=_usage_by_vm(before, after, end_s - start_s),
             faults=(),
         )
         return msgspec.structs.replace(report, faults=_find_faults(report))
 
     async def _drain(self) -> tuple[int, int]:
-        """Returns the exit status and how many calls were cut meanwhile."""
+        """Drains a daemon; returns its exit status and number of cut calls."""
         name = self._drained.name
         before = self._load.tally.cut.get(name, 0)
         self._drained.process.terminate()
@@ -179,11 +182,7 @@
 
 
 async def run() -> Report:
-    """Runs the trial on a new cluster, which is stopped at the end.
-
-    Returns:
-        What was measured and checked.
-    """
+    """Runs the load test on a new cluster, which is stopped at the end."""
     with loopback_cluster.open_cluster(_make_pool()) as cluster:
         loopback_steps.publish(cluster, _SHEET)
         loopback_steps.wait_until_ready(cluster)
@@ -228,7 +227,7 @@
 
 
 def _count_doubled(cluster: loopback_cluster.Cluster) -> int:
-    """Counts keys that runners began more than once."""
+    """Returns how many idempotency keys runners started more than once."""
     data = loopback_cluster.call(cluster.list_address, "GET", "/timeline").body
     started = collections.Counter(
         event["job"]
@@ -283,11 +282,11 @@
     """Puts load on six daemons, kills one and drains one."""
     reports: list[typing.Any] = []
 
-    def end(result: typing.Any) -> None:
+    def stop(result: typing.Any) -> None:
         reports.append(result)
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: defer.ensureDeferred(run()).addBoth(end))
+    reactor.callWhenRunning(lambda: defer.ensureDeferred(run()).addBoth(stop))
     reactor.run()
     report = reports[0]
     if not isinstance(report, Report):
--- a/citronmount/bench/loopback_cluster.py
+++ b/citronmount/bench/loopback_cluster.py
@@ -1,6 +1,6 @@
-"""Starts daemons and stand-ins as processes on loopback, for trials.
+"""Runs daemons and stand-ins as processes on loopback.
 
-It is used by scripts outside the daemon only: a daemon starts no process.
+Only test and benchmark scripts use it: a daemon never starts a process.
 """
 
 from collections.abc import Iterable
@@ -38,11 +38,11 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to one HTTP call.
+    """Answer to an HTTP call.
 
     Attributes:
-        status: The HTTP status.
-        body: The JSON body.
+        status: HTTP status code.
+        body: Decoded JSON body, or None if the body is empty.
     """
 
     status: int
@@ -50,14 +50,14 @@
 
 
 class Vm:
-    """One daemon process.
+    """A VM with its daemon process.
 
     Attributes:
-        name: The VM.
-        failure_domain: Where it is.
-        caller_address: ``ip:port`` of its HTTP API.
-        peer_address: ``ip:port`` of its peer socket.
-        process: The process, once started.
+        name: Name of the VM.
+        failure_domain: Failure domain of the VM.
+        caller_address: ``ip:port`` of the HTTP API.
+        peer_address: ``ip:port`` of the peer socket.
+        process: The daemon process; None before it is started.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         caller_address: str,
         peer_address: str,
     ) -> None:
-        """Initializes a VM whose daemon is not started."""
+        """Initializes a VM without starting its daemon."""
         self.name = name
         self.failure_domain = failure_domain
         self.caller_address = caller_address
@@ -77,7 +77,7 @@
 
     @property
     def list_entry(self) -> messages.ListedVm:
-        """Its entry in the platform's list."""
+        """Entry of the VM in the platform's list."""
         return messages.ListedVm(
             vm=ids.VmId(self.name),
             failure_domain=ids.FailureDomainId(self.failure_domain),
@@ -86,14 +86,14 @@
 
 
 class Cluster:
-    """The processes of one trial and where they listen.
+    """Daemons and stand-ins with their addresses.
 
     Attributes:
-        directory: Settings and logs of the processes.
-        vms: The daemons.
+        directory: Directory of the settings and output of the processes.
+        vms: The VMs that run daemons.
         log_address: ``ip:port`` of the log service.
         list_address: ``ip:port`` of the platform's list.
-        pool: The targets with their addresses.
+        pool: The workers and runners with their addresses.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         list_address: str,
         pool: pool_file.Pool,
     ) -> None:
-        """Initializes a cluster that is not started."""
+        """Initializes a cluster without starting its processes."""
         self.directory = directory
         self.vms = vms
         self.log_address = log_address
@@ -114,11 +114,7 @@
         self._keys = curve_keys.generate_keys()
 
     def start_standins(self) -> subprocess.Popen[bytes]:
-        """Starts the platform and all targets in one process.
-
-        Returns:
-            The process.
-        """
+        """Starts one process that serves the platform and all targets."""
         path = self.directory / "standins.toml"
         path.write_text(self._standin_settings(), encoding="utf-8")
         return self._start("standins", "citronmount.standins", str(path))
@@ -172,46 +168,46 @@
         }
         return "\n".join(
             line
-            for name, keys_of in sections.items()
-            for line in (f"[{name}]", *_toml_lines(keys_of))
+            for name, settings in sections.items()
+            for line in (f"[{name}]", *_toml_lines(settings))
         )
 
     def _standin_settings(self) -> str:
-        head = _toml_lines(
+        address_lines = _toml_lines(
             {
                 "log_address": self.log_address,
                 "vm_list_address": self.list_address,
             }
         )
-        groups = {
+        entries_by_table = {
             "vms": [vm.list_entry for vm in self.vms],
             "workers": self.pool.workers,
             "runners": self.pool.runners,
         }
-        tables = (
+        table_lines = (
             line
-            for name, entries in groups.items()
+            for name, entries in entries_by_table.items()
             for entry in entries
             for line in (
                 f"[[{name}]]",
                 *_toml_lines(msgspec.to_builtins(entry)),
             )
         )
-        return "\n".join((*head, *tables))
+        return "\n".join((*address_lines, *table_lines))
 
 
 @contextlib.contextmanager
 def open_cluster(
     pool: pool_file.Pool, vms_per_domain: int = 2
 ) -> Iterator[Cluster]:
-    """Runs stand-ins and daemons; everything is stopped at the end.
+    """Runs stand-ins and daemons and stops them on exit.
 
     Args:
-        pool: The targets; their addresses are replaced.
-        vms_per_domain: Daemons in each failure domain.
+        pool: The targets; their addresses are replaced by free ones.
+        vms_per_domain: Number of daemons in each failure domain.
 
     Yields:
-        The cluster with all processes started and all APIs answering.
+        The cluster, once the HTTP API of every daemon accepts connections.
     """
     with contextlib.ExitStack() as stack:
         directory = stack.enter_context(tempfile.TemporaryDirectory())
@@ -230,19 +226,19 @@
 def call(
     address: str, method: str, path: str, body: bytes | None = None
 ) -> Answer:
-    """Sends one HTTP call and reads its JSON answer.
+    """Sends an HTTP call and decodes its JSON answer.
 
     Args:
         address: ``ip:port`` of the server.
-        method: The HTTP method.
-        path: Path and query.
-        body: The body.
+        method: HTTP method.
+        path: Path and query of the URL.
+        body: Request body.
 
     Returns:
         The answer.
 
     Raises:
-        OSError: The server does not answer.
+        OSError: No connection, or no answer within `CALL_TIMEOUT_S`.
     """
     connection = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_S)
     with contextlib.closing(connection):
@@ -255,13 +251,13 @@
 
 
 def stop_process(process: subprocess.Popen[bytes]) -> int:
-    """Asks a process to stop and kills it if it does not.
+    """Terminates a process; kills it if it outlives `STOP_TIMEOUT_S`.
 
     Args:
-        process: A process started here.
+        process: The process.
 
     Returns:
-        Its exit status.
+        Exit status of the process.
     """
     process.terminate()
     try:
@@ -315,7 +311,11 @@
 
 
 def _free_addresses() -> Iterator[str]:
-    """Yields loopback addresses below the range of ephemeral ports."""
+    """Yields free loopback addresses below the range of ephemeral ports.
+
+    The start depends on the process id, so that clusters of different
+    processes rarely try the same ports.
+    """
     count = LAST_PORT - FIRST_PORT
     start = (os.getpid() * 97) % count
     ports = (FIRST_PORT + (start + i) % count for i in range(count))
@@ -348,8 +348,8 @@
 
 
 def _toml(value: typing.Any) -> str:
-    """Returns a value as TOML, whose strings are those of JSON."""
+    """Formats a value as TOML; strings are formatted as in JSON."""
     if isinstance(value, dict):
-        inner = ", ".join(f"{name} = {_toml(v)}" for name, v in value.items())
-        return f"{{{inner}}}"
+        items = ", ".join(f"{name} = {_toml(v)}" for name, v in value.items())
+        return f"{{{items}}}"
     return json.dumps(value)
--- a/citronmount/bench/loopback_load.py
+++ b/citronmount/bench/loopback_load.py
@@ -1,4 +1,4 @@
-"""A load of short requests and jobs over HTTP, with checks of every answer."""
+"""Load generator: sends short requests and jobs and checks the answers."""
 
 import itertools
 import json
@@ -36,17 +36,17 @@
 
 
 class Tally(msgspec.Struct, kw_only=True):
-    """What became of the calls of a load.
+    """Outcomes of the calls of a load.
 
     Attributes:
-        answered: Short requests that were answered whole.
-        refused: Refusals that prove that nothing was run.
-        unknown: Answers that tell that the outcome is not known.
-        wrong: Answers that belong to another request or are not whole.
-        cut: Connections lost with a call open, by the VM.
-        jobs_accepted: Jobs that were accepted.
-        jobs_by_state: Final states of accepted jobs.
-        keys: Idempotency keys of requests that are not to be repeated.
+        answered: Short requests with a correct and complete answer.
+        refused: Calls whose result proves that nothing ran.
+        unknown: Calls whose result leaves the outcome unknown.
+        wrong: Answers that are incomplete or belong to another request.
+        cut: Calls that failed after they may have been sent, by VM.
+        jobs_accepted: Number of accepted jobs.
+        jobs_by_state: Number of accepted jobs by final state.
+        keys: Idempotency keys of requests that must run at most once.
     """
 
     answered: int = 0
@@ -60,12 +60,12 @@
 
 
 class Load:
-    """Closed-loop callers behind a balancer that follows readiness.
+    """Closed-loop callers behind a load balancer that polls readiness.
 
     Attributes:
-        tally: What became of the calls.
-        metrics: How long they took.
-        ready: VMs that the balancer sends calls to.
+        tally: Outcomes of the calls.
+        metrics: Durations of the calls.
+        ready: VMs to which the balancer sends calls.
     """
 
     def __init__(
@@ -75,12 +75,12 @@
         vms: tuple[loopback_cluster.Vm, ...],
         accounts: tuple[str, ...],
     ) -> None:
-        """Initializes a load that is not started.
+        """Initializes a load without starting it.
 
         Args:
-            reactor: The reactor to connect and time with.
-            vms: The daemons.
-            accounts: Client accounts to call for.
+            reactor: Opens connections and times delays.
+            vms: The VMs to call.
+            accounts: Client accounts to call for, in turn.
         """
         self.tally = Tally()
         self.metrics = metrics_registry.MetricsRegistry()
@@ -98,13 +98,13 @@
         self._http = treq_client.HTTPClient(agent)
 
     def start(self, callers: int) -> list[defer.Deferred[None]]:
-        """Starts the balancer, the callers and the jobs.
+        """Starts the balancer, the callers and the submission of jobs.
 
         Args:
-            callers: How many short requests are open at once.
+            callers: Number of callers, each with one open request.
 
         Returns:
-            One Deferred for each part, which fires once it has stopped.
+            Deferreds that fire when the parts of the load have stopped.
         """
         parts = (
             self._update_ready_vms(),
@@ -114,14 +114,14 @@
         return [defer.ensureDeferred(part) for part in parts]
 
     def stop(self) -> None:
-        """Lets every part end after its present call."""
+        """Makes every part of the load end after its current call."""
         self._stopped = True
 
     def close(self) -> defer.Deferred[None]:
         """Closes idle connections.
 
         Returns:
-            Fires once they are closed.
+            A Deferred that fires when they are closed.
         """
         return self._pool.closeCachedConnections()
 
@@ -163,24 +163,24 @@
             "idempotent": not at_most_once,
             "idempotency_key": key,
         }
-        begin_s = time.monotonic()
-        found = await self._call_or_none(vm, "POST", "/v1/requests", body)
-        if found is None:
+        start_s = time.monotonic()
+        answer = await self._call_or_none(vm, "POST", "/v1/requests", body)
+        if answer is None:
             await self._sleep(RETRY_DELAY_S)
             return
-        duration_ms = (time.monotonic() - begin_s) * _MS_PER_S
+        duration_ms = (time.monotonic() - start_s) * _MS_PER_S
         self.metrics.record_duration(
             "request", "once" if at_most_once else "any", duration_ms
         )
-        self._check_answer(found, body)
+        self._check_answer(answer, body)
 
     def _check_answer(
-        self, found: dict[str, typing.Any], body: dict[str, typing.Any]
+        self, answer: dict[str, typing.Any], body: dict[str, typing.Any]
     ) -> None:
-        code = codes.ResultCode(found["code"])
+        code = codes.ResultCode(answer["code"])
         if code is codes.ResultCode.DONE:
-            same_request = found["request"] == body["request"]
-            complete = found["payload"].endswith(body["payload"])
+            same_request = answer["request"] == body["request"]
+            complete = answer["payload"].endswith(body["payload"])
             self.tally.answered += same_request and complete
             self.tally.wrong += not (same_request and complete)
         elif codes.info(code).proves_not_run:
@@ -206,16 +206,16 @@
             "command": json.dumps({"run_ms": run_ms}),
             "run_time_s": run_ms / _MS_PER_S,
         }
-        begin_s = time.monotonic()
-        found = await self._call_or_none(vm, "POST", "/v1/jobs", body)
-        if found is None or "job" not in found:
-            self.tally.refused += found is not None
+        start_s = time.monotonic()
+        answer = await self._call_or_none(vm, "POST", "/v1/jobs", body)
+        if answer is None or "job" not in answer:
+            self.tally.refused += answer is not None
             return
         self.tally.jobs_accepted += 1
-        state = await self._final_state(found["job"], number)
+        state = await self._final_state(answer["job"], number)
         counts = self.tally.jobs_by_state
         counts[state] = counts.get(state, 0) + 1
-        duration_ms = (time.monotonic() - begin_s) * _MS_PER_S
+        duration_ms = (time.monotonic() - start_s) * _MS_PER_S
         self.metrics.record_duration("job", "beyond_run", duration_ms - run_ms)
 
     async def _final_state(self, job: str, number: int) -> str:
@@ -224,10 +224,10 @@
         last = "no answer"
         for attempt in itertools.count(number):
             vm = self._pick(self.ready, attempt)
-            found = await self._call_or_none(vm, "GET", path) or {}
-            if "state" in found and states.JobState(found["state"]).final:
-                return found["state"]
-            last = found.get("name") or found.get("state") or last
+            answer = await self._call_or_none(vm, "GET", path) or {}
+            if "state" in answer and states.JobState(answer["state"]).final:
+                return answer["state"]
+            last = answer.get("name") or answer.get("state") or last
             if time.monotonic() > deadline_s:
                 return f"not final: {last}"
             await self._sleep(RETRY_DELAY_S)
@@ -240,15 +240,18 @@
         path: str,
         body: dict[str, typing.Any] | None = None,
     ) -> dict[str, typing.Any] | None:
-        """Calls a VM; a connection that is lost half-way counts as cut."""
+        """Calls a VM; returns the JSON body, or None without an answer.
+
+        A call that fails after it may have been sent counts as cut.
+        """
         try:
-            _, found = await self._call(vm, method, path, body)
+            _, answer = await self._call(vm, method, path, body)
         except http_client.NOT_SENT:
             return None
         except Exception:
             self.tally.cut[vm.name] = self.tally.cut.get(vm.name, 0) + 1
             return None
-        return found
+        return answer
 
     async def _call(
         self,
--- a/citronmount/bench/loopback_steps.py
+++ b/citronmount/bench/loopback_steps.py
@@ -1,4 +1,4 @@
-"""Steps that trials on loopback share: publish, wait, submit, drain."""
+"""Steps for scripts on a loopback cluster: publish, wait, submit, drain."""
 
 from collections.abc import Callable
 import json
@@ -32,15 +32,15 @@
 
 
 class StepFailedError(Exception):
-    """Something did not go as it must."""
+    """A step had an unexpected result or timed out."""
 
 
 def require(condition: bool, message: str) -> None:
     """Raises an error unless a condition holds.
 
     Args:
-        condition: What must hold.
-        message: What is wrong otherwise.
+        condition: The condition.
+        message: Message of the error.
 
     Raises:
         TrialError: The condition does not hold.
@@ -52,16 +52,13 @@
 def call(
     vm: loopback_cluster.Vm, method: str, path: str, body: bytes | None = None
 ) -> loopback_cluster.Answer:
-    """Sends one HTTP call to a daemon.
+    """Sends an HTTP call to the daemon of a VM.
 
     Args:
         vm: The VM.
-        method: The HTTP method.
-        path: Path and query.
-        body: The body.
-
-    Returns:
-        The answer.
+        method: HTTP method.
+        path: Path and query of the URL.
+        body: Request body.
     """
     return loopback_cluster.call(vm.caller_address, method, path, body)
 
@@ -87,34 +84,39 @@
         answer = send_call()
         if is_expected(answer):
             return answer
-        require(time.monotonic() < deadline_s, f"gave up: {answer.body}")
+        require(
+            time.monotonic() < deadline_s,
+            f"timed out; last answer: {answer.body}",
+        )
         time.sleep(POLL_PERIOD_S)
 
 
 def publish(cluster: loopback_cluster.Cluster, data: bytes) -> int:
-    """Publishes a sheet at the first VM as the first version.
+    """Publishes a configuration sheet as the first version.
 
     Args:
-        cluster: The cluster.
-        data: The sheet.
+        cluster: The cluster, whose first VM is called.
+        data: The sheet as CSV.
 
     Returns:
-        The version in force.
+        The version that is in force.
     """
     path = "/v1/configuration?base_version=0&author=trial"
     answer = wait_until(
         lambda: call(cluster.vms[0], "PUT", path, data),
-        lambda found: (
-            found.body["code"] // _CODES_PER_FAMILY != _RETRYABLE_FAMILY
+        lambda answer: (
+            answer.body["code"] // _CODES_PER_FAMILY != _RETRYABLE_FAMILY
         ),
     )
     accepted = codes.ResultCode.CONFIGURATION_ACCEPTED
-    require(answer.body["code"] == accepted, f"publish: {answer.body}")
+    require(
+        answer.body["code"] == accepted, f"sheet not accepted: {answer.body}"
+    )
     return answer.body["version"]
 
 
 def wait_until_ready(cluster: loopback_cluster.Cluster) -> None:
-    """Waits until every VM is ready and sees an owner in each domain.
+    """Waits until every VM is ready and knows an owner of each domain.
 
     Args:
         cluster: The cluster.
@@ -123,11 +125,11 @@
     for vm in cluster.vms:
         wait_until(
             lambda vm=vm: call(vm, "GET", "/v1/ready"),
-            lambda found: found.status == _OK,
+            lambda answer: answer.status == _OK,
         )
         wait_until(
             lambda vm=vm: call(vm, "GET", "/v1/membership"),
-            lambda found: _owned_domains(found.body) == domains,
+            lambda answer: _owned_domains(answer.body) == domains,
         )
 
 
@@ -135,32 +137,35 @@
     """Submits a job.
 
     Args:
-        vm: Where to submit it.
-        body: The job as the HTTP API takes it.
+        vm: The VM to call.
+        body: The job as a body of the HTTP API.
 
     Returns:
-        The id of the job.
+        Id of the job.
     """
     data = json.dumps(body).encode("utf-8")
     answer = call(vm, "POST", "/v1/jobs", data)
-    require(answer.status == _ACCEPTED, f"submit: {answer.body}")
+    require(answer.status == _ACCEPTED, f"job not accepted: {answer.body}")
     return answer.body["job"]
 
 
 def wait_for_result(vm: loopback_cluster.Vm, job: str) -> dict[str, typing.Any]:
-    """Waits for the final status of a job.
+    """Waits until a job has ended.
 
     Args:
-        vm: Where to ask.
-        job: The job.
+        vm: The VM to call.
+        job: Id of the job.
 
     Returns:
-        The status as the HTTP API gives it.
+        The status of the job from the HTTP API.
+
+    Raises:
+        StepFailedError: The job did not end within `TIMEOUT_S`.
     """
     path = f"/v1/jobs/{job}?wait_ms={WAIT_MS}"
     try:
         return wait_until(
-            lambda: call(vm, "GET", path), lambda found: _is_final(found.body)
+            lambda: call(vm, "GET", path), lambda answer: _is_final(answer.body)
         ).body
     except StepFailedError as error:
         raise StepFailedError(f"{job}: {error}") from error
@@ -169,7 +174,7 @@
 def drain_all(
     cluster: loopback_cluster.Cluster, stopped: tuple[str, ...] = ()
 ) -> None:
-    """Stops every daemon by SIGTERM; each must end with status 0.
+    """Stops the daemons by SIGTERM and requires exit status 0 from each.
 
     Args:
         cluster: The cluster.
@@ -178,11 +183,11 @@
     running = [vm for vm in cluster.vms if vm.name not in stopped]
     for vm in running:
         vm.process.terminate()
-    found = {
+    exit_statuses = {
         vm.name: vm.process.wait(loopback_cluster.STOP_TIMEOUT_S)
         for vm in running
     }
-    require(not any(found.values()), f"exit statuses: {found}")
+    require(not any(exit_statuses.values()), f"exit statuses: {exit_statuses}")
 
 
 def _owned_domains(body: dict[str, typing.Any]) -> set[str]:
--- a/citronmount/bench/tests/test_loopback_cluster.py
+++ b/citronmount/bench/tests/test_loopback_cluster.py
@@ -1,4 +1,4 @@
-"""One small run of the whole path with real processes on loopback."""
+"""End-to-end test with daemon processes on loopback."""
 
 import json
 import unittest
@@ -39,9 +39,9 @@
 
 
 class LoopbackTest(unittest.TestCase):
-    """Two daemons, a platform, two workers and a runner."""
+    """Runs two daemons, a platform, two workers and a runner."""
 
-    def test_publish_run_and_drain(self) -> None:
+    def test_published_cluster_runs_work_and_drains_with_status_0(self) -> None:
         with loopback_cluster.open_cluster(_pool()) as cluster:
             self.assertEqual(1, loopback_steps.publish(cluster, _SHEET))
             loopback_steps.wait_until_ready(cluster)
@@ -52,15 +52,16 @@
                 "per_task": {"accelerators": 8},
                 "command": json.dumps({"run_ms": 100}),
             }
-            leftover = {**gang, "account": "duri", "tasks": 1}
-            found = [
-                loopback_steps.submit(first, body) for body in (gang, leftover)
+            single_task = {**gang, "account": "duri", "tasks": 1}
+            job_ids = [
+                loopback_steps.submit(first, body)
+                for body in (gang, single_task)
             ]
-            ends = [
+            final_states = [
                 loopback_steps.wait_for_result(second, job)["state"]
-                for job in found
+                for job in job_ids
             ]
-            self.assertEqual(["done", "done"], ends)
+            self.assertEqual(["done", "done"], final_states)
             body = {"account": "hana", "request": "q", "payload": "mine"}
             data = json.dumps(body).encode("ascii")
             answer = loopback_steps.call(second, "POST", "/v1/requests", data)
--- a/citronmount/bench/timings.py
+++ b/citronmount/bench/timings.py
@@ -1,7 +1,7 @@
-"""Costs of decisions as ratios within one run, at several sizes.
+"""Measures how the cost of scheduling decisions grows with size.
 
-Wall-clock times depend on the machine, so they are no part of the reports
-that are compared byte by byte.
+Costs are ratios within one run. Times depend on the machine, so they are not
+part of the reports that are compared byte by byte.
 """
 
 import gc
@@ -37,8 +37,8 @@
     """The cost of one decision at one size.
 
     Attributes:
-        size: Workers of the failure domain, or tasks of the gang.
-        cost_ratio: Processor time of a decision over that of the first row.
+        size: Workers in the failure domain, or tasks in the gang.
+        cost_ratio: Processor time of a decision relative to the first row.
     """
 
     size: int
@@ -46,17 +46,18 @@
 
 
 class TimingReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Costs of the decision core at the two-year size.
+    """Costs of scheduling at the two-year size.
 
     Attributes:
-        by_pool: Decisions on single tasks, by workers, teams being the same.
-        by_gang: Decisions on gangs, by tasks.
-        pool_log_ratio: Cost growth over the growth of the logarithm of the
-            pool size; at most 1 if the cost grows no faster.
-        gang_linear_ratio: Cost growth over the growth of the gang size.
-        day_core_share: Processor time of all five schedulers for a day's
-            jobs, replay included, over a day of one core.
-        state_mb: Memory of one failure domain's scheduler after that day.
+        by_pool: Costs of placing a single task, by number of workers, for the
+            same number of teams.
+        by_gang: Costs of placing a gang, by number of tasks.
+        pool_log_ratio: Growth of the cost over growth of the logarithm of the
+            pool size; at most 1 if the cost grows at most logarithmically.
+        gang_linear_ratio: Growth of the cost over growth of the gang size.
+        day_core_share: Processor time of all five schedulers for the jobs of
+            one day, including the replay, as a share of one core.
+        state_mb: Memory of the scheduler of one filled failure domain.
     """
 
     by_pool: tuple[CostRow, ...]
@@ -68,7 +69,7 @@
 
 
 def measure(seed: int) -> TimingReport:
-    """Measures the slopes, a day's decisions and the state.
+    """Measures the cost of decisions and the memory of a scheduler.
 
     Args:
         seed: Seed of the workloads.
@@ -117,7 +118,11 @@
 def _fill_scheduler(
     seed: int, scale: float, team_scale: float = TEAM_SCALE
 ) -> tuple[scheduler_lib.DomainScheduler, sites.Site, int]:
-    """Returns a scheduler whose pool is mostly taken, and the time."""
+    """Returns a scheduler with `FILL_SHARE` of its accelerators in use.
+
+    Returns:
+        The scheduler, its site and the time in ms.
+    """
     site = sites.two_year(scale, team_scale)
     scheduler = scheduler_lib.DomainScheduler(failure_domain=site.domains[0])
     scheduler.set_configuration(site.configuration)
@@ -152,7 +157,7 @@
 
 
 def _median_cost_s(seed: int, scale: float, tasks: int) -> float:
-    """Returns the processor time to submit, place and end one gang."""
+    """Returns the median processor time to submit, place and end a gang."""
     scheduler, site, now_ms = _fill_scheduler(seed, scale)
     for job in scheduler.queued():
         scheduler.cancel(job)
@@ -171,20 +176,20 @@
             submitted_ms=now_ms,
         )
         now_ms += 1_000
-        began_s = time.process_time()
+        start_s = time.process_time()
         scheduler.submit(spec, now_ms)
         placed = _start_all(scheduler, now_ms)
         for job in placed:
             scheduler.attempt_ended(job, decisions.AttemptEnd.DONE, now_ms)
         scheduler.cancel(spec.job)
-        costs_s.append(time.process_time() - began_s)
+        costs_s.append(time.process_time() - start_s)
     return sorted(costs_s)[len(costs_s) // 2]
 
 
 def _day_core_share(seed: int) -> float:
-    began_s = time.process_time()
+    start_s = time.process_time()
     two_year.run(seed, ("citron",))
-    return (time.process_time() - began_s) / DAY_S
+    return (time.process_time() - start_s) / DAY_S
 
 
 def _state_mb(seed: int) -> float:
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,8 +1,9 @@
-"""Runs the main job on both example sheets with real processes on loopback.
+"""Runs both example sites with daemon processes on loopback.
 
-For each sheet: six daemons in three failure domains, stand-ins of the platform
-and its targets, trial work that fills the pool, paying gangs that take back
-what is guaranteed to them, and a short request at each VM.
+For each site it starts six daemons in three failure domains and stand-ins for
+the platform and its targets. Trial jobs fill the pool, then gangs of paying
+accounts reclaim the capacity that is guaranteed to them, and each VM serves a
+short request.
 """
 
 import collections
@@ -34,12 +35,15 @@
     """Runs the demo.
 
     Returns:
-        0 if every job and request ended as it must.
+        The exit status 0.
+
+    Raises:
+        StepFailedError: A job or request had an unexpected result.
     """
-    begin_s = time.monotonic()
+    start_s = time.monotonic()
     for name in ("hanbit", "perchero"):
         _run_site(name)
-    print(f"demo done in {time.monotonic() - begin_s:.0f} s")
+    print(f"demo done in {time.monotonic() - start_s:.0f} s")
     return 0
 
 
@@ -66,19 +70,23 @@
     cluster: loopback_cluster.Cluster,
     content: configuration_lib.Configuration,
 ) -> list[str]:
-    """Fills the pool with trial work and work above a guarantee."""
+    """Submits whole-worker jobs that fill the pool.
+
+    A trial account uses its whole allowance; the last paying account uses the
+    other workers, beyond its guarantee.
+    """
     command = json.dumps({"run_ms": LONG_RUN_MS})
-    whole_worker = {
+    whole_worker_job = {
         "per_task": {"accelerators": ACCELERATORS_PER_WORKER, "cores": 8},
         "command": command,
         "run_time_s": LONG_RUN_MS / 1_000,
     }
     allowance = content.allowances[0]
-    trials = allowance.accelerators // ACCELERATORS_PER_WORKER
-    eager = _paying_accounts(content)[-1]
-    bodies = [{"account": allowance.account, **whole_worker}] * trials
-    others = len(cluster.pool.workers) - trials
-    bodies += [{"account": eager, **whole_worker}] * others
+    trial_count = allowance.accelerators // ACCELERATORS_PER_WORKER
+    borrower = _paying_accounts(content)[-1]
+    bodies = [{"account": allowance.account, **whole_worker_job}] * trial_count
+    borrowed_count = len(cluster.pool.workers) - trial_count
+    bodies += [{"account": borrower, **whole_worker_job}] * borrowed_count
     return _submit_all(cluster, bodies)
 
 
@@ -86,9 +94,9 @@
     cluster: loopback_cluster.Cluster,
     content: configuration_lib.Configuration,
 ) -> list[str]:
-    """Submits what other paying accounts are guaranteed."""
+    """Submits the gangs that the other paying accounts are guaranteed."""
     time.sleep(1)
-    eager = _paying_accounts(content)[-1]
+    borrower = _paying_accounts(content)[-1]
     bodies = [
         {
             "account": guarantee.account,
@@ -103,7 +111,7 @@
             "run_time_s": GANG_RUN_MS / 1_000,
         }
         for guarantee in content.guarantees
-        if guarantee.account != eager
+        if guarantee.account != borrower
         for _ in range(guarantee.copies)
     ]
     return _submit_all(cluster, bodies)
@@ -123,8 +131,8 @@
     cluster: loopback_cluster.Cluster,
     content: configuration_lib.Configuration,
 ) -> collections.Counter[str]:
-    """Sends one short request at each VM and checks each answer."""
-    served: collections.Counter[str] = collections.Counter()
+    """Sends a short request to each VM; counts the answers by account."""
+    answer_counts: collections.Counter[str] = collections.Counter()
     accounts = _paying_accounts(content)
     for number, vm in enumerate(cluster.vms):
         account = accounts[number % len(accounts)]
@@ -136,15 +144,17 @@
         data = json.dumps(body).encode("utf-8")
         answer = loopback_steps.call(vm, "POST", "/v1/requests", data)
         complete = answer.body.get("payload", "").endswith(body["payload"])
-        loopback_steps.require(complete, f"request: {answer.body}")
-        served[account] += 1
-    return served
+        loopback_steps.require(
+            complete, f"wrong answer to a request: {answer.body}"
+        )
+        answer_counts[account] += 1
+    return answer_counts
 
 
 def _wait_for_results(
     cluster: loopback_cluster.Cluster, jobs: Iterable[str]
 ) -> list[typing.Any]:
-    """Waits for the final result of each job."""
+    """Waits until every job has ended and returns their statuses."""
     return [loopback_steps.wait_for_result(cluster.vms[0], job) for job in jobs]
 
 
@@ -156,29 +166,33 @@
     print(f"{'account':22}{'class':8}{'jobs done':>10}", end="")
     print(f"{'evictions':>10}{'requests':>9}")
     for account in content.accounts:
-        own = [s for s in statuses if s["account"] == account.name]
-        done = sum(s["state"] == "done" for s in own)
-        evictions = sum(s["attempts"] - 1 for s in own)
+        account_statuses = [
+            status for status in statuses if status["account"] == account.name
+        ]
+        done = sum(status["state"] == "done" for status in account_statuses)
+        evictions = sum(status["attempts"] - 1 for status in account_statuses)
         print(
             f"{account.name:22}{account.account_class.value:8}"
-            f"{f'{done} of {len(own)}':>10}{evictions:>10}"
+            f"{f'{done} of {len(account_statuses)}':>10}{evictions:>10}"
             f"{requests[account.name]:>9}"
         )
-    bad = [s for s in statuses if s["state"] != "done"]
-    loopback_steps.require(not bad, f"jobs that did not complete: {bad}")
+    not_done = [status for status in statuses if status["state"] != "done"]
+    loopback_steps.require(
+        not not_done, f"jobs that did not complete: {not_done}"
+    )
 
 
 def _check_reclaim(
     content: configuration_lib.Configuration, statuses: list[typing.Any]
 ) -> None:
-    trials = {allowance.account for allowance in content.allowances}
+    trial_accounts = {allowance.account for allowance in content.allowances}
     evicted = [
-        s["job"]
-        for s in statuses
-        if s["account"] in trials and s["attempts"] > 1
+        status["job"]
+        for status in statuses
+        if status["account"] in trial_accounts and status["attempts"] > 1
     ]
-    loopback_steps.require(bool(evicted), "no trial job had to give way")
-    print(f"trial jobs that gave way and completed later: {len(evicted)}")
+    loopback_steps.require(bool(evicted), "no trial job was evicted")
+    print(f"trial jobs that were evicted and completed later: {len(evicted)}")
 
 
 def _paying_accounts(content: configuration_lib.Configuration) -> list[str]:
