--- a/citronmount/bench/loopback_steps.py
+++ b/citronmount/bench/loopback_steps.py
@@ -43,7 +43,7 @@
         message: Message of the error.
 
     Raises:
-        TrialError: The condition does not hold.
+        StepFailedError: The condition does not hold.
     """
     if not condition:
         raise StepFailedError(message)
@@ -104,8 +104,8 @@
     path = "/v1/configuration?base_version=0&author=trial"
     answer = wait_until(
         lambda: call(cluster.vms[0], "PUT", path, data),
-        lambda answer: (
-            answer.body["code"] // _CODES_PER_FAMILY != _RETRYABLE_FAMILY
+        lambda reply: (
+            reply.body["code"] // _CODES_PER_FAMILY != _RETRYABLE_FAMILY
         ),
     )
     accepted = codes.ResultCode.CONFIGURATION_ACCEPTED
--- a/citronmount/config/__init__.py
+++ b/citronmount/config/__init__.py
@@ -1,1 +1,1 @@
-"""The sheet of the operators and its fold into versions."""
+"""Configurations, the CSV sheets that hold them, and pool files."""
