--- a/citronmount/bench/burst.py
+++ b/citronmount/bench/burst.py
@@ -27,7 +27,7 @@
 
 
 def _make_small_burst(seed: int, count: int) -> list[workload.TracedJob]:
-    rng = workload.random_stream("small burst", seed)
+    rng = workload.make_rng("small burst", seed)
     burst = [
         workload.make_job(
             account="ara",
@@ -49,7 +49,7 @@
 
 
 def _make_large_burst(seed: int, count: int) -> list[workload.TracedJob]:
-    rng = workload.random_stream("large burst", seed)
+    rng = workload.make_rng("large burst", seed)
     return [
         workload.make_job(
             account="bora",
--- a/citronmount/bench/domain_out.py
+++ b/citronmount/bench/domain_out.py
@@ -13,10 +13,10 @@
 
 __all__ = ["run"]
 
-OUT = ids.FailureDomainId("kr-central-b")
+OUT_DOMAIN = ids.FailureDomainId("kr-central-b")
 JOBS_PER_HOUR = 160.0
-POWER_DOWN_AFTER_MS = 10 * workload.MINUTE_MS
-WORK_DONE_BOUND = 0.95
+POWER_DOWN_DELAY_MS = 10 * workload.MINUTE_MS
+MIN_WORK_DONE_RATIO = 0.95
 
 
 @registry.bench("domain-out")
@@ -40,14 +40,14 @@
     horizon_ms = round(hours * workload.HOUR_MS)
     out_ms = horizon_ms // 3
     out = sites.set_domain_state(
-        site.configuration, OUT, states.FailureDomainState.OUT
+        site.configuration, OUT_DOMAIN, states.FailureDomainState.OUT
     )
-    back = sites.set_domain_state(out, OUT, states.FailureDomainState.IN)
+    back = sites.set_domain_state(out, OUT_DOMAIN, states.FailureDomainState.IN)
     changes = (
         (out_ms, replay_events.ApplyConfiguration(configuration=out)),
         (
-            out_ms + POWER_DOWN_AFTER_MS,
-            replay_events.PowerDownDomain(domain=OUT),
+            out_ms + POWER_DOWN_DELAY_MS,
+            replay_events.PowerDownDomain(domain=OUT_DOMAIN),
         ),
         (2 * out_ms, replay_events.ApplyConfiguration(configuration=back)),
     )
@@ -72,7 +72,7 @@
         ratio = metrics.work_done_ratio(citron)
         bars = [
             report.at_least(
-                "work_done_ratio", "citron", ratio, WORK_DONE_BOUND
+                "work_done_ratio", "citron", ratio, MIN_WORK_DONE_RATIO
             ),
             report.at_most("late_starts", "citron", citron.late_starts, 0),
         ]
--- a/citronmount/bench/failing_workers.py
+++ b/citronmount/bench/failing_workers.py
@@ -15,7 +15,7 @@
 __all__ = ["run"]
 
 JOBS_PER_HOUR = 60.0
-BROKEN = tuple(
+BROKEN_WORKERS = tuple(
     ids.WorkerId(name)
     for name in (
         "kr-central-a-w0003",
@@ -23,15 +23,15 @@
         "kr-central-c-w0005",
     )
 )
-BROKEN_FROM_MS = 1 * workload.HOUR_MS
-BROKEN_TO_MS = 4 * workload.HOUR_MS
+BROKEN_AT_MS = 1 * workload.HOUR_MS
+REPAIRED_AT_MS = 4 * workload.HOUR_MS
 FAILING_JOBS_SHARE = 0.02
 
 
 def _mark_failing_jobs(
     trace: tuple[workload.TracedJob, ...], seed: int
 ) -> tuple[workload.TracedJob, ...]:
-    rng = workload.random_stream("failing jobs", seed)
+    rng = workload.make_rng("failing jobs", seed)
     return tuple(
         msgspec.structs.replace(job, fails=rng.random() < FAILING_JOBS_SHARE)
         for job in trace
@@ -64,10 +64,10 @@
     changes = tuple(
         (at_ms, change(worker=worker))
         for at_ms, change in (
-            (BROKEN_FROM_MS, replay_events.BreakWorker),
-            (BROKEN_TO_MS, replay_events.RepairWorker),
+            (BROKEN_AT_MS, replay_events.BreakWorker),
+            (REPAIRED_AT_MS, replay_events.RepairWorker),
         )
-        for worker in BROKEN
+        for worker in BROKEN_WORKERS
     )
     replays = {
         policy: job_replay.Replay(
--- a/citronmount/bench/hanbit.py
+++ b/citronmount/bench/hanbit.py
@@ -30,7 +30,7 @@
 
 
 def _make_rebuilds(seed: int, days: int) -> list[workload.TracedJob]:
-    rng = workload.random_stream("rebuilds", seed)
+    rng = workload.make_rng("rebuilds", seed)
     return [
         workload.make_job(
             account=member,
@@ -55,7 +55,7 @@
 def _make_health_checks(
     seed: int, days: int, scale: float
 ) -> list[workload.TracedJob]:
-    rng = workload.random_stream("health checks", seed)
+    rng = workload.make_rng("health checks", seed)
     return [
         workload.make_job(
             account=member,
@@ -91,7 +91,7 @@
     Returns:
         The jobs.
     """
-    rng = workload.random_stream("label bursts", seed)
+    rng = workload.make_rng("label bursts", seed)
     starts = [
         (member, size, rng.randrange(days * workload.DAY_MS))
         for member, size in BURST_SIZES.items()
@@ -130,7 +130,7 @@
     Returns:
         The jobs.
     """
-    rng = workload.random_stream("trials", seed)
+    rng = workload.make_rng("trials", seed)
     return [
         workload.make_job(
             account="newcomer",
--- a/citronmount/bench/job_mix.py
+++ b/citronmount/bench/job_mix.py
@@ -60,7 +60,7 @@
     Returns:
         The jobs, which declare their true run times.
     """
-    rng = workload.random_stream(name, seed)
+    rng = workload.make_rng(name, seed)
     end_ms = round(hours * workload.HOUR_MS)
     weights = [shape[1] for shape in _SHAPES]
     trace = []
--- a/citronmount/bench/misdeclared.py
+++ b/citronmount/bench/misdeclared.py
@@ -13,7 +13,7 @@
 __all__ = ["run"]
 
 JOBS_PER_HOUR = 110.0
-FACTORS = {
+DECLARED_FACTORS = {
     "ara": 10.0,
     "bora": 0.1,
     "chorok": 3.0,
@@ -21,13 +21,13 @@
     "newcomer": 0.3,
 }
 FACTOR_SIGMA = 0.7
-TRUTHFUL = "citron_truthful"
+TRUTHFUL_NAME = "citron_truthful"
 
 
 def _misdeclare(
     trace: tuple[workload.TracedJob, ...], seed: int
 ) -> tuple[workload.TracedJob, ...]:
-    rng = workload.random_stream("declared", seed)
+    rng = workload.make_rng("declared", seed)
     return tuple(
         msgspec.structs.replace(
             job,
@@ -35,7 +35,7 @@
                 job.spec,
                 run_time_s=job.true_run_s
                 * workload.sample_log_normal(
-                    rng, FACTORS[job.spec.account], FACTOR_SIGMA
+                    rng, DECLARED_FACTORS[job.spec.account], FACTOR_SIGMA
                 ),
             ),
         )
@@ -70,7 +70,7 @@
     misdeclared = _misdeclare(truthful, seed)
     runs = [(policy, policy, misdeclared) for policy in policies]
     if "citron" in policies:
-        runs.append((TRUTHFUL, "citron", truthful))
+        runs.append((TRUTHFUL_NAME, "citron", truthful))
     return report.BenchReport(
         bench="misdeclared",
         seed=seed,
--- a/citronmount/bench/perchero.py
+++ b/citronmount/bench/perchero.py
@@ -15,8 +15,8 @@
 WARM_UP_MS = 2_000
 SLOW_FACTOR = 5.0
 MAX_P99_RATIO_TO_SINGLE_QUEUE = 1.1
-IDEAL = "single_queue"
-ALL = "all"
+IDEAL_NAME = "single_queue"
+ALL_KINDS = "all"
 
 
 @registry.bench("perchero")
@@ -44,7 +44,9 @@
     )
     slow = {runners[0].name: SLOW_FACTOR for runners in site.runners.values()}
     metrics = {
-        IDEAL: _metrics(request_replay.replay_single_queue(site, trace), {})
+        IDEAL_NAME: _metrics(
+            request_replay.replay_single_queue(site, trace), {}
+        )
     }
     if "fifo" in policies:
         for name, factors in (("fifo", {}), ("fifo.slow_runner", slow)):
@@ -98,7 +100,7 @@
         code_counts[f"ended_{name}"] += 1
         if outcome.request.arrival_ms < WARM_UP_MS:
             continue
-        for kind in (ALL, outcome.request.kind):
+        for kind in (ALL_KINDS, outcome.request.kind):
             times_s[kind].append(outcome.took_ms / 1_000)
             waits_s[kind].append(outcome.waited_ms / 1_000)
     done = code_counts[f"ended_{codes.ResultCode.DONE.name.lower()}"]
@@ -116,7 +118,7 @@
     if "citron" not in metrics:
         return []
     citron = metrics["citron"].completion_time_s
-    ideal = metrics[IDEAL].completion_time_s
+    ideal = metrics[IDEAL_NAME].completion_time_s
     return [
         report.at_most(
             f"completion_p99_s.{kind}",
--- a/citronmount/bench/replay_routing.py
+++ b/citronmount/bench/replay_routing.py
@@ -97,7 +97,7 @@
     def _would_start(
         self, name: ids.FailureDomainId, spec: jobs.JobSpec, now_ms: int
     ) -> bool:
-        """Returns whether a scheduler can start a job now, from cache or not.
+        """Returns whether a scheduler can start a job now; caches refusals.
 
         The scheduler is not asked again if nothing has changed there since it
         last refused a job of the same account, shape and urgency.
--- a/citronmount/bench/replay_usage.py
+++ b/citronmount/bench/replay_usage.py
@@ -107,7 +107,7 @@
         )
 
     def update_capacity(self, domain: ids.FailureDomainId, now_ms: int) -> None:
-        """Updates a domain's capacity: if out, only what jobs still hold."""
+        """Sets a domain's capacity; if it is out, to what jobs still hold."""
         total = self.usage.usable_accelerators(domain)
         if self.is_out_of_service(domain):
             total -= sum(
--- a/citronmount/bench/request_workload.py
+++ b/citronmount/bench/request_workload.py
@@ -107,7 +107,7 @@
     Returns:
         The requests in the order of arrival.
     """
-    rng = workload.random_stream("requests", seed)
+    rng = workload.make_rng("requests", seed)
     mean_ms = (
         sum(_sample_request(rng)[1] for _ in range(MEAN_SAMPLES)) / MEAN_SAMPLES
     )
--- a/citronmount/bench/sites.py
+++ b/citronmount/bench/sites.py
@@ -41,7 +41,7 @@
         return tuple(d.name for d in self.configuration.failure_domains)
 
 
-def _workers(
+def _make_workers(
     domain: str, capacities: list[jobs.Resources]
 ) -> tuple[messages.ListedTarget, ...]:
     return tuple(
@@ -56,7 +56,7 @@
     )
 
 
-def _domains(
+def _make_domains(
     names: tuple[str, ...],
 ) -> tuple[configuration_lib.FailureDomain, ...]:
     return tuple(
@@ -68,7 +68,7 @@
     )
 
 
-def _account(
+def _make_account(
     name: str, account_class: states.AccountClass = states.AccountClass.PAYING
 ) -> configuration_lib.Account:
     return configuration_lib.Account(
@@ -76,7 +76,7 @@
     )
 
 
-def _guarantee(
+def _make_guarantee(
     account: str,
     domain: str | None,
     copies: int,
@@ -94,7 +94,7 @@
     )
 
 
-def _share_of(worker: jobs.Resources, accelerators: int) -> jobs.Resources:
+def _worker_share(worker: jobs.Resources, accelerators: int) -> jobs.Resources:
     return jobs.Resources(
         accelerators=accelerators,
         cores=worker.cores * accelerators // worker.accelerators,
@@ -102,7 +102,7 @@
     )
 
 
-def _three_domains(
+def _make_three_domain_site(
     names: tuple[str, ...],
     members: tuple[str, ...],
     trial: str,
@@ -115,26 +115,31 @@
     one failure domain, and four single accelerators in each domain but the
     first. Members get the domains of their gangs in turn.
     """
-    homes = itertools.cycle(names)
+    domains = itertools.cycle(names)
     gangs = tuple(
-        _guarantee(member, home, 1, 4, worker, states.Adjacency.RACK)
-        for member, home in zip(members, homes, strict=False)
+        _make_guarantee(member, domain, 1, 4, worker, states.Adjacency.RACK)
+        for member, domain in zip(members, domains, strict=False)
     )
     singles = tuple(
-        _guarantee(
-            member, home, 4, 1, _share_of(worker, 1), states.Adjacency.WORKER
+        _make_guarantee(
+            member,
+            domain,
+            4,
+            1,
+            _worker_share(worker, 1),
+            states.Adjacency.WORKER,
         )
         for member in members
-        for home in names[1:]
+        for domain in names[1:]
     )
     configuration = configuration_lib.Configuration(
         version=ids.Version(1),
-        failure_domains=_domains(names),
+        failure_domains=_make_domains(names),
         accounts=tuple(
             sorted(
                 (
-                    *(_account(member) for member in members),
-                    _account(trial, states.AccountClass.TRIAL),
+                    *(_make_account(member) for member in members),
+                    _make_account(trial, states.AccountClass.TRIAL),
                 ),
                 key=lambda account: account.name,
             )
@@ -148,7 +153,7 @@
     )
     sizes = (9, 8, 8)
     workers = itertools.chain.from_iterable(
-        _workers(name, [worker] * size)
+        _make_workers(name, [worker] * size)
         for name, size in zip(names, sizes, strict=True)
     )
     return Site(configuration=configuration, workers=tuple(workers))
@@ -156,7 +161,7 @@
 
 def hanbit() -> Site:
     """Returns the worker pool of the Hanbit consortium of four members."""
-    return _three_domains(
+    return _make_three_domain_site(
         ("kr-central-a", "kr-central-b", "kr-central-c"),
         ("ara", "bora", "chorok", "dalbit"),
         "newcomer",
@@ -167,7 +172,7 @@
 
 def perchero() -> Site:
     """Returns the worker pool of Perchero Abierto."""
-    return _three_domains(
+    return _make_three_domain_site(
         ("gt-central-a", "gt-central-b", "gt-central-c"),
         ("feria", "marimba", "teatro", "templo"),
         "visita",
@@ -211,7 +216,7 @@
     trials = teams[::10]
     paying = [team for team in teams if team not in set(trials)]
     guarantees = [
-        _guarantee(
+        _make_guarantee(
             team,
             TWO_YEAR_DOMAINS[number % len(TWO_YEAR_DOMAINS)],
             *(_TEAM_GANG if number % 8 == 0 else _TEAM_SINGLES),
@@ -222,9 +227,9 @@
     classes = dict.fromkeys(trials, states.AccountClass.TRIAL)
     configuration = configuration_lib.Configuration(
         version=ids.Version(1),
-        failure_domains=_domains(TWO_YEAR_DOMAINS),
+        failure_domains=_make_domains(TWO_YEAR_DOMAINS),
         accounts=tuple(
-            _account(team, classes.get(team, states.AccountClass.PAYING))
+            _make_account(team, classes.get(team, states.AccountClass.PAYING))
             for team in teams
         ),
         guarantees=tuple(guarantees),
@@ -236,7 +241,7 @@
         ),
     )
     workers = itertools.chain.from_iterable(
-        _workers(name, per_domain) for name in TWO_YEAR_DOMAINS
+        _make_workers(name, per_domain) for name in TWO_YEAR_DOMAINS
     )
     return Site(configuration=configuration, workers=tuple(workers))
 
@@ -260,7 +265,7 @@
     workers = []
     for row, guarantee in enumerate(guarantees):
         for copy in range(guarantee.copies):
-            workers.extend(_private_workers(guarantee, row, copy))
+            workers.extend(_make_private_workers(guarantee, row, copy))
     configuration = msgspec.structs.replace(
         site.configuration,
         accounts=tuple(
@@ -272,7 +277,7 @@
     return Site(configuration=configuration, workers=tuple(workers))
 
 
-def _private_workers(
+def _make_private_workers(
     guarantee: configuration_lib.Guarantee, row: int, copy: int
 ) -> list[messages.ListedTarget]:
     domain = guarantee.failure_domain or ids.FailureDomainId("any")
--- a/citronmount/bench/tests/test_accounting.py
+++ b/citronmount/bench/tests/test_accounting.py
@@ -11,7 +11,7 @@
 from citronmount.core import states
 
 
-class AllowedWorkTest(unittest.TestCase):
+class WorkUpperBoundTest(unittest.TestCase):
     def test_work_is_bounded_by_demand_then_capacity_then_backlog(self):
         demand = accounting.StepFunction()
         capacity = accounting.StepFunction()
--- a/citronmount/bench/two_year.py
+++ b/citronmount/bench/two_year.py
@@ -41,7 +41,7 @@
     Returns:
         The jobs in the order of arrival.
     """
-    rng = workload.random_stream("two-year", seed)
+    rng = workload.make_rng("two-year", seed)
     accounts = [a.name for a in sites.two_year(scale).configuration.accounts]
     weights = [1 / (rank + 10) for rank in range(len(accounts))]
     shares = [shape[1] for shape in _SHAPES]
--- a/citronmount/bench/workload.py
+++ b/citronmount/bench/workload.py
@@ -16,8 +16,8 @@
     "SECOND_MS",
     "TracedJob",
     "make_job",
+    "make_rng",
     "poisson_arrivals_ms",
-    "random_stream",
     "sample_log_normal",
 ]
 
@@ -56,7 +56,7 @@
         return self.spec.accelerators * self.true_run_s
 
 
-def random_stream(name: str, seed: int) -> random.Random:
+def make_rng(name: str, seed: int) -> random.Random:
     """Returns the random generator of one part of a workload.
 
     Each part has its own, so that a change of one part does not change the
