--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -16,7 +16,7 @@
 from citronmount.bench import capacity_plan
 from citronmount.bench import harness_traffic
 from citronmount.clients import messages
-from citronmount.config import configuration as configuration_lib
+from citronmount.config import configuration
 from citronmount.config import configuration_fold
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -96,21 +96,21 @@
 def _make_change(teams: int) -> records.ConfigurationChange:
     names = [ids.AccountId(f"team-{number:04}") for number in range(teams)]
     domains = [ids.FailureDomainId(f"kr-{letter}") for letter in "abcde"]
-    content = configuration_lib.Configuration(
+    content = configuration.Configuration(
         failure_domains=tuple(
-            configuration_lib.FailureDomain(
+            configuration.FailureDomain(
                 name=name, state=states.FailureDomainState.IN
             )
             for name in domains
         ),
         accounts=tuple(
-            configuration_lib.Account(
+            configuration.Account(
                 name=name, account_class=states.AccountClass.PAYING
             )
             for name in names
         ),
         guarantees=tuple(
-            configuration_lib.Guarantee(
+            configuration.Guarantee(
                 account=name,
                 failure_domain=None,
                 copies=1,
--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from citronmount.agent import agent as agent_lib
+from citronmount.agent import agent
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.agent import settings as agent_settings
-from citronmount.bench import harness as harness_lib
+from citronmount.bench import harness
 from citronmount.bench import harness_site
 from citronmount.clients import messages
-from citronmount.config import configuration as configuration_lib
+from citronmount.config import configuration
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
@@ -81,14 +81,14 @@
     member_bytes: int
 
 
-def make_agent(vm: messages.ListedVm, incarnation_ms: int) -> agent_lib.Agent:
+def make_agent(vm: messages.ListedVm, incarnation_ms: int) -> agent.Agent:
     """Returns an agent with default timing.
 
     Args:
         vm: Entry of the VM in the platform's list.
         incarnation_ms: Unix time of its start in ms.
     """
-    return agent_lib.Agent(
+    return agent.Agent(
         settings=agent_settings.AgentSettings(
             vm=vm.vm,
             failure_domain=vm.failure_domain,
@@ -102,11 +102,11 @@
 
     def __init__(
         self,
-        agent: agent_lib.Agent,
+        timed_agent: agent.Agent,
         spent_ns: collections.Counter[str],
         counts: collections.Counter[str],
     ) -> None:
-        self._agent = agent
+        self._agent = timed_agent
         self._spent_ns = spent_ns
         self._counts = counts
 
@@ -138,7 +138,7 @@
     """
     spent_ns: collections.Counter[str] = collections.Counter()
     counts: collections.Counter[str] = collections.Counter()
-    harness = harness_lib.Harness(
+    simulation = harness.Harness(
         site=harness_site.make_site(
             failure_domains=failure_domains,
             vms_per_domain=vms_per_domain,
@@ -149,11 +149,11 @@
         ),
         seed=SEED,
     )
-    harness.start_all()
-    harness.run_until_ms(WARM_UP_MS)
+    simulation.start_all()
+    simulation.run_until_ms(WARM_UP_MS)
     spent_ns.clear()
     counts.clear()
-    harness.run_until_ms(WARM_UP_MS + RUN_MS)
+    simulation.run_until_ms(WARM_UP_MS + RUN_MS)
     vms = failure_domains * vms_per_domain
     return tuple(
         EventCost(
@@ -181,23 +181,23 @@
         RuntimeError: A job was not accepted.
     """
     site = _make_site(workers, teams)
-    harness = harness_lib.Harness(site=site, make_agent=make_agent, seed=SEED)
-    harness.start_all()
-    harness.run_until_ms(WARM_UP_MS)
-    vm = next(iter(harness.processes))
+    simulation = harness.Harness(site=site, make_agent=make_agent, seed=SEED)
+    simulation.start_all()
+    simulation.run_until_ms(WARM_UP_MS)
+    vm = next(iter(simulation.processes))
     answers: list[object] = []
     for number in range(job_count):
-        harness.clock.after_ms(
+        simulation.clock.after_ms(
             number * SUBMIT_PERIOD_MS,
-            harness.call,
+            simulation.call,
             vm,
             peer_messages.SubmitJob(spec=_make_job(number, teams)),
             answers.append,
         )
-    harness.run_until_ms(WARM_UP_MS + job_count * SUBMIT_PERIOD_MS + RUN_MS)
+    simulation.run_until_ms(WARM_UP_MS + job_count * SUBMIT_PERIOD_MS + RUN_MS)
     _require_accepted(answers, job_count)
     agent_bytes = sorted(
-        deep_bytes(process.agent) for process in harness.processes.values()
+        deep_bytes(process.agent) for process in simulation.processes.values()
     )
     return StateRow(
         workers=workers,
@@ -226,16 +226,16 @@
         runners_per_domain=1,
     )
     names = [ids.AccountId(f"team-{number:03}") for number in range(teams)]
-    content = configuration_lib.Configuration(
+    content = configuration.Configuration(
         failure_domains=site.configuration.failure_domains,
         accounts=tuple(
-            configuration_lib.Account(
+            configuration.Account(
                 name=name, account_class=states.AccountClass.PAYING
             )
             for name in names
         ),
         guarantees=tuple(
-            configuration_lib.Guarantee(
+            configuration.Guarantee(
                 account=name,
                 failure_domain=None,
                 copies=1,
--- a/citronmount/bench/harness_traffic.py
+++ b/citronmount/bench/harness_traffic.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from citronmount.bench import harness as harness_lib
+from citronmount.bench import harness
 from citronmount.bench import harness_process
 from citronmount.bench import harness_site
 from citronmount.clients import messages
@@ -64,7 +64,7 @@
     Returns:
         The traffic per second of virtual time.
     """
-    harness = harness_lib.Harness(
+    simulation = harness.Harness(
         site=harness_site.make_site(
             failure_domains=failure_domains,
             vms_per_domain=vms_per_domain,
@@ -75,19 +75,19 @@
         seed=seed,
         count_traffic=True,
     )
-    harness.start_all()
-    harness.run_until_ms(WARM_UP_MS)
-    for process in harness.processes.values():
+    simulation.start_all()
+    simulation.run_until_ms(WARM_UP_MS)
+    for process in simulation.processes.values():
         process.traffic = harness_process.Traffic()
-    harness.run_until_ms(WARM_UP_MS + seconds * _MS_PER_S)
-    traffic = [process.traffic for process in harness.processes.values()]
+    simulation.run_until_ms(WARM_UP_MS + seconds * _MS_PER_S)
+    traffic = [process.traffic for process in simulation.processes.values()]
     byte_counts = [t.bytes.total() / seconds for t in traffic]
     message_counts = [t.messages.total() / seconds for t in traffic]
     kinds = sorted({kind for t in traffic for kind in t.bytes})
     return TrafficRow(
         vms=len(traffic),
         failure_domains=failure_domains,
-        workers=len(harness.services.workers),
+        workers=len(simulation.services.workers),
         mean_bytes_per_s=sum(byte_counts) / len(traffic),
         most_bytes_per_s=max(byte_counts),
         mean_messages_per_s=sum(message_counts) / len(traffic),
--- a/citronmount/bench/tests/test_harness.py
+++ b/citronmount/bench/tests/test_harness.py
@@ -4,7 +4,7 @@
 
 from citronmount.agent import effects
 from citronmount.agent import events
-from citronmount.bench import harness as harness_lib
+from citronmount.bench import harness
 from citronmount.bench import harness_network
 from citronmount.bench import harness_site
 from citronmount.bench import harness_traffic
@@ -44,7 +44,7 @@
 class HarnessTest(unittest.TestCase):
     def setUp(self):
         self.agents = {}
-        self.harness = harness_lib.Harness(
+        self.harness = harness.Harness(
             site=harness_site.make_site(), make_agent=self.make, seed=1
         )
         self.harness.start_all()
--- a/citronmount/bench/timings.py
+++ b/citronmount/bench/timings.py
@@ -18,7 +18,7 @@
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.core import scheduler as scheduler_lib
+from citronmount.core import scheduler
 from citronmount.core import states
 
 __all__ = ["CostRow", "TimingReport", "measure"]
@@ -30,7 +30,7 @@
 PROBE_COUNT = 30
 DAY_S = 86_400.0
 BYTES_PER_MIB = 1 << 20
-_TASK = jobs.Resources(accelerators=1, cores=2, memory_gb=8)
+_TASK_DEMAND = jobs.Resources(accelerators=1, cores=2, memory_gb=8)
 
 
 class CostRow(msgspec.Struct, frozen=True, kw_only=True):
@@ -112,55 +112,60 @@
 
 def _domain_workers(site: sites.Site) -> tuple:
     domain = site.domains[0]
-    return tuple(w for w in site.workers if w.failure_domain == domain)
+    return tuple(
+        worker for worker in site.workers if worker.failure_domain == domain
+    )
 
 
 def _fill_scheduler(
     seed: int, scale: float, team_scale: float = TEAM_SCALE
-) -> tuple[scheduler_lib.DomainScheduler, sites.Site, int]:
+) -> tuple[scheduler.DomainScheduler, sites.Site, int]:
     """Returns a scheduler with `FILL_SHARE` of its accelerators in use.
 
     Returns:
         The scheduler, its site and the time in ms.
     """
     site = sites.two_year(scale, team_scale)
-    scheduler = scheduler_lib.DomainScheduler(failure_domain=site.domains[0])
-    scheduler.set_configuration(site.configuration)
-    scheduler.set_workers(_domain_workers(site))
-    total = scheduler.free_accelerators()
+    domain_scheduler = scheduler.DomainScheduler(failure_domain=site.domains[0])
+    domain_scheduler.set_configuration(site.configuration)
+    domain_scheduler.set_workers(_domain_workers(site))
+    accelerator_count = domain_scheduler.free_accelerators()
     now_ms = 0
     for number, job in enumerate(two_year.make_trace(seed, 96.0, team_scale)):
-        if scheduler.free_accelerators() < (1 - FILL_SHARE) * total:
+        if (
+            domain_scheduler.free_accelerators()
+            < (1 - FILL_SHARE) * accelerator_count
+        ):
             break
         spec = msgspec.structs.replace(
             job.spec,
             job=ids.job_id(site.domains[0], f"fill{number}"),
             submitted_ms=now_ms,
         )
-        scheduler.submit(spec, now_ms)
-        _start_all(scheduler, now_ms)
+        domain_scheduler.submit(spec, now_ms)
+        _start_all(domain_scheduler, now_ms)
         now_ms += 100
-    return scheduler, site, now_ms
+    return domain_scheduler, site, now_ms
 
 
 def _start_all(
-    scheduler: scheduler_lib.DomainScheduler, now_ms: int
+    domain_scheduler: scheduler.DomainScheduler, now_ms: int
 ) -> list[ids.JobId]:
     placed = [
         decision.job
-        for decision in scheduler.decide(now_ms)
+        for decision in domain_scheduler.decide(now_ms)
         if isinstance(decision, decisions.PlaceJob)
     ]
     for job in placed:
-        scheduler.attempt_started(job, now_ms)
+        domain_scheduler.attempt_started(job, now_ms)
     return placed
 
 
 def _median_cost_s(seed: int, scale: float, tasks: int) -> float:
     """Returns the median processor time to submit, place and end a gang."""
-    scheduler, site, now_ms = _fill_scheduler(seed, scale)
-    for job in scheduler.queued():
-        scheduler.cancel(job)
+    domain_scheduler, site, now_ms = _fill_scheduler(seed, scale)
+    for job in domain_scheduler.queued():
+        domain_scheduler.cancel(job)
     account = next(
         account.name
         for account in site.configuration.accounts
@@ -172,16 +177,18 @@
             job=ids.job_id(site.domains[0], f"probe{number}"),
             account=account,
             tasks=tasks,
-            per_task=_TASK,
+            per_task=_TASK_DEMAND,
             submitted_ms=now_ms,
         )
         now_ms += 1_000
         start_s = time.process_time()
-        scheduler.submit(spec, now_ms)
-        placed = _start_all(scheduler, now_ms)
+        domain_scheduler.submit(spec, now_ms)
+        placed = _start_all(domain_scheduler, now_ms)
         for job in placed:
-            scheduler.attempt_ended(job, decisions.AttemptEnd.DONE, now_ms)
-        scheduler.cancel(spec.job)
+            domain_scheduler.attempt_ended(
+                job, decisions.AttemptEnd.DONE, now_ms
+            )
+        domain_scheduler.cancel(spec.job)
         costs_s.append(time.process_time() - start_s)
     return sorted(costs_s)[len(costs_s) // 2]
 
@@ -195,9 +202,9 @@
 def _state_mb(seed: int) -> float:
     gc.collect()
     tracemalloc.start()
-    scheduler, _, now_ms = _fill_scheduler(seed, 1.0, team_scale=1.0)
+    domain_scheduler, _, now_ms = _fill_scheduler(seed, 1.0, team_scale=1.0)
     later_ms = now_ms + workload.HOUR_MS
-    scheduler.decide(later_ms)
+    domain_scheduler.decide(later_ms)
     gc.collect()
     allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -17,7 +17,7 @@
 
 from citronmount.bench import loopback_cluster
 from citronmount.bench import loopback_steps
-from citronmount.config import configuration as configuration_lib
+from citronmount.config import configuration
 from citronmount.config import pool_file
 from citronmount.config import sheet
 from citronmount.core import states
@@ -68,7 +68,7 @@
 
 def _submit_fillers(
     cluster: loopback_cluster.Cluster,
-    content: configuration_lib.Configuration,
+    content: configuration.Configuration,
 ) -> list[str]:
     """Submits whole-worker jobs that fill the pool.
 
@@ -92,7 +92,7 @@
 
 def _submit_gangs(
     cluster: loopback_cluster.Cluster,
-    content: configuration_lib.Configuration,
+    content: configuration.Configuration,
 ) -> list[str]:
     """Submits the gangs that the other paying accounts are guaranteed."""
     time.sleep(1)
@@ -129,7 +129,7 @@
 
 def _send_requests(
     cluster: loopback_cluster.Cluster,
-    content: configuration_lib.Configuration,
+    content: configuration.Configuration,
 ) -> collections.Counter[str]:
     """Sends a short request to each VM; counts the answers by account."""
     answer_counts: collections.Counter[str] = collections.Counter()
@@ -159,7 +159,7 @@
 
 
 def _print_accounts(
-    content: configuration_lib.Configuration,
+    content: configuration.Configuration,
     statuses: list[typing.Any],
     requests: collections.Counter[str],
 ) -> None:
@@ -183,7 +183,7 @@
 
 
 def _check_reclaim(
-    content: configuration_lib.Configuration, statuses: list[typing.Any]
+    content: configuration.Configuration, statuses: list[typing.Any]
 ) -> None:
     trial_accounts = {allowance.account for allowance in content.allowances}
     evicted = [
@@ -195,7 +195,7 @@
     print(f"trial jobs that were evicted and completed later: {len(evicted)}")
 
 
-def _paying_accounts(content: configuration_lib.Configuration) -> list[str]:
+def _paying_accounts(content: configuration.Configuration) -> list[str]:
     return [
         account.name
         for account in content.accounts
