--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -28,7 +28,9 @@
 
 __all__ = ["main", "measure"]
 
+# Failure domains, VMs per domain and workers per domain.
 SITE_SIZES = ((3, 2, 8), (3, 8, 8), (5, 8, 8), (5, 8, 32))
+# Workers, jobs and teams; each row varies one of them.
 STATE_SIZES = (
     (65, 65, 70),
     (130, 65, 70),
--- a/citronmount/bench/capacity_plan.py
+++ b/citronmount/bench/capacity_plan.py
@@ -270,6 +270,8 @@
         + (running_jobs + ended_jobs * ENDED_JOB_SHARE) * job_bytes
         + SIZE.teams * team_bytes
     )
+    # Assumes that a job changes the report of 8 workers four times, and that a
+    # report takes 3 KB.
     workers_per_job = 8
     changes_per_s = ended_jobs * workers_per_job * 4 / _DAY_S
     report_bytes = 3 * _KB
--- a/citronmount/bench/harness.py
+++ b/citronmount/bench/harness.py
@@ -368,8 +368,8 @@
         self, process: harness_process.Process, effect: effects.Reply
     ) -> None:
         on_answer = process.tickets.pop(effect.ticket, None)
-        for arrival in self.arrival_watchers:
-            arrival(process.vm.vm, harness_network.CALLERS, effect)
+        for watcher in self.arrival_watchers:
+            watcher(process.vm.vm, harness_network.CALLERS, effect)
         if on_answer is None:
             return
         delays_us = self.network.delays_us(
@@ -464,8 +464,8 @@
     ) -> None:
         if not self.services.check_reachable(effect, target, respond):
             return
-        for arrival in self.arrival_watchers:
-            arrival(process.vm.vm, target, effect)
+        for watcher in self.arrival_watchers:
+            watcher(process.vm.vm, target, effect)
         self.services.serve(effect, respond)
 
     def _deliver_answer(
--- a/citronmount/bench/harness_services.py
+++ b/citronmount/bench/harness_services.py
@@ -23,6 +23,7 @@
     "no_answer_event",
 ]
 
+# Unix time at virtual time zero.
 EPOCH_MS = 1_800_000_000_000
 LOG = "log"
 VM_LIST = "vm-list"
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -32,7 +32,8 @@
     SILENT lets every command time out without effect. LATE executes start
     commands after `PoolWorker.start_delay_s` and lets them time out.
     LOSES_NEXT_START drops the next start command, LOSES_NEXT_ANSWER executes
-    it but lets it time out. REFUSING refuses connections.
+    it but lets it time out. REFUSING fails start commands at once without
+    effect and lets other commands time out.
     """
 
     NONE = "none"
@@ -140,7 +141,11 @@
     async def start(
         self, command: commands.Start, timeout_ms: int
     ) -> tuple[commands.StartOutcome, int | None]:
-        """Starts a task, with the fault of the worker applied."""
+        """Starts a task, with the fault of the worker applied.
+
+        Returns:
+            The outcome and, if the worker answered, its clock in ms.
+        """
         worker = await self._reach_worker(command)
         if self._refuses(command):
             return commands.StartOutcome.UNREACHABLE, None
@@ -165,7 +170,7 @@
     async def stop(
         self, command: commands.Stop, timeout_ms: int
     ) -> tuple[commands.StopOutcome, int | None]:
-        """Stops a run of a task."""
+        """Stops a run of a task; returns the same kind of pair as `start`."""
         worker = await self._reach_worker(command)
         if worker is None:
             await self._wait_for_timeout(timeout_ms)
@@ -234,10 +239,8 @@
     async def _wait_for_timeout(self, timeout_ms: int) -> None:
         await task.deferLater(self.clock, timeout_ms / _MS_PER_S)
 
-    def is_gang_present(
-        self, name: units.TaskName, run: int, size: int
-    ) -> bool:
-        """Returns whether all members of a gang's run have started."""
+    def is_gang_whole(self, name: units.TaskName, run: int, size: int) -> bool:
+        """Returns whether all members of a gang's run are running."""
         return len(self._gang_members(name, run)) == size
 
     def is_gang_finished(self, name: units.TaskName, run: int) -> bool:
@@ -297,7 +300,7 @@
         self._pool = pool
         self._token = 0
         self._lease_until_ms = 0
-        self._refused_runs: dict[units.TaskName, int] = {}
+        self._last_refused_runs: dict[units.TaskName, int] = {}
         self._end_numbers = itertools.count(1)
 
     def now_ms(self) -> int:
@@ -313,7 +316,7 @@
         present = self.running.get(command.task)
         if present is not None and present.run == command.run:
             return commands.StartOutcome.STARTED
-        if command.run <= self._refused_runs.get(command.task, 0):
+        if command.run <= self._last_refused_runs.get(command.task, 0):
             return commands.StartOutcome.STALE_RUN
         if command.until_ms <= self.now_ms():
             return commands.StartOutcome.LEASE_EXPIRED
@@ -345,7 +348,7 @@
         if command.token < self._token:
             return commands.StopOutcome.FENCED
         self._token = command.token
-        self._refuse_run(command.task, command.run)
+        self._refuse_runs_until(command.task, command.run)
         run = self.running.get(command.task)
         if run is not None and run.run <= command.run and not run.stopping:
             run.stopping = True
@@ -419,7 +422,7 @@
         if self.running.get(run.task) is not run:
             return
         del self.running[run.task]
-        self._refuse_run(run.task, run.run)
+        self._refuse_runs_until(run.task, run.run)
         if kind is commands.EndKind.DONE and not run.plan.lasting:
             self._pool.finished_tasks.add(run.task)
         self.ends.append(
@@ -432,8 +435,10 @@
             )
         )
 
-    def _refuse_run(self, name: units.TaskName, run: int) -> None:
-        self._refused_runs[name] = max(self._refused_runs.get(name, 0), run)
+    def _refuse_runs_until(self, name: units.TaskName, run: int) -> None:
+        self._last_refused_runs[name] = max(
+            self._last_refused_runs.get(name, 0), run
+        )
 
     def _finish(self, run: _Running) -> None:
         if self.running.get(run.task) is not run or run.stopping:
@@ -445,7 +450,7 @@
         if run.plan.gang == 1:
             self.end(run, kind)
             return
-        if not self._pool.is_gang_present(run.task, run.run, run.plan.gang):
+        if not self._pool.is_gang_whole(run.task, run.run, run.plan.gang):
             return
         run.finished = True
         if not failed and not self._pool.is_gang_finished(run.task, run.run):
@@ -457,7 +462,7 @@
     def _check_gang(self, run: _Running) -> None:
         if self.running.get(run.task) is not run or run.stopping:
             return
-        if not self._pool.is_gang_present(run.task, run.run, run.plan.gang):
+        if not self._pool.is_gang_whole(run.task, run.run, run.plan.gang):
             self._pool.violations.append(
                 f"GANG: {run.task} run {run.run} alone"
             )
@@ -476,7 +481,9 @@
         if command.task in self._pool.finished_tasks:
             self._pool.violations.append(f"TWICE: {command.task} after its end")
         elsewhere = [
-            name for task, name in self._pool.running() if task == command.task
+            worker
+            for name, worker in self._pool.running()
+            if name == command.task
         ]
         if elsewhere:
             self._pool.violations.append(
--- a/citronmount/standins/worker_model.py
+++ b/citronmount/standins/worker_model.py
@@ -68,6 +68,14 @@
 
     The command of a job sets the simulated behaviour of its tasks, for example
     ``{"run_ms": 5000, "exit_code": 0}``.
+
+    Attributes:
+        target: Entry of the worker in the platform's list.
+        worker: Id of the worker.
+        leaving: Whether the worker refuses new reservations.
+        fail_every_start: Whether every start fails.
+        token: Highest fencing token seen; acts with a lower one are rejected.
+        sequence: Number of the newest report; incremented when it changes.
     """
 
     def __init__(
@@ -99,7 +107,7 @@
         self._epoch_ms = epoch_ms
         self._saved_progress = {} if saved_progress is None else saved_progress
         self._leases: dict[ids.AttemptId, _Lease] = {}
-        self._stopped_attempts: dict[ids.AttemptId, bool] = {}
+        self._ran_by_stopped_attempt: dict[ids.AttemptId, bool] = {}
         self._now_ms = 0
 
     def call(
@@ -211,7 +219,7 @@
         lease = self._leases.get(act.attempt)
         if lease is not None and lease.state.holds_resources:
             return messages.ActOutcome.DONE
-        if lease is not None or act.attempt in self._stopped_attempts:
+        if lease is not None or act.attempt in self._ran_by_stopped_attempt:
             return messages.ActOutcome.STOPPED_BEFORE
         if self.leaving:
             return messages.ActOutcome.LEAVING
@@ -276,10 +284,10 @@
 
     def _stop(self, act: messages.Stop) -> messages.ActOutcome:
         lease = self._leases.get(act.attempt)
-        ran = self._stopped_attempts.get(act.attempt, False)
+        ran = self._ran_by_stopped_attempt.get(act.attempt, False)
         if lease is not None:
             ran = lease.ran
-        self._stopped_attempts[act.attempt] = ran
+        self._ran_by_stopped_attempt[act.attempt] = ran
         if lease is not None and lease.state.holds_resources:
             self._stop_lease(lease, act)
         if ran:
@@ -301,7 +309,7 @@
             lease = self._leases.get(attempt)
             if lease is not None and not lease.state.holds_resources:
                 del self._leases[attempt]
-                self._stopped_attempts[attempt] = lease.ran
+                self._ran_by_stopped_attempt[attempt] = lease.ran
                 self.sequence += 1
         return _make_result(messages.ActOutcome.DONE)
 
