--- a/citronmount/bench/registry.py
+++ b/citronmount/bench/registry.py
@@ -46,7 +46,7 @@
     """
     if name not in _BENCHES:
         raise errors.InvalidInputError(
-            f"no bench {name!r}; there are {', '.join(names())}",
+            f"unknown bench {name!r}; expected one of {', '.join(names())}",
             code=codes.ResultCode.INVALID_REQUEST,
         )
     return _BENCHES[name]
