--- a/citronmount/bench/job_replay.py
+++ b/citronmount/bench/job_replay.py
@@ -43,7 +43,7 @@
         capacity: Accelerators that jobs may use, over time.
         arrival_mix: Work of the trace by gang shape, the weights of
             `arrival_fragmentation`.
-        late_starts: Starts over START_DELAY_MS after their domain was out.
+        late_starts: Starts more than START_DELAY_MS after a domain went out.
         max_grace_ms: Longest grace period given to an evicted job.
     """
 
