--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Measures slopes at several sizes and works out the two-year size.
+"""Measures resource use at several sizes and plans for the two-year size.
 
 ``python -m citronmount.bench.capacity --json`` prints one JSON object;
-``--page FILE`` writes the page for people from the same run.
+``--page FILE`` writes the capacity page of the documentation.
 """
 
 import pathlib
@@ -16,7 +16,7 @@
 from citronmount.bench import capacity_plan
 from citronmount.bench import harness_traffic
 from citronmount.clients import messages
-from citronmount.config import configuration as configuration_lib
+from citronmount.config import configuration
 from citronmount.config import configuration_fold
 from citronmount.core import ids
 from citronmount.core import jobs
@@ -28,8 +28,10 @@
 
 __all__ = ["main", "measure"]
 
-SITES = ((3, 2, 8), (3, 8, 8), (5, 8, 8), (5, 8, 32))
-STATE_POINTS = (
+# Failure domains, VMs per domain and workers per domain.
+SITE_SIZES = ((3, 2, 8), (3, 8, 8), (5, 8, 8), (5, 8, 32))
+# Workers, jobs and teams; each row varies one of them.
+STATE_SIZES = (
     (65, 65, 70),
     (130, 65, 70),
     (260, 65, 70),
@@ -38,51 +40,49 @@
     (65, 65, 140),
     (65, 65, 280),
 )
-TEAMS = (70, 140, 280)
-IDLE_WORKERS_EACH = (4, 16)
-SAMPLE_EVENTS = 2_000
+TEAM_COUNTS = (70, 140, 280)
+IDLE_WORKERS_PER_DOMAIN = (4, 16)
+SAMPLE_EVENT_COUNT = 2_000
 
 _NS_PER_US = 1_000
 
 
 def measure() -> capacity_plan.Measured:
-    """Runs every measurement.
-
-    Returns:
-        What was measured.
-    """
+    """Runs every measurement and returns the results."""
     return capacity_plan.Measured(
-        traffic=tuple(_traffic(*site) for site in SITES),
+        traffic=tuple(_measure_site_traffic(*site) for site in SITE_SIZES),
         costs=capacity_agents.measure_costs(
-            failure_domains=5, vms_each=8, workers_each=32
+            failure_domains=5, vms_per_domain=8, workers_per_domain=32
         ),
         state=tuple(
             capacity_agents.measure_state(
                 workers=workers, job_count=job_count, teams=teams
             )
-            for workers, job_count, teams in STATE_POINTS
+            for workers, job_count, teams in STATE_SIZES
         ),
-        idle=tuple(map(capacity_daemon.measure_idle, IDLE_WORKERS_EACH)),
+        idle=tuple(map(capacity_daemon.measure_idle, IDLE_WORKERS_PER_DOMAIN)),
         exchange=capacity_daemon.measure_exchange(),
-        message_us=capacity_daemon.measure_message_us(_heartbeat()),
-        change_bytes={n: len(records.encode(_change(n))) for n in TEAMS},
-        change_us={n: _change_us(n) for n in TEAMS},
-        event_bytes=_event_bytes(),
+        message_us=capacity_daemon.measure_message_us(_make_heartbeat()),
+        change_bytes={
+            n: len(records.encode(_make_change(n))) for n in TEAM_COUNTS
+        },
+        change_us={n: _measure_change_us(n) for n in TEAM_COUNTS},
+        event_bytes=_measure_event_bytes(),
     )
 
 
-def _traffic(
-    failure_domains: int, vms_each: int, workers_each: int
+def _measure_site_traffic(
+    failure_domains: int, vms_per_domain: int, workers_per_domain: int
 ) -> harness_traffic.TrafficRow:
     return harness_traffic.measure_traffic(
         capacity_agents.make_agent,
         failure_domains=failure_domains,
-        vms_each=vms_each,
-        workers_each=workers_each,
+        vms_per_domain=vms_per_domain,
+        workers_per_domain=workers_per_domain,
     )
 
 
-def _heartbeat() -> peer_messages.Heartbeat:
+def _make_heartbeat() -> peer_messages.Heartbeat:
     return peer_messages.Heartbeat(
         failure_domain=ids.FailureDomainId("kr-a"),
         incarnation=1_800_000_000_000,
@@ -95,24 +95,24 @@
     )
 
 
-def _change(teams: int) -> records.ConfigurationChange:
+def _make_change(teams: int) -> records.ConfigurationChange:
     names = [ids.AccountId(f"team-{number:04}") for number in range(teams)]
     domains = [ids.FailureDomainId(f"kr-{letter}") for letter in "abcde"]
-    content = configuration_lib.Configuration(
+    content = configuration.Configuration(
         failure_domains=tuple(
-            configuration_lib.FailureDomain(
+            configuration.FailureDomain(
                 name=name, state=states.FailureDomainState.IN
             )
             for name in domains
         ),
         accounts=tuple(
-            configuration_lib.Account(
+            configuration.Account(
                 name=name, account_class=states.AccountClass.PAYING
             )
             for name in names
         ),
         guarantees=tuple(
-            configuration_lib.Guarantee(
+            configuration.Guarantee(
                 account=name,
                 failure_domain=None,
                 copies=1,
@@ -131,13 +131,17 @@
     )
 
 
-def _change_us(teams: int) -> float:
-    """Times decoding, folding and taking a change over by a scheduler."""
-    data = records.encode(_change(teams))
-    decider = scheduler.DomainScheduler(
+def _measure_change_us(teams: int) -> float:
+    """Returns the processor time in us for a configuration change.
+
+    It covers decoding and folding the change and the first decision of a
+    scheduler with 260 workers under the new configuration.
+    """
+    encoded_change = records.encode(_make_change(teams))
+    domain_scheduler = scheduler.DomainScheduler(
         failure_domain=ids.FailureDomainId("kr-a")
     )
-    decider.set_workers(
+    domain_scheduler.set_workers(
         tuple(
             messages.ListedTarget(
                 name=f"w{number:03}",
@@ -154,21 +158,23 @@
     page = messages.LogPage(
         records=(
             messages.LogRecord(
-                offset=ids.Offset(0), record=ids.RecordId("r"), data=data
+                offset=ids.Offset(0),
+                record=ids.RecordId("r"),
+                data=encoded_change,
             ),
         ),
         oldest=ids.Offset(0),
         end=ids.Offset(1),
     )
     fold = configuration_fold.ConfigurationFold()
-    begin_ns = time.process_time_ns()
+    start_ns = time.process_time_ns()
     fold.fold_page(page)
-    decider.set_configuration(fold.current)
-    decider.decide(0)
-    return round((time.process_time_ns() - begin_ns) / _NS_PER_US, 1)
+    domain_scheduler.set_configuration(fold.current)
+    domain_scheduler.decide(0)
+    return round((time.process_time_ns() - start_ns) / _NS_PER_US, 1)
 
 
-def _event_bytes() -> float:
+def _measure_event_bytes() -> float:
     sample = [
         timeline_events.TimelineEvent(
             physical_ms=1_800_000_000_000 + number,
@@ -180,19 +186,19 @@
             account="team-0001",
             count=24,
         )
-        for number in range(SAMPLE_EVENTS)
+        for number in range(SAMPLE_EVENT_COUNT)
     ]
-    return round(capacity_agents.deep_bytes(sample) / SAMPLE_EVENTS, 1)
+    return round(capacity_agents.deep_bytes(sample) / SAMPLE_EVENT_COUNT, 1)
 
 
 class Output(msgspec.Struct, frozen=True, kw_only=True):
-    """What the script prints.
+    """JSON output of the script.
 
     Attributes:
         size: The two-year size.
-        budget: What a node may spend.
+        budget: Resources that a node may use.
         measured: The measurements.
-        plan: What follows from them.
+        plan: Resource needs at the two-year size.
     """
 
     size: capacity_plan.Size
@@ -206,24 +212,24 @@
 @click.option("--page", type=click.Path(), help="Write the page to this file.")
 def main(as_json: bool, page: str | None) -> None:
     """Measures slopes and works out the two-year size."""
-    found = measure()
-    plan = capacity_plan.work_out(found)
-    text = capacity_page.render(found, plan)
+    measured = measure()
+    plan = capacity_plan.compute_plan(measured)
+    page_text = capacity_page.render(measured, plan)
     if page is not None:
-        target = pathlib.Path(page)
-        before = target.read_text("utf-8") if target.exists() else ""
-        kept = capacity_page.kept_part(before)
-        target.write_text(text + kept, encoding="utf-8")
+        page_path = pathlib.Path(page)
+        before = page_path.read_text("utf-8") if page_path.exists() else ""
+        preserved = capacity_page.preserved_part(before)
+        page_path.write_text(page_text + preserved, encoding="utf-8")
     if as_json:
         output = Output(
             size=capacity_plan.SIZE,
             budget=capacity_plan.BUDGET,
-            measured=found,
+            measured=measured,
             plan=plan,
         )
         click.echo(msgspec.json.encode(output).decode("utf-8"))
     elif page is None:
-        click.echo(text)
+        click.echo(page_text)
 
 
 if __name__ == "__main__":
--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -1,4 +1,4 @@
-"""Measures agents in the virtual-time harness: bytes, events and state."""
+"""Measures processor time and memory of agents in the virtual-time harness."""
 
 import collections
 import gc
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from citronmount.agent import agent as agent_lib
+from citronmount.agent import agent
 from citronmount.agent import effects
 from citronmount.agent import events
 from citronmount.agent import settings as agent_settings
-from citronmount.bench import harness as harness_lib
+from citronmount.bench import harness
 from citronmount.bench import harness_site
 from citronmount.clients import messages
-from citronmount.config import configuration as configuration_lib
+from citronmount.config import configuration
 from citronmount.core import ids
 from citronmount.core import jobs
 from citronmount.core import states
@@ -38,7 +38,7 @@
 SEED = 1
 
 _NS_PER_US = 1_000
-_OPAQUE = (
+_UNCOUNTED_TYPES = (
     type,
     types.ModuleType,
     types.FunctionType,
@@ -48,13 +48,13 @@
 
 
 class EventCost(msgspec.Struct, frozen=True, kw_only=True):
-    """Processor time that agents take for one kind of event.
+    """Processor time of agents for one kind of event.
 
     Attributes:
-        kind: The kind of event.
-        count: How many were taken in.
-        mean_us: Their mean processor time.
-        per_vm_per_s: How many a VM takes in each second.
+        kind: Class name of the event.
+        count: Number of events handled.
+        mean_us: Mean processor time of an event.
+        per_vm_per_s: Events that a VM handles per second.
     """
 
     kind: str
@@ -64,14 +64,14 @@
 
 
 class StateRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Memory of the agent that owns a failure domain of one size.
+    """Memory of the agents of one failure domain.
 
     Attributes:
-        workers: Workers of the failure domain.
-        jobs: Running jobs, of `TASKS_PER_JOB` tasks each.
-        teams: Paying accounts with one guarantee each.
-        owner_bytes: Memory of the owner's agent.
-        member_bytes: Memory of another VM's agent.
+        workers: Number of workers.
+        jobs: Number of running jobs, of `TASKS_PER_JOB` tasks each.
+        teams: Number of paying accounts, with one guarantee each.
+        owner_bytes: Memory of the agent that owns the failure domain.
+        member_bytes: Memory of the agent that uses least.
     """
 
     workers: int
@@ -81,17 +81,14 @@
     member_bytes: int
 
 
-def make_agent(vm: messages.ListedVm, incarnation_ms: int) -> agent_lib.Agent:
-    """Returns the agent of a VM with the default timing.
+def make_agent(vm: messages.ListedVm, incarnation_ms: int) -> agent.Agent:
+    """Returns an agent with default timing.
 
     Args:
-        vm: Its entry in the platform's list.
-        incarnation_ms: Wall-clock time of its start.
-
-    Returns:
-        The agent.
+        vm: Entry of the VM in the platform's list.
+        incarnation_ms: Unix time of its start in ms.
     """
-    return agent_lib.Agent(
+    return agent.Agent(
         settings=agent_settings.AgentSettings(
             vm=vm.vm,
             failure_domain=vm.failure_domain,
@@ -101,63 +98,63 @@
 
 
 class _TimedAgent:
-    """An agent whose processor time is added up by kind of event."""
+    """Wraps an agent and adds up its processor time by kind of event."""
 
     def __init__(
         self,
-        agent: agent_lib.Agent,
+        timed_agent: agent.Agent,
         spent_ns: collections.Counter[str],
         counts: collections.Counter[str],
     ) -> None:
-        self._agent = agent
+        self._agent = timed_agent
         self._spent_ns = spent_ns
         self._counts = counts
 
     def handle(
         self, event: events.Event, now_ms: int, wall_ms: int
     ) -> list[effects.Effect]:
-        """Passes an event on and times it."""
-        begin_ns = time.process_time_ns()
-        found = self._agent.handle(event, now_ms, wall_ms)
-        spent_ns = time.process_time_ns() - begin_ns
+        """Handles an event and records its processor time."""
+        start_ns = time.process_time_ns()
+        agent_effects = self._agent.handle(event, now_ms, wall_ms)
+        spent_ns = time.process_time_ns() - start_ns
         kind = type(event).__name__
         self._spent_ns[kind] += spent_ns
         self._counts[kind] += 1
-        return found
+        return agent_effects
 
 
 def measure_costs(
-    *, failure_domains: int, vms_each: int, workers_each: int
+    *, failure_domains: int, vms_per_domain: int, workers_per_domain: int
 ) -> tuple[EventCost, ...]:
-    """Runs an idle site and times its agents.
+    """Simulates an idle site and measures the processor time of its agents.
 
     Args:
-        failure_domains: Failure domains of the site.
-        vms_each: VMs in each.
-        workers_each: Workers in each.
+        failure_domains: Number of failure domains.
+        vms_per_domain: VMs in each failure domain.
+        workers_per_domain: Workers in each failure domain.
 
     Returns:
-        One row for each kind of event.
+        One row for each kind of event, sorted by kind.
     """
     spent_ns: collections.Counter[str] = collections.Counter()
     counts: collections.Counter[str] = collections.Counter()
-    harness = harness_lib.Harness(
+    simulation = harness.Harness(
         site=harness_site.make_site(
             failure_domains=failure_domains,
-            vms_each=vms_each,
-            workers_each=workers_each,
+            vms_per_domain=vms_per_domain,
+            workers_per_domain=workers_per_domain,
         ),
         make_agent=lambda vm, incarnation_ms: _TimedAgent(
             make_agent(vm, incarnation_ms), spent_ns, counts
         ),
         seed=SEED,
     )
-    harness.start_all()
-    harness.run_until_ms(WARM_UP_MS)
+    simulation.start_all()
+    simulation.run_until_ms(WARM_UP_MS)
     spent_ns.clear()
     counts.clear()
-    harness.run_until_ms(WARM_UP_MS + RUN_MS)
-    vms = failure_domains * vms_each
+    simulation.run_until_ms(WARM_UP_MS + RUN_MS)
+    vms = failure_domains * vms_per_domain
     return tuple(
         EventCost(
             kind=kind,
@@ -170,66 +167,75 @@
 
 
 def measure_state(*, workers: int, job_count: int, teams: int) -> StateRow:
-    """Fills one failure domain with running jobs and weighs its agents.
+    """Runs jobs in one failure domain and measures the memory of its agents.
 
     Args:
-        workers: Workers of the failure domain.
-        job_count: Jobs to start.
-        teams: Paying accounts.
+        workers: Number of workers.
+        job_count: Number of jobs to run.
+        teams: Number of paying accounts.
 
     Returns:
-        The memory of the agents once all jobs run.
+        The memory of the agents after all jobs were started.
+
+    Raises:
+        RuntimeError: A job was not accepted.
     """
-    site = _site(workers, teams)
-    harness = harness_lib.Harness(site=site, make_agent=make_agent, seed=SEED)
-    harness.start_all()
-    harness.run_until_ms(WARM_UP_MS)
-    vm = next(iter(harness.processes))
-    accepted: list[object] = []
+    site = _make_site(workers, teams)
+    simulation = harness.Harness(site=site, make_agent=make_agent, seed=SEED)
+    simulation.start_all()
+    simulation.run_until_ms(WARM_UP_MS)
+    vm = next(iter(simulation.processes))
+    answers: list[object] = []
     for number in range(job_count):
-        harness.clock.after_ms(
+        simulation.clock.after_ms(
             number * SUBMIT_PERIOD_MS,
-            harness.call,
+            simulation.call,
             vm,
-            peer_messages.SubmitJob(spec=_job(number, teams)),
-            accepted.append,
+            peer_messages.SubmitJob(spec=_make_job(number, teams)),
+            answers.append,
         )
-    harness.run_until_ms(WARM_UP_MS + job_count * SUBMIT_PERIOD_MS + RUN_MS)
-    _require_accepted(accepted, job_count)
-    weights = sorted(
-        deep_bytes(process.agent) for process in harness.processes.values()
+    simulation.run_until_ms(WARM_UP_MS + job_count * SUBMIT_PERIOD_MS + RUN_MS)
+    _require_accepted(answers, job_count)
+    agent_bytes = sorted(
+        deep_bytes(process.agent) for process in simulation.processes.values()
     )
     return StateRow(
         workers=workers,
         jobs=job_count,
         teams=teams,
-        owner_bytes=weights[-1],
-        member_bytes=weights[0],
+        owner_bytes=agent_bytes[-1],
+        member_bytes=agent_bytes[0],
     )
 
 
 def _require_accepted(answers: list[object], job_count: int) -> None:
-    good = [a for a in answers if isinstance(a, peer_messages.JobAnswer)]
-    if len(good) != job_count:
-        bad = next((a for a in answers if a not in good), None)
-        raise RuntimeError(f"{len(good)} of {job_count} accepted: {bad}")
+    job_answers = [a for a in answers if isinstance(a, peer_messages.JobAnswer)]
+    if len(job_answers) != job_count:
+        first_refusal = next((a for a in answers if a not in job_answers), None)
+        raise RuntimeError(
+            f"{len(job_answers)} of {job_count} jobs accepted; first refusal: "
+            f"{first_refusal}"
+        )
 
 
-def _site(workers: int, teams: int) -> harness_site.Site:
+def _make_site(workers: int, teams: int) -> harness_site.Site:
     site = harness_site.make_site(
-        failure_domains=1, vms_each=2, workers_each=workers, runners_each=1
+        failure_domains=1,
+        vms_per_domain=2,
+        workers_per_domain=workers,
+        runners_per_domain=1,
     )
     names = [ids.AccountId(f"team-{number:03}") for number in range(teams)]
-    content = configuration_lib.Configuration(
+    content = configuration.Configuration(
         failure_domains=site.configuration.failure_domains,
         accounts=tuple(
-            configuration_lib.Account(
+            configuration.Account(
                 name=name, account_class=states.AccountClass.PAYING
             )
             for name in names
         ),
         guarantees=tuple(
-            configuration_lib.Guarantee(
+            configuration.Guarantee(
                 account=name,
                 failure_domain=None,
                 copies=1,
@@ -243,7 +249,7 @@
     return msgspec.structs.replace(site, configuration=content)
 
 
-def _job(number: int, teams: int) -> jobs.JobSpec:
+def _make_job(number: int, teams: int) -> jobs.JobSpec:
     return jobs.JobSpec(
         job=ids.JobId(""),
         account=ids.AccountId(f"team-{number % teams:03}"),
@@ -255,15 +261,15 @@
 
 
 def deep_bytes(root: object) -> int:
-    """Returns the memory of all objects that belong to an object.
+    """Returns the size in bytes of an object and all objects it refers to.
 
-    Classes, functions and modules are not counted.
+    Classes, functions, code and modules are not counted.
 
     Args:
         root: The object.
 
     Returns:
-        The sum of the sizes, each object counted once.
+        Sum of the sizes, with every object counted once.
     """
     seen = {id(root)}
     queue = [root]
@@ -272,11 +278,11 @@
         item = queue.pop()
         total += sys.getsizeof(item)
         for other in gc.get_referents(item):
-            if id(other) not in seen and _is_weighed(other):
+            if id(other) not in seen and _is_counted(other):
                 seen.add(id(other))
                 queue.append(other)
     return total
 
 
-def _is_weighed(item: object) -> bool:
-    return not isinstance(item, _OPAQUE)
+def _is_counted(item: object) -> bool:
+    return not isinstance(item, _UNCOUNTED_TYPES)
--- a/citronmount/bench/faults/answer_checks.py
+++ b/citronmount/bench/faults/answer_checks.py
@@ -9,7 +9,7 @@
 from citronmount.bench.faults import run_history
 from citronmount.core import codes
 from citronmount.peers import peer_messages
-from citronmount.standins import runner
+from citronmount.standins import runner_model
 from citronmount.telemetry import timeline_events
 
 __all__: list[str] = []
@@ -72,7 +72,7 @@
             outcome.at_ms,
             f"request {outcome.request} got the answer to {result.request}",
         )
-    expected = runner.answer_payload(request.specs[outcome.request])
+    expected = runner_model.answer_payload(request.specs[outcome.request])
     if result.code is codes.ResultCode.DONE and result.payload != expected:
         yield (
             outcome.at_ms,
--- a/citronmount/bench/faults/availability.py
+++ b/citronmount/bench/faults/availability.py
@@ -91,7 +91,7 @@
     vm: str, seed: int, requests: int, gap_ms: int
 ) -> run_history.RunHistory:
     harness = harness_lib.Harness(
-        site=harness_site.make_site(workers_each=3),
+        site=harness_site.make_site(workers_per_domain=3),
         make_agent=lambda listed, incarnation_ms: agents.make_agent(
             listed, incarnation_ms, registry.DAY_MS
         ),
@@ -99,7 +99,7 @@
     )
     history = run_history.RunHistory(harness=harness)
     harness.watchers.append(history.observe_item)
-    harness.arrivals.append(history.observe_arrival)
+    harness.arrival_watchers.append(history.observe_arrival)
     clients = simulated_clients.SimulatedClients(
         harness=harness, rng=random.Random(seed)
     )
--- a/citronmount/bench/faults/sabotage.py
+++ b/citronmount/bench/faults/sabotage.py
@@ -27,7 +27,7 @@
 from citronmount.core import decisions
 from citronmount.core import scheduler
 from citronmount.core import states
-from citronmount.standins import worker
+from citronmount.standins import worker_model
 from citronmount.state import records
 
 __all__ = [
@@ -428,7 +428,7 @@
 
 @sabotage("tokens-ignored", ANY, ("vms-cut-apart", "job.start"))
 def _tokens_ignored() -> Iterator[Callable[..., Any]]:
-    call = worker.WorkerModel.call
+    call = worker_model.WorkerModel.call
 
     def call_unfenced(
         self: Any, body: messages.WorkerCall, now_ms: int
@@ -441,5 +441,5 @@
         )
         return msgspec.structs.replace(answer, token=body.token, report=report)
 
-    with _replaced(worker.WorkerModel, "call", call_unfenced):
+    with _replaced(worker_model.WorkerModel, "call", call_unfenced):
         yield agents.make_agent
--- a/citronmount/bench/faults/simulated_clients.py
+++ b/citronmount/bench/faults/simulated_clients.py
@@ -74,7 +74,7 @@
         """
         serving_vms = [
             vm
-            for vm in self._harness.live()
+            for vm in self._harness.running_vms()
             if not self._harness.processes[vm].draining
         ]
         other_vms = [vm for vm in serving_vms if vm != avoid]
--- a/citronmount/bench/harness_site.py
+++ b/citronmount/bench/harness_site.py
@@ -1,4 +1,4 @@
-"""Sites for the harness: failure domains with VMs and targets."""
+"""Synthetic sites: failure domains with VMs, workers and runners."""
 
 import itertools
 
@@ -17,11 +17,11 @@
 
 
 class Site(msgspec.Struct, frozen=True, kw_only=True):
-    """What the platform lists at the start, and the first configuration.
+    """Initial platform list and initial configuration of a site.
 
     Attributes:
         view: All VMs, workers and runners.
-        configuration: The content of the first published configuration.
+        configuration: Content of the first published configuration.
     """
 
     view: messages.PlatformView
@@ -29,33 +29,34 @@
 
     @property
     def failure_domains(self) -> tuple[ids.FailureDomainId, ...]:
-        """The names of the failure domains."""
+        """Names of the failure domains."""
         return tuple(d.name for d in self.configuration.failure_domains)
 
 
 def make_site(
     *,
     failure_domains: int = 3,
-    vms_each: int = 2,
-    workers_each: int = 2,
-    runners_each: int = 2,
+    vms_per_domain: int = 2,
+    workers_per_domain: int = 2,
+    runners_per_domain: int = 2,
     accelerators: int = 8,
-    racks_of: int = 8,
+    workers_per_rack: int = 8,
     slots: int = 8,
 ) -> Site:
-    """Makes a site of equal failure domains.
+    """Creates a site of equal failure domains.
 
-    One paying account is guaranteed a gang of one task on each worker of a
-    failure domain, in every failure domain; one trial account may use all.
+    In every failure domain, one paying account is guaranteed a gang of up to
+    two tasks, each of which takes all accelerators of a worker. One trial
+    account has an allowance of all accelerators of the site.
 
     Args:
-        failure_domains: How many there are.
-        vms_each: VMs of the system in each.
-        workers_each: Workers in each.
-        runners_each: Runners in each.
-        accelerators: Accelerators of a worker.
-        racks_of: Workers in a rack.
-        slots: Slots of a runner.
+        failure_domains: Number of failure domains.
+        vms_per_domain: VMs of the system in each failure domain.
+        workers_per_domain: Workers in each failure domain.
+        runners_per_domain: Runners in each failure domain.
+        accelerators: Accelerators of each worker.
+        workers_per_rack: Workers in each rack.
+        slots: Slots of each runner.
 
     Returns:
         The site.
@@ -72,20 +73,20 @@
             peer_address=f"127.0.0.1:{next(ports)}",
         )
         for name in names
-        for index in range(vms_each)
+        for index in range(vms_per_domain)
     )
     workers = tuple(
         messages.ListedTarget(
             name=f"{name}.w{index:03}",
             address=f"127.0.0.1:{next(ports)}",
             failure_domain=name,
-            rack=ids.RackId(f"{name}.rack{index // racks_of}"),
+            rack=ids.RackId(f"{name}.rack{index // workers_per_rack}"),
             capacity=jobs.Resources(
                 accelerators=accelerators, cores=64, memory_gb=128
             ),
         )
         for name in names
-        for index in range(workers_each)
+        for index in range(workers_per_domain)
     )
     runners = tuple(
         messages.ListedTarget(
@@ -96,16 +97,16 @@
             connections=60,
         )
         for name in names
-        for index in range(runners_each)
+        for index in range(runners_per_domain)
     )
     return Site(
         view=messages.PlatformView(vms=vms, workers=workers, runners=runners),
-        configuration=_configuration(names, workers_each, accelerators),
+        configuration=_configuration(names, workers_per_domain, accelerators),
     )
 
 
 def _configuration(
-    names: list[ids.FailureDomainId], workers_each: int, accelerators: int
+    names: list[ids.FailureDomainId], workers_per_domain: int, accelerators: int
 ) -> configuration.Configuration:
     return configuration.Configuration(
         failure_domains=tuple(
@@ -127,7 +128,7 @@
                 account=PAYING,
                 failure_domain=name,
                 copies=1,
-                tasks=min(2, workers_each),
+                tasks=min(2, workers_per_domain),
                 per_task=jobs.Resources(
                     accelerators=accelerators, cores=8, memory_gb=16
                 ),
@@ -138,7 +139,7 @@
         allowances=(
             configuration.Allowance(
                 account=TRIAL,
-                accelerators=len(names) * workers_each * accelerators,
+                accelerators=len(names) * workers_per_domain * accelerators,
             ),
         ),
     )
--- a/citronmount/bench/timings.py
+++ b/citronmount/bench/timings.py
@@ -1,7 +1,7 @@
-"""Costs of decisions as ratios within one run, at several sizes.
+"""Measures how the cost of scheduling decisions grows with size.
 
-Wall-clock times depend on the machine, so they are no part of the reports
-that are compared byte by byte.
+Costs are ratios within one run. Times depend on the machine, so they are not
+part of the reports that are compared byte by byte.
 """
 
 import gc
@@ -18,7 +18,7 @@
 from citronmount.core import decisions
 from citronmount.core import ids
 from citronmount.core import jobs
-from citronmount.core import scheduler as scheduler_lib
+from citronmount.core import scheduler
 from citronmount.core import states
 
 __all__ = ["CostRow", "TimingReport", "measure"]
@@ -27,18 +27,18 @@
 TEAM_SCALE = 0.25
 GANG_SIZES = (1, 8, 32, 128)
 FILL_SHARE = 0.7
-DECISIONS = 30
+PROBE_COUNT = 30
 DAY_S = 86_400.0
-MEGABYTE = 1 << 20
-_TASK = jobs.Resources(accelerators=1, cores=2, memory_gb=8)
+BYTES_PER_MIB = 1 << 20
+_TASK_DEMAND = jobs.Resources(accelerators=1, cores=2, memory_gb=8)
 
 
 class CostRow(msgspec.Struct, frozen=True, kw_only=True):
     """The cost of one decision at one size.
 
     Attributes:
-        size: Workers of the failure domain, or tasks of the gang.
-        cost_ratio: Processor time of a decision over that of the first row.
+        size: Workers in the failure domain, or tasks in the gang.
+        cost_ratio: Processor time of a decision relative to the first row.
     """
 
     size: int
@@ -46,17 +46,18 @@
 
 
 class TimingReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Costs of the decision core at the two-year size.
+    """Costs of scheduling at the two-year size.
 
     Attributes:
-        by_pool: Decisions on single tasks, by workers, teams being the same.
-        by_gang: Decisions on gangs, by tasks.
-        pool_log_ratio: Cost growth over the growth of the logarithm of the
-            pool size; at most 1 if the cost grows no faster.
-        gang_linear_ratio: Cost growth over the growth of the gang size.
-        day_core_share: Processor time of all five schedulers for a day's
-            jobs, replay included, over a day of one core.
-        state_mb: Memory of one failure domain's scheduler after that day.
+        by_pool: Costs of placing a single task, by number of workers, for the
+            same number of teams.
+        by_gang: Costs of placing a gang, by number of tasks.
+        pool_log_ratio: Growth of the cost over growth of the logarithm of the
+            pool size; at most 1 if the cost grows at most logarithmically.
+        gang_linear_ratio: Growth of the cost over growth of the gang size.
+        day_core_share: Processor time of all five schedulers for the jobs of
+            one day, including the replay, as a share of one core.
+        state_mb: Memory of the scheduler of one filled failure domain.
     """
 
     by_pool: tuple[CostRow, ...]
@@ -68,7 +69,7 @@
 
 
 def measure(seed: int) -> TimingReport:
-    """Measures the slopes, a day's decisions and the state.
+    """Measures the cost of decisions and the memory of a scheduler.
 
     Args:
         seed: Seed of the workloads.
@@ -76,10 +77,15 @@
     Returns:
         The report.
     """
-    by_pool = _rows(
-        [(_workers(scale), _cost_s(seed, scale, 1)) for scale in POOL_SCALES]
+    by_pool = _cost_rows(
+        [
+            (_worker_count(scale), _median_cost_s(seed, scale, 1))
+            for scale in POOL_SCALES
+        ]
+    )
+    by_gang = _cost_rows(
+        [(size, _median_cost_s(seed, 1.0, size)) for size in GANG_SIZES]
     )
-    by_gang = _rows([(size, _cost_s(seed, 1.0, size)) for size in GANG_SIZES])
     log_growth = math.log(by_pool[-1].size) / math.log(by_pool[0].size)
     gang_growth = by_gang[-1].size / by_gang[0].size
     return TimingReport(
@@ -92,7 +98,7 @@
     )
 
 
-def _rows(costs: list[tuple[int, float]]) -> tuple[CostRow, ...]:
+def _cost_rows(costs: list[tuple[int, float]]) -> tuple[CostRow, ...]:
     first_s = costs[0][1]
     return tuple(
         CostRow(size=size, cost_ratio=report.rounded(cost_s / first_s))
@@ -100,95 +106,106 @@
     )
 
 
-def _workers(scale: float) -> int:
+def _worker_count(scale: float) -> int:
     return len(_domain_workers(sites.two_year(scale)))
 
 
 def _domain_workers(site: sites.Site) -> tuple:
     domain = site.domains[0]
-    return tuple(w for w in site.workers if w.failure_domain == domain)
+    return tuple(
+        worker for worker in site.workers if worker.failure_domain == domain
+    )
 
 
-def _filled(
+def _fill_scheduler(
     seed: int, scale: float, team_scale: float = TEAM_SCALE
-) -> tuple[scheduler_lib.DomainScheduler, sites.Site, int]:
-    """Returns a scheduler whose pool is mostly taken, and the time."""
+) -> tuple[scheduler.DomainScheduler, sites.Site, int]:
+    """Returns a scheduler with `FILL_SHARE` of its accelerators in use.
+
+    Returns:
+        The scheduler, its site and the time in ms.
+    """
     site = sites.two_year(scale, team_scale)
-    scheduler = scheduler_lib.DomainScheduler(failure_domain=site.domains[0])
-    scheduler.set_configuration(site.configuration)
-    scheduler.set_workers(_domain_workers(site))
-    total = scheduler.free_accelerators()
+    domain_scheduler = scheduler.DomainScheduler(failure_domain=site.domains[0])
+    domain_scheduler.set_configuration(site.configuration)
+    domain_scheduler.set_workers(_domain_workers(site))
+    accelerator_count = domain_scheduler.free_accelerators()
     now_ms = 0
     for number, job in enumerate(two_year.make_trace(seed, 96.0, team_scale)):
-        if scheduler.free_accelerators() < (1 - FILL_SHARE) * total:
+        if (
+            domain_scheduler.free_accelerators()
+            < (1 - FILL_SHARE) * accelerator_count
+        ):
             break
         spec = msgspec.structs.replace(
             job.spec,
             job=ids.job_id(site.domains[0], f"fill{number}"),
             submitted_ms=now_ms,
         )
-        scheduler.submit(spec, now_ms)
-        _start_all(scheduler, now_ms)
+        domain_scheduler.submit(spec, now_ms)
+        _start_all(domain_scheduler, now_ms)
         now_ms += 100
-    return scheduler, site, now_ms
+    return domain_scheduler, site, now_ms
 
 
 def _start_all(
-    scheduler: scheduler_lib.DomainScheduler, now_ms: int
+    domain_scheduler: scheduler.DomainScheduler, now_ms: int
 ) -> list[ids.JobId]:
     placed = [
         decision.job
-        for decision in scheduler.decide(now_ms)
+        for decision in domain_scheduler.decide(now_ms)
         if isinstance(decision, decisions.PlaceJob)
     ]
     for job in placed:
-        scheduler.attempt_started(job, now_ms)
+        domain_scheduler.attempt_started(job, now_ms)
     return placed
 
 
-def _cost_s(seed: int, scale: float, tasks: int) -> float:
-    """Returns the processor time to submit, place and end one gang."""
-    scheduler, site, now_ms = _filled(seed, scale)
-    for job in scheduler.queued():
-        scheduler.cancel(job)
+def _median_cost_s(seed: int, scale: float, tasks: int) -> float:
+    """Returns the median processor time to submit, place and end a gang."""
+    domain_scheduler, site, now_ms = _fill_scheduler(seed, scale)
+    for job in domain_scheduler.queued():
+        domain_scheduler.cancel(job)
     account = next(
         account.name
         for account in site.configuration.accounts
         if account.account_class is states.AccountClass.PAYING
     )
     costs_s = []
-    for number in range(DECISIONS):
+    for number in range(PROBE_COUNT):
         spec = jobs.JobSpec(
             job=ids.job_id(site.domains[0], f"probe{number}"),
             account=account,
             tasks=tasks,
-            per_task=_TASK,
+            per_task=_TASK_DEMAND,
             submitted_ms=now_ms,
         )
         now_ms += 1_000
-        began_s = time.process_time()
-        scheduler.submit(spec, now_ms)
-        placed = _start_all(scheduler, now_ms)
+        start_s = time.process_time()
+        domain_scheduler.submit(spec, now_ms)
+        placed = _start_all(domain_scheduler, now_ms)
         for job in placed:
-            scheduler.attempt_ended(job, decisions.AttemptEnd.DONE, now_ms)
-        scheduler.cancel(spec.job)
-        costs_s.append(time.process_time() - began_s)
+            domain_scheduler.attempt_ended(
+                job, decisions.AttemptEnd.DONE, now_ms
+            )
+        domain_scheduler.cancel(spec.job)
+        costs_s.append(time.process_time() - start_s)
     return sorted(costs_s)[len(costs_s) // 2]
 
 
 def _day_core_share(seed: int) -> float:
-    began_s = time.process_time()
+    start_s = time.process_time()
     two_year.run(seed, ("citron",))
-    return (time.process_time() - began_s) / DAY_S
+    return (time.process_time() - start_s) / DAY_S
 
 
 def _state_mb(seed: int) -> float:
     gc.collect()
     tracemalloc.start()
-    scheduler, _, now_ms = _filled(seed, 1.0, team_scale=1.0)
+    domain_scheduler, _, now_ms = _fill_scheduler(seed, 1.0, team_scale=1.0)
     later_ms = now_ms + workload.HOUR_MS
-    scheduler.decide(later_ms)
+    domain_scheduler.decide(later_ms)
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held / MEGABYTE
+    return allocated_bytes / BYTES_PER_MIB
--- a/citronmount/standins/http.py
+++ b/citronmount/standins/http_servers.py
@@ -1,4 +1,4 @@
-"""Serves the models of the platform's services and the targets over HTTP."""
+"""HTTP servers around the in-memory stand-ins."""
 
 from collections.abc import Callable
 import contextlib
@@ -20,10 +20,10 @@
 from citronmount.core import jobs
 from citronmount.core import states
 from citronmount.standins import http_faults
-from citronmount.standins import log
-from citronmount.standins import platform
-from citronmount.standins import runner
-from citronmount.standins import worker
+from citronmount.standins import log_model
+from citronmount.standins import platform_model
+from citronmount.standins import runner_model
+from citronmount.standins import worker_model
 from citronmount.telemetry import timeline_events
 
 __all__ = [
@@ -46,16 +46,16 @@
 class StandinSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What one process of stand-ins serves.
+    """Settings of one process that serves stand-ins.
 
     Attributes:
         log_address: ``ip:port`` of the log service.
         vm_list_address: ``ip:port`` of the list of VMs and targets.
-        log_retention_ms: How long the log keeps a record.
-        vm_list_lag_ms: How long the list hides a change.
-        vms: The VMs listed at the start.
-        workers: The workers, each served at its address.
-        runners: The runners, each served at its address.
+        log_retention_ms: Retention time of a log record.
+        vm_list_lag_ms: Time until the list shows a change.
+        vms: VMs that the list contains at the start.
+        workers: Workers to serve, each at its listed address.
+        runners: Runners to serve, each at its listed address.
     """
 
     log_address: str
@@ -71,8 +71,8 @@
     return int(time.monotonic_ns() * _MS_PER_NS)
 
 
-class _Server:
-    """What all servers share: faults, a clock and the time line."""
+class _FaultyServer:
+    """Base of all servers: applies faults to the handling of requests."""
 
     def __init__(self, *, reactor: interfaces.IReactorTime) -> None:
         self.faults = http_faults.Faults()
@@ -81,11 +81,11 @@
     def _serve(
         self,
         request: http.Request,
-        act: Callable[[], bytes | defer.Deferred[bytes]],
+        handle: Callable[[], bytes | defer.Deferred[bytes]],
     ) -> defer.Deferred[bytes]:
         request.setHeader("Content-Type", wire_format.CONTENT_TYPE)
         return defer.ensureDeferred(
-            http_faults.serve(self.faults, self._reactor, request, act)
+            http_faults.serve(self.faults, self._reactor, request, handle)
         )
 
     def _set_faults(self, request: http.Request) -> bytes:
@@ -94,19 +94,19 @@
         return b""
 
 
-class LogServer(_Server):
-    """The log service over HTTP."""
+class LogServer(_FaultyServer):
+    """Serves the log service over HTTP."""
 
     app = klein.Klein()
 
     def __init__(
-        self, *, reactor: interfaces.IReactorTime, model: log.LogModel
+        self, *, reactor: interfaces.IReactorTime, model: log_model.LogModel
     ) -> None:
         """Initializes the server.
 
         Args:
-            reactor: The reactor to wait with.
-            model: The streams.
+            reactor: Times injected delays.
+            model: The log.
         """
         super().__init__(reactor=reactor)
         self._model = model
@@ -115,7 +115,7 @@
     def append(
         self, request: http.Request, stream: str
     ) -> defer.Deferred[bytes]:
-        """Appends the records of the body to a stream."""
+        """Appends the records in the request body to a stream."""
         body = wire_format.decode(
             request.content.read(), wire_format.AppendRequest
         )
@@ -124,7 +124,7 @@
 
     @app.route("/streams/<stream>/records", methods=["GET"])
     def read(self, request: http.Request, stream: str) -> defer.Deferred[bytes]:
-        """Returns records from the offset that the query names."""
+        """Returns a page of records from the offset in the query."""
         name = ids.StreamName(stream)
         start = ids.Offset(int(request.args[b"start"][0]))
         limit = min(int(request.args[b"limit"][0]), _MAX_PAGE_RECORDS)
@@ -137,7 +137,7 @@
 
     @app.route("/faults", methods=["PUT"])
     def set_faults(self, request: http.Request) -> bytes:
-        """Replaces the faults of this server."""
+        """Replaces the injected faults of this server with the JSON body."""
         return self._set_faults(request)
 
     def _append(
@@ -147,8 +147,8 @@
         return wire_format.encode(wire_format.AppendAnswer(offset=offset))
 
 
-class PlatformServer(_Server):
-    """The platform's list of VMs and targets over HTTP."""
+class PlatformServer(_FaultyServer):
+    """Serves the platform's list of VMs and targets over HTTP."""
 
     app = klein.Klein()
 
@@ -156,17 +156,18 @@
         self,
         *,
         reactor: interfaces.IReactorTime,
-        model: platform.PlatformModel,
+        model: platform_model.PlatformModel,
         timeline: typing.Sequence[timeline_events.TimelineEvent] = (),
         on_target_state: Callable[[str, states.TargetState], None],
     ) -> None:
         """Initializes the server.
 
         Args:
-            reactor: The reactor to wait with.
+            reactor: Times injected delays.
             model: The list.
-            timeline: What the targets have emitted.
-            on_target_state: Called when a target starts or stops leaving.
+            timeline: Events emitted by the targets, in order.
+            on_target_state: Called with the name and new state of a target
+                whose state was set.
         """
         super().__init__(reactor=reactor)
         self._model = model
@@ -175,7 +176,7 @@
 
     @app.route(wire_format.PLATFORM_PATH, methods=["GET"])
     def view(self, request: http.Request) -> defer.Deferred[bytes]:
-        """Returns the list, or 304 if the caller has it."""
+        """Returns the list, or status 304 if the caller's ETag matches."""
         return self._serve(request, lambda: self._view(request))
 
     def _view(self, request: http.Request) -> bytes:
@@ -187,7 +188,7 @@
 
     @app.route("/vms/<vm>", methods=["PUT"])
     def set_vm(self, request: http.Request, vm: str) -> bytes:
-        """Adds the VM of the JSON body or replaces its entry."""
+        """Adds or replaces the entry of a VM from the JSON body."""
         body = request.content.read()
         entry = msgspec.json.decode(body, type=messages.ListedVm)
         self._model.set_vm(entry, _now_ms())
@@ -195,13 +196,13 @@
 
     @app.route("/vms/<vm>", methods=["DELETE"])
     def remove_vm(self, request: http.Request, vm: str) -> bytes:
-        """Removes a VM."""
+        """Removes a VM from the list."""
         self._model.remove_vm(ids.VmId(vm), _now_ms())
         return b""
 
     @app.route("/targets/<name>/state", methods=["PUT"])
     def set_target_state(self, request: http.Request, name: str) -> bytes:
-        """Sets the state of a target to the text of the body."""
+        """Sets the state of a target to the value in the body."""
         state = states.TargetState(request.content.read().decode("ascii"))
         self._model.set_target_state(name, state, _now_ms())
         self._on_target_state(name, state)
@@ -209,27 +210,30 @@
 
     @app.route("/timeline", methods=["GET"])
     def timeline(self, request: http.Request) -> bytes:
-        """Returns what the targets have emitted, as JSON."""
+        """Returns the events emitted by the targets as JSON."""
         return msgspec.json.encode(list(self._timeline))
 
     @app.route("/faults", methods=["PUT"])
     def set_faults(self, request: http.Request) -> bytes:
-        """Replaces the faults of this server."""
+        """Replaces the injected faults of this server with the JSON body."""
         return self._set_faults(request)
 
 
-class WorkerServer(_Server):
-    """A worker over HTTP."""
+class WorkerServer(_FaultyServer):
+    """Serves a worker over HTTP."""
 
     app = klein.Klein()
 
     def __init__(
-        self, *, reactor: interfaces.IReactorTime, model: worker.WorkerModel
+        self,
+        *,
+        reactor: interfaces.IReactorTime,
+        model: worker_model.WorkerModel,
     ) -> None:
         """Initializes the server.
 
         Args:
-            reactor: The reactor to wait with.
+            reactor: Times injected delays.
             model: The worker.
         """
         super().__init__(reactor=reactor)
@@ -237,7 +241,7 @@
 
     @app.route(wire_format.ACTS_PATH, methods=["POST"])
     def acts(self, request: http.Request) -> defer.Deferred[bytes]:
-        """Carries out the acts of the body."""
+        """Executes the acts in the request body."""
         call = wire_format.decode(request.content.read(), messages.WorkerCall)
         return self._serve(
             request,
@@ -246,22 +250,25 @@
 
     @app.route("/faults", methods=["PUT"])
     def set_faults(self, request: http.Request) -> bytes:
-        """Replaces the faults of this server."""
+        """Replaces the injected faults of this server with the JSON body."""
         return self._set_faults(request)
 
 
-class RunnerServer(_Server):
-    """A runner over HTTP."""
+class RunnerServer(_FaultyServer):
+    """Serves a runner over HTTP."""
 
     app = klein.Klein()
 
     def __init__(
-        self, *, reactor: interfaces.IReactorTime, model: runner.RunnerModel
+        self,
+        *,
+        reactor: interfaces.IReactorTime,
+        model: runner_model.RunnerModel,
     ) -> None:
         """Initializes the server.
 
         Args:
-            reactor: The reactor to wait with.
+            reactor: Times service and injected delays.
             model: The runner.
         """
         super().__init__(reactor=reactor)
@@ -269,7 +276,7 @@
 
     @app.route(wire_format.REQUESTS_PATH, methods=["POST"])
     def run(self, request: http.Request) -> defer.Deferred[bytes]:
-        """Runs the request of the body to its end."""
+        """Runs the request in the body and answers when it has ended."""
         spec = wire_format.decode(request.content.read(), jobs.RequestSpec)
         return self._serve(
             request, lambda: defer.ensureDeferred(self._run(spec))
@@ -277,39 +284,42 @@
 
     @app.route("/faults", methods=["PUT"])
     def set_faults(self, request: http.Request) -> bytes:
-        """Replaces the faults of this server."""
+        """Replaces the injected faults of this server with the JSON body."""
         return self._set_faults(request)
 
     async def _run(self, spec: jobs.RequestSpec) -> bytes:
         answer = self._model.begin(spec, _now_ms())
         if answer is None:
-            service_s = runner.service_ms(spec) / _MS_PER_S
+            service_s = runner_model.service_ms(spec) / _MS_PER_S
             await task.deferLater(self._reactor, service_s)
             answer = self._model.finish(spec.request, _now_ms())
         return wire_format.encode(answer)
 
 
-class _Fleet:
-    """The targets of one process by name."""
+class _Targets:
+    """The workers and runners of one process by name."""
 
     def __init__(self, settings: StandinSettings, emit: Emit) -> None:
         epoch_ms = int(time.time_ns() * _MS_PER_NS) - _now_ms()
-        saved: dict[ids.JobId, float] = {}
+        saved_progress: dict[ids.JobId, float] = {}
         self.workers = {
-            target.name: worker.WorkerModel(
-                target=target, emit=emit, epoch_ms=epoch_ms, saved=saved
+            target.name: worker_model.WorkerModel(
+                target=target,
+                emit=emit,
+                epoch_ms=epoch_ms,
+                saved_progress=saved_progress,
             )
             for target in settings.workers
         }
         self.runners = {
-            target.name: runner.RunnerModel(
+            target.name: runner_model.RunnerModel(
                 target=target, emit=emit, epoch_ms=epoch_ms
             )
             for target in settings.runners
         }
 
     def set_state(self, name: str, state: states.TargetState) -> None:
-        """Turns leaving on or off at one target."""
+        """Makes a target leave, or return, according to its listed state."""
         leaving = state is states.TargetState.LEAVING
         if name in self.workers:
             self.workers[name].set_leaving(leaving)
@@ -320,59 +330,59 @@
 def serve_all(
     settings: StandinSettings,
     reactor: interfaces.IReactorTCP,
-    emit: list[timeline_events.TimelineEvent],
+    timeline: list[timeline_events.TimelineEvent],
 ) -> contextlib.ExitStack:
     """Serves the log, the list and every target.
 
     Args:
-        settings: What to serve, and where.
-        reactor: The reactor to listen with.
-        emit: Gets the events of the targets.
+        settings: Addresses and initial content.
+        reactor: Opens the listening sockets.
+        timeline: Receives the events of the targets.
 
     Returns:
-        Stops listening when it is closed.
+        A stack that stops all listening when it is closed.
     """
-    fleet = _Fleet(settings, emit.append)
-    log_model = log.LogModel(retention_ms=settings.log_retention_ms)
+    targets = _Targets(settings, timeline.append)
+    log_service = log_model.LogModel(retention_ms=settings.log_retention_ms)
     view = messages.PlatformView(
         vms=settings.vms, workers=settings.workers, runners=settings.runners
     )
-    list_model = platform.PlatformModel(
+    vm_list = platform_model.PlatformModel(
         lag_ms=settings.vm_list_lag_ms, view=view
     )
-    servers: list[tuple[str, _Server]] = [
-        (settings.log_address, LogServer(reactor=reactor, model=log_model)),
+    servers: list[tuple[str, _FaultyServer]] = [
+        (settings.log_address, LogServer(reactor=reactor, model=log_service)),
         (
             settings.vm_list_address,
             PlatformServer(
                 reactor=reactor,
-                model=list_model,
-                timeline=emit,
-                on_target_state=fleet.set_state,
+                model=vm_list,
+                timeline=timeline,
+                on_target_state=targets.set_state,
             ),
         ),
     ]
     servers += [
         (model.target.address, WorkerServer(reactor=reactor, model=model))
-        for model in fleet.workers.values()
+        for model in targets.workers.values()
     ]
     servers += [
         (model.target.address, RunnerServer(reactor=reactor, model=model))
-        for model in fleet.runners.values()
+        for model in targets.runners.values()
     ]
     with contextlib.ExitStack() as stack:
-        for address, one in servers:
-            _listen(reactor, address, one, stack)
+        for address, http_server in servers:
+            _listen(reactor, address, http_server, stack)
         return stack.pop_all()
 
 
 def _listen(
     reactor: interfaces.IReactorTCP,
     address: str,
-    one: _Server,
+    http_server: _FaultyServer,
     stack: contextlib.ExitStack,
 ) -> None:
     host, _, port = address.rpartition(":")
-    site = server.Site(one.app.resource())
+    site = server.Site(http_server.app.resource())
     listening = reactor.listenTCP(int(port), site, interface=host)
     stack.callback(listening.stopListening)
--- a/citronmount/standins/platform.py
+++ b/citronmount/standins/platform_model.py
@@ -1,4 +1,4 @@
-"""An in-memory stand-in of the platform's list of VMs and targets."""
+"""In-memory stand-in for the platform's list of VMs and targets."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class PlatformModel:
-    """A list that shows every change only after a lag."""
+    """List of VMs and targets in which every change appears after a lag."""
 
     def __init__(
         self,
@@ -21,44 +21,45 @@
         """Initializes the list.
 
         Args:
-            lag_ms: How long a change stays unseen.
-            view: The list at the start, or None for an empty one.
+            lag_ms: Time until a change appears.
+            view: Initial list; None for an empty one.
         """
         self.lag_ms = lag_ms
         self._history = [(0, view or messages.PlatformView())]
 
     def view(self, now_ms: int) -> messages.PlatformView:
-        """Returns the list as the platform shows it.
+        """Returns the list that the platform shows, which lags.
 
         Args:
-            now_ms: Time of the service.
+            now_ms: Current time of the service.
 
         Returns:
-            The list as it was `lag_ms` ago, or the first one.
+            The list as it was `lag_ms` ago, or the initial list if that is
+            before the first change.
         """
-        seen_ms = now_ms - self.lag_ms
+        shown_ms = now_ms - self.lag_ms
         return next(
             (
                 view
-                for since, view in reversed(self._history)
-                if since <= seen_ms
+                for since_ms, view in reversed(self._history)
+                if since_ms <= shown_ms
             ),
             self._history[0][1],
         )
 
     def latest(self) -> messages.PlatformView:
-        """Returns the list without the lag."""
+        """Returns the list including changes that do not appear yet."""
         return self._history[-1][1]
 
     def set_vm(self, vm: messages.ListedVm, now_ms: int) -> None:
         """Adds a VM or replaces its entry.
 
         Args:
-            vm: The entry.
+            vm: The new entry.
             now_ms: Time of the change.
         """
         others = tuple(v for v in self.latest().vms if v.vm != vm.vm)
-        self._change(now_ms, vms=(*others, vm))
+        self._record_change(now_ms, vms=(*others, vm))
 
     def remove_vm(self, vm: ids.VmId, now_ms: int) -> None:
         """Removes a VM.
@@ -67,38 +68,38 @@
             vm: The VM.
             now_ms: Time of the change.
         """
-        left = tuple(v for v in self.latest().vms if v.vm != vm)
-        self._change(now_ms, vms=left)
+        remaining = tuple(v for v in self.latest().vms if v.vm != vm)
+        self._record_change(now_ms, vms=remaining)
 
     def set_worker(self, worker: messages.ListedTarget, now_ms: int) -> None:
         """Adds a worker or replaces its entry.
 
         Args:
-            worker: The entry.
+            worker: The new entry.
             now_ms: Time of the change.
         """
-        workers = _replaced(self.latest().workers, worker)
-        self._change(now_ms, workers=workers)
+        workers = _with_target(self.latest().workers, worker)
+        self._record_change(now_ms, workers=workers)
 
     def set_runner(self, runner: messages.ListedTarget, now_ms: int) -> None:
         """Adds a runner or replaces its entry.
 
         Args:
-            runner: The entry.
+            runner: The new entry.
             now_ms: Time of the change.
         """
-        runners = _replaced(self.latest().runners, runner)
-        self._change(now_ms, runners=runners)
+        runners = _with_target(self.latest().runners, runner)
+        self._record_change(now_ms, runners=runners)
 
     def remove_target(self, name: str, now_ms: int) -> None:
         """Removes a worker or runner.
 
         Args:
-            name: Its id.
+            name: Id of the worker or runner.
             now_ms: Time of the change.
         """
         latest = self.latest()
-        self._change(
+        self._record_change(
             now_ms,
             workers=tuple(t for t in latest.workers if t.name != name),
             runners=tuple(t for t in latest.runners if t.name != name),
@@ -110,23 +111,23 @@
         """Changes the state of a worker or runner.
 
         Args:
-            name: Its id.
+            name: Id of the worker or runner.
             state: The new state.
             now_ms: Time of the change.
         """
         latest = self.latest()
-        self._change(
+        self._record_change(
             now_ms,
             workers=_with_state(latest.workers, name, state),
             runners=_with_state(latest.runners, name, state),
         )
 
-    def _change(self, now_ms: int, **fields: object) -> None:
+    def _record_change(self, now_ms: int, **fields: object) -> None:
         view = msgspec.structs.replace(self.latest(), **fields)
         self._history.append((now_ms, view))
 
 
-def _replaced(
+def _with_target(
     targets: tuple[messages.ListedTarget, ...], target: messages.ListedTarget
 ) -> tuple[messages.ListedTarget, ...]:
     return (*(t for t in targets if t.name != target.name), target)
