--- a/citronmount/fleet_service/tests/test_worker_faults.py
+++ b/citronmount/fleet_service/tests/test_worker_faults.py
@@ -1,5 +1,3 @@
-import unittest
-
 import msgspec
 
 from citronmount.core import ids
@@ -237,7 +235,3 @@
         )
         self.run_for(1.0)
         self.assertEqual(20, len(self.starts_of("j")))
-
-
-if __name__ == "__main__":
-    unittest.main()
