--- a/citronmount/bench/loopback.py
+++ b/citronmount/bench/loopback.py
@@ -249,7 +249,7 @@
         (not unfinished, f"jobs not done: {tally.jobs_by_state}"),
         (tally.answered > 0, "no request was answered"),
     )
-    return tuple(text for holds, text in checks if not holds)
+    return tuple(text for passed, text in checks if not passed)
 
 
 def _print(report: Report) -> None:
--- a/citronmount/standins/pool_log.py
+++ b/citronmount/standins/pool_log.py
@@ -109,14 +109,14 @@
     def snapshot(self, topic: ports.Topic) -> ports.Snapshot:
         """Returns the newest record of each key that was not deleted."""
         records_by_key = {record.key: record for record in self.topics[topic]}
-        kept = [
+        live_records = [
             record
             for record in records_by_key.values()
             if record.value is not None
         ]
-        kept.sort(key=lambda record: record.offset)
+        live_records.sort(key=lambda record: record.offset)
         return ports.Snapshot(
-            records=tuple(kept), end_offset=len(self.topics[topic])
+            records=tuple(live_records), end_offset=len(self.topics[topic])
         )
 
     def append_as_owner(
