--- a/citronmount/standins/__main__.py
+++ b/citronmount/standins/__main__.py
@@ -14,7 +14,7 @@
 @click.command()
 @click.argument("settings_path", type=click.Path(exists=True, dir_okay=False))
 def main(settings_path: str) -> None:
-    """Serves the stand-ins of SETTINGS_PATH until a signal ends it."""
+    """Serves the stand-ins in the file SETTINGS_PATH until a signal arrives."""
     data = pathlib.Path(settings_path).read_bytes()
     settings = msgspec.toml.decode(data, type=http_servers.StandinSettings)
     with http_servers.serve_all(settings, reactor, []):
--- a/citronmount/standins/http_faults.py
+++ b/citronmount/standins/http_faults.py
@@ -16,6 +16,9 @@
 class Faults(msgspec.Struct, kw_only=True):
     """Faults that a server injects until they are replaced.
 
+    They apply to the requests that daemons send. The routes that control the
+    stand-ins, such as ``/faults``, work normally.
+
     Attributes:
         down: Whether every request fails with status 503 without effect.
         delay_ms: Delay of every request before it takes effect.
--- a/citronmount/standins/http_servers.py
+++ b/citronmount/standins/http_servers.py
@@ -72,7 +72,7 @@
 
 
 class _FaultyServer:
-    """Base of all servers: applies faults to the handling of requests."""
+    """Base of all servers: applies faults to the requests of daemons."""
 
     def __init__(self, *, reactor: interfaces.IReactorTime) -> None:
         self.faults = http_faults.Faults()
@@ -124,7 +124,10 @@
 
     @app.route("/streams/<stream>/records", methods=["GET"])
     def read(self, request: http.Request, stream: str) -> defer.Deferred[bytes]:
-        """Returns a page of records from the offset in the query."""
+        """Returns records from the offset in the query.
+
+        The query also sets the limit, which is capped at `_MAX_PAGE_RECORDS`.
+        """
         name = ids.StreamName(stream)
         start = ids.Offset(int(request.args[b"start"][0]))
         limit = min(int(request.args[b"limit"][0]), _MAX_PAGE_RECORDS)
@@ -268,7 +271,7 @@
         """Initializes the server.
 
         Args:
-            reactor: Times service and injected delays.
+            reactor: Times the service of requests and injected delays.
             model: The runner.
         """
         super().__init__(reactor=reactor)
@@ -319,7 +322,7 @@
         }
 
     def set_state(self, name: str, state: states.TargetState) -> None:
-        """Makes a target leave, or return, according to its listed state."""
+        """Makes a target accept or refuse new work as its new state says."""
         leaving = state is states.TargetState.LEAVING
         if name in self.workers:
             self.workers[name].set_leaving(leaving)
@@ -332,7 +335,7 @@
     reactor: interfaces.IReactorTCP,
     timeline: list[timeline_events.TimelineEvent],
 ) -> contextlib.ExitStack:
-    """Serves the log, the list and every target.
+    """Serves the log, the list of VMs and targets, and every target.
 
     Args:
         settings: Addresses and initial content.
--- a/citronmount/standins/log_model.py
+++ b/citronmount/standins/log_model.py
@@ -33,8 +33,9 @@
         """Initializes an empty log.
 
         Args:
-            retention_ms: Time after its append until a record expires.
-            keep_history: Whether `history` also keeps expired records.
+            retention_ms: Time from the append of a record to its expiry.
+            keep_history: Whether `history` returns the appended records;
+                otherwise it is empty.
         """
         self.retention_ms = retention_ms
         self.keep_history = keep_history
@@ -59,7 +60,7 @@
         Args:
             stream: The stream, which is created by its first append.
             records: Pairs of record id and encoded record.
-            now_ms: Current time of the service.
+            now_ms: Current time of the log service.
 
         Returns:
             The offset of the first record.
@@ -69,10 +70,10 @@
             _Entry(
                 appended_ms=now_ms,
                 record=messages.LogRecord(
-                    offset=ids.Offset(offset), record=name, data=data
+                    offset=ids.Offset(offset), record=record, data=data
                 ),
             )
-            for offset, (name, data) in enumerate(records, start=first)
+            for offset, (record, data) in enumerate(records, start=first)
         ]
         self._streams[stream].extend(entries)
         if self.keep_history:
@@ -90,7 +91,7 @@
             start: First offset to read; if it has expired, the page starts at
                 the oldest retained record.
             limit: Maximum number of records to return.
-            now_ms: Current time of the service.
+            now_ms: Current time of the log service.
 
         Returns:
             Retained records in offset order.
--- a/citronmount/standins/platform_model.py
+++ b/citronmount/standins/platform_model.py
@@ -31,7 +31,7 @@
         """Returns the list that the platform shows, which lags.
 
         Args:
-            now_ms: Current time of the service.
+            now_ms: Current time of the platform.
 
         Returns:
             The list as it was `lag_ms` ago, or the initial list if that is
--- a/citronmount/standins/pool_log.py
+++ b/citronmount/standins/pool_log.py
@@ -15,10 +15,13 @@
 
 __all__ = ["LogFault", "PoolLog", "PoolLogClient"]
 
+# Duration of a call: half for the request and half for the answer.
 ANSWER_S = 0.006
+# Partitions that are assigned to the members of the owners' group.
 PARTITION_COUNT = 12
 
 _MS_PER_S = 1_000
+# Give each client the member name of a new process.
 _PROCESS_NUMBERS = itertools.count(1)
 
 
@@ -36,6 +39,13 @@
 
 
 class _Producer(msgspec.Struct, kw_only=True):
+    """The newest owner that appended.
+
+    Attributes:
+        epoch: Epoch of the owner.
+        answers: First offset of each of its appends, by sequence number.
+    """
+
     epoch: int = 0
     answers: dict[int, int] = {}
 
@@ -127,8 +137,8 @@
     ) -> int:
         """Appends to the job topic unless a newer epoch was seen.
 
-        An append with a known epoch and sequence is a retry: it returns the
-        offset of the first one. See `ports.Log`.
+        An append with a known epoch and sequence is a retry: it appends nothing
+        and returns the same offset as before. See `ports.Log`.
 
         Raises:
             FencedError: A newer epoch was seen.
@@ -143,9 +153,10 @@
         return self._producer.answers[sequence]
 
     def join(self, member: str, ttl_ms: int) -> ports.Membership:
-        """Joins the owners' group or extends the membership.
+        """Joins the owners' group or renews the membership.
 
-        The first member that is alive is the candidate for ownership.
+        The first member that is alive is the candidate for ownership. Members
+        beyond the first `PARTITION_COUNT` are assigned no partition.
         """
         now_s = self.clock.seconds()
         old_members = list(self._members)
@@ -157,10 +168,10 @@
         self._members.setdefault(member, 0)
         self._members[member] = now_s + ttl_ms / _MS_PER_S
         self._generation += old_members != list(self._members)
-        dealt = list(self._members).index(member) < PARTITION_COUNT
+        is_assigned = list(self._members).index(member) < PARTITION_COUNT
         return ports.Membership(
             generation=self._generation,
-            dealt=dealt,
+            dealt=is_assigned,
             candidate=next(iter(self._members)) == member,
         )
 
@@ -185,7 +196,7 @@
         self._generation += 1
 
     def wait_for_append(self, wait_ms: int) -> defer.Deferred[None]:
-        """Returns a Deferred that fires on an append or after `wait_ms`."""
+        """Returns a Deferred that fires on any append or after `wait_ms`."""
         waiter: defer.Deferred[None] = defer.Deferred()
         self._append_waiters.append(waiter)
 
@@ -202,7 +213,7 @@
     """Client of one VM for a `PoolLog`; implements `ports.Log`.
 
     Attributes:
-        calls: Counter that each call advances by one.
+        calls: Counter of requests; a read that waits for an append sends two.
         member: Name of the process in the owners' group.
     """
 
@@ -263,13 +274,13 @@
     async def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> ports.Membership:
-        """Joins the owners' group or extends the membership."""
+        """Joins the owners' group or renews the membership."""
         await self._send_request(timeout_ms)
         await task.deferLater(self._log.clock, self._log.extra_join_delay_s)
         return self._log.join(self.member, ttl_ms)
 
     async def members(self, timeout_ms: int) -> frozenset[str]:
-        """Returns the members of the owners' group that are alive."""
+        """Returns the live members that are assigned a partition."""
         await self._send_request(timeout_ms)
         return self._log.members()
 
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -1,4 +1,4 @@
-"""In-memory workers of a pool, which record violations that they observe."""
+"""In-memory workers of a pool, which record violated guarantees."""
 
 from collections.abc import Callable
 import enum
@@ -29,11 +29,10 @@
 class WorkerFault(enum.Enum):
     """Faults of a worker.
 
-    SILENT lets every command time out without effect. LATE executes start
-    commands after `PoolWorker.start_delay_s` and lets them time out.
-    LOSES_NEXT_START drops the next start command, LOSES_NEXT_ANSWER executes
-    it but lets it time out. REFUSING fails start commands at once without
-    effect and lets other commands time out.
+    SILENT lets every command time out without effect. LATE executes starts
+    after `PoolWorker.start_delay_s` and lets them time out. LOSES_NEXT_START
+    drops the next start, LOSES_NEXT_ANSWER executes it but lets it time out.
+    REFUSING executes nothing: starts fail at once, other commands time out.
     """
 
     NONE = "none"
@@ -67,6 +66,8 @@
 
 
 class _Running(msgspec.Struct, kw_only=True):
+    """A run in progress; `finished` members of a gang wait for the others."""
+
     task: units.TaskName
     run: int
     plan: TaskPlan
@@ -85,9 +86,9 @@
     Attributes:
         workers: The workers by id.
         violations: Descriptions of violated guarantees. GANG: a member of a
-            gang ran without the others. TWICE: a task was started while it
-            ran elsewhere or after it had finished. LIMIT: a worker was given
-            more tasks than fit its capacity.
+            gang ran without the others `GANG_TIMEOUT_MS` after its start.
+            TWICE: a task was started while it ran elsewhere or after it had
+            finished. LIMIT: a worker got more tasks than fit its capacity.
         starts: Every start as (task, run, worker).
         allowed_workers: Workers for which advice requests return tickets.
         tickets: Ticket of each task's last start.
@@ -170,7 +171,7 @@
     async def stop(
         self, command: commands.Stop, timeout_ms: int
     ) -> tuple[commands.StopOutcome, int | None]:
-        """Stops a run of a task; returns the same kind of pair as `start`."""
+        """Stops a run; returns the outcome and the worker's clock in ms."""
         worker = await self._reach_worker(command)
         if worker is None:
             await self._wait_for_timeout(timeout_ms)
@@ -224,6 +225,7 @@
     async def _reach_worker(
         self, command: commands.Command
     ) -> "PoolWorker | None":
+        """Returns the worker if it answers and has the same incarnation."""
         await task.deferLater(self.clock, REQUEST_DELAY_S)
         worker = self.workers.get(command.worker.worker)
         if worker is None or worker.fault in _UNREACHABLE:
@@ -239,7 +241,7 @@
     async def _wait_for_timeout(self, timeout_ms: int) -> None:
         await task.deferLater(self.clock, timeout_ms / _MS_PER_S)
 
-    def is_gang_whole(self, name: units.TaskName, run: int, size: int) -> bool:
+    def is_gang_active(self, name: units.TaskName, run: int, size: int) -> bool:
         """Returns whether all members of a gang's run are running."""
         return len(self._gang_members(name, run)) == size
 
@@ -261,7 +263,7 @@
     def _gang_members(
         self, name: units.TaskName, run: int
     ) -> list[tuple["PoolWorker", _Running]]:
-        """Returns the running members of a gang's run with their workers."""
+        """Returns running tasks with the name prefix of a gang, and workers."""
         prefix = name.rpartition(".")[0]
         return [
             (worker, each)
@@ -377,7 +379,7 @@
         return None
 
     def report(self) -> commands.LeaseReport:
-        """Returns running tasks and runs that ended."""
+        """Returns the runs in progress and the ended runs."""
         return commands.LeaseReport(
             clock_ms=self.now_ms(),
             life_ms=self.entry.life_ms,
@@ -450,7 +452,7 @@
         if run.plan.gang == 1:
             self.end(run, kind)
             return
-        if not self._pool.is_gang_whole(run.task, run.run, run.plan.gang):
+        if not self._pool.is_gang_active(run.task, run.run, run.plan.gang):
             return
         run.finished = True
         if not failed and not self._pool.is_gang_finished(run.task, run.run):
@@ -462,7 +464,7 @@
     def _check_gang(self, run: _Running) -> None:
         if self.running.get(run.task) is not run or run.stopping:
             return
-        if not self._pool.is_gang_whole(run.task, run.run, run.plan.gang):
+        if not self._pool.is_gang_active(run.task, run.run, run.plan.gang):
             self._pool.violations.append(
                 f"GANG: {run.task} run {run.run} alone"
             )
--- a/citronmount/standins/runner_model.py
+++ b/citronmount/standins/runner_model.py
@@ -48,6 +48,10 @@
 
     It refuses requests when all slots are taken, instead of queueing them, and
     does not deduplicate requests.
+
+    Attributes:
+        target: Entry of the runner in the platform's list.
+        leaving: Whether the runner refuses new requests.
     """
 
     def __init__(
--- a/citronmount/standins/worker_model.py
+++ b/citronmount/standins/worker_model.py
@@ -47,7 +47,23 @@
 
 
 class _Lease(msgspec.Struct, kw_only=True):
-    """State of one attempt on the worker."""
+    """State of one attempt on the worker; times are those of its clock.
+
+    Attributes:
+        reserve: The act that reserved the resources.
+        state: State of the lease.
+        expires_ms: Time at which the lease lapses unless it is renewed.
+        ran: Whether the attempt was started.
+        exit_code: Exit code of a run that ended by itself, or None.
+        started_ms: Time of the start; 0 before it.
+        ended_ms: Time of the end; 0 before it.
+        work_ms: Work done, as run time at full speed.
+        worked_until_ms: Time up to which `work_ms` counts.
+        share: Share of the full speed.
+        progress: Last saved share of the work, from 0 to 1.
+        stop_ms: Time at which a stop ends the lease once progress is saved, or
+            None.
+    """
 
     reserve: messages.Reserve
     state: states.LeaseState
