--- a/examples/demo.py
+++ b/examples/demo.py
@@ -24,7 +24,7 @@
 
 __all__ = ["main"]
 
-LONG_RUN_MS = 6_000
+FILLER_RUN_MS = 6_000
 GANG_RUN_MS = 1_500
 ACCELERATORS_PER_WORKER = 8
 
@@ -75,18 +75,20 @@
     A trial account uses its whole allowance; the last paying account uses the
     other workers, beyond its guarantee.
     """
-    command = json.dumps({"run_ms": LONG_RUN_MS})
+    command = json.dumps({"run_ms": FILLER_RUN_MS})
     whole_worker_job = {
         "per_task": {"accelerators": ACCELERATORS_PER_WORKER, "cores": 8},
         "command": command,
-        "run_time_s": LONG_RUN_MS / 1_000,
+        "run_time_s": FILLER_RUN_MS / 1_000,
     }
     allowance = content.allowances[0]
     trial_count = allowance.accelerators // ACCELERATORS_PER_WORKER
-    borrower = _paying_accounts(content)[-1]
+    last_account = _paying_accounts(content)[-1]
     bodies = [{"account": allowance.account, **whole_worker_job}] * trial_count
-    borrowed_count = len(cluster.pool.workers) - trial_count
-    bodies += [{"account": borrower, **whole_worker_job}] * borrowed_count
+    other_worker_count = len(cluster.pool.workers) - trial_count
+    bodies += [
+        {"account": last_account, **whole_worker_job}
+    ] * other_worker_count
     return _submit_all(cluster, bodies)
 
 
@@ -96,7 +98,7 @@
 ) -> list[str]:
     """Submits the gangs that the other paying accounts are guaranteed."""
     time.sleep(1)
-    borrower = _paying_accounts(content)[-1]
+    last_account = _paying_accounts(content)[-1]
     bodies = [
         {
             "account": guarantee.account,
@@ -111,7 +113,7 @@
             "run_time_s": GANG_RUN_MS / 1_000,
         }
         for guarantee in content.guarantees
-        if guarantee.account != borrower
+        if guarantee.account != last_account
         for _ in range(guarantee.copies)
     ]
     return _submit_all(cluster, bodies)
@@ -163,6 +165,7 @@
     statuses: list[typing.Any],
     requests: collections.Counter[str],
 ) -> None:
+    """Prints a row for each account and requires that every job is done."""
     print(f"{'account':22}{'class':8}{'jobs done':>10}", end="")
     print(f"{'evictions':>10}{'requests':>9}")
     for account in content.accounts:
@@ -185,6 +188,7 @@
 def _check_reclaim(
     content: configuration.Configuration, statuses: list[typing.Any]
 ) -> None:
+    """Requires that a job of a trial account was evicted at least once."""
     trial_accounts = {allowance.account for allowance in content.allowances}
     evicted = [
         status["job"]
