--- a/citronmount/bench/capacity.py
+++ b/citronmount/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Measures resource use at several sizes and plans for the two-year size.
+"""Measures resource use at several sizes and extrapolates to the two-year plan.
 
 ``python -m citronmount.bench.capacity --json`` prints one JSON object;
 ``--page FILE`` writes the capacity page of the documentation.
@@ -30,7 +30,7 @@
 
 # Failure domains, VMs per domain and workers per domain.
 SITE_SIZES = ((3, 2, 8), (3, 8, 8), (5, 8, 8), (5, 8, 32))
-# Workers, jobs and teams; each row varies one of them.
+# Workers, jobs and teams; each row after the first varies one of them.
 STATE_SIZES = (
     (65, 65, 70),
     (130, 65, 70),
@@ -196,7 +196,7 @@
 
     Attributes:
         size: The two-year size.
-        budget: Resources that a node may use.
+        budget: Resources that a VM may use.
         measured: The measurements.
         plan: Resource needs at the two-year size.
     """
@@ -209,9 +209,9 @@
 
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
-@click.option("--page", type=click.Path(), help="Write the page to this file.")
+@click.option("--page", type=click.Path(), help="File for the capacity page.")
 def main(as_json: bool, page: str | None) -> None:
-    """Measures slopes and works out the two-year size."""
+    """Measures resource use and computes the needs at the two-year size."""
     measured = measure()
     plan = capacity_plan.compute_plan(measured)
     page_text = capacity_page.render(measured, plan)
--- a/citronmount/bench/capacity_agents.py
+++ b/citronmount/bench/capacity_agents.py
@@ -69,8 +69,9 @@
     Attributes:
         workers: Number of workers.
         jobs: Number of running jobs, of `TASKS_PER_JOB` tasks each.
-        teams: Number of paying accounts, with one guarantee each.
-        owner_bytes: Memory of the agent that owns the failure domain.
+        teams: Number of paying accounts; up to 4 per worker have a guarantee
+            each.
+        owner_bytes: Memory of the agent that uses most, the domain's owner.
         member_bytes: Memory of the agent that uses least.
     """
 
--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -209,25 +209,27 @@
 
 
 async def _measure_messages(
-    source: peer_transport.PeerTransport,
-    target: peer_transport.PeerTransport,
+    sender: peer_transport.PeerTransport,
+    receiver: peer_transport.PeerTransport,
     message: peer_messages.PeerMessage,
     received: list[ids.VmId],
 ) -> float:
-    source.set_peers({target.vm: target.address})
+    sender.set_peers({receiver.vm: receiver.address})
 
     def connected() -> bool:
-        return source.send(target.vm, message)
+        return sender.send(receiver.vm, message)
 
     await reactor_loop.wait_until(connected)
     await reactor_loop.wait_until(lambda: bool(received))
     start_s = time.process_time()
     for _ in range(MESSAGE_COUNT // BURST_MESSAGES):
-        target_count = len(received) + BURST_MESSAGES
+        expected_count = len(received) + BURST_MESSAGES
         for _ in range(BURST_MESSAGES):
-            source.send(target.vm, message)
+            sender.send(receiver.vm, message)
         await reactor_loop.wait_until(
-            lambda target_count=target_count: len(received) >= target_count
+            lambda expected_count=expected_count: (
+                len(received) >= expected_count
+            )
         )
     processor_s = time.process_time() - start_s
     return round(processor_s * _US_PER_S / MESSAGE_COUNT, 1)
--- a/citronmount/bench/capacity_page.py
+++ b/citronmount/bench/capacity_page.py
@@ -66,7 +66,7 @@
 
 
 def render(measured: capacity_plan.Measured, plan: capacity_plan.Plan) -> str:
-    """Renders the page, without the part that other scripts measure.
+    """Renders the page, without the measurements of other scripts.
 
     Args:
         measured: The measurements.
@@ -121,7 +121,7 @@
 
 
 def preserved_part(page: str) -> str:
-    """Returns the part of an existing page that other scripts measured.
+    """Returns the part of a page with the measurements of other scripts.
 
     Args:
         page: The existing page; may be empty.
--- a/citronmount/bench/capacity_plan.py
+++ b/citronmount/bench/capacity_plan.py
@@ -1,4 +1,4 @@
-"""Extrapolates resource needs to the two-year size from measurements."""
+"""Extrapolates resource needs to the size of the two-year plan."""
 
 import msgspec
 
@@ -28,7 +28,7 @@
 
 
 class Size(msgspec.Struct, frozen=True, kw_only=True):
-    """Size of a site.
+    """Size of a site; the defaults are those of the two-year plan.
 
     Attributes:
         workers: Workers in all failure domains.
@@ -52,7 +52,7 @@
 
 
 class Budget(msgspec.Struct, frozen=True, kw_only=True):
-    """Resources that a node may use for control.
+    """Resources that a VM may use for control.
 
     Attributes:
         processor_share: Processor time as a share of one core.
@@ -70,6 +70,7 @@
 RENEW_PERIOD_S = 3.0
 LIST_PERIOD_S = 2.0
 TICKS_PER_S = 4.0
+# Share of the jobs that ended within a day whose state the owner keeps.
 ENDED_JOB_SHARE = 1.0
 # ZeroMQ framing and encryption of one message.
 FRAMING_BYTES = 40
@@ -211,7 +212,10 @@
 
 
 def _process_need(measured: Measured) -> Need:
-    """Returns the need of an idle process, as measured on loopback."""
+    """Returns the need of an idle process, as measured on loopback.
+
+    The list and the configuration are polled; each poll is two messages.
+    """
     idle_daemon = measured.idle[0]
     return _make_need(
         "process",
@@ -227,35 +231,35 @@
     """Returns the need of heartbeats to and from all other VMs."""
     row = measured.traffic[-1]
     heartbeat_bytes_per_s = row.bytes_per_s_by_kind["Heartbeat"]
-    per_s = next(
+    received_per_s = next(
         cost.per_vm_per_s
         for cost in measured.costs
         if cost.kind == "PeerArrived"
     )
-    both_ways = 2 * per_s
+    both_ways = 2 * received_per_s
     us_per_message = measured.message_us + _cost_us(measured, "PeerArrived")
     return _make_need(
         "member",
         "heartbeats, each 1 s within and each 3 s between failure domains",
         messages_per_s=both_ways,
         bytes_per_s=heartbeat_bytes_per_s + both_ways * FRAMING_BYTES,
-        processor_us_per_s=per_s * us_per_message,
+        processor_us_per_s=received_per_s * us_per_message,
     )
 
 
 def _lease_renewer_need(measured: Measured) -> Need:
     """Returns the need of renewing the leases of a VM's share of workers."""
     workers_per_vm = SIZE.workers / SIZE.vms
-    per_s = workers_per_vm / RENEW_PERIOD_S
+    renewals_per_s = workers_per_vm / RENEW_PERIOD_S
     us_per_renewal = measured.exchange.processor_us + _cost_us(
         measured, "WorkerAnswered"
     )
     return _make_need(
         "keeper",
         "one renewal a worker for all its leases; reports only when changed",
-        messages_per_s=2 * per_s,
-        bytes_per_s=per_s * measured.exchange.wire_bytes,
-        processor_us_per_s=per_s * us_per_renewal,
+        messages_per_s=2 * renewals_per_s,
+        bytes_per_s=renewals_per_s * measured.exchange.wire_bytes,
+        processor_us_per_s=renewals_per_s * us_per_renewal,
     )
 
 
@@ -317,7 +321,7 @@
 
 def _configuration_need(measured: Measured) -> Need:
     """Returns the need of applying every configuration change."""
-    per_s = SIZE.changes_per_day / _DAY_S
+    changes_per_s = SIZE.changes_per_day / _DAY_S
     points = [
         (float(teams), float(size))
         for teams, size in measured.change_bytes.items()
@@ -329,9 +333,10 @@
     return _make_need(
         "configuration",
         "whole changes through the log, folded by offset at every VM",
-        messages_per_s=per_s,
-        bytes_per_s=per_s * change_bytes,
-        processor_us_per_s=per_s * measured.change_us[largest_team_count],
+        messages_per_s=changes_per_s,
+        bytes_per_s=changes_per_s * change_bytes,
+        processor_us_per_s=changes_per_s
+        * measured.change_us[largest_team_count],
     )
 
 
--- a/citronmount/bench/harness.py
+++ b/citronmount/bench/harness.py
@@ -45,8 +45,8 @@
             virtual time of its emission in ms.
         crashes: Time in ms, VM and last traceback lines of every exception
             that an agent raised.
-        watchers: Called with a process and an event before the agent handles
-            the event, or an effect before the harness executes it.
+        watchers: Called with a process and each event before the agent handles
+            it, and with a process and each effect before it is executed.
         arrival_watchers: Called with source, target and effect when a call
             reaches its target or when a reply is sent to a caller.
     """
@@ -112,7 +112,9 @@
             self.clock.after_ms(self.rng.randrange(300), self.start, vm)
 
     def start(self, vm: ids.VmId) -> None:
-        """Starts the process of a VM unless it runs already.
+        """Starts the process of a VM and lists the VM as live.
+
+        Does nothing if the process runs already.
 
         Args:
             vm: The VM.
@@ -134,7 +136,9 @@
         self._tick(process, process.incarnation)
 
     def kill(self, vm: ids.VmId) -> None:
-        """Kills a process; its open calls from callers get no answer.
+        """Kills a process and removes its VM from the list.
+
+        Each caller with an open call gets None as its answer.
 
         Args:
             vm: The VM.
@@ -297,6 +301,7 @@
             return
         for watcher in tuple(self.watchers):
             watcher(process, event)
+        # A watcher may have killed or paused the process.
         if process.agent is None:
             return
         if process.paused:
--- a/citronmount/bench/harness_clock.py
+++ b/citronmount/bench/harness_clock.py
@@ -61,8 +61,8 @@
         """Runs every callback that is due up to a time.
 
         Args:
-            until_ms: The time, which the clock then shows unless it was later
-                before.
+            until_ms: Virtual time to advance to; a time in the past has no
+                effect.
         """
         until_us = until_ms * US_PER_MS
         while self._heap and self._heap[0][0] <= until_us:
--- a/citronmount/bench/harness_process.py
+++ b/citronmount/bench/harness_process.py
@@ -15,6 +15,7 @@
 
 HTTP_HEADER_BYTES = 200
 
+# Field of each event that holds the body of the HTTP answer.
 _BODY_FIELDS = {
     events.LogRead: "page",
     events.PlatformListed: "view",
@@ -24,7 +25,7 @@
 
 
 class AgentLike(Protocol):
-    """Interface of an agent to the harness."""
+    """Interface through which the harness calls an agent."""
 
     def handle(
         self, event: events.Event, now_ms: int, wall_ms: int
--- a/citronmount/bench/harness_services.py
+++ b/citronmount/bench/harness_services.py
@@ -118,7 +118,7 @@
         self.refusing.discard(name)
 
     def set_leaving(self, name: str, leaving: bool) -> None:
-        """Sets and lists whether a target is leaving.
+        """Sets whether a target is leaving, also in the platform's list.
 
         Args:
             name: Id of the worker or runner.
@@ -139,8 +139,8 @@
         Args:
             effect: The call.
             target: Name of the service or target.
-            respond: Called at once with a failed call if the target refuses
-                connections.
+            respond: Called at once with the event of a failed call if the
+                target refuses connections.
 
         Returns:
             Whether the target is up and can serve the call.
--- a/citronmount/bench/harness_site.py
+++ b/citronmount/bench/harness_site.py
@@ -45,9 +45,10 @@
 ) -> Site:
     """Creates a site of equal failure domains.
 
-    In every failure domain, one paying account is guaranteed a gang of up to
-    two tasks, each of which takes all accelerators of a worker. One trial
-    account has an allowance of all accelerators of the site.
+    A paying account is guaranteed one gang in every failure domain. The gang
+    has two tasks, or one if there is only one worker, and each task takes all
+    accelerators of a worker. A trial account has an allowance of all
+    accelerators of the site.
 
     Args:
         failure_domains: Number of failure domains.
--- a/citronmount/bench/harness_traffic.py
+++ b/citronmount/bench/harness_traffic.py
@@ -26,7 +26,8 @@
         most_bytes_per_s: Bytes of the busiest VM, both directions.
         mean_messages_per_s: Messages of an average VM, both directions.
         most_messages_per_s: Messages of the busiest VM, both directions.
-        bytes_per_s_by_kind: Bytes of an average VM for each kind.
+        bytes_per_s_by_kind: Bytes of an average VM by class name of the
+            message, call or answer.
     """
 
     vms: int
--- a/citronmount/bench/loopback.py
+++ b/citronmount/bench/loopback.py
@@ -228,7 +228,9 @@
 
 def _count_doubled(cluster: loopback_cluster.Cluster) -> int:
     """Returns how many idempotency keys runners started more than once."""
-    data = loopback_cluster.call(cluster.list_address, "GET", "/timeline").body
+    data = loopback_cluster.call(
+        cluster.vm_list_address, "GET", "/timeline"
+    ).body
     started = collections.Counter(
         event["job"]
         for event in data
--- a/citronmount/bench/loopback_cluster.py
+++ b/citronmount/bench/loopback_cluster.py
@@ -1,6 +1,6 @@
 """Runs daemons and stand-ins as processes on loopback.
 
-Only test and benchmark scripts use it: a daemon never starts a process.
+Only tests, benchmarks and the demo use it: a daemon never starts a process.
 """
 
 from collections.abc import Iterable
@@ -28,7 +28,7 @@
 __all__ = ["Answer", "Cluster", "Vm", "call", "open_cluster"]
 
 FIRST_PORT = 20_000
-LAST_PORT = 32_000
+END_PORT = 32_000
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 40.0
 POLL_PERIOD_S = 0.1
@@ -92,7 +92,7 @@
         directory: Directory of the settings and output of the processes.
         vms: The VMs that run daemons.
         log_address: ``ip:port`` of the log service.
-        list_address: ``ip:port`` of the platform's list.
+        vm_list_address: ``ip:port`` of the platform's list.
         pool: The workers and runners with their addresses.
     """
 
@@ -102,14 +102,14 @@
         directory: pathlib.Path,
         vms: tuple[Vm, ...],
         log_address: str,
-        list_address: str,
+        vm_list_address: str,
         pool: pool_file.Pool,
     ) -> None:
         """Initializes a cluster without starting its processes."""
         self.directory = directory
         self.vms = vms
         self.log_address = log_address
-        self.list_address = list_address
+        self.vm_list_address = vm_list_address
         self.pool = pool
         self._keys = curve_keys.generate_keys()
 
@@ -154,7 +154,7 @@
             },
             "platform": {
                 "log_address": self.log_address,
-                "vm_list_address": self.list_address,
+                "vm_list_address": self.vm_list_address,
             },
             "curve": {
                 "public_key": keys.public_key,
@@ -176,7 +176,7 @@
         address_lines = _toml_lines(
             {
                 "log_address": self.log_address,
-                "vm_list_address": self.list_address,
+                "vm_list_address": self.vm_list_address,
             }
         )
         entries_by_table = {
@@ -214,7 +214,7 @@
         cluster = _make_cluster(pathlib.Path(directory), pool, vms_per_domain)
         standins = cluster.start_standins()
         stack.callback(stop_process, standins)
-        _wait_for_port(cluster.list_address)
+        _wait_for_port(cluster.vm_list_address)
         for vm in cluster.vms:
             cluster.start_vm(vm)
             stack.callback(_kill_vm, vm)
@@ -251,7 +251,7 @@
 
 
 def stop_process(process: subprocess.Popen[bytes]) -> int:
-    """Terminates a process; kills it if it outlives `STOP_TIMEOUT_S`.
+    """Terminates a process; kills it if it has not ended in `STOP_TIMEOUT_S`.
 
     Args:
         process: The process.
@@ -293,7 +293,7 @@
         directory=directory,
         vms=vms,
         log_address=next(addresses),
-        list_address=next(addresses),
+        vm_list_address=next(addresses),
         pool=pool_file.Pool(
             workers=_with_addresses(pool.workers, addresses),
             runners=_with_addresses(pool.runners, addresses),
@@ -316,7 +316,7 @@
     The start depends on the process id, so that clusters of different
     processes rarely try the same ports.
     """
-    count = LAST_PORT - FIRST_PORT
+    count = END_PORT - FIRST_PORT
     start = (os.getpid() * 97) % count
     ports = (FIRST_PORT + (start + i) % count for i in range(count))
     return (f"{_HOST}:{port}" for port in ports if _is_free(port))
--- a/citronmount/bench/loopback_load.py
+++ b/citronmount/bench/loopback_load.py
@@ -40,8 +40,9 @@
 
     Attributes:
         answered: Short requests with a correct and complete answer.
-        refused: Calls whose result proves that nothing ran.
-        unknown: Calls whose result leaves the outcome unknown.
+        refused: Short requests whose result proves that they did not run, and
+            jobs that were not accepted.
+        unknown: Short requests whose result leaves the outcome unknown.
         wrong: Answers that are incomplete or belong to another request.
         cut: Calls that failed after they may have been sent, by VM.
         jobs_accepted: Number of accepted jobs.
@@ -104,7 +105,7 @@
             callers: Number of callers, each with one open request.
 
         Returns:
-            Deferreds that fire when the parts of the load have stopped.
+            One Deferred for each of them, which fires when it has stopped.
         """
         parts = (
             self._update_ready_vms(),
--- a/citronmount/bench/loopback_steps.py
+++ b/citronmount/bench/loopback_steps.py
@@ -23,7 +23,7 @@
 
 TIMEOUT_S = 40.0
 POLL_PERIOD_S = 0.2
-WAIT_MS = 30_000
+RESULT_WAIT_MS = 30_000
 
 _OK = 200
 _ACCEPTED = 202
@@ -94,12 +94,18 @@
 def publish(cluster: loopback_cluster.Cluster, data: bytes) -> int:
     """Publishes a configuration sheet as the first version.
 
+    The call is repeated while it is answered by a retryable result.
+
     Args:
         cluster: The cluster, whose first VM is called.
         data: The sheet as CSV.
 
     Returns:
         The version that is in force.
+
+    Raises:
+        StepFailedError: The sheet was refused or no final result came within
+            `TIMEOUT_S`.
     """
     path = "/v1/configuration?base_version=0&author=trial"
     answer = wait_until(
@@ -162,7 +168,7 @@
     Raises:
         StepFailedError: The job did not end within `TIMEOUT_S`.
     """
-    path = f"/v1/jobs/{job}?wait_ms={WAIT_MS}"
+    path = f"/v1/jobs/{job}?wait_ms={RESULT_WAIT_MS}"
     try:
         return wait_until(
             lambda: call(vm, "GET", path), lambda answer: _is_final(answer.body)
@@ -179,6 +185,9 @@
     Args:
         cluster: The cluster.
         stopped: Names of VMs whose daemons are already stopped.
+
+    Raises:
+        StepFailedError: A daemon ended with an exit status other than 0.
     """
     running = [vm for vm in cluster.vms if vm.name not in stopped]
     for vm in running:
--- a/citronmount/bench/tests/test_harness.py
+++ b/citronmount/bench/tests/test_harness.py
@@ -45,13 +45,13 @@
     def setUp(self):
         self.agents = {}
         self.harness = harness.Harness(
-            site=harness_site.make_site(), make_agent=self.make, seed=1
+            site=harness_site.make_site(), make_agent=self.make_recorder, seed=1
         )
         self.harness.start_all()
         self.harness.run_until_ms(1_000)
         self.agent = self.agents[_VM]
 
-    def make(self, vm, incarnation_ms):
+    def make_recorder(self, vm, incarnation_ms):
         self.agents[vm.vm] = _Recorder()
         return self.agents[vm.vm]
 
--- a/citronmount/bench/timings.py
+++ b/citronmount/bench/timings.py
@@ -1,7 +1,7 @@
 """Measures how the cost of scheduling decisions grows with size.
 
-Costs are ratios within one run. Times depend on the machine, so they are not
-part of the reports that are compared byte by byte.
+The costs of decisions are ratios within one run. The results depend on the
+machine, so they are not part of the reports that are compared byte by byte.
 """
 
 import gc
@@ -54,7 +54,8 @@
         by_gang: Costs of placing a gang, by number of tasks.
         pool_log_ratio: Growth of the cost over growth of the logarithm of the
             pool size; at most 1 if the cost grows at most logarithmically.
-        gang_linear_ratio: Growth of the cost over growth of the gang size.
+        gang_linear_ratio: Growth of the cost over growth of the gang size; at
+            most 1 if the cost grows at most linearly.
         day_core_share: Processor time of all five schedulers for the jobs of
             one day, including the replay, as a share of one core.
         state_mb: Memory of the scheduler of one filled failure domain.
