--- a/citronmount/bench/loopback_load.py
+++ b/citronmount/bench/loopback_load.py
@@ -115,7 +115,7 @@
         return [defer.ensureDeferred(part) for part in parts]
 
     def stop(self) -> None:
-        """Makes every part of the load end after its current call."""
+        """Makes the load end after its open calls and submitted jobs."""
         self._stopped = True
 
     def close(self) -> defer.Deferred[None]:
--- a/citronmount/bench/timings.py
+++ b/citronmount/bench/timings.py
@@ -58,7 +58,7 @@
             most 1 if the cost grows at most linearly.
         day_core_share: Processor time of all five schedulers for the jobs of
             one day, including the replay, as a share of one core.
-        state_mb: Memory of the scheduler of one filled failure domain.
+        state_mb: Memory of the scheduler of one filled failure domain, in MiB.
     """
 
     by_pool: tuple[CostRow, ...]
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -196,7 +196,7 @@
     async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
-        """Renews the leases of a worker and returns its report."""
+        """Renews leases; reports when a run has ended or `wait_ms` passed."""
         self.open_renewals += 1
         self.max_open_renewals = max(self.max_open_renewals, self.open_renewals)
         try:
