--- a/citronmount/bench/faults/matrix_cell.py
+++ b/citronmount/bench/faults/matrix_cell.py
@@ -29,7 +29,7 @@
 # needs that, kills or drains an owner or cuts a domain off from the platform.
 WARM_UP_MS = 9_000
 TRIGGER_MS = 13_000
-# Durations.
+
 SETTLE_MS = 13_500
 COMPLETION_BOUND_MS = 60_000
 INJECTION_WINDOW_MS = 30_000
@@ -76,13 +76,7 @@
 
 
 class _PlannedFault(msgspec.Struct, kw_only=True):
-    """A fault to inject when its step occurs.
-
-    Attributes:
-        fault: The fault.
-        step: The step.
-        skips: Number of occurrences of the step to let pass first.
-    """
+    """A fault to inject after `skips` further occurrences of its step."""
 
     fault: registry.Fault
     step: registry.Step
@@ -94,14 +88,10 @@
 
     Attributes:
         rng: Random number generator of the faults.
-        site: The site.
-        domains: Names of the failure domains.
-        harness: The harness that runs the site.
         clients: Simulated clients and operators.
         history: History of the run, which the checks read.
         focus_domain: Failure domain whose owner is killed or drained, or which
             is cut off from the platform.
-        injections: The faults injected so far.
         healed_ms: Virtual time at which the last fault ends.
         trial_run_ms: Run time of the trial jobs that fill the pool.
     """
@@ -166,39 +156,25 @@
     def schedule(
         self, delay_ms: int, action: Callable[..., object], *args: object
     ) -> None:
-        """Schedules a part of a fault.
-
-        Args:
-            delay_ms: Virtual time from now.
-            action: The function to call.
-            *args: Arguments of the function.
-        """
+        """Schedules a part of a fault after a delay in virtual time."""
         self.harness.clock.after_ms(delay_ms, action, *args)
 
     def schedule_heal(
         self, delay_ms: int, action: Callable[..., object], *args: object
     ) -> None:
-        """Schedules the end of a fault.
+        """Schedules the end of a fault after a delay in virtual time.
 
         The bounds of the checks and the rest of the run count from the last
         such end. A fault that has nothing to undo passes an empty function.
-
-        Args:
-            delay_ms: Virtual time from now.
-            action: The function that ends the fault.
-            *args: Arguments of the function.
         """
         until_ms = self.harness.clock.now_ms + delay_ms
         self.healed_ms = max(self.healed_ms, until_ms)
         self.schedule(delay_ms, action, *args)
 
     def kill_after(self, vm: ids.VmId, delay_ms: int) -> None:
-        """Kills a process, either before or after it carries out the step.
+        """Kills a VM's process after a delay in virtual time.
 
-        Args:
-            vm: The VM.
-            delay_ms: Virtual time from now. With 0 the process dies before
-                the step takes effect.
+        With a delay of 0 the process dies before the step takes effect.
         """
         if delay_ms:
             self.schedule(delay_ms, self.harness.kill, vm)
@@ -212,11 +188,7 @@
         ]
 
     def affected_target(self, injection: Injection) -> str:
-        """Returns the target of the step, or a random one in its VM's domain.
-
-        Args:
-            injection: The injection at the step.
-        """
+        """Returns the step's target, or a random one in its VM's domain."""
         target = steps.target_of(injection.item)
         if target is not None:
             return target
@@ -231,11 +203,7 @@
         )
 
     def affected_worker(self, injection: Injection) -> str:
-        """Returns the worker of the step, or a random one in its VM's domain.
-
-        Args:
-            injection: The injection at the step.
-        """
+        """Returns the step's worker, or a random one in its VM's domain."""
         target = steps.target_of(injection.item)
         if target in self.harness.services.workers:
             return str(target)
@@ -251,12 +219,7 @@
     def set_domain_state(
         self, domain: ids.FailureDomainId, state: states.FailureDomainState
     ) -> None:
-        """Publishes a configuration that takes a failure domain in or out.
-
-        Args:
-            domain: The failure domain.
-            state: Its new state.
-        """
+        """Publishes a configuration that takes a failure domain in or out."""
         domains = tuple(
             configuration.FailureDomain(name=listed.name, state=state)
             if listed.name == domain
@@ -278,10 +241,7 @@
         publication: client_observations.PublicationObservation,
         domain: ids.FailureDomainId,
     ) -> None:
-        """Publishes again if the change was based on a stale version.
-
-        Waits until the outcome of the first publication is known.
-        """
+        """Waits for the outcome; publishes again if the base was stale."""
         if not publication.done:
             self.schedule(
                 _CHECK_INTERVAL_MS,
@@ -350,10 +310,9 @@
             self.harness.run_until_ms(now_ms + _CHECK_INTERVAL_MS)
 
     def _run_to_end(self) -> None:
-        """Runs until no client or operator expects an answer.
+        """Runs for the settling time, then until no answer is outstanding.
 
-        The run lasts at least the settling time after the last disturbance and
-        ends at the completion bound even if answers are missing.
+        Ends at the completion bound even if answers are missing.
         """
         while (
             self.harness.clock.now_ms < self._disturbances_end_ms() + SETTLE_MS
@@ -368,10 +327,7 @@
             self.harness.run_until_ms(now_ms + _CHECK_INTERVAL_MS)
 
     def _disturbances_end_ms(self) -> int:
-        """Returns the virtual time at which the last fault has ended.
-
-        It is not before the workload is submitted and its last request sent.
-        """
+        """Returns when the last fault has ended and the workload been sent."""
         return max(TRIGGER_MS + 6_000, self.healed_ms)
 
     def _schedule_workload(self) -> None:
@@ -496,8 +452,7 @@
     def _submit_to_focus_domain(self) -> None:
         """Submits a job whose home is the focus domain.
 
-        It is called shortly after the owner was killed or drained, so that the
-        domain has no owner or a new one.
+        Called soon after a kill or drain, when it has no owner or a new one.
         """
         name = next(
             name
