--- a/citronmount/bench/accounting.py
+++ b/citronmount/bench/accounting.py
@@ -1,4 +1,4 @@
-"""Integrals over a replay: capacity, fair shares and possible work."""
+"""Integrals over a replay: capacity, fair shares and achievable work."""
 
 import collections
 import itertools
@@ -94,10 +94,10 @@
 class FairShareTracker:
     """Measures how far accounts fall short of their max-min fair shares.
 
-    Each account is first due its guarantee in the failure domain, as far as
-    it has demand; the remaining capacity is divided evenly among accounts
-    with further demand. An account counts as short only while its smallest
-    queued job would fit into its shortfall.
+    A tracker covers one failure domain. Each account is first due its
+    guarantee there, as far as it has demand; the remaining capacity is divided
+    evenly among accounts with further demand. An account counts as short only
+    while its smallest queued job would fit into its shortfall.
     """
 
     def __init__(self, *, guaranteed: dict[ids.AccountId, int]) -> None:
@@ -108,36 +108,28 @@
         """
         self._guaranteed = guaranteed
         self._capacity = 0
-        self._held: dict[ids.AccountId, int] = collections.Counter()
+        self._allocated: dict[ids.AccountId, int] = collections.Counter()
         self._queued = {a: collections.Counter() for a in guaranteed}
         self._last_ms = 0
         self._due_s: dict[ids.AccountId, float] = collections.Counter()
         self._short_s: dict[ids.AccountId, float] = collections.Counter()
 
     def advance(self, now_ms: int) -> None:
-        """Adds the shares and shortfalls of the time since the last call.
-
-        Args:
-            now_ms: The time.
-        """
+        """Adds the shares and shortfalls of the time since the last call."""
         passed_s = (now_ms - self._last_ms) / 1_000
         self._last_ms = now_ms
         if not passed_s or not any(self._queued.values()):
             return
-        for account, due in self._due().items():
+        for account, due in self._fair_shares().items():
             if not self._queued[account]:
                 continue
             self._due_s[account] += passed_s * due
-            short = due - self._held[account]
+            short = due - self._allocated[account]
             if short >= min(self._queued[account]):
                 self._short_s[account] += passed_s * short
 
     def set_capacity(self, accelerators: int) -> None:
-        """Sets the number of accelerators in service.
-
-        Args:
-            accelerators: The number.
-        """
+        """Sets the number of accelerators in service."""
         self._capacity = accelerators
 
     def record_queued(
@@ -163,10 +155,10 @@
             account: The account.
             change: Number allocated; negative if freed.
         """
-        self._held[account] += change
+        self._allocated[account] += change
 
     def due_and_short_s(self) -> dict[ids.AccountId, tuple[float, float]]:
-        """Returns the due and the missing accelerator seconds by account.
+        """Returns accelerator seconds due and of shortfall, by account.
 
         Only time in which the account had queued jobs counts.
         """
@@ -175,9 +167,15 @@
             for account, due in self._due_s.items()
         }
 
-    def _due(self) -> dict[ids.AccountId, float]:
+    def _fair_shares(self) -> dict[ids.AccountId, float]:
+        """Returns the accelerators due to each account now.
+
+        Capacity beyond the guarantees is divided by water-filling: the smallest
+        unmet demand is served first, and what an account does not need of an
+        even share is left to the others.
+        """
         demand = {
-            account: self._held[account]
+            account: self._allocated[account]
             + sum(size * count for size, count in sizes.items())
             for account, sizes in self._queued.items()
         }
--- a/citronmount/bench/burst.py
+++ b/citronmount/bench/burst.py
@@ -23,7 +23,7 @@
 CANCEL_AT_MS = SMALL_BURST_AT_MS + 5 * workload.MINUTE_MS
 LARGE_JOBS = 30
 LARGE_BURST_AT_MS = 2 * workload.HOUR_MS
-QUIET_MEMBERS = ("chorok", "dalbit")
+MEMBERS_WITHOUT_BURST = ("chorok", "dalbit")
 
 
 def _make_small_burst(seed: int, count: int) -> list[workload.TracedJob]:
@@ -98,7 +98,7 @@
     bars = []
     if "citron" in replays:
         bars = private_pool.wait_bars(
-            site, trace, replays["citron"], QUIET_MEMBERS
+            site, trace, replays["citron"], MEMBERS_WITHOUT_BURST
         )
     return report.BenchReport(
         bench="burst",
--- a/citronmount/bench/domain_out.py
+++ b/citronmount/bench/domain_out.py
@@ -23,9 +23,10 @@
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 12.0
 ) -> report.BenchReport:
-    """Takes one of three failure domains out of service for a third of a run.
+    """Takes one of three failure domains out for the middle third of a run.
 
-    Jobs that still run there when its power is cut are checkpointed.
+    Its power is cut POWER_DOWN_DELAY_MS after it goes out of service; jobs that
+    still run there are checkpointed then.
 
     Args:
         seed: Seed of the workload.
--- a/citronmount/bench/hanbit.py
+++ b/citronmount/bench/hanbit.py
@@ -1,4 +1,8 @@
-"""Bench of the Hanbit consortium: rebuilds, health checks, label bursts."""
+"""Bench of the Hanbit consortium.
+
+The workload is nightly rebuilds, health checks, bursts of label renders and
+trial jobs.
+"""
 
 import itertools
 
@@ -15,9 +19,12 @@
 __all__ = ["make_label_bursts", "make_trace", "make_trial_jobs", "run"]
 
 DAYS = 1
-NIGHT_MS = 22 * workload.HOUR_MS
+# Times from the start of the day on which rebuilds are submitted. They must end
+# before the stores open on the next day.
+REBUILDS_SUBMITTED_MS = 22 * workload.HOUR_MS
 STORES_OPEN_MS = 32 * workload.HOUR_MS
-REBUILDS = {"ara": 6, "bora": 6, "chorok": 4, "dalbit": 4}
+# For each member, except TRIALS_PER_DAY.
+REBUILDS_PER_DAY = {"ara": 6, "bora": 6, "chorok": 4, "dalbit": 4}
 BURST_SIZES = {"ara": 300, "bora": 200, "chorok": 100, "dalbit": 100}
 BURSTS_PER_DAY = 6
 HEALTH_CHECKS_PER_DAY = 400
@@ -36,7 +43,7 @@
             account=member,
             kind="rebuild",
             arrival_ms=day * workload.DAY_MS
-            + NIGHT_MS
+            + REBUILDS_SUBMITTED_MS
             + rng.randrange(20 * workload.MINUTE_MS),
             true_run_s=workload.sample_log_normal(rng, 4_500.0, 0.3, 10_800.0),
             tasks=4,
@@ -47,7 +54,7 @@
             checkpoint_ms=8 * workload.SECOND_MS,
         )
         for day in range(days)
-        for member, count in REBUILDS.items()
+        for member, count in REBUILDS_PER_DAY.items()
         for _ in range(count)
     ]
 
@@ -68,7 +75,7 @@
             declared_s=10.0,
             urgent=True,
         )
-        for member in REBUILDS
+        for member in REBUILDS_PER_DAY
         for at_ms in workload.poisson_arrivals_ms(
             rng,
             0,
@@ -81,10 +88,10 @@
 def make_label_bursts(
     seed: int, days: int, scale: float = 1.0
 ) -> list[workload.TracedJob]:
-    """Returns bursts of label renders, three times larger for one member.
+    """Returns bursts of label renders, whose size differs by member.
 
     Args:
-        seed: Seed of the bench.
+        seed: Seed of the workload.
         days: Number of days.
         scale: Share of each burst to keep.
 
@@ -124,7 +131,7 @@
     """Returns the small but long jobs of a trial account.
 
     Args:
-        seed: Seed of the bench.
+        seed: Seed of the workload.
         days: Number of days.
 
     Returns:
@@ -154,7 +161,7 @@
     """Returns the whole workload.
 
     Args:
-        seed: Seed of the bench.
+        seed: Seed of the workload.
         days: Number of days.
         scale: Share of the health checks and label renders to keep.
 
@@ -221,7 +228,7 @@
     citron = replays.get("citron")
     if citron is None:
         return []
-    bars = private_pool.wait_bars(site, trace, citron, tuple(REBUILDS))
+    bars = private_pool.wait_bars(site, trace, citron, tuple(REBUILDS_PER_DAY))
     if "best_fit" in replays:
         best_fit = replays["best_fit"]
         pairs = {
--- a/citronmount/bench/job_mix.py
+++ b/citronmount/bench/job_mix.py
@@ -12,6 +12,7 @@
 MEMBERS = ("ara", "bora", "chorok", "dalbit")
 TRIAL_ACCOUNT = "newcomer"
 _WORKER = sites.HANBIT_WORKER
+# Kind, weight, numbers of tasks, accelerators of a task, adjacency.
 _SHAPES = (
     ("small", 0.70, (1, 1, 2), (1, 2), states.Adjacency.WORKER),
     ("medium", 0.25, (1, 2, 4), (4,), states.Adjacency.FAILURE_DOMAIN),
@@ -49,9 +50,11 @@
 ) -> list[workload.TracedJob]:
     """Returns small, medium and large jobs of the members and a trial account.
 
+    The trial account submits no large jobs.
+
     Args:
         name: Name of the random generator.
-        seed: Seed of the bench.
+        seed: Seed of the workload.
         hours: Time over which jobs arrive.
         jobs_per_hour: Expected number of arrivals in an hour.
         median_s: Median run time.
--- a/citronmount/bench/job_replay.py
+++ b/citronmount/bench/job_replay.py
@@ -27,8 +27,8 @@
 __all__ = ["Replay"]
 
 START_DELAY_MS = 120
-RESUBMIT_MS = 30_000
-TICK_MS = 15_000
+RESUBMIT_DELAY_MS = 30_000
+TICK_PERIOD_MS = 15_000
 MAX_ATTEMPTS = 60
 MOVE_PERIOD_MS = 10_000
 MOVES_PER_PERIOD = 50
@@ -41,9 +41,9 @@
 
     Attributes:
         capacity: Accelerators that jobs may use, over time.
-        arrival_mix: Work of the trace by gang shape, the weights of
-            `arrival_fragmentation`.
-        late_starts: Starts more than START_DELAY_MS after a domain went out.
+        fragmentation: Weighted by the queued work of each gang shape.
+        arrival_fragmentation: Weighted by `arrival_mix`, the trace's work.
+        late_starts: Starts over START_DELAY_MS after their domain went out.
         max_grace_ms: Longest grace period given to an evicted job.
     """
 
@@ -64,7 +64,7 @@
             trace: The jobs.
             policy: Name of the schedulers' policy.
             horizon_ms: Time at which the replay ends.
-            changes: Times and changes of workers and configuration.
+            changes: Changes of the environment, with their times in ms.
             sample_ms: Period of the fragmentation samples.
         """
         self.policy = policy
@@ -135,7 +135,7 @@
                     job.job.cancel_ms, replay_events.Cancel(number=number)
                 )
         for domain in self._schedulers:
-            self._push(TICK_MS, replay_events.Tick(domain=domain))
+            self._push(TICK_PERIOD_MS, replay_events.Tick(domain=domain))
         self._push(self._sample_ms, replay_events.SampleFragmentation())
         self._push(MOVE_PERIOD_MS, replay_events.MoveQueuedJobs())
 
@@ -154,7 +154,7 @@
             return set()
         domain = self._router.route(job.spec, now_ms)
         if domain is None:
-            self._push(now_ms + RESUBMIT_MS, event)
+            self._push(now_ms + RESUBMIT_DELAY_MS, event)
             return set()
         self._assign_domain(event.number, domain)
         refusal = self._schedulers[domain].submit(job.spec, now_ms)
@@ -164,7 +164,7 @@
             return set()
         self.counts[f"refused_{refusal.code.name.lower()}"] += 1
         if codes.info(refusal.code).retry:
-            self._push(now_ms + RESUBMIT_MS, event)
+            self._push(now_ms + RESUBMIT_DELAY_MS, event)
         else:
             self._end(job, refusal.code, now_ms)
         return set()
@@ -175,19 +175,19 @@
         """Moves queued jobs to failure domains that can start them now."""
         self._push(now_ms + MOVE_PERIOD_MS, event)
         for domain, numbers in self._queued.items():
-            movable = frozenset(
+            without_placement = frozenset(
                 self._schedulers[domain].queued_without_placement()
             )
-            due = [
+            candidates = [
                 number
                 for number in sorted(numbers, key=self._last_tried)
                 if self.jobs[number].first_start_ms is None
-                and self.jobs[number].spec.job in movable
+                and self.jobs[number].spec.job in without_placement
                 and now_ms - self.jobs[number].job.arrival_ms >= MOVE_MIN_AGE_MS
                 and now_ms - self._move_tried_ms.get(number, -MOVE_RETRY_MS)
                 >= MOVE_RETRY_MS
             ]
-            for number in due[:MOVES_PER_PERIOD]:
+            for number in candidates[:MOVES_PER_PERIOD]:
                 self._move_tried_ms[number] = now_ms
                 self._try_move(number, domain, now_ms)
         return set()
@@ -266,6 +266,7 @@
         self._begin_stop(number, decision.grace_ms, now_ms)
 
     def _begin_stop(self, number: int, grace_ms: int, now_ms: int) -> None:
+        """Stops a job, with a checkpoint if the grace period allows one."""
         job = self.jobs[number]
         if job.evicting:
             return
@@ -425,12 +426,12 @@
         return to_decide
 
     def _requeue(self, number: int, now_ms: int) -> set[ids.FailureDomainId]:
-        """Queues a job in a failure domain that is in service, or retries."""
+        """Queues a job in a domain in service; if none, submits it later."""
         job = self.jobs[number]
         domain = self._router.route(job.spec, now_ms)
         if domain is None:
             self._push(
-                now_ms + RESUBMIT_MS, replay_events.Submit(number=number)
+                now_ms + RESUBMIT_DELAY_MS, replay_events.Submit(number=number)
             )
             return set()
         self._assign_domain(number, domain)
@@ -463,7 +464,7 @@
     def _tick(
         self, event: replay_events.Tick, now_ms: int
     ) -> set[ids.FailureDomainId]:
-        self._push(now_ms + TICK_MS, event)
+        self._push(now_ms + TICK_PERIOD_MS, event)
         return {event.domain} if self._queued[event.domain] else set()
 
     def _sample(
@@ -476,10 +477,10 @@
             self.arrival_fragmentation.record(
                 self.usage, domain, self.arrival_mix
             )
-            pending = replay_usage.work_by_shape(
+            queued_mix = replay_usage.work_by_shape(
                 self.jobs[n].job for n in sorted(numbers)
             )
-            self.fragmentation.record(self.usage, domain, pending)
+            self.fragmentation.record(self.usage, domain, queued_mix)
         return set()
 
 
--- a/citronmount/bench/metrics.py
+++ b/citronmount/bench/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a replay."""
+"""Metrics of a job replay."""
 
 import collections
 import itertools
@@ -18,7 +18,7 @@
     "work_done_ratio",
 ]
 
-MIN_DUE_S = 3_600.0
+MIN_DUE_ACCELERATOR_S = 3_600.0
 
 
 def wait_s(job: replay_events.JobReplay, horizon_ms: int) -> float:
@@ -96,8 +96,7 @@
 def served_lag(replay: job_replay.Replay) -> float:
     """Returns the largest shortfall of a paying account from its fair share.
 
-    Accounts that were due less than MIN_DUE_S accelerator seconds are left
-    out.
+    Accounts that were due less than MIN_DUE_ACCELERATOR_S are left out.
 
     Args:
         replay: A replay that has run.
@@ -113,7 +112,8 @@
             due[account] += due_s
             short[account] += short_s
     return max(
-        (short[a] / due[a] for a in due if due[a] >= MIN_DUE_S), default=0.0
+        (short[a] / due[a] for a in due if due[a] >= MIN_DUE_ACCELERATOR_S),
+        default=0.0,
     )
 
 
--- a/citronmount/bench/misdeclared.py
+++ b/citronmount/bench/misdeclared.py
@@ -13,7 +13,8 @@
 __all__ = ["run"]
 
 JOBS_PER_HOUR = 110.0
-DECLARED_FACTORS = {
+# Median of the declared over the true run times, by account.
+MEDIAN_DECLARED_FACTORS = {
     "ara": 10.0,
     "bora": 0.1,
     "chorok": 3.0,
@@ -35,7 +36,7 @@
                 job.spec,
                 run_time_s=job.true_run_s
                 * workload.sample_log_normal(
-                    rng, DECLARED_FACTORS[job.spec.account], FACTOR_SIGMA
+                    rng, MEDIAN_DECLARED_FACTORS[job.spec.account], FACTOR_SIGMA
                 ),
             ),
         )
@@ -47,10 +48,10 @@
 def run(
     seed: int, policies: tuple[str, ...], hours: float = 8.0
 ) -> report.BenchReport:
-    """Compares the policies on run times declared wrongly by up to ten times.
+    """Compares the policies on jobs that declare wrong run times.
 
-    The median error of an account is at most ten times; errors of its jobs
-    are spread around it.
+    The median error of an account is at most ten times; the errors of its jobs
+    are log-normally distributed around it.
 
     Args:
         seed: Seed of the workload.
--- a/citronmount/bench/perchero.py
+++ b/citronmount/bench/perchero.py
@@ -25,9 +25,10 @@
 ) -> report.BenchReport:
     """Compares the request routers with baselines on short requests.
 
-    The baselines are random assignment to runners with one queue each (fifo),
-    routers that do not offer requests to peers, and one ideal queue for each
-    failure domain. In entries whose names end in `slow_runner`, one runner of
+    The baselines are random assignment to runners with one queue each
+    (`fifo`), routers that do not offer requests to peers (`no_offers`) or send
+    no hedges (`no_hedges`), and one ideal queue for each failure domain
+    (`single_queue`). In entries whose names end in `slow_runner`, one runner of
     each failure domain takes five times as long.
 
     Args:
@@ -36,7 +37,8 @@
         seconds: Time over which requests arrive.
 
     Returns:
-        The report, with bars relative to the ideal queue.
+        The report, with bars relative to the ideal queue. Requests that arrive
+        in the first WARM_UP_MS do not count in its times.
     """
     site = request_workload.perchero_site()
     trace = request_workload.make_requests(
--- a/citronmount/bench/plot.py
+++ b/citronmount/bench/plot.py
@@ -15,12 +15,12 @@
 DOTS_PER_INCH = 120
 
 
-def plot(source: pathlib.Path, target: pathlib.Path) -> None:
+def plot(report_file: pathlib.Path, image_file: pathlib.Path) -> None:
     """Draws the waits, completion times and ratios of each policy.
 
     Args:
-        source: File with a report as printed with ``--json``.
-        target: The PNG file to write.
+        report_file: File with a report as printed with ``--json``.
+        image_file: The PNG file to write.
 
     Raises:
         InvalidInputError: If the file holds no report or matplotlib is not
@@ -28,10 +28,10 @@
     """
     try:
         result = msgspec.json.decode(
-            source.read_bytes(), type=report.BenchReport
+            report_file.read_bytes(), type=report.BenchReport
         )
     except (OSError, msgspec.DecodeError) as error:
-        raise _invalid(f"{source}: {error}") from error
+        raise _invalid(f"{report_file}: {error}") from error
     try:
         import matplotlib.figure
     except ImportError as error:
@@ -41,15 +41,15 @@
     )
     waits, completions, ratios = figure.subplots(1, 3)
     figure.suptitle(f"{result.bench}, seed {result.seed}")
-    _bars(waits, "p99 wait, s", _p99(result, "wait_s"), logarithmic=True)
-    _bars(
+    _draw_bars(waits, "p99 wait, s", _p99(result, "wait_s"), logarithmic=True)
+    _draw_bars(
         completions,
         "p99 completion, s",
         _p99(result, "completion_time_s"),
         logarithmic=True,
     )
-    _bars(ratios, "ratios", _ratios(result), logarithmic=False)
-    figure.savefig(target, dpi=DOTS_PER_INCH, format="png")
+    _draw_bars(ratios, "ratios", _ratios(result), logarithmic=False)
+    figure.savefig(image_file, dpi=DOTS_PER_INCH, format="png")
 
 
 def _invalid(message: str) -> errors.InvalidInputError:
@@ -82,7 +82,7 @@
     }
 
 
-def _bars(
+def _draw_bars(
     axes: object,
     title: str,
     values: dict[str, dict[str, float]],
--- a/citronmount/bench/replay_events.py
+++ b/citronmount/bench/replay_events.py
@@ -49,7 +49,7 @@
 
 
 class BreakWorker(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker begins to fail every task at its start.
+    """From now on, every task started on a worker fails.
 
     Attributes:
         worker: The worker.
--- a/citronmount/bench/replay_routing.py
+++ b/citronmount/bench/replay_routing.py
@@ -20,7 +20,7 @@
 class JobRouter:
     """Routes jobs to the schedulers of the failure domains.
 
-    A scheduler's refusal to start a shape is cached until something changes
+    That a scheduler cannot start a shape is cached until something changes
     at that scheduler.
 
     Attributes:
@@ -33,7 +33,7 @@
         schedulers: _Schedulers,
         configuration: configuration_lib.Configuration,
     ) -> None:
-        """Initializes a router without cached refusals.
+        """Initializes a router with an empty cache.
 
         Args:
             schedulers: The scheduler of each failure domain.
@@ -42,31 +42,34 @@
         self.configuration = configuration
         self._schedulers = schedulers
         self._entry_counter = itertools.count()
-        self._versions: collections.Counter[str] = collections.Counter()
-        self._refused_versions: dict[tuple, int] = {}
+        self._change_counts: collections.Counter[str] = collections.Counter()
+        # Change count of a scheduler when it could not start a shape.
+        self._cannot_start_counts: dict[tuple, int] = {}
         self._ranked_domains: dict[tuple, tuple[ids.FailureDomainId, ...]] = {}
         self._guaranteed_domains = collections.defaultdict(set)
-        for row in configuration.guarantees:
-            self._guaranteed_domains[row.account].add(row.failure_domain)
+        for guarantee in configuration.guarantees:
+            self._guaranteed_domains[guarantee.account].add(
+                guarantee.failure_domain
+            )
 
     def adopt_configuration(
         self, configuration: configuration_lib.Configuration
     ) -> None:
-        """Adopts a version of the configuration and drops cached refusals."""
+        """Adopts a version of the configuration and clears the cache."""
         self.configuration = configuration
-        self._refused_versions.clear()
+        self._cannot_start_counts.clear()
 
     def record_change(self, domain: ids.FailureDomainId) -> None:
-        """Invalidates the cached refusals of a failure domain's scheduler."""
-        self._versions[domain] += 1
+        """Invalidates what is cached for a failure domain's scheduler."""
+        self._change_counts[domain] += 1
 
     def route(
         self, spec: jobs.JobSpec, now_ms: int
     ) -> ids.FailureDomainId | None:
         """Returns the failure domain to which a job is submitted, if any.
 
-        It is the first in rank that can start the job at once, or else the
-        first in rank. Jobs enter through the VMs of each failure domain in
+        It is the highest-ranked one that can start the job at once, or else the
+        highest-ranked one. Jobs enter through the VMs of each failure domain in
         turn, which affects the ranks.
         """
         names = list(self._schedulers)
@@ -97,17 +100,17 @@
     def _would_start(
         self, name: ids.FailureDomainId, spec: jobs.JobSpec, now_ms: int
     ) -> bool:
-        """Returns whether a scheduler can start a job now; caches refusals.
+        """Returns whether a scheduler can start a job now.
 
         The scheduler is not asked again if nothing has changed there since it
-        last refused a job of the same account, shape and urgency.
+        could not start a job of the same account, shape and urgency.
         """
         key = (name, spec.account, pool_usage.shape_of(spec), spec.urgent)
-        if self._refused_versions.get(key) == self._versions[name]:
+        if self._cannot_start_counts.get(key) == self._change_counts[name]:
             return False
         can_start = self._schedulers[name].would_start(spec, now_ms)
         if not can_start:
-            self._refused_versions[key] = self._versions[name]
+            self._cannot_start_counts[key] = self._change_counts[name]
         return can_start
 
     def _capacities(self) -> dict[ids.FailureDomainId, homes.DomainCapacity]:
@@ -122,10 +125,11 @@
     def _candidate_domains(
         self, spec: jobs.JobSpec, domain: ids.FailureDomainId
     ) -> list[ids.FailureDomainId]:
-        """Returns other domains that might start a job, freest first.
+        """Returns other domains that might start a job.
 
         A domain might if the account has a guarantee there or if enough
-        accelerators are neither in use nor needed by queued jobs.
+        accelerators are neither in use nor needed by queued jobs. The domain
+        with the most such accelerators comes first.
         """
         key = (self.configuration.version, spec.account, spec.accelerators)
         if key not in self._ranked_domains:
--- a/citronmount/bench/replay_usage.py
+++ b/citronmount/bench/replay_usage.py
@@ -28,8 +28,7 @@
     Attributes:
         usage: Free resources of each worker.
         capacity: Accelerators that jobs may use, over time.
-        fair_shares: Due and received shares of the accounts, by failure
-            domain.
+        fair_shares: Trackers of the accounts' fair shares, by failure domain.
         configuration: The version in force.
     """
 
@@ -49,7 +48,7 @@
         self._capacity_now = dict.fromkeys(site.domains, 0)
 
     def advance(self, now_ms: int) -> None:
-        """Accounts for the time up to now in every failure domain."""
+        """Updates the fair shares of every failure domain up to `now_ms`."""
         for shares in self.fair_shares.values():
             shares.advance(now_ms)
 
@@ -102,12 +101,17 @@
     def is_out_of_service(self, domain: ids.FailureDomainId) -> bool:
         """Returns whether operators took a failure domain out of service."""
         return any(
-            row.name == domain and row.state is states.FailureDomainState.OUT
-            for row in self.configuration.failure_domains
+            listed.name == domain
+            and listed.state is states.FailureDomainState.OUT
+            for listed in self.configuration.failure_domains
         )
 
     def update_capacity(self, domain: ids.FailureDomainId, now_ms: int) -> None:
-        """Sets a domain's capacity; if it is out, to what jobs still hold."""
+        """Updates a failure domain's capacity after a change.
+
+        It is the accelerators of usable workers or, if the domain is out of
+        service, only those of them that are still allocated.
+        """
         total = self.usage.usable_accelerators(domain)
         if self.is_out_of_service(domain):
             total -= sum(
@@ -150,9 +154,10 @@
         return {}
     return {
         account: sum(
-            row.copies * row.tasks * row.per_task.accelerators
-            for row in site.configuration.guarantees
-            if row.account == account and row.failure_domain == domain
+            guarantee.copies * guarantee.tasks * guarantee.per_task.accelerators
+            for guarantee in site.configuration.guarantees
+            if guarantee.account == account
+            and guarantee.failure_domain == domain
         )
         for account in paying
     }
--- a/citronmount/bench/report.py
+++ b/citronmount/bench/report.py
@@ -68,14 +68,14 @@
 
 
 class Bar(msgspec.Struct, frozen=True, kw_only=True):
-    """A target and the value measured for it.
+    """A bound on a metric and the measured value.
 
     Attributes:
         name: Name of the bounded metric.
         policy: The measured policy.
         measured: The measured value.
-        bound: The target.
-        met: Whether the value meets the target.
+        bound: Largest or smallest value that meets the bar.
+        met: Whether the value meets the bar.
     """
 
     name: str
@@ -92,7 +92,7 @@
         bench: Name of the bench.
         seed: Seed of the workload.
         metrics: Results by policy or variant.
-        bars: Targets of the bench with the measured values.
+        bars: Bounds of the bench with the measured values.
     """
 
     bench: str
@@ -162,7 +162,7 @@
         name: Name of the bounded metric.
         policy: The measured policy.
         measured: The measured value.
-        bound: The target.
+        bound: Largest value that meets the bar.
 
     Returns:
         The bar.
@@ -183,7 +183,7 @@
         name: Name of the bounded metric.
         policy: The measured policy.
         measured: The measured value.
-        bound: The target.
+        bound: Smallest value that meets the bar.
 
     Returns:
         The bar.
--- a/citronmount/bench/request_replay.py
+++ b/citronmount/bench/request_replay.py
@@ -21,6 +21,7 @@
     "replay_single_queue",
 ]
 
+# One-way delay between caller and VM, VM and runner, or two VMs.
 LINK_DELAY_MS = 1
 HEARTBEAT_MS = 1_000
 TIMEOUT_MS = 5_000
@@ -139,7 +140,15 @@
 
 
 class RouterReplay:
-    """Simulation of the request routers, the runners and their links."""
+    """Simulation of the request routers, the runners and their links.
+
+    Attributes:
+        sends: Number of sends to runners, including hedges.
+        hedges: Number of hedges.
+        offers: Number of offers to peers.
+        offers_refused: Number of offers that the peer refused.
+        busy_answers: Number of sends to runners without a free slot.
+    """
 
     def __init__(
         self,
@@ -157,7 +166,8 @@
             trace: The requests in the order of arrival.
             offers: Whether VMs exchange their numbers of free slots, without
                 which they make no offers.
-            hedge_share: Allowed number of hedges per request.
+            hedge_share: Number of hedges allowed per request; 0 disables
+                hedges.
             slow: Factors of the service times of slow runners, by name.
         """
         self.sends = 0
@@ -181,10 +191,10 @@
         for domain in site.runners:
             self._add_domain(domain, hedge_share)
         for request in trace:
-            self._schedule(request.arrival_ms, self._arrival(request))
+            self._schedule(request.arrival_ms, self._make_arrival(request))
         if offers:
             self._schedule(0, self._send_heartbeats)
-        self._end_ms = trace[-1].arrival_ms if trace else 0
+        self._last_arrival_ms = trace[-1].arrival_ms if trace else 0
 
     def run(self) -> list[RequestOutcome]:
         """Handles all events.
@@ -226,7 +236,7 @@
         for vms in self._site.vms.values():
             for vm, peer in itertools.permutations(vms, 2):
                 self._send_heartbeat(vm, peer, now_ms)
-        if now_ms < self._end_ms:
+        if now_ms < self._last_arrival_ms:
             self._schedule(now_ms + HEARTBEAT_MS, self._send_heartbeats)
 
     def _send_heartbeat(
@@ -238,7 +248,7 @@
             lambda _: self._routers[peer].set_peer_free_slots(vm, free),
         )
 
-    def _arrival(
+    def _make_arrival(
         self, request: request_workload.TracedRequest
     ) -> Callable[[int], None]:
         def action(now_ms: int) -> None:
@@ -262,9 +272,9 @@
         wake_ms = router.next_wake_ms()
         if wake_ms is not None and wake_ms != self._wake_times_ms.get(vm):
             self._wake_times_ms[vm] = wake_ms
-            self._schedule(max(wake_ms, now_ms + 1), self._wake(vm))
+            self._schedule(max(wake_ms, now_ms + 1), self._make_wake(vm))
 
-    def _wake(self, vm: ids.VmId) -> Callable[[int], None]:
+    def _make_wake(self, vm: ids.VmId) -> Callable[[int], None]:
         return lambda now_ms: self._decide(vm, now_ms)
 
     def _send(
@@ -346,9 +356,9 @@
     def _finish(
         self, vm: ids.VmId, result: jobs.RequestResult, now_ms: int
     ) -> None:
-        origin = self._offering_vms.pop(result.request, None)
-        if origin is not None and origin != vm:
-            self._answer_peer(origin, result, now_ms)
+        offering_vm = self._offering_vms.pop(result.request, None)
+        if offering_vm is not None and offering_vm != vm:
+            self._answer_peer(offering_vm, result, now_ms)
             return
         self._record_outcome(self._trace[result.request], result, now_ms)
 
--- a/citronmount/bench/request_workload.py
+++ b/citronmount/bench/request_workload.py
@@ -15,6 +15,7 @@
 RUNNERS = {"gt-central-a": 9, "gt-central-b": 8, "gt-central-c": 8}
 VMS = {"gt-central-a": 3, "gt-central-b": 3, "gt-central-c": 2}
 ACCOUNTS = ("feria", "marimba", "teatro", "templo")
+# Kind, weight, median service time in ms, sigma of its logarithm.
 _KINDS = (
     ("door", 0.6, 30.0, 0.4),
     ("coordinator", 0.3, 60.0, 0.5),
@@ -93,14 +94,14 @@
 def make_requests(
     site: RequestSite, seed: int, *, load: float, seconds: float
 ) -> tuple[TracedRequest, ...]:
-    """Returns requests at a share of what all slots can serve.
+    """Samples requests that load all slots to a given share of capacity.
 
     The load balancer spreads them over the failure domains in proportion to
     their runners and evenly over the VMs of each domain.
 
     Args:
         site: The site.
-        seed: Seed of the bench.
+        seed: Seed of the workload.
         load: Offered work as a share of the capacity of all slots.
         seconds: Time over which requests arrive.
 
--- a/citronmount/bench/score_losses.py
+++ b/citronmount/bench/score_losses.py
@@ -1,4 +1,4 @@
-"""Breaks down the score that days of the users' benchmark lose, by cause."""
+"""Breaks down by cause the score lost on days of the users' benchmark."""
 
 import collections
 from collections.abc import Iterable
@@ -53,8 +53,8 @@
     lost[LossCause.LATE] = sum(
         weight / weights * (1 - share) for weight, share in day.parts
     )
-    for cause, worth in day.prices:
-        lost[cause] += worth
+    for cause, price in day.prices:
+        lost[cause] += price
     return dict(lost)
 
 
--- a/citronmount/bench/sites.py
+++ b/citronmount/bench/sites.py
@@ -160,7 +160,7 @@
 
 
 def hanbit() -> Site:
-    """Returns the worker pool of the Hanbit consortium of four members."""
+    """Returns the site of the Hanbit consortium of four members."""
     return _make_three_domain_site(
         ("kr-central-a", "kr-central-b", "kr-central-c"),
         ("ara", "bora", "chorok", "dalbit"),
@@ -171,7 +171,7 @@
 
 
 def perchero() -> Site:
-    """Returns the worker pool of Perchero Abierto."""
+    """Returns the site of Perchero Abierto."""
     return _make_three_domain_site(
         ("gt-central-a", "gt-central-b", "gt-central-c"),
         ("feria", "marimba", "teatro", "templo"),
@@ -186,12 +186,13 @@
 _LARGE_WORKER = jobs.Resources(accelerators=8, cores=96, memory_gb=512)
 _MEDIUM_WORKER = jobs.Resources(accelerators=2, cores=64, memory_gb=256)
 _SMALL_WORKER = jobs.Resources(accelerators=1, cores=48, memory_gb=128)
+# Copies, tasks and resources of a task of a team's guarantee.
 _TEAM_GANG = (1, 8, jobs.Resources(accelerators=2, cores=16, memory_gb=48))
 _TEAM_SINGLES = (6, 1, jobs.Resources(accelerators=1, cores=8, memory_gb=24))
 
 
 def two_year(scale: float = 1.0, team_scale: float | None = None) -> Site:
-    """Returns the pool of the two-year plan.
+    """Returns the site of the two-year plan.
 
     At full scale it has 1,300 workers with 2,900 accelerators in five
     failure domains and 280 teams, of which one in ten has a trial account.
@@ -247,7 +248,7 @@
 
 
 def private_pool_site(site: Site, account: ids.AccountId) -> Site:
-    """Returns a pool of exactly the shapes guaranteed to one account.
+    """Returns a site of exactly the shapes guaranteed to one account.
 
     Each copy of a guarantee gets a rack of its own, with one worker of the
     size of a task for each task.
@@ -263,9 +264,9 @@
         g for g in site.configuration.guarantees if g.account == account
     )
     workers = []
-    for row, guarantee in enumerate(guarantees):
+    for number, guarantee in enumerate(guarantees):
         for copy in range(guarantee.copies):
-            workers.extend(_make_private_workers(guarantee, row, copy))
+            workers.extend(_make_private_workers(guarantee, number, copy))
     configuration = msgspec.structs.replace(
         site.configuration,
         accounts=tuple(
@@ -278,15 +279,15 @@
 
 
 def _make_private_workers(
-    guarantee: configuration_lib.Guarantee, row: int, copy: int
+    guarantee: configuration_lib.Guarantee, number: int, copy: int
 ) -> list[messages.ListedTarget]:
     domain = guarantee.failure_domain or ids.FailureDomainId("any")
     return [
         messages.ListedTarget(
-            name=f"{domain}-p{row}-{copy}-{task}",
+            name=f"{domain}-p{number}-{copy}-{task}",
             address="127.0.0.1:1",
             failure_domain=domain,
-            rack=ids.RackId(f"{domain}-p{row}-{copy}"),
+            rack=ids.RackId(f"{domain}-p{number}-{copy}"),
             capacity=guarantee.per_task,
         )
         for task in range(guarantee.tasks)
--- a/citronmount/bench/tests/test_accounting.py
+++ b/citronmount/bench/tests/test_accounting.py
@@ -30,12 +30,12 @@
 
 
 class FairShareTrackerTest(unittest.TestCase):
-    def _shortfall(self, held_a: int, queued_a: int) -> float:
+    def _shortfall(self, allocated_a: int, queued_a: int) -> float:
         a, b = ids.AccountId("a"), ids.AccountId("b")
         shares = accounting.FairShareTracker(guaranteed={a: 2, b: 2})
         shares.set_capacity(10)
-        shares.record_allocated(a, held_a)
-        shares.record_allocated(b, 10 - held_a)
+        shares.record_allocated(a, allocated_a)
+        shares.record_allocated(b, 10 - allocated_a)
         shares.record_queued(a, queued_a, 1)
         shares.record_queued(b, 1, 5)
         shares.advance(1_000)
--- a/citronmount/bench/tests/test_benches.py
+++ b/citronmount/bench/tests/test_benches.py
@@ -1,4 +1,4 @@
-"""Regression tests of small benches, which must meet their stated targets."""
+"""Regression tests of small benches, which must meet their bars."""
 
 import unittest
 
--- a/citronmount/bench/tests/test_capacity.py
+++ b/citronmount/bench/tests/test_capacity.py
@@ -85,6 +85,8 @@
         plan = capacity_plan.compute_plan(measured)
         needs = {need.role: need for need in plan.needs}
         self.assertEqual(5_000 + 40 * 40, needs["member"].bytes_per_s)
+        # 40 VMs renew the leases of 1,300 workers every 3 s; each renewal takes
+        # 1,000 us.
         self.assertAlmostEqual(
             1_300 / 40 / 3 * 1_000 / 1e6, needs["keeper"].processor_share, 4
         )
--- a/citronmount/bench/tests/test_score_losses.py
+++ b/citronmount/bench/tests/test_score_losses.py
@@ -9,7 +9,7 @@
     kind: str = "trouble", prices: tuple[tuple[LossCause, float], ...] = ()
 ) -> score_losses.ScoredDay:
     return score_losses.ScoredDay(
-        worth=0.7 - sum(worth for _, worth in prices),
+        worth=0.7 - sum(price for _, price in prices),
         kind=kind,
         parts=[(0.5, 0.8), (0.5, 0.6)],
         prices=list(prices),
--- a/citronmount/bench/two_year.py
+++ b/citronmount/bench/two_year.py
@@ -20,6 +20,7 @@
 _SMALL = jobs.Resources(accelerators=1, cores=2, memory_gb=8)
 _PAIR = jobs.Resources(accelerators=2, cores=8, memory_gb=24)
 _CORES = jobs.Resources(cores=1, memory_gb=2)
+# Kind, weight, numbers of tasks, resources of a task.
 _SHAPES = (
     ("cores", 0.60, (8, 16, 32, 64, 96, 128), _CORES),
     ("single", 0.25, (1, 2, 4), _SMALL),
@@ -34,7 +35,7 @@
     """Returns the jobs of all teams.
 
     Args:
-        seed: Seed of the bench.
+        seed: Seed of the workload.
         hours: Time over which jobs arrive.
         scale: Share of the teams and jobs to keep.
 
@@ -50,6 +51,7 @@
     end_ms = round(hours * workload.HOUR_MS)
     for at_ms in workload.poisson_arrivals_ms(rng, 0, end_ms, count):
         kind, _, tasks, per_task = rng.choices(_SHAPES, shares)[0]
+        # Only single jobs are urgent, and they are a quarter of all.
         urgent = kind == "single" and rng.random() < URGENT_SHARE * 4
         trace.append(
             workload.make_job(
--- a/citronmount/bench/workload.py
+++ b/citronmount/bench/workload.py
@@ -64,7 +64,7 @@
 
     Args:
         name: Name of the part.
-        seed: Seed of the bench.
+        seed: Seed of the workload.
 
     Returns:
         A new generator, seeded by both.
