--- a/citronmount/bench/faults/matrix_cell.py
+++ b/citronmount/bench/faults/matrix_cell.py
@@ -310,9 +310,9 @@
             self.harness.run_until_ms(now_ms + _CHECK_INTERVAL_MS)
 
     def _run_to_end(self) -> None:
-        """Runs for the settling time, then until no answer is outstanding.
+        """Runs until all answers came, at least SETTLE_MS after disturbances.
 
-        Ends at the completion bound even if answers are missing.
+        Ends COMPLETION_BOUND_MS after them even if answers are missing.
         """
         while (
             self.harness.clock.now_ms < self._disturbances_end_ms() + SETTLE_MS
@@ -327,7 +327,7 @@
             self.harness.run_until_ms(now_ms + _CHECK_INTERVAL_MS)
 
     def _disturbances_end_ms(self) -> int:
-        """Returns when the last fault has ended and the workload been sent."""
+        """Returns when the last fault has ended and all work has been sent."""
         return max(TRIGGER_MS + 6_000, self.healed_ms)
 
     def _schedule_workload(self) -> None:
