--- a/citronmount/bench/capacity_daemon.py
+++ b/citronmount/bench/capacity_daemon.py
@@ -1,4 +1,4 @@
-"""Measures real processes: idle daemons, HTTP exchanges and peer messages."""
+"""Measures idle daemon processes, HTTP exchanges and peer messages."""
 
 import statistics
 import time
@@ -8,7 +8,7 @@
 
 from citronmount.bench import harness_site
 from citronmount.bench import loopback_cluster
-from citronmount.bench import loopback_steps as steps
+from citronmount.bench import loopback_steps
 from citronmount.clients import http_client
 from citronmount.clients import messages
 from citronmount.clients import platform_api
@@ -28,13 +28,13 @@
     "measure_message_us",
 ]
 
-SETTLE_S = 4.0
-COUNT_S = 12.0
-CALLS = 400
-MESSAGES = 4_000
+WARM_UP_S = 4.0
+MEASUREMENT_S = 12.0
+RENEWAL_COUNT = 400
+MESSAGE_COUNT = 4_000
 BURST_MESSAGES = 200
 VMS_PER_DOMAIN = 2
-DOMAINS = 3
+DOMAIN_COUNT = 3
 
 _TIMEOUT_MS = 10_000
 _US_PER_S = 1_000_000
@@ -42,12 +42,13 @@
 
 
 class IdleDaemon(msgspec.Struct, frozen=True, kw_only=True):
-    """What a daemon of an idle site uses; the mean and the most of six.
+    """Resource use of the six daemons of an idle site.
 
     Attributes:
-        workers_kept: Workers of the site by its VMs.
-        processor_share: Mean processor time by elapsed time.
-        most_processor_share: That of the busiest daemon.
+        workers_kept: Workers per VM, whose leases the VM renews.
+        processor_share: Mean processor time over elapsed time.
+        most_processor_share: Processor time over elapsed time of the busiest
+            daemon.
         resident_mb: Mean resident memory.
         http_bytes_per_s: Mean bytes to and from platform and targets.
         peer_bytes_per_s: Mean bytes to and from other VMs.
@@ -62,41 +63,43 @@
 
 
 class ExchangeCost(msgspec.Struct, frozen=True, kw_only=True):
-    """What one renewal of a worker costs the VM that sends it.
+    """Cost of one lease renewal for the VM that sends it.
 
     Attributes:
         processor_us: Processor time of the client.
-        wire_bytes: Bytes in both directions, HTTP headers included.
+        wire_bytes: Bytes in both directions, including HTTP headers.
     """
 
     processor_us: float
     wire_bytes: float
 
 
-def measure_idle(workers_each: int) -> IdleDaemon:
-    """Runs six idle daemons on loopback.
+def measure_idle(workers_per_domain: int) -> IdleDaemon:
+    """Runs six idle daemons on loopback and measures their resource use.
 
     Args:
-        workers_each: Workers in each of three failure domains.
+        workers_per_domain: Workers in each of three failure domains.
 
     Returns:
-        What they used.
+        The resource use of the daemons.
     """
     site = harness_site.make_site(
-        failure_domains=DOMAINS,
-        vms_each=VMS_PER_DOMAIN,
-        workers_each=workers_each,
+        failure_domains=DOMAIN_COUNT,
+        vms_per_domain=VMS_PER_DOMAIN,
+        workers_per_domain=workers_per_domain,
     )
     pool = pool_file.Pool(workers=site.view.workers, runners=site.view.runners)
     with loopback_cluster.open_cluster(pool, VMS_PER_DOMAIN) as cluster:
-        steps.publish(cluster, sheet.write(site.configuration).encode("utf-8"))
-        steps.wait_until_ready(cluster)
-        time.sleep(SETTLE_S)
-        before, begin_s = _gauges(cluster), time.monotonic()
-        time.sleep(COUNT_S)
-        after = _gauges(cluster)
-        elapsed_s = time.monotonic() - begin_s
-        steps.drain_all(cluster)
+        loopback_steps.publish(
+            cluster, sheet.write(site.configuration).encode("utf-8")
+        )
+        loopback_steps.wait_until_ready(cluster)
+        time.sleep(WARM_UP_S)
+        before, start_s = _read_gauges(cluster), time.monotonic()
+        time.sleep(MEASUREMENT_S)
+        after = _read_gauges(cluster)
+        elapsed_s = time.monotonic() - start_s
+        loopback_steps.drain_all(cluster)
 
     def rates(*names: str) -> list[float]:
         return [
@@ -104,97 +107,108 @@
             for old, new in zip(before, after, strict=True)
         ]
 
-    shares = rates("process.processor_s")
-    resident = [g["process.resident_bytes"] / _BYTES_PER_MB for g in after]
+    processor_shares = rates("process.processor_s")
+    resident = [
+        gauges["process.resident_bytes"] / _BYTES_PER_MB for gauges in after
+    ]
     http = rates("http.sent_bytes", "http.received_bytes")
     peers = rates("peers.sent_bytes", "peers.received_bytes")
     return IdleDaemon(
-        workers_kept=workers_each / VMS_PER_DOMAIN,
-        processor_share=round(statistics.mean(shares), 4),
-        most_processor_share=round(max(shares), 4),
+        workers_kept=workers_per_domain / VMS_PER_DOMAIN,
+        processor_share=round(statistics.mean(processor_shares), 4),
+        most_processor_share=round(max(processor_shares), 4),
         resident_mb=round(statistics.mean(resident), 1),
         http_bytes_per_s=round(statistics.mean(http)),
         peer_bytes_per_s=round(statistics.mean(peers)),
     )
 
 
-def _gauges(cluster: loopback_cluster.Cluster) -> list[dict[str, float]]:
+def _read_gauges(cluster: loopback_cluster.Cluster) -> list[dict[str, float]]:
     return [
-        steps.call(vm, "GET", "/v1/metrics").body["gauges"]
+        loopback_steps.call(vm, "GET", "/v1/metrics").body["gauges"]
         for vm in cluster.vms
     ]
 
 
 def measure_exchange() -> ExchangeCost:
-    """Renews a worker over HTTP many times, one call after the other.
+    """Measures lease renewals of one worker over HTTP, sent one by one.
 
     Returns:
-        The cost of one renewal.
+        The mean cost of a renewal.
     """
     site = harness_site.make_site(
-        failure_domains=1, vms_each=1, workers_each=1, runners_each=0
+        failure_domains=1,
+        vms_per_domain=1,
+        workers_per_domain=1,
+        runners_per_domain=0,
     )
     pool = pool_file.Pool(workers=site.view.workers, runners=())
     with loopback_cluster.open_cluster(pool, 0) as cluster:
-        return reactor_loop.run(_renew_often(cluster.pool.workers[0].address))
+        return reactor_loop.run(
+            _measure_renewals(cluster.pool.workers[0].address)
+        )
 
 
-async def _renew_often(address: str) -> ExchangeCost:
+async def _measure_renewals(address: str) -> ExchangeCost:
     http = http_client.HttpClient(reactor=reactor)
     call = messages.WorkerCall(
         token=ids.FenceToken(1), acts=(messages.Renew(ttl_ms=10_000),)
     )
     answer = await platform_api.call_worker(http, address, call, _TIMEOUT_MS)
-    known = msgspec.structs.replace(call, known_sequence=answer.report.sequence)
-    before, begin_s = _bytes(http), time.process_time()
-    for _ in range(CALLS):
-        await platform_api.call_worker(http, address, known, _TIMEOUT_MS)
-    spent_s = time.process_time() - begin_s
-    wire_bytes = (_bytes(http) - before) / CALLS
+    call_without_report = msgspec.structs.replace(
+        call, known_sequence=answer.report.sequence
+    )
+    before, start_s = _traffic_bytes(http), time.process_time()
+    for _ in range(RENEWAL_COUNT):
+        await platform_api.call_worker(
+            http, address, call_without_report, _TIMEOUT_MS
+        )
+    processor_s = time.process_time() - start_s
+    wire_bytes = (_traffic_bytes(http) - before) / RENEWAL_COUNT
     await http.close()
     return ExchangeCost(
-        processor_us=round(spent_s * _US_PER_S / CALLS),
+        processor_us=round(processor_s * _US_PER_S / RENEWAL_COUNT),
         wire_bytes=round(wire_bytes),
     )
 
 
-def _bytes(http: http_client.HttpClient) -> int:
+def _traffic_bytes(http: http_client.HttpClient) -> int:
     return http.traffic.sent_bytes + http.traffic.received_bytes
 
 
 def measure_message_us(message: peer_messages.PeerMessage) -> float:
-    """Sends a message many times between two encrypted transports.
+    """Measures sending a message between two encrypted transports.
 
     Args:
         message: The message.
 
     Returns:
-        Processor time of sending and receiving one, in us.
+        Mean processor time to send and receive the message, in us.
     """
-    shared = curve_keys.generate_keys()
+    shared_keys = curve_keys.generate_keys()
     received: list[ids.VmId] = []
-    nodes = [
+    transports = [
         peer_transport.PeerTransport(
             reactor=reactor,
             vm=ids.VmId(name),
             bind_address="127.0.0.1:0",
-            keys=shared,
+            keys=shared_keys,
             on_message=lambda sender, _: received.append(sender),
         )
         for name in ("a", "b")
     ]
-    for node in nodes:
-        node.open()
+    for transport in transports:
+        transport.open()
     try:
         return reactor_loop.run(
-            _send_often(nodes[0], nodes[1], message, received)
+            _measure_messages(transports[0], transports[1], message, received)
         )
     finally:
-        for node in nodes:
-            node.close()
+        for transport in transports:
+            transport.close()
 
 
-async def _send_often(
+async def _measure_messages(
     source: peer_transport.PeerTransport,
     target: peer_transport.PeerTransport,
     message: peer_messages.PeerMessage,
@@ -207,13 +221,13 @@
 
     await reactor_loop.wait_until(connected)
     await reactor_loop.wait_until(lambda: bool(received))
-    begin_s = time.process_time()
-    for _ in range(MESSAGES // BURST_MESSAGES):
-        wanted = len(received) + BURST_MESSAGES
+    start_s = time.process_time()
+    for _ in range(MESSAGE_COUNT // BURST_MESSAGES):
+        target_count = len(received) + BURST_MESSAGES
         for _ in range(BURST_MESSAGES):
             source.send(target.vm, message)
         await reactor_loop.wait_until(
-            lambda wanted=wanted: len(received) >= wanted
+            lambda target_count=target_count: len(received) >= target_count
         )
-    spent_s = time.process_time() - begin_s
-    return round(spent_s * _US_PER_S / MESSAGES, 1)
+    processor_s = time.process_time() - start_s
+    return round(processor_s * _US_PER_S / MESSAGE_COUNT, 1)
--- a/citronmount/bench/capacity_page.py
+++ b/citronmount/bench/capacity_page.py
@@ -1,12 +1,12 @@
-"""Writes the capacity page from measurements and the plan."""
+"""Renders the capacity page from the measurements and the plan."""
 
 from collections.abc import Iterable
 
 from citronmount.bench import capacity_plan
 
-__all__ = ["KEPT_TITLE", "kept_part", "render"]
+__all__ = ["PRESERVED_TITLE", "preserved_part", "render"]
 
-KEPT_TITLE = "## A pool on the users' platform"
+PRESERVED_TITLE = "## A pool on the users' platform"
 
 _HEAD = """\
 # Capacity
@@ -65,19 +65,21 @@
 """
 
 
-def render(found: capacity_plan.Measured, plan: capacity_plan.Plan) -> str:
-    """Returns the page.
+def render(measured: capacity_plan.Measured, plan: capacity_plan.Plan) -> str:
+    """Renders the page, without the part that other scripts measure.
 
     Args:
-        found: The measurements.
-        plan: What follows from them.
+        measured: The measurements.
+        plan: The resource needs at the two-year size.
 
     Returns:
-        Markdown.
+        The page in Markdown.
     """
     size, budget = capacity_plan.SIZE, capacity_plan.BUDGET
-    worker, job, team = capacity_plan.state_slopes(found.state)
-    largest = max(found.change_bytes)
+    worker_bytes, job_bytes, team_bytes = capacity_plan.state_slopes(
+        measured.state
+    )
+    largest_team_count = max(measured.change_bytes)
     head = _HEAD.format(
         s=size,
         b=budget,
@@ -87,47 +89,48 @@
     method = _METHOD.format(
         n=6,
         idle_s=12,
-        vms=found.traffic[-1].vms,
+        vms=measured.traffic[-1].vms,
         framing=capacity_plan.FRAMING_BYTES,
         header=capacity_plan.PACKET_HEADER_BYTES,
-        message_us=found.message_us,
+        message_us=measured.message_us,
         kept=size.workers / size.vms,
-        exchange_us=found.exchange.processor_us,
-        exchange_bytes=found.exchange.wire_bytes,
-        worker=worker,
-        job=job,
-        team=team,
+        exchange_us=measured.exchange.processor_us,
+        exchange_bytes=measured.exchange.wire_bytes,
+        worker=worker_bytes,
+        job=job_bytes,
+        team=team_bytes,
         tasks=capacity_plan.TASKS_PER_JOB,
-        teams=largest,
-        change_bytes=found.change_bytes[largest],
-        change_us=found.change_us[largest],
-        event=found.event_bytes,
+        teams=largest_team_count,
+        change_bytes=measured.change_bytes[largest_team_count],
+        change_us=measured.change_us[largest_team_count],
+        event=measured.event_bytes,
         packets=plan.packet_bytes_per_s,
         events=size.events_kept,
     )
     parts = (
         head,
         _needs_table(plan),
-        _verdicts(plan),
+        _budget_list(plan),
         method,
-        _traffic_table(found),
-        _idle_table(found),
-        _state_table(found),
-        _costs_table(found),
+        _traffic_table(measured),
+        _idle_table(measured),
+        _state_table(measured),
+        _costs_table(measured),
     )
     return "".join(parts)
 
 
-def kept_part(page: str) -> str:
-    """Returns the part of an older page that other runs have measured.
+def preserved_part(page: str) -> str:
+    """Returns the part of an existing page that other scripts measured.
 
     Args:
-        page: The older page, or empty.
+        page: The existing page; may be empty.
 
     Returns:
-        Everything from the title of that part on, after an empty line.
+        An empty line and everything from `PRESERVED_TITLE` on; empty if the
+        page has no such title.
     """
-    _, title, rest = page.partition(KEPT_TITLE)
+    _, title, rest = page.partition(PRESERVED_TITLE)
     return f"\n{title}{rest}" if title else ""
 
 
@@ -172,7 +175,7 @@
     return _table(titles, rows)
 
 
-def _verdicts(plan: capacity_plan.Plan) -> str:
+def _budget_list(plan: capacity_plan.Plan) -> str:
     budget = capacity_plan.BUDGET
     rows = (
         (
@@ -196,17 +199,17 @@
         f"the budget of {limit}.\n"
         for name, need, limit in rows
     )
-    on_the_wire = plan.bytes_per_s + plan.packet_bytes_per_s
-    kept = on_the_wire <= budget.bytes_per_s
-    last = (
-        f"- {on_the_wire:,.0f} bytes/s with the headers of TCP and IP, at "
-        f"most: {'within' if kept else '**misses**'} the budget if these "
+    wire_bytes_per_s = plan.bytes_per_s + plan.packet_bytes_per_s
+    is_within = wire_bytes_per_s <= budget.bytes_per_s
+    packet_line = (
+        f"- {wire_bytes_per_s:,.0f} bytes/s with the headers of TCP and IP, at "
+        f"most: {'within' if is_within else '**misses**'} the budget if these "
         "count.\n"
     )
-    return "\n" + "".join(lines) + last
+    return "\n" + "".join(lines) + packet_line
 
 
-def _traffic_table(found: capacity_plan.Measured) -> str:
+def _traffic_table(measured: capacity_plan.Measured) -> str:
     rows = (
         (
             row.vms,
@@ -216,7 +219,7 @@
             f"{row.bytes_per_s_by_kind['Heartbeat']:,.0f}",
             f"{row.bytes_per_s_by_kind['PlatformListed']:,.0f}",
         )
-        for row in found.traffic
+        for row in measured.traffic
     )
     titles = (
         "VMs",
@@ -229,7 +232,7 @@
     return _table(titles, rows)
 
 
-def _idle_table(found: capacity_plan.Measured) -> str:
+def _idle_table(measured: capacity_plan.Measured) -> str:
     rows = (
         (
             f"{row.workers_kept:g}",
@@ -239,7 +242,7 @@
             f"{row.http_bytes_per_s:,.0f}",
             f"{row.peer_bytes_per_s:,.0f}",
         )
-        for row in found.idle
+        for row in measured.idle
     )
     titles = (
         "workers a VM",
@@ -252,7 +255,7 @@
     return "\nIdle daemons, six on loopback.\n\n" + _table(titles, rows)
 
 
-def _state_table(found: capacity_plan.Measured) -> str:
+def _state_table(measured: capacity_plan.Measured) -> str:
     rows = (
         (
             row.workers,
@@ -261,16 +264,16 @@
             f"{row.owner_bytes:,}",
             f"{row.member_bytes:,}",
         )
-        for row in found.state
+        for row in measured.state
     )
     titles = ("workers", "jobs", "teams", "owner bytes", "member bytes")
     return "\nState of agents in one failure domain.\n\n" + _table(titles, rows)
 
 
-def _costs_table(found: capacity_plan.Measured) -> str:
+def _costs_table(measured: capacity_plan.Measured) -> str:
     rows = (
         (row.kind, f"{row.mean_us:.1f}", f"{row.per_vm_per_s:.2f}")
-        for row in found.costs
+        for row in measured.costs
     )
     titles = ("event", "mean us", "events/s a VM")
     text = "\nProcessor time of agents at 40 VMs and 160 workers.\n\n"
--- a/citronmount/bench/faults/matrix_cell.py
+++ b/citronmount/bench/faults/matrix_cell.py
@@ -159,7 +159,7 @@
         self.history = run_history.RunHistory(harness=self.harness)
         self._content = site.configuration
         self.harness.watchers.append(self.history.observe_item)
-        self.harness.arrivals.append(self.history.observe_arrival)
+        self.harness.arrival_watchers.append(self.history.observe_arrival)
 
     # Methods that faults and sabotages call.
 
--- a/citronmount/bench/harness_traffic.py
+++ b/citronmount/bench/harness_traffic.py
@@ -1,10 +1,10 @@
-"""Counts messages and bytes of a VM per second at several sizes."""
+"""Measures the messages and bytes per second of the VMs of idle sites."""
 
 from collections.abc import Callable
 
 import msgspec
 
-from citronmount.bench import harness as harness_lib
+from citronmount.bench import harness
 from citronmount.bench import harness_process
 from citronmount.bench import harness_site
 from citronmount.clients import messages
@@ -16,7 +16,7 @@
 
 
 class TrafficRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What the busiest and the average VM of a site send and receive.
+    """Traffic of the average and the busiest VM of a site.
 
     Attributes:
         vms: VMs of the site.
@@ -43,51 +43,51 @@
     make_agent: Callable[[messages.ListedVm, int], harness_process.AgentLike],
     *,
     failure_domains: int,
-    vms_each: int,
-    workers_each: int,
-    runners_each: int = 2,
+    vms_per_domain: int,
+    workers_per_domain: int,
+    runners_per_domain: int = 2,
     seconds: int = 30,
     seed: int = 1,
 ) -> TrafficRow:
-    """Runs an idle site and counts what its VMs send and receive.
+    """Simulates an idle site and counts the traffic of its VMs.
 
     Args:
-        make_agent: Makes the agent of a VM from its list entry and the
-            wall-clock time of its start.
-        failure_domains: Failure domains of the site.
-        vms_each: VMs in each.
-        workers_each: Workers in each.
-        runners_each: Runners in each.
-        seconds: How long to count, after a warm-up.
-        seed: The seed of all randomness.
+        make_agent: Creates the agent of a VM from its list entry and the Unix
+            time of its start in ms.
+        failure_domains: Number of failure domains.
+        vms_per_domain: VMs in each failure domain.
+        workers_per_domain: Workers in each failure domain.
+        runners_per_domain: Runners in each failure domain.
+        seconds: Virtual time to count for after the warm-up.
+        seed: Seed of all random numbers.
 
     Returns:
-        The counts for each second of virtual time.
+        The traffic per second of virtual time.
     """
-    harness = harness_lib.Harness(
+    simulation = harness.Harness(
         site=harness_site.make_site(
             failure_domains=failure_domains,
-            vms_each=vms_each,
-            workers_each=workers_each,
-            runners_each=runners_each,
+            vms_per_domain=vms_per_domain,
+            workers_per_domain=workers_per_domain,
+            runners_per_domain=runners_per_domain,
         ),
         make_agent=make_agent,
         seed=seed,
         count_traffic=True,
     )
-    harness.start_all()
-    harness.run_until_ms(WARM_UP_MS)
-    for process in harness.processes.values():
+    simulation.start_all()
+    simulation.run_until_ms(WARM_UP_MS)
+    for process in simulation.processes.values():
         process.traffic = harness_process.Traffic()
-    harness.run_until_ms(WARM_UP_MS + seconds * _MS_PER_S)
-    traffic = [process.traffic for process in harness.processes.values()]
+    simulation.run_until_ms(WARM_UP_MS + seconds * _MS_PER_S)
+    traffic = [process.traffic for process in simulation.processes.values()]
     byte_counts = [t.bytes.total() / seconds for t in traffic]
     message_counts = [t.messages.total() / seconds for t in traffic]
     kinds = sorted({kind for t in traffic for kind in t.bytes})
     return TrafficRow(
         vms=len(traffic),
         failure_domains=failure_domains,
-        workers=len(harness.services.workers),
+        workers=len(simulation.services.workers),
         mean_bytes_per_s=sum(byte_counts) / len(traffic),
         most_bytes_per_s=max(byte_counts),
         mean_messages_per_s=sum(message_counts) / len(traffic),
@@ -103,7 +103,7 @@
     """Returns the least-squares slope of a line through points.
 
     Args:
-        points: Pairs of x and y with at least two distinct x.
+        points: Pairs of x and y, with at least two distinct values of x.
 
     Examples:
         >>> slope([(1, 3.0), (2, 5.0), (3, 7.0)])
--- a/citronmount/bench/loopback_load.py
+++ b/citronmount/bench/loopback_load.py
@@ -1,4 +1,4 @@
-"""A load of short requests and jobs over HTTP, with checks of every answer."""
+"""Load generator: sends short requests and jobs and checks the answers."""
 
 import itertools
 import json
@@ -24,11 +24,11 @@
 __all__ = ["Load", "Tally"]
 
 REQUEST_TIMEOUT_MS = 5_000
-SERVICE_MS = (2, 5, 10, 20)
-JOB_RUN_MS = (200, 500, 1_000)
-JOB_WAIT_MS = 30_000
+SERVICE_TIMES_MS = (2, 5, 10, 20)
+JOB_RUN_TIMES_MS = (200, 500, 1_000)
+JOB_TIMEOUT_MS = 30_000
 BALANCER_PERIOD_S = 0.25
-RETRY_S = 0.05
+RETRY_DELAY_S = 0.05
 JOB_PERIOD_S = 0.25
 
 _MS_PER_S = 1_000
@@ -36,17 +36,17 @@
 
 
 class Tally(msgspec.Struct, kw_only=True):
-    """What became of the calls of a load.
+    """Outcomes of the calls of a load.
 
     Attributes:
-        answered: Short requests that were answered whole.
-        refused: Refusals that prove that nothing was run.
-        unknown: Answers that tell that the outcome is not known.
-        wrong: Answers that belong to another request or are not whole.
-        cut: Connections lost with a call open, by the VM.
-        jobs_accepted: Jobs that were accepted.
-        jobs_by_state: Final states of accepted jobs.
-        keys: Idempotency keys of requests that are not to be repeated.
+        answered: Short requests with a correct and complete answer.
+        refused: Calls whose result proves that nothing ran.
+        unknown: Calls whose result leaves the outcome unknown.
+        wrong: Answers that are incomplete or belong to another request.
+        cut: Calls that failed after they may have been sent, by VM.
+        jobs_accepted: Number of accepted jobs.
+        jobs_by_state: Number of accepted jobs by final state.
+        keys: Idempotency keys of requests that must run at most once.
     """
 
     answered: int = 0
@@ -60,12 +60,12 @@
 
 
 class Load:
-    """Closed-loop callers behind a balancer that follows readiness.
+    """Closed-loop callers behind a load balancer that polls readiness.
 
     Attributes:
-        tally: What became of the calls.
-        metrics: How long they took.
-        ready: VMs that the balancer sends calls to.
+        tally: Outcomes of the calls.
+        metrics: Durations of the calls.
+        ready: VMs to which the balancer sends calls.
     """
 
     def __init__(
@@ -75,12 +75,12 @@
         vms: tuple[loopback_cluster.Vm, ...],
         accounts: tuple[str, ...],
     ) -> None:
-        """Initializes a load that is not started.
+        """Initializes a load without starting it.
 
         Args:
-            reactor: The reactor to connect and time with.
-            vms: The daemons.
-            accounts: Client accounts to call for.
+            reactor: Opens connections and times delays.
+            vms: The VMs to call.
+            accounts: Client accounts to call for, in turn.
         """
         self.tally = Tally()
         self.metrics = metrics_registry.MetricsRegistry()
@@ -98,34 +98,34 @@
         self._http = treq_client.HTTPClient(agent)
 
     def start(self, callers: int) -> list[defer.Deferred[None]]:
-        """Starts the balancer, the callers and the jobs.
+        """Starts the balancer, the callers and the submission of jobs.
 
         Args:
-            callers: How many short requests are open at once.
+            callers: Number of callers, each with one open request.
 
         Returns:
-            One Deferred for each part, which fires once it has stopped.
+            Deferreds that fire when the parts of the load have stopped.
         """
         parts = (
-            self._balance(),
+            self._update_ready_vms(),
             self._submit_jobs(),
             *(self._send_requests() for _ in range(callers)),
         )
         return [defer.ensureDeferred(part) for part in parts]
 
     def stop(self) -> None:
-        """Lets every part end after its present call."""
+        """Makes every part of the load end after its current call."""
         self._stopped = True
 
     def close(self) -> defer.Deferred[None]:
         """Closes idle connections.
 
         Returns:
-            Fires once they are closed.
+            A Deferred that fires when they are closed.
         """
         return self._pool.closeCachedConnections()
 
-    async def _balance(self) -> None:
+    async def _update_ready_vms(self) -> None:
         while not self._stopped:
             self.ready = [
                 vm for vm in self._vms if await self._is_ready(vm)
@@ -146,56 +146,59 @@
 
     async def _send_request(self, number: int, vm: loopback_cluster.Vm) -> None:
         payload = json.dumps(
-            {"service_ms": self._pick(SERVICE_MS, number), "number": number}
+            {
+                "service_ms": self._pick(SERVICE_TIMES_MS, number),
+                "number": number,
+            }
         )
-        once = number % 2 == 0
-        key = f"key-{number}" if once else ""
-        if once:
+        at_most_once = number % 2 == 0
+        key = f"key-{number}" if at_most_once else ""
+        if at_most_once:
             self.tally.keys.append(key)
         body = {
             "account": self._pick(self._accounts, number),
             "request": f"q{number}",
             "payload": payload,
             "timeout_ms": REQUEST_TIMEOUT_MS,
-            "idempotent": not once,
+            "idempotent": not at_most_once,
             "idempotency_key": key,
         }
-        begin_s = time.monotonic()
-        found = await self._try(vm, "POST", "/v1/requests", body)
-        if found is None:
-            await self._sleep(RETRY_S)
+        start_s = time.monotonic()
+        answer = await self._call_or_none(vm, "POST", "/v1/requests", body)
+        if answer is None:
+            await self._sleep(RETRY_DELAY_S)
             return
-        duration_ms = (time.monotonic() - begin_s) * _MS_PER_S
+        duration_ms = (time.monotonic() - start_s) * _MS_PER_S
         self.metrics.record_duration(
-            "request", "once" if once else "any", duration_ms
+            "request", "once" if at_most_once else "any", duration_ms
         )
-        self._judge(found, body)
+        self._check_answer(answer, body)
 
-    def _judge(
-        self, found: dict[str, typing.Any], body: dict[str, typing.Any]
+    def _check_answer(
+        self, answer: dict[str, typing.Any], body: dict[str, typing.Any]
     ) -> None:
-        code = codes.ResultCode(found["code"])
+        code = codes.ResultCode(answer["code"])
         if code is codes.ResultCode.DONE:
-            mine = found["request"] == body["request"]
-            whole = found["payload"].endswith(body["payload"])
-            self.tally.answered += mine and whole
-            self.tally.wrong += not (mine and whole)
+            same_request = answer["request"] == body["request"]
+            complete = answer["payload"].endswith(body["payload"])
+            self.tally.answered += same_request and complete
+            self.tally.wrong += not (same_request and complete)
         elif codes.info(code).proves_not_run:
             self.tally.refused += 1
         else:
             self.tally.unknown += 1
 
     async def _submit_jobs(self) -> None:
-        ends = []
+        job_runs = []
         while not self._stopped:
             number = next(self._numbers)
             run = self._run_job(number, self._pick(self.ready, number))
-            ends.append(defer.ensureDeferred(run))
+            job_runs.append(defer.ensureDeferred(run))
             await self._sleep(JOB_PERIOD_S)
-        await defer.gatherResults(ends)
+        await defer.gatherResults(job_runs)
 
     async def _run_job(self, number: int, vm: loopback_cluster.Vm) -> None:
-        run_ms = self._pick(JOB_RUN_MS, number)
+        run_ms = self._pick(JOB_RUN_TIMES_MS, number)
         body = {
             "account": self._pick(self._accounts, number),
             "tasks": 1 + number % 2,
@@ -203,49 +206,52 @@
             "command": json.dumps({"run_ms": run_ms}),
             "run_time_s": run_ms / _MS_PER_S,
         }
-        begin_s = time.monotonic()
-        found = await self._try(vm, "POST", "/v1/jobs", body)
-        if found is None or "job" not in found:
-            self.tally.refused += found is not None
+        start_s = time.monotonic()
+        answer = await self._call_or_none(vm, "POST", "/v1/jobs", body)
+        if answer is None or "job" not in answer:
+            self.tally.refused += answer is not None
             return
         self.tally.jobs_accepted += 1
-        state = await self._final_state(found["job"], number)
+        state = await self._final_state(answer["job"], number)
         counts = self.tally.jobs_by_state
         counts[state] = counts.get(state, 0) + 1
-        duration_ms = (time.monotonic() - begin_s) * _MS_PER_S
+        duration_ms = (time.monotonic() - start_s) * _MS_PER_S
         self.metrics.record_duration("job", "beyond_run", duration_ms - run_ms)
 
     async def _final_state(self, job: str, number: int) -> str:
-        limit_s = time.monotonic() + 2 * JOB_WAIT_MS / _MS_PER_S
+        deadline_s = time.monotonic() + 2 * JOB_TIMEOUT_MS / _MS_PER_S
         path = f"/v1/jobs/{job}?wait_ms=1000"
         last = "no answer"
         for attempt in itertools.count(number):
             vm = self._pick(self.ready, attempt)
-            found = await self._try(vm, "GET", path) or {}
-            if "state" in found and states.JobState(found["state"]).final:
-                return found["state"]
-            last = found.get("name") or found.get("state") or last
-            if time.monotonic() > limit_s:
+            answer = await self._call_or_none(vm, "GET", path) or {}
+            if "state" in answer and states.JobState(answer["state"]).final:
+                return answer["state"]
+            last = answer.get("name") or answer.get("state") or last
+            if time.monotonic() > deadline_s:
                 return f"not final: {last}"
-            await self._sleep(RETRY_S)
+            await self._sleep(RETRY_DELAY_S)
         raise AssertionError("unreachable")
 
-    async def _try(
+    async def _call_or_none(
         self,
         vm: loopback_cluster.Vm,
         method: str,
         path: str,
         body: dict[str, typing.Any] | None = None,
     ) -> dict[str, typing.Any] | None:
-        """Calls a VM; a connection that is lost half-way counts as cut."""
+        """Calls a VM; returns the JSON body, or None without an answer.
+
+        A call that fails after it may have been sent counts as cut.
+        """
         try:
-            _, found = await self._call(vm, method, path, body)
+            _, answer = await self._call(vm, method, path, body)
         except http_client.NOT_SENT:
             return None
         except Exception:
             self.tally.cut[vm.name] = self.tally.cut.get(vm.name, 0) + 1
             return None
-        return found
+        return answer
 
     async def _call(
         self,
--- a/citronmount/bench/loopback_steps.py
+++ b/citronmount/bench/loopback_steps.py
@@ -1,4 +1,4 @@
-"""Steps that trials on loopback share: publish, wait, submit, drain."""
+"""Steps for scripts on a loopback cluster: publish, wait, submit, drain."""
 
 from collections.abc import Callable
 import json
@@ -10,122 +10,126 @@
 from citronmount.core import states
 
 __all__ = [
-    "TrialError",
+    "StepFailedError",
     "call",
     "drain_all",
     "publish",
     "require",
-    "result",
     "submit",
-    "until",
+    "wait_for_result",
+    "wait_until",
     "wait_until_ready",
 ]
 
-LIMIT_S = 40.0
-POLL_S = 0.2
+TIMEOUT_S = 40.0
+POLL_PERIOD_S = 0.2
 WAIT_MS = 30_000
 
 _OK = 200
 _ACCEPTED = 202
-_FAMILY = 1_000
+_CODES_PER_FAMILY = 1_000
 _RETRYABLE_FAMILY = 3
 
 
-class TrialError(Exception):
-    """Something did not go as it must."""
+class StepFailedError(Exception):
+    """A step had an unexpected result or timed out."""
 
 
 def require(condition: bool, message: str) -> None:
     """Raises an error unless a condition holds.
 
     Args:
-        condition: What must hold.
-        message: What is wrong otherwise.
+        condition: The condition.
+        message: Message of the error.
 
     Raises:
-        TrialError: The condition does not hold.
+        StepFailedError: The condition does not hold.
     """
     if not condition:
-        raise TrialError(message)
+        raise StepFailedError(message)
 
 
 def call(
     vm: loopback_cluster.Vm, method: str, path: str, body: bytes | None = None
 ) -> loopback_cluster.Answer:
-    """Sends one HTTP call to a daemon.
+    """Sends an HTTP call to the daemon of a VM.
 
     Args:
         vm: The VM.
-        method: The HTTP method.
-        path: Path and query.
-        body: The body.
-
-    Returns:
-        The answer.
+        method: HTTP method.
+        path: Path and query of the URL.
+        body: Request body.
     """
     return loopback_cluster.call(vm.caller_address, method, path, body)
 
 
-def until(
-    ask: Callable[[], loopback_cluster.Answer],
-    good: Callable[[loopback_cluster.Answer], bool],
+def wait_until(
+    send_call: Callable[[], loopback_cluster.Answer],
+    is_expected: Callable[[loopback_cluster.Answer], bool],
 ) -> loopback_cluster.Answer:
-    """Repeats a call until its answer is good.
+    """Repeats a call until its answer is the expected one.
 
     Args:
-        ask: The call.
-        good: Judges the answer.
+        send_call: Sends the call and returns its answer.
+        is_expected: Returns whether an answer ends the wait.
 
     Returns:
-        The good answer.
+        The first expected answer.
 
     Raises:
-        TrialError: No answer was good within `LIMIT_S`.
+        StepFailedError: No expected answer came within `TIMEOUT_S`.
     """
-    limit_s = time.monotonic() + LIMIT_S
+    deadline_s = time.monotonic() + TIMEOUT_S
     while True:
-        answer = ask()
-        if good(answer):
+        answer = send_call()
+        if is_expected(answer):
             return answer
-        require(time.monotonic() < limit_s, f"gave up: {answer.body}")
-        time.sleep(POLL_S)
+        require(
+            time.monotonic() < deadline_s,
+            f"timed out; last answer: {answer.body}",
+        )
+        time.sleep(POLL_PERIOD_S)
 
 
 def publish(cluster: loopback_cluster.Cluster, data: bytes) -> int:
-    """Publishes a sheet at the first VM as the first version.
+    """Publishes a configuration sheet as the first version.
 
     Args:
-        cluster: The cluster.
-        data: The sheet.
+        cluster: The cluster, whose first VM is called.
+        data: The sheet as CSV.
 
     Returns:
-        The version in force.
+        The version that is in force.
     """
     path = "/v1/configuration?base_version=0&author=trial"
-    answer = until(
+    answer = wait_until(
         lambda: call(cluster.vms[0], "PUT", path, data),
-        lambda found: found.body["code"] // _FAMILY != _RETRYABLE_FAMILY,
+        lambda reply: (
+            reply.body["code"] // _CODES_PER_FAMILY != _RETRYABLE_FAMILY
+        ),
     )
     accepted = codes.ResultCode.CONFIGURATION_ACCEPTED
-    require(answer.body["code"] == accepted, f"publish: {answer.body}")
+    require(
+        answer.body["code"] == accepted, f"sheet not accepted: {answer.body}"
+    )
     return answer.body["version"]
 
 
 def wait_until_ready(cluster: loopback_cluster.Cluster) -> None:
-    """Waits until every VM is ready and sees an owner in each domain.
+    """Waits until every VM is ready and knows an owner of each domain.
 
     Args:
         cluster: The cluster.
     """
     domains = {vm.failure_domain for vm in cluster.vms}
     for vm in cluster.vms:
-        until(
+        wait_until(
             lambda vm=vm: call(vm, "GET", "/v1/ready"),
-            lambda found: found.status == _OK,
+            lambda answer: answer.status == _OK,
         )
-        until(
+        wait_until(
             lambda vm=vm: call(vm, "GET", "/v1/membership"),
-            lambda found: _owned(found.body) == domains,
+            lambda answer: _owned_domains(answer.body) == domains,
         )
 
 
@@ -133,57 +137,60 @@
     """Submits a job.
 
     Args:
-        vm: Where to submit it.
-        body: The job as the HTTP API takes it.
+        vm: The VM to call.
+        body: The job as a body of the HTTP API.
 
     Returns:
-        The id of the job.
+        Id of the job.
     """
     data = json.dumps(body).encode("utf-8")
     answer = call(vm, "POST", "/v1/jobs", data)
-    require(answer.status == _ACCEPTED, f"submit: {answer.body}")
+    require(answer.status == _ACCEPTED, f"job not accepted: {answer.body}")
     return answer.body["job"]
 
 
-def result(vm: loopback_cluster.Vm, job: str) -> dict[str, typing.Any]:
-    """Waits for the final status of a job.
+def wait_for_result(vm: loopback_cluster.Vm, job: str) -> dict[str, typing.Any]:
+    """Waits until a job has ended.
 
     Args:
-        vm: Where to ask.
-        job: The job.
+        vm: The VM to call.
+        job: Id of the job.
 
     Returns:
-        The status as the HTTP API gives it.
+        The status of the job from the HTTP API.
+
+    Raises:
+        StepFailedError: The job did not end within `TIMEOUT_S`.
     """
     path = f"/v1/jobs/{job}?wait_ms={WAIT_MS}"
     try:
-        return until(
-            lambda: call(vm, "GET", path), lambda found: _is_final(found.body)
+        return wait_until(
+            lambda: call(vm, "GET", path), lambda answer: _is_final(answer.body)
         ).body
-    except TrialError as error:
-        raise TrialError(f"{job}: {error}") from error
+    except StepFailedError as error:
+        raise StepFailedError(f"{job}: {error}") from error
 
 
 def drain_all(
-    cluster: loopback_cluster.Cluster, gone: tuple[str, ...] = ()
+    cluster: loopback_cluster.Cluster, stopped: tuple[str, ...] = ()
 ) -> None:
-    """Stops every daemon by SIGTERM; each must end with status 0.
+    """Stops the daemons by SIGTERM and requires exit status 0 from each.
 
     Args:
         cluster: The cluster.
-        gone: VMs that were stopped before.
+        stopped: Names of VMs whose daemons are already stopped.
     """
-    running = [vm for vm in cluster.vms if vm.name not in gone]
+    running = [vm for vm in cluster.vms if vm.name not in stopped]
     for vm in running:
         vm.process.terminate()
-    found = {
-        vm.name: vm.process.wait(loopback_cluster.STOP_LIMIT_S)
+    exit_statuses = {
+        vm.name: vm.process.wait(loopback_cluster.STOP_TIMEOUT_S)
         for vm in running
     }
-    require(not any(found.values()), f"exit statuses: {found}")
+    require(not any(exit_statuses.values()), f"exit statuses: {exit_statuses}")
 
 
-def _owned(body: dict[str, typing.Any]) -> set[str]:
+def _owned_domains(body: dict[str, typing.Any]) -> set[str]:
     return {m["failure_domain"] for m in body["members"] if m["owner"]}
 
 
--- a/citronmount/bench/tests/test_loopback_cluster.py
+++ b/citronmount/bench/tests/test_loopback_cluster.py
@@ -1,10 +1,10 @@
-"""One small run of the whole path with real processes on loopback."""
+"""End-to-end test with daemon processes on loopback."""
 
 import json
 import unittest
 
 from citronmount.bench import loopback_cluster
-from citronmount.bench import loopback_steps as steps
+from citronmount.bench import loopback_steps
 from citronmount.clients import messages
 from citronmount.config import pool_file
 from citronmount.core import ids
@@ -39,12 +39,12 @@
 
 
 class LoopbackTest(unittest.TestCase):
-    """Two daemons, a platform, two workers and a runner."""
+    """Runs two daemons, a platform, two workers and a runner."""
 
-    def test_publish_run_and_drain(self) -> None:
+    def test_published_cluster_runs_work_and_drains_with_status_0(self) -> None:
         with loopback_cluster.open_cluster(_pool()) as cluster:
-            self.assertEqual(1, steps.publish(cluster, _SHEET))
-            steps.wait_until_ready(cluster)
+            self.assertEqual(1, loopback_steps.publish(cluster, _SHEET))
+            loopback_steps.wait_until_ready(cluster)
             first, second = cluster.vms
             gang = {
                 "account": "hana",
@@ -52,13 +52,19 @@
                 "per_task": {"accelerators": 8},
                 "command": json.dumps({"run_ms": 100}),
             }
-            leftover = {**gang, "account": "duri", "tasks": 1}
-            found = [steps.submit(first, body) for body in (gang, leftover)]
-            ends = [steps.result(second, job)["state"] for job in found]
-            self.assertEqual(["done", "done"], ends)
+            single_task = {**gang, "account": "duri", "tasks": 1}
+            job_ids = [
+                loopback_steps.submit(first, body)
+                for body in (gang, single_task)
+            ]
+            final_states = [
+                loopback_steps.wait_for_result(second, job)["state"]
+                for job in job_ids
+            ]
+            self.assertEqual(["done", "done"], final_states)
             body = {"account": "hana", "request": "q", "payload": "mine"}
             data = json.dumps(body).encode("ascii")
-            answer = steps.call(second, "POST", "/v1/requests", data)
+            answer = loopback_steps.call(second, "POST", "/v1/requests", data)
             self.assertEqual(1002, answer.body["code"])
             self.assertTrue(answer.body["payload"].endswith("mine"))
-            steps.drain_all(cluster)
+            loopback_steps.drain_all(cluster)
--- a/citronmount/standins/pool_log.py
+++ b/citronmount/standins/pool_log.py
@@ -1,4 +1,4 @@
-"""An in-memory log of a pool, with the faults that a real one has."""
+"""In-memory log of a pool with fault injection."""
 
 from collections.abc import Sequence
 import enum
@@ -16,14 +16,18 @@
 __all__ = ["LogFault", "PoolLog", "PoolLogClient"]
 
 ANSWER_S = 0.006
-PARTITIONS = 12
+PARTITION_COUNT = 12
 
 _MS_PER_S = 1_000
-_PROCESSES = itertools.count(1)
+_PROCESS_NUMBERS = itertools.count(1)
 
 
 class LogFault(enum.Enum):
-    """How the log treats a VM; answers are lost to writes only."""
+    """Faults of the log for one VM.
+
+    REFUSES fails every call without effect, SILENT lets every call time out
+    without effect, and LOSES_ANSWERS executes appends but lets them time out.
+    """
 
     NONE = "none"
     REFUSES = "refuses"
@@ -37,20 +41,21 @@
 
 
 class PoolLog:
-    """The topics, shared by the clients of all VMs.
+    """Topics and owners' group of a pool, shared by the clients of all VMs.
 
     Attributes:
+        clock: Times the calls and the membership of the owners' group.
         topics: The records of each topic.
-        faults: How each VM is treated; those missing are served.
-        silent_topics: Topics at which no call is answered.
-        join_s: How much longer a join takes on its way than other calls.
+        faults: Fault of each VM; a VM without an entry has none.
+        silent_topics: Topics on which every call times out without effect.
+        extra_join_delay_s: Delay of a join request beyond that of other calls.
     """
 
     def __init__(self, *, clock: interfaces.IReactorTime) -> None:
         """Initializes empty topics.
 
         Args:
-            clock: Times the answers.
+            clock: Times the calls and the expiry of members.
         """
         self.clock = clock
         self.topics: dict[ports.Topic, list[ports.LogRecord]] = {
@@ -58,48 +63,57 @@
         }
         self.faults: dict[ids.VmId, LogFault] = {}
         self.silent_topics: set[ports.Topic] = set()
-        self.join_s = 0.0
-        self._first: dict[ports.Topic, int] = dict.fromkeys(ports.Topic, 0)
-        self._waiting: list[defer.Deferred[None]] = []
+        self.extra_join_delay_s = 0.0
+        self._first_offsets: dict[ports.Topic, int] = dict.fromkeys(
+            ports.Topic, 0
+        )
+        self._append_waiters: list[defer.Deferred[None]] = []
         self._producer = _Producer()
         self._members: dict[str, float] = {}
         self._generation = 0
 
-    def write(
+    def append_records(
         self, topic: ports.Topic, entries: Sequence[tuple[str, bytes | None]]
     ) -> int:
-        """Appends records and returns the offset of the first."""
+        """Appends records to a topic and returns the offset of the first."""
         records = self.topics[topic]
         first = len(records)
         records += [
             ports.LogRecord(key=key, value=value, offset=first + number)
             for number, (key, value) in enumerate(entries)
         ]
-        waiting, self._waiting = self._waiting, []
-        for each in waiting:
-            each.callback(None)
+        waiters, self._append_waiters = self._append_waiters, []
+        for waiter in waiters:
+            waiter.callback(None)
         return first
 
-    def expire(self, topic: ports.Topic) -> None:
-        """Drops the history of a topic; the newest of each key stays."""
-        self._first[topic] = len(self.topics[topic])
+    def drop_history(self, topic: ports.Topic) -> None:
+        """Makes all present records of a topic unreadable by offset.
 
-    def page(self, topic: ports.Topic, offset: int) -> ports.LogPage:
-        """Returns the records from an offset on.
+        A snapshot still contains the newest record of each key.
+        """
+        self._first_offsets[topic] = len(self.topics[topic])
+
+    def read_page(self, topic: ports.Topic, offset: int) -> ports.LogPage:
+        """Returns all records from an offset on.
 
         Raises:
-            LogTruncatedError: They expired.
+            LogTruncatedError: The record at the offset was dropped.
         """
-        if offset < self._first[topic]:
+        if offset < self._first_offsets[topic]:
             raise ports.LogTruncatedError
         records = tuple(self.topics[topic][offset:])
         end = len(self.topics[topic])
         return ports.LogPage(records=records, next_offset=end, end_offset=end)
 
-    def newest(self, topic: ports.Topic) -> ports.Snapshot:
-        """Returns the newest record of each key."""
-        newest = {record.key: record for record in self.topics[topic]}
-        kept = [each for each in newest.values() if each.value is not None]
+    def snapshot(self, topic: ports.Topic) -> ports.Snapshot:
+        """Returns the newest record of each key that was not deleted."""
+        records_by_key = {record.key: record for record in self.topics[topic]}
+        kept = [
+            record
+            for record in records_by_key.values()
+            if record.value is not None
+        ]
         kept.sort(key=lambda record: record.offset)
         return ports.Snapshot(
             records=tuple(kept), end_offset=len(self.topics[topic])
@@ -111,75 +125,85 @@
         epoch: int,
         sequence: int,
     ) -> int:
-        """Appends unless a newer epoch was seen; see `ports.Log`."""
+        """Appends to the job topic unless a newer epoch was seen.
+
+        An append with a known epoch and sequence is a retry: it returns the
+        offset of the first one. See `ports.Log`.
+
+        Raises:
+            FencedError: A newer epoch was seen.
+        """
         if epoch < self._producer.epoch:
             raise ports.FencedError(self._producer.epoch)
         if epoch > self._producer.epoch:
             self._producer = _Producer(epoch=epoch, answers={})
         if sequence not in self._producer.answers:
-            offset = self.write(ports.Topic.JOBS, entries)
+            offset = self.append_records(ports.Topic.JOBS, entries)
             self._producer.answers[sequence] = offset
         return self._producer.answers[sequence]
 
     def join(self, member: str, ttl_ms: int) -> ports.Membership:
-        """Joins the group; the first member that is alive is the owner."""
+        """Joins the owners' group or extends the membership.
+
+        The first member that is alive is the candidate for ownership.
+        """
         now_s = self.clock.seconds()
-        before = list(self._members)
+        old_members = list(self._members)
         self._members = {
-            each: until_s
-            for each, until_s in self._members.items()
+            name: until_s
+            for name, until_s in self._members.items()
             if until_s > now_s
         }
         self._members.setdefault(member, 0)
         self._members[member] = now_s + ttl_ms / _MS_PER_S
-        self._generation += before != list(self._members)
-        dealt = list(self._members).index(member) < PARTITIONS
+        self._generation += old_members != list(self._members)
+        dealt = list(self._members).index(member) < PARTITION_COUNT
         return ports.Membership(
             generation=self._generation,
             dealt=dealt,
             candidate=next(iter(self._members)) == member,
         )
 
-    def deal_to_last(self) -> None:
-        """Makes the newest member the candidate."""
+    def prefer_newest_member(self) -> None:
+        """Reverses the order of members; the newest becomes the candidate."""
         self._members = dict(reversed(self._members.items()))
         self._generation += 1
 
     def members(self) -> frozenset[str]:
-        """Returns the members that are alive and were dealt a partition."""
+        """Returns the live members that are assigned a partition."""
         now_s = self.clock.seconds()
         alive = (
             member
             for member, until_s in self._members.items()
             if until_s > now_s
         )
-        return frozenset(itertools.islice(alive, PARTITIONS))
+        return frozenset(itertools.islice(alive, PARTITION_COUNT))
 
     def leave(self, member: str) -> None:
-        """Leaves the group."""
+        """Removes a member from the owners' group."""
         self._members.pop(member, None)
         self._generation += 1
 
-    def next_write(self, wait_ms: int) -> defer.Deferred[None]:
-        """Fires when something is appended or the time is over."""
-        waiting: defer.Deferred[None] = defer.Deferred()
-        self._waiting.append(waiting)
+    def wait_for_append(self, wait_ms: int) -> defer.Deferred[None]:
+        """Returns a Deferred that fires on an append or after `wait_ms`."""
+        waiter: defer.Deferred[None] = defer.Deferred()
+        self._append_waiters.append(waiter)
 
-        def give_up() -> None:
-            if not waiting.called:
-                self._waiting.remove(waiting)
-                waiting.callback(None)
+        def fire_on_timeout() -> None:
+            if not waiter.called:
+                self._append_waiters.remove(waiter)
+                waiter.callback(None)
 
-        self.clock.callLater(wait_ms / _MS_PER_S, give_up)
-        return waiting
+        self.clock.callLater(wait_ms / _MS_PER_S, fire_on_timeout)
+        return waiter
 
 
 class PoolLogClient:
-    """One VM's calls at a `PoolLog`; implements `ports.Log`.
+    """Client of one VM for a `PoolLog`; implements `ports.Log`.
 
     Attributes:
-        calls: Counts the calls.
-        member: The name of the process in the owners' group.
+        calls: Counter that each call advances by one.
+        member: Name of the process in the owners' group.
     """
 
     def __init__(self, *, log: PoolLog, vm: ids.VmId) -> None:
@@ -187,20 +211,20 @@
 
         Args:
             log: The log.
-            vm: The VM that calls.
+            vm: The VM whose faults apply to the calls.
         """
         self.calls = itertools.count()
-        self.member = f"{vm}/{next(_PROCESSES)}"
+        self.member = f"{vm}/{next(_PROCESS_NUMBERS)}"
         self._log = log
         self._vm = vm
 
     async def append(
         self, records: Sequence[tuple[str, bytes | None]], timeout_ms: int
     ) -> int:
-        """Appends to the job topic."""
-        await self._arrive(timeout_ms, ports.Topic.JOBS)
-        offset = self._log.write(ports.Topic.JOBS, records)
-        await self._answer(timeout_ms)
+        """Appends records to the job topic and returns the first offset."""
+        await self._send_request(timeout_ms, ports.Topic.JOBS)
+        offset = self._log.append_records(ports.Topic.JOBS, records)
+        await self._receive_answer(timeout_ms)
         return offset
 
     async def append_as_owner(
@@ -210,22 +234,22 @@
         sequence: int,
         timeout_ms: int,
     ) -> int:
-        """Appends to the job topic unless a newer epoch was seen."""
-        await self._arrive(timeout_ms, ports.Topic.JOBS)
+        """Appends to the job topic as owner; fails if the epoch is stale."""
+        await self._send_request(timeout_ms, ports.Topic.JOBS)
         offset = self._log.append_as_owner(records, epoch, sequence)
-        await self._answer(timeout_ms)
+        await self._receive_answer(timeout_ms)
         return offset
 
     async def read(
         self, topic: ports.Topic, offset: int, wait_ms: int, timeout_ms: int
     ) -> ports.LogPage:
-        """Reads records, waiting for the first if there is none yet."""
-        await self._arrive(timeout_ms, topic)
-        page = self._log.page(topic, offset)
+        """Reads records from an offset, waiting for an append if needed."""
+        await self._send_request(timeout_ms, topic)
+        page = self._log.read_page(topic, offset)
         if not page.records and wait_ms:
-            await self._log.next_write(wait_ms)
-            await self._arrive(timeout_ms, topic)
-            page = self._log.page(topic, offset)
+            await self._log.wait_for_append(wait_ms)
+            await self._send_request(timeout_ms, topic)
+            page = self._log.read_page(topic, offset)
         await task.deferLater(self._log.clock, ANSWER_S / 2)
         return page
 
@@ -233,33 +257,33 @@
         self, topic: ports.Topic, timeout_ms: int
     ) -> ports.Snapshot:
         """Reads the newest record of each key."""
-        await self._arrive(timeout_ms, topic)
-        return self._log.newest(topic)
+        await self._send_request(timeout_ms, topic)
+        return self._log.snapshot(topic)
 
     async def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> ports.Membership:
-        """Joins the owners' group or stays in it."""
-        await self._arrive(timeout_ms)
-        await task.deferLater(self._log.clock, self._log.join_s)
+        """Joins the owners' group or extends the membership."""
+        await self._send_request(timeout_ms)
+        await task.deferLater(self._log.clock, self._log.extra_join_delay_s)
         return self._log.join(self.member, ttl_ms)
 
     async def members(self, timeout_ms: int) -> frozenset[str]:
-        """Tells which members of the owners' group are alive."""
-        await self._arrive(timeout_ms)
+        """Returns the members of the owners' group that are alive."""
+        await self._send_request(timeout_ms)
         return self._log.members()
 
     async def leave(self, timeout_ms: int) -> None:
         """Leaves the owners' group."""
-        await self._arrive(timeout_ms)
+        await self._send_request(timeout_ms)
         self._log.leave(self.member)
 
-    async def _arrive(
+    async def _send_request(
         self, timeout_ms: int, topic: ports.Topic | None = None
     ) -> None:
         next(self.calls)
         if timeout_ms < ANSWER_S * _MS_PER_S:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
         await task.deferLater(self._log.clock, ANSWER_S / 2)
         fault = self._log.faults.get(self._vm, LogFault.NONE)
         if fault is LogFault.REFUSES:
@@ -267,15 +291,15 @@
                 "refused", code=codes.ResultCode.UNREACHABLE
             )
         if fault is LogFault.SILENT or topic in self._log.silent_topics:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
 
-    async def _answer(self, timeout_ms: int) -> None:
+    async def _receive_answer(self, timeout_ms: int) -> None:
         await task.deferLater(self._log.clock, ANSWER_S / 2)
         fault = self._log.faults.get(self._vm, LogFault.NONE)
         if fault is LogFault.LOSES_ANSWERS:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
 
-    async def _time_out(self, timeout_ms: int) -> None:
+    async def _wait_for_timeout(self, timeout_ms: int) -> None:
         await task.deferLater(self._log.clock, timeout_ms / _MS_PER_S)
         raise ports.UnknownOutcomeError(
             "no answer", code=codes.ResultCode.TIMED_OUT
--- a/citronmount/standins/pool_workers.py
+++ b/citronmount/standins/pool_workers.py
@@ -1,4 +1,4 @@
-"""In-memory workers of a pool that note every broken promise they see."""
+"""In-memory workers of a pool, which record violations that they observe."""
 
 from collections.abc import Callable
 import enum
@@ -17,28 +17,30 @@
 
 __all__ = ["PoolWorker", "PoolWorkers", "TaskPlan", "WorkerFault"]
 
-TRIP_S = 0.001
-GANG_WAIT_MS = 3_000
-ADVICE_S = 0.1
-TICKET_MS = 3_000
-STOP_MS = 200
+REQUEST_DELAY_S = 0.001
+GANG_TIMEOUT_MS = 3_000
+ADVICE_DELAY_S = 0.1
+TICKET_TTL_MS = 3_000
+STOP_DELAY_MS = 200
 
 _MS_PER_S = 1_000
 
 
 class WorkerFault(enum.Enum):
-    """How a worker treats orders.
+    """Faults of a worker.
 
-    LATE carries out orders to start late and does not answer them, LOSES_ONE
-    loses the next such order, LOSES_ANSWERS carries out the next one without
-    an answer, and REFUSING takes no connection.
+    SILENT lets every command time out without effect. LATE executes start
+    commands after `PoolWorker.start_delay_s` and lets them time out.
+    LOSES_NEXT_START drops the next start command, LOSES_NEXT_ANSWER executes
+    it but lets it time out. REFUSING fails start commands at once without
+    effect and lets other commands time out.
     """
 
     NONE = "none"
     SILENT = "silent"
     LATE = "late"
-    LOSES_ONE = "loses_one"
-    LOSES_ANSWERS = "loses_answers"
+    LOSES_NEXT_START = "loses_one"
+    LOSES_NEXT_ANSWER = "loses_answers"
     REFUSING = "refusing"
 
 
@@ -46,14 +48,15 @@
 
 
 class TaskPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What a task turns out to do.
+    """Simulated behaviour of one run of a task.
 
     Attributes:
-        run_time_ms: How long it works.
-        demand: What it takes of the room.
-        gang: How many tasks work only together, or 1.
-        fails: Whether it ends by a failure of its own.
-        lasting: Whether it is to run again after an end without failure.
+        run_time_ms: Run time at the worker's normal speed.
+        demand: Capacity that the task uses.
+        gang: Number of tasks in its gang, which progress only together; 1 for
+            a single task.
+        fails: Whether the run ends with a failure.
+        lasting: Whether the task runs again after a run that succeeded.
     """
 
     run_time_ms: int
@@ -73,127 +76,139 @@
     finished: bool = False
 
 
-Plans = Callable[[units.TaskName, int], TaskPlan]
+TaskPlanner = Callable[[units.TaskName, int], TaskPlan]
 
 
 class PoolWorkers:
-    """All workers; implements `ports.WorkerCommands`.
+    """All workers of a pool; implements `ports.WorkerCommands`.
 
     Attributes:
         workers: The workers by id.
-        broken: Every broken promise, in words.
+        violations: Descriptions of violated guarantees. GANG: a member of a
+            gang ran without the others. TWICE: a task was started while it
+            ran elsewhere or after it had finished. LIMIT: a worker was given
+            more tasks than fit its capacity.
         starts: Every start as (task, run, worker).
-        allowed: Workers for which tickets are given.
-        tickets: The ticket of each task's last start.
-        questions: Counts questions to the policies' service.
-        open_holds: Holds on their way.
-        most_open_holds: The most holds that were on their way at once.
+        allowed_workers: Workers for which advice requests return tickets.
+        tickets: Ticket of each task's last start.
+        finished_tasks: Tasks that ended successfully and must not run again.
+        advice_request_count: Number of advice requests answered.
+        open_renewals: Number of lease renewals in progress.
+        max_open_renewals: Highest number of concurrent lease renewals.
+        plan_task: Returns the simulated behaviour of a task and run.
+        clock: Clock of all workers.
     """
 
-    def __init__(self, *, clock: interfaces.IReactorTime, plans: Plans) -> None:
-        """Initializes without workers.
+    def __init__(
+        self, *, clock: interfaces.IReactorTime, plan_task: TaskPlanner
+    ) -> None:
+        """Initializes a pool without workers.
 
         Args:
-            clock: The clock of all workers.
-            plans: Tells what a task and run turns out to do.
+            clock: Clock of all workers.
+            plan_task: Returns the simulated behaviour of a task and run.
         """
         self.workers: dict[ids.WorkerId, PoolWorker] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.starts: list[tuple[units.TaskName, int, ids.WorkerId]] = []
-        self.allowed: set[ids.WorkerId] = set()
-        self.questions = 0
-        self.open_holds = 0
-        self.most_open_holds = 0
+        self.allowed_workers: set[ids.WorkerId] = set()
+        self.advice_request_count = 0
+        self.open_renewals = 0
+        self.max_open_renewals = 0
         self.tickets: dict[units.TaskName, str] = {}
-        self.done: set[units.TaskName] = set()
-        self.plans = plans
+        self.finished_tasks: set[units.TaskName] = set()
+        self.plan_task = plan_task
         self.clock = clock
 
     def now_ms(self) -> int:
-        """Returns the workers' clock."""
+        """Returns the time of the pool's clock in ms."""
         return round(self.clock.seconds() * _MS_PER_S)
 
     def add(self, entry: worker_directory.Worker) -> "PoolWorker":
-        """Adds a worker that runs nothing."""
+        """Adds an idle worker."""
         worker = PoolWorker(pool=self, entry=entry)
         self.workers[entry.worker] = worker
         return worker
 
     def running(self) -> list[tuple[units.TaskName, ids.WorkerId]]:
-        """Returns every task at work and where."""
+        """Returns every running task with its worker."""
         return [
-            (each.task, name)
-            for name, worker in self.workers.items()
-            for each in worker.running.values()
+            (run.task, worker_id)
+            for worker_id, worker in self.workers.items()
+            for run in worker.running.values()
         ]
 
     async def start(
         self, command: commands.Start, timeout_ms: int
     ) -> tuple[commands.StartOutcome, int | None]:
-        """Starts a task."""
-        worker = await self._reach(command)
+        """Starts a task, with the fault of the worker applied.
+
+        Returns:
+            The outcome and, if the worker answered, its clock in ms.
+        """
+        worker = await self._reach_worker(command)
         if self._refuses(command):
             return commands.StartOutcome.UNREACHABLE, None
         if worker is None:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
-        if worker.fault is WorkerFault.LOSES_ANSWERS:
+        if worker.fault is WorkerFault.LOSES_NEXT_ANSWER:
             worker.fault = WorkerFault.NONE
             worker.start(command)
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
-        if worker.fault is WorkerFault.LOSES_ONE:
+        if worker.fault is WorkerFault.LOSES_NEXT_START:
             worker.fault = WorkerFault.NONE
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
         if worker.fault is WorkerFault.LATE:
-            self.clock.callLater(worker.late_s, worker.start, command)
-            await self._time_out(timeout_ms)
+            self.clock.callLater(worker.start_delay_s, worker.start, command)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StartOutcome.UNKNOWN, None
         return worker.start(command), worker.now_ms()
 
     async def stop(
         self, command: commands.Stop, timeout_ms: int
     ) -> tuple[commands.StopOutcome, int | None]:
-        """Stops a run."""
-        worker = await self._reach(command)
+        """Stops a run of a task; returns the same kind of pair as `start`."""
+        worker = await self._reach_worker(command)
         if worker is None:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StopOutcome.UNKNOWN, None
         return worker.stop(command), worker.now_ms()
 
     async def request_advice(
         self, advice_request: commands.RequestAdvice, timeout_ms: int
     ) -> commands.AdviceAnswer | None:
-        """Allows the workers in `allowed` for every step."""
-        await task.deferLater(self.clock, ADVICE_S)
-        self.questions += 1
+        """Returns tickets for the requested workers in `allowed_workers`."""
+        await task.deferLater(self.clock, ADVICE_DELAY_S)
+        self.advice_request_count += 1
         return commands.AdviceAnswer(
             tickets={
                 worker.worker: f"{advice_request.step}/{worker.worker}"
                 for worker in advice_request.workers
-                if worker.worker in self.allowed
+                if worker.worker in self.allowed_workers
             },
-            valid_ms=TICKET_MS,
+            valid_ms=TICKET_TTL_MS,
         )
 
     async def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
-        """Renews leases and asks what runs."""
-        self.open_holds += 1
-        self.most_open_holds = max(self.most_open_holds, self.open_holds)
+        """Renews the leases of a worker and returns its report."""
+        self.open_renewals += 1
+        self.max_open_renewals = max(self.max_open_renewals, self.open_renewals)
         try:
-            return await self._hold(command, timeout_ms)
+            return await self._renew_leases(command, timeout_ms)
         finally:
-            self.open_holds -= 1
+            self.open_renewals -= 1
 
-    async def _hold(
+    async def _renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> commands.LeaseReport | commands.StopOutcome:
-        worker = await self._reach(command)
+        worker = await self._reach_worker(command)
         if worker is None:
-            await self._time_out(timeout_ms)
+            await self._wait_for_timeout(timeout_ms)
             return commands.StopOutcome.UNKNOWN
         outcome = worker.renew(command)
         if outcome is not None:
@@ -202,12 +217,14 @@
         while not worker.ends and self.now_ms() < end_ms:
             await task.deferLater(self.clock, 0.01)
         if worker.fault is WorkerFault.SILENT:
-            await self._time_out(timeout_ms - command.wait_ms)
+            await self._wait_for_timeout(timeout_ms - command.wait_ms)
             return commands.StopOutcome.UNKNOWN
         return worker.report()
 
-    async def _reach(self, command: commands.Command) -> "PoolWorker | None":
-        await task.deferLater(self.clock, TRIP_S)
+    async def _reach_worker(
+        self, command: commands.Command
+    ) -> "PoolWorker | None":
+        await task.deferLater(self.clock, REQUEST_DELAY_S)
         worker = self.workers.get(command.worker.worker)
         if worker is None or worker.fault in _UNREACHABLE:
             return None
@@ -219,32 +236,32 @@
         worker = self.workers.get(command.worker.worker)
         return worker is not None and worker.fault is WorkerFault.REFUSING
 
-    async def _time_out(self, timeout_ms: int) -> None:
+    async def _wait_for_timeout(self, timeout_ms: int) -> None:
         await task.deferLater(self.clock, timeout_ms / _MS_PER_S)
 
-    def gang_present(self, name: units.TaskName, run: int, size: int) -> bool:
-        """Returns whether all members of a gang's run are at workers."""
-        return len(self._members(name, run)) == size
+    def is_gang_whole(self, name: units.TaskName, run: int, size: int) -> bool:
+        """Returns whether all members of a gang's run are running."""
+        return len(self._gang_members(name, run)) == size
 
-    def gang_finished(self, name: units.TaskName, run: int) -> bool:
-        """Returns whether all members of a gang's run have done their work."""
-        return all(each.finished for _, each in self._members(name, run))
+    def is_gang_finished(self, name: units.TaskName, run: int) -> bool:
+        """Returns whether all members of a gang's run have finished."""
+        return all(each.finished for _, each in self._gang_members(name, run))
 
-    def gang_began_ms(self, name: units.TaskName, run: int) -> int:
-        """Returns when the last member of a gang's run came."""
-        return max(each.began_ms for _, each in self._members(name, run))
+    def gang_start_ms(self, name: units.TaskName, run: int) -> int:
+        """Returns when the last member of a gang's run started."""
+        return max(each.began_ms for _, each in self._gang_members(name, run))
 
     def end_gang(
         self, name: units.TaskName, run: int, kind: commands.EndKind
     ) -> None:
         """Ends every member of a gang's run."""
-        for worker, each in self._members(name, run):
+        for worker, each in self._gang_members(name, run):
             worker.end(each, kind)
 
-    def _members(
+    def _gang_members(
         self, name: units.TaskName, run: int
     ) -> list[tuple["PoolWorker", _Running]]:
-        """Returns the members of a gang's run and where they are."""
+        """Returns the running members of a gang's run with their workers."""
         prefix = name.rpartition(".")[0]
         return [
             (worker, each)
@@ -255,57 +272,57 @@
 
 
 class PoolWorker:
-    """One worker.
+    """One worker of a pool.
 
     Attributes:
-        entry: What it says of itself.
-        running: What it runs.
-        ends: Ends that it was not told to forget.
-        fault: How it treats orders.
-        late_s: How late it carries out orders with the fault LATE.
-        slowdown: How much longer it takes than a plan says.
-        stands_still: Whether what starts there never gets on.
-        clock_rate: How fast its own clock runs.
+        entry: Entry of the worker in the worker directory.
+        running: Running tasks by name.
+        ends: Ended runs that were not acknowledged by a lease renewal.
+        fault: Fault that applies to commands.
+        start_delay_s: Delay of start commands with the fault LATE.
+        slowdown: Factor on the run time of every plan.
+        stalled: Whether runs report no progress and never finish.
+        clock_rate: Rate of the worker's clock relative to the pool's.
     """
 
     def __init__(
         self, *, pool: PoolWorkers, entry: worker_directory.Worker
     ) -> None:
-        """Initializes a worker that runs nothing."""
+        """Initializes an idle worker."""
         self.entry = entry
         self.running: dict[units.TaskName, _Running] = {}
         self.ends: list[commands.EndedTask] = []
         self.fault = WorkerFault.NONE
-        self.late_s = 4.0
+        self.start_delay_s = 4.0
         self.slowdown = 1.0
-        self.stands_still = False
+        self.stalled = False
         self.clock_rate = 1.0
         self._pool = pool
         self._token = 0
-        self._until_ms = 0
-        self._barred: dict[units.TaskName, int] = {}
-        self._numbers = itertools.count(1)
+        self._lease_until_ms = 0
+        self._last_refused_runs: dict[units.TaskName, int] = {}
+        self._end_numbers = itertools.count(1)
 
     def now_ms(self) -> int:
-        """Returns the worker's own clock, on which leases are measured."""
+        """Returns the time of the worker's clock, which measures leases."""
         return round(self._pool.now_ms() * self.clock_rate)
 
     def start(self, command: commands.Start) -> commands.StartOutcome:
-        """Carries out an order to start."""
+        """Executes a start command."""
         if command.token < self._token:
             return commands.StartOutcome.FENCED
         self._token = command.token
-        self._until_ms = max(self._until_ms, command.until_ms)
+        self._lease_until_ms = max(self._lease_until_ms, command.until_ms)
         present = self.running.get(command.task)
         if present is not None and present.run == command.run:
             return commands.StartOutcome.STARTED
-        if command.run <= self._barred.get(command.task, 0):
+        if command.run <= self._last_refused_runs.get(command.task, 0):
             return commands.StartOutcome.STALE_RUN
         if command.until_ms <= self.now_ms():
             return commands.StartOutcome.LEASE_EXPIRED
-        self._check_start(command)
+        self._check_exactly_once(command)
         self._pool.tickets[command.task] = command.ticket
-        plan = self._pool.plans(command.task, command.run)
+        plan = self._pool.plan_task(command.task, command.run)
         run = _Running(
             task=command.task,
             run=command.run,
@@ -315,45 +332,52 @@
         )
         self.running[command.task] = run
         self._pool.starts.append((command.task, command.run, self.entry.worker))
-        self._check_room()
+        self._check_capacity()
         self._pool.clock.callLater(
             plan.run_time_ms * self.slowdown / _MS_PER_S, self._finish, run
         )
         if plan.gang > 1:
             self._pool.clock.callLater(
-                GANG_WAIT_MS / _MS_PER_S, self._check_gang, run
+                GANG_TIMEOUT_MS / _MS_PER_S, self._check_gang, run
             )
         self._pool.clock.callLater(0.1, self._check_lease)
         return commands.StartOutcome.STARTED
 
     def stop(self, command: commands.Stop) -> commands.StopOutcome:
-        """Carries out an order to stop."""
+        """Executes a stop command."""
         if command.token < self._token:
             return commands.StopOutcome.FENCED
         self._token = command.token
-        self._bar(command.task, command.run)
+        self._refuse_runs_until(command.task, command.run)
         run = self.running.get(command.task)
         if run is not None and run.run <= command.run and not run.stopping:
             run.stopping = True
             self._pool.clock.callLater(
-                STOP_MS / _MS_PER_S, self.end, run, commands.EndKind.STOPPED
+                STOP_DELAY_MS / _MS_PER_S,
+                self.end,
+                run,
+                commands.EndKind.STOPPED,
             )
         return commands.StopOutcome.STOPPED
 
     def renew(
         self, command: commands.RenewLeases
     ) -> commands.StopOutcome | None:
-        """Carries out a hold, but for its answer."""
+        """Extends the lease and drops acknowledged ends.
+
+        Returns:
+            FENCED for a stale token, otherwise None.
+        """
         if command.token < self._token:
             return commands.StopOutcome.FENCED
         self._token = command.token
         if command.until_ms is not None:
-            self._until_ms = max(self._until_ms, command.until_ms)
+            self._lease_until_ms = max(self._lease_until_ms, command.until_ms)
         self.ends = [end for end in self.ends if end.number > command.last_seen]
         return None
 
     def report(self) -> commands.LeaseReport:
-        """Returns what runs and what ended."""
+        """Returns running tasks and runs that ended."""
         return commands.LeaseReport(
             clock_ms=self.now_ms(),
             life_ms=self.entry.life_ms,
@@ -371,38 +395,39 @@
         )
 
     def _percent(self, run: _Running) -> int:
-        """Returns the whole percent that are done; a lasting task's are 100.
+        """Returns the progress of a run in whole percent.
 
-        The members of a gang begin together.
+        It is 100 for a lasting task. The progress of a gang counts from the
+        start of its last member, because the members work only together.
         """
         if run.plan.lasting:
             return 100
         began_ms = run.began_ms
         if run.plan.gang > 1:
-            began_ms = self._pool.gang_began_ms(run.task, run.run)
-        if self.stands_still:
+            began_ms = self._pool.gang_start_ms(run.task, run.run)
+        if self.stalled:
             return 0
-        whole_ms = run.plan.run_time_ms * self.slowdown
-        done = (self._pool.now_ms() - began_ms) / max(whole_ms, 1)
+        total_ms = run.plan.run_time_ms * self.slowdown
+        done = (self._pool.now_ms() - began_ms) / max(total_ms, 1)
         return int(max(min(done, 1.0), 0.0) * 100)
 
     def crash(self) -> None:
-        """Loses everything that it runs and knows."""
+        """Loses all state and leaves the pool."""
         self.running.clear()
         self.ends.clear()
         self._pool.workers.pop(self.entry.worker, None)
 
     def end(self, run: _Running, kind: commands.EndKind) -> None:
-        """Ends a run and lists its end."""
+        """Ends a run and reports it in `ends`, unless it has ended before."""
         if self.running.get(run.task) is not run:
             return
         del self.running[run.task]
-        self._bar(run.task, run.run)
+        self._refuse_runs_until(run.task, run.run)
         if kind is commands.EndKind.DONE and not run.plan.lasting:
-            self._pool.done.add(run.task)
+            self._pool.finished_tasks.add(run.task)
         self.ends.append(
             commands.EndedTask(
-                number=next(self._numbers),
+                number=next(self._end_numbers),
                 task=run.task,
                 run=run.run,
                 kind=kind,
@@ -410,58 +435,64 @@
             )
         )
 
-    def _bar(self, name: units.TaskName, run: int) -> None:
-        self._barred[name] = max(self._barred.get(name, 0), run)
+    def _refuse_runs_until(self, name: units.TaskName, run: int) -> None:
+        self._last_refused_runs[name] = max(
+            self._last_refused_runs.get(name, 0), run
+        )
 
     def _finish(self, run: _Running) -> None:
         if self.running.get(run.task) is not run or run.stopping:
             return
-        if self.stands_still:
+        if self.stalled:
             return
         failed = run.plan.fails
         kind = commands.EndKind.FAILED if failed else commands.EndKind.DONE
         if run.plan.gang == 1:
             self.end(run, kind)
             return
-        if not self._pool.gang_present(run.task, run.run, run.plan.gang):
+        if not self._pool.is_gang_whole(run.task, run.run, run.plan.gang):
             return
         run.finished = True
-        if not failed and not self._pool.gang_finished(run.task, run.run):
+        if not failed and not self._pool.is_gang_finished(run.task, run.run):
             return
         self.end(run, kind)
-        rest = commands.EndKind.MEMBER_LOST if failed else kind
-        self._pool.end_gang(run.task, run.run, rest)
+        other_members_kind = commands.EndKind.MEMBER_LOST if failed else kind
+        self._pool.end_gang(run.task, run.run, other_members_kind)
 
     def _check_gang(self, run: _Running) -> None:
         if self.running.get(run.task) is not run or run.stopping:
             return
-        if not self._pool.gang_present(run.task, run.run, run.plan.gang):
-            self._pool.broken.append(f"GANG: {run.task} run {run.run} alone")
+        if not self._pool.is_gang_whole(run.task, run.run, run.plan.gang):
+            self._pool.violations.append(
+                f"GANG: {run.task} run {run.run} alone"
+            )
             self.end(run, commands.EndKind.MEMBER_MISSING)
 
     def _check_lease(self) -> None:
         if not self.running:
             return
-        if self.now_ms() > self._until_ms:
+        if self.now_ms() > self._lease_until_ms:
             for run in list(self.running.values()):
                 self.end(run, commands.EndKind.LEASE_EXPIRED)
             return
         self._pool.clock.callLater(0.1, self._check_lease)
 
-    def _check_start(self, command: commands.Start) -> None:
-        if command.task in self._pool.done:
-            self._pool.broken.append(f"TWICE: {command.task} after its end")
+    def _check_exactly_once(self, command: commands.Start) -> None:
+        if command.task in self._pool.finished_tasks:
+            self._pool.violations.append(f"TWICE: {command.task} after its end")
         elsewhere = [
-            name for task, name in self._pool.running() if task == command.task
+            worker
+            for name, worker in self._pool.running()
+            if name == command.task
         ]
         if elsewhere:
-            self._pool.broken.append(
+            self._pool.violations.append(
                 f"TWICE: {command.task} on {elsewhere} and {self.entry.worker}"
             )
 
-    def _check_room(self) -> None:
+    def _check_capacity(self) -> None:
         used = worker_allocations.NO_DEMAND
         for run in self.running.values():
             used = worker_allocations.add_demands(used, run.plan.demand)
         if not worker_allocations.max_task_count(self.entry.capacity, used, 1):
-            self._pool.broken.append(f"LIMIT: {self.entry.worker} {used}")
+            self._pool.violations.append(f"LIMIT: {self.entry.worker} {used}")
