--- a/citronmount/core/backfill.py
+++ b/citronmount/core/backfill.py
@@ -120,9 +120,10 @@
             now_ms: Monotonic time.
 
         Returns:
-            The free capacity of a worker without a reservation; otherwise the
+            The free capacity of a worker without a reservation. Otherwise the
             capacity expected to be free at `start_ms` minus the reserved
-            resources.
+            resources. The latter includes resources of jobs that end only by
+            `start_ms`, so it may exceed the capacity that is free now.
         """
         available = domain.pool.free.available(worker)
         need = self.need.get(worker)
--- a/citronmount/core/delay_scheduling.py
+++ b/citronmount/core/delay_scheduling.py
@@ -1,9 +1,10 @@
-"""Delay scheduling: long trial jobs wait for a less fragmented placement.
+"""Delay scheduling of long trial jobs by a failure domain's scheduler.
 
 A long job that starts in the gaps left by a burst of short jobs keeps its
 workers fragmented long after the burst. If it would need fewer workers once
-the short jobs have ended, it waits for a bounded share of its run time, as in
-delay scheduling (Zaharia et al., EuroSys 2010).
+the short jobs have ended, it waits for a less fragmented placement, for a
+bounded share of its run time, as in delay scheduling (Zaharia et al., EuroSys
+2010).
 """
 
 import heapq
--- a/citronmount/core/domain_state.py
+++ b/citronmount/core/domain_state.py
@@ -1,6 +1,6 @@
 """Holds the state of one failure domain's scheduler.
 
-The methods change it consistently; which change to make is decided elsewhere.
+Methods keep its parts consistent; callers decide which jobs to place or evict.
 """
 
 import collections
@@ -35,8 +35,7 @@
     Attributes:
         entry: The job.
         groups: Its tasks on each worker.
-        since_ms: Monotonic time at which it was placed or, once it has
-            started, at which it started.
+        since_ms: Monotonic time of the start or, until then, of the placement.
         evicting: Whether its eviction was requested.
         preemptible: Whether paying work outside guarantees may preempt it.
     """
@@ -144,7 +143,11 @@
         return self._allowances.get(account, 0)
 
     def within_allowance(self, entry: job_queue.JobEntry) -> bool:
-        """Returns whether a trial job fits its account's allowance now."""
+        """Returns whether a job fits its trial account's allowance now.
+
+        The allowance is this failure domain's share. Pending placements count
+        as used. Callers must check `is_trial` first.
+        """
         account = entry.spec.account
         used = self._trial_accelerators[account] + entry.shape.accelerators
         return used <= self.allowance(account)
@@ -152,8 +155,7 @@
     def revocable(self, job: ids.JobId) -> bool:
         """Returns whether a job is placed and may be evicted for another.
 
-        Only jobs outside cells may be evicted, and only under a policy with
-        guarantees.
+        Jobs are revocable only outside cells and if the policy has guarantees.
         """
         return (
             self.policy.guarantees
@@ -339,7 +341,7 @@
         return self.policy.key(worker_ranking)
 
     def busy_until_ms(self, worker: ids.WorkerId, now_ms: int) -> int:
-        """Returns when the last job on a worker is expected to end.
+        """Returns the latest expected end of the jobs placed on a worker.
 
         Args:
             worker: The worker.
--- a/citronmount/core/estimates.py
+++ b/citronmount/core/estimates.py
@@ -17,7 +17,7 @@
 
     The smoothed value is the logarithm of the ratio of actual to declared run
     time. The correction is limited to a factor of eight in both directions, so
-    that past jobs cannot make an account's jobs look endless or free.
+    that past jobs cannot push an account's estimates toward infinity or zero.
     """
 
     def __init__(self) -> None:
@@ -43,8 +43,9 @@
     ) -> int:
         """Estimates the remaining run time of a running job.
 
-        A job that has run for longer than its estimate is expected to run for
-        a further fraction of its elapsed time.
+        The result is at least 25% of the elapsed time, because a job that has
+        run for longer than its estimate, or is close to it, is expected to run
+        on for a fraction of that time.
 
         Args:
             spec: Job.
@@ -59,7 +60,7 @@
         return max(1, remaining_ms, int(elapsed_ms * _OVERRUN_FRACTION))
 
     def observe(self, spec: jobs.JobSpec, progress: float, run_ms: int) -> None:
-        """Updates the estimate by a job that ran to completion.
+        """Updates the estimate from a job that ran to completion.
 
         Args:
             spec: Job.
--- a/citronmount/core/guaranteed_placement.py
+++ b/citronmount/core/guaranteed_placement.py
@@ -266,7 +266,7 @@
 
 
 def _uses_larger_free_cell(uses: tuple[cells.CellUse, ...]) -> bool:
-    """Returns whether a free cell would be used that is larger than needed."""
+    """Returns whether the job would use a free cell larger than it needs."""
     accelerators_used: dict[cells.Cell, int] = {}
     for use in uses:
         accelerators = use.tasks * use.per_task.accelerators
--- a/citronmount/core/ids.py
+++ b/citronmount/core/ids.py
@@ -70,13 +70,13 @@
 def attempt_id(job: JobId, number: int, token: FenceToken) -> AttemptId:
     """Builds the id of an attempt to run a job.
 
-    The id contains the fencing token, so that two schedulers can never use
-    the same attempt id for different placements.
+    The id contains the fencing token, so that two owners can never use the
+    same attempt id for different placements.
 
     Args:
         job: Job that the attempt runs.
         number: Number of the attempt, counted from 1 for each job.
-        token: Fencing token of the scheduler that created the attempt.
+        token: Fencing token of the owner that created the attempt.
 
     Returns:
         The id, for example ``kr-a/7f3c#1.5``.
--- a/citronmount/core/preemption.py
+++ b/citronmount/core/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: chooses which jobs to evict.
+"""Preemption by a failure domain's scheduler: chooses the jobs to evict.
 
 Trial jobs are evicted before paying ones, then idempotent jobs before others.
 Among equals, few victims that lose little work are preferred.
