--- a/citronmount/state/job_views.py
+++ b/citronmount/state/job_views.py
@@ -1,4 +1,4 @@
-"""Job view: a failure domain's jobs, folded from its job stream."""
+"""Job view of a failure domain's scheduler, folded from its job stream."""
 
 import collections
 
--- a/citronmount/state/records.py
+++ b/citronmount/state/records.py
@@ -1,4 +1,4 @@
-"""Records that the agents append to their streams of the log service."""
+"""Records of the stand-alone daemons: job streams and configuration stream."""
 
 import msgspec
 
--- a/citronmount/workflow/job_views.py
+++ b/citronmount/workflow/job_views.py
@@ -1,4 +1,4 @@
-"""State of the jobs, folded from the records of the job topic."""
+"""Job view of a pool's owner and job services, folded from the job topic."""
 
 from collections.abc import Iterable
 import itertools
--- a/citronmount/workflow/records.py
+++ b/citronmount/workflow/records.py
@@ -1,4 +1,4 @@
-"""Records of the job topic with their keys and encoding.
+"""Records of a pool's job topic with their keys and encoding.
 
 The log compacts the topic by key: a newer record of a key replaces the older
 one.
