--- a/citronmount/agent/attempts.py
+++ b/citronmount/agent/attempts.py
@@ -80,10 +80,9 @@
 class Attempt:
     """One attempt to run a gang, from its placement to its end.
 
-    Start calls are sent only after every member has reserved, and only while
-    all reservations are valid. A stopping attempt ends when every worker has
-    either confirmed that its tasks can't run any more or been silent for so
-    long that its leases have lapsed.
+    Start calls are first sent while the reservations of all members are valid.
+    A stopping attempt ends when every worker has either confirmed that its
+    tasks can't run any more or been silent until its leases have lapsed.
     """
 
     def __init__(
@@ -160,7 +159,13 @@
         self._check_reserved()
 
     def adopt(self) -> None:
-        """Adopts an attempt that an earlier owner has started."""
+        """Continues an attempt that an earlier owner created; sends no call.
+
+        `tick` stops it unless every worker reports its tasks as started within
+        the lease TTL plus `ADOPTION_MARGIN_MS`. A report that a lease is only
+        reserved (see `report`) or that the worker does not know the attempt
+        (see `absent`) stops it at once.
+        """
         self._gang.all_reserved()
         for member in self._members.values():
             member.reserved = True
@@ -200,11 +205,7 @@
         self._check_stopped()
 
     def worker_lost(self, worker: ids.WorkerId) -> None:
-        """Handles a worker whose leases must have lapsed.
-
-        Args:
-            worker: The worker, silent for longer than the lease TTL.
-        """
+        """Handles a worker silent beyond the lease TTL; its leases lapsed."""
         member = self._members.get(worker)
         if member is None or member.exit_code == 0:
             return
--- a/citronmount/agent/claims.py
+++ b/citronmount/agent/claims.py
@@ -200,7 +200,11 @@
             self._send_release(claim)
 
     def tick(self) -> None:
-        """Rejects claims that were not granted within the time limit."""
+        """Rejects claims that were not granted within `CLAIM_TIMEOUT_MS`.
+
+        A rejection writes a NOT_DURABLE result for the claim, asks the other
+        voters to release the key and calls the claim's `on_outcome`.
+        """
         expired = [
             pending
             for pending in self._pending_claims.values()
--- a/citronmount/agent/drain.py
+++ b/citronmount/agent/drain.py
@@ -23,8 +23,8 @@
 
     For `LAME_DUCK_MS`, the VM no longer reports readiness but still serves
     calls, so that the load balancer can redirect traffic. After that it
-    refuses new calls, finishes open ones, and replicates records that are not
-    in the log yet to a peer.
+    refuses new calls and finishes open ones. Records that may not be in the
+    log by then are sent to a peer, which appends them; then the process exits.
     """
 
     def __init__(
--- a/citronmount/agent/outbox.py
+++ b/citronmount/agent/outbox.py
@@ -51,7 +51,8 @@
 
     Attributes:
         since_ms: Monotonic time at which the write was requested.
-        limit_ms: Time after which an undecided outcome is reported, if any.
+        limit_ms: Time after which the outcome is reported as unknown or never
+            sent if the record is not durable yet; None for no limit.
         sent: Whether the record may be in the log.
         asked_peers: Whether replicas were requested and no peer has failed to
             answer since.
@@ -85,11 +86,12 @@
 class Outbox:
     """Writes records durably, in order within each stream.
 
-    A write that the log has not answered within `log_patience_ms` is
-    sent to up to three peers. It is durable once two of them, or the only one
-    reachable, hold it in memory, and is appended to the log when that answers
-    again. Appends are retried with the same record ids, so a lost answer
-    leads to a duplicate that the folds ignore.
+    A write is sent to up to three peers if the log has not answered it within
+    `log_patience_ms`, or at once if the last append got no answer. It is then
+    durable once two peers, or the only one reachable, hold it in memory, and is
+    appended to the log when the log answers again. Appends are retried with
+    the same record ids, so a lost answer can lead to a duplicate record, which
+    readers ignore when they fold the stream.
     """
 
     def __init__(
@@ -121,13 +123,19 @@
     ) -> None:
         """Writes a record.
 
+        A write whose outcome was reported as UNKNOWN is still retried, so it
+        may become durable later, without a second call of `on_outcome`. One
+        that was reported as NEVER_SENT is dropped.
+
         Args:
             stream: The stream.
             record: The record.
-            on_outcome: Called once with the outcome.
-            limit_ms: Time after which an undecided write is reported as
-                unknown or never sent, or None to report it only once it is
-                durable.
+            on_outcome: Called once: when the record is durable or, if that
+                takes longer than `limit_ms`, with UNKNOWN or NEVER_SENT.
+            limit_ms: Time after which a write that is not durable is reported
+                as UNKNOWN if it was sent to the log, or to peers of which none
+                has failed to answer, and otherwise as NEVER_SENT. None for no
+                limit.
         """
         writes = self._writes.setdefault(stream, collections.OrderedDict())
         write = _Write(
--- a/citronmount/agent/ownership.py
+++ b/citronmount/agent/ownership.py
@@ -44,9 +44,14 @@
 class Ownership:
     """Takes over the local failure domain and steps down again.
 
-    A VM that takes over first fences all workers and then reads the log and
-    the state of its peers. It thus sees everything that an earlier owner made
-    durable before it was fenced. Only then does it start to place jobs.
+    A VM that takes over fences the workers, then reads the log and the state
+    of its peers, and only then places jobs. Thus the new owner knows the
+    records that an earlier owner made durable before the workers were fenced.
+
+    A takeover does not wait indefinitely: it continues without workers that
+    are silent for `FENCE_TIMEOUT_MS`, without peers that are silent for
+    `STATE_TIMEOUT_MS`, and without the log after `MAX_LOG_READ_ATTEMPTS`
+    failed reads. It may then miss records.
     """
 
     def __init__(
--- a/citronmount/agent/token_check.py
+++ b/citronmount/agent/token_check.py
@@ -17,8 +17,11 @@
     """Probes a few workers for a fencing token higher than the owner's.
 
     A VM that takes over fences the workers before it reads the job stream. If
-    a worker still has this owner's token after a record became durable, every
-    later owner will therefore read that record.
+    a worker still has this owner's token after a record became durable, a
+    later owner therefore reads the stream after that and finds the record.
+    This does not cover a takeover that continues without that worker (silent
+    for `ownership.FENCE_TIMEOUT_MS`) or without the log (after
+    `ownership.MAX_LOG_READ_ATTEMPTS` failed reads).
     """
 
     def __init__(
@@ -55,11 +58,16 @@
         self._workers = workers
 
     def confirm(self, on_confirmed: Callable[[], None]) -> None:
-        """Calls back once the token is confirmed.
+        """Calls back once a worker has confirmed the token.
+
+        Up to `PROBED_WORKERS` workers are probed at once; the first answer
+        without a higher token confirms this one. If none of them answers,
+        others are probed later.
 
         Args:
-            on_confirmed: Called when a probe sent from now on confirms the
-                token; never called if a worker reports a higher one.
+            on_confirmed: Called at the first confirmation by a probe sent
+                from now on, or without a probe if there are no workers. Not
+                called if a worker has reported a higher token before that.
         """
         self._awaiting_probe.append(on_confirmed)
         self._probe()
--- a/citronmount/agent/worker_reports.py
+++ b/citronmount/agent/worker_reports.py
@@ -152,7 +152,7 @@
         return True
 
     def _adopt(self, worker: ids.WorkerId, lease: messages.LeaseReport) -> None:
-        """Adopts an attempt that an earlier owner has started."""
+        """Adopts an attempt that an earlier owner created."""
         spec = lease.spec
         self._domain.requeue_at_ms.pop(spec.job, None)
         entry = self._domain.table.entries.get(spec.job)
