--- a/citronmount/fleet/commands.py
+++ b/citronmount/fleet/commands.py
@@ -64,9 +64,10 @@
 
 
 class StopOutcome(enum.Enum):
-    """Outcome of a `Stop` command.
+    """Outcome of a `Stop`, or why a `RenewLeases` returned no report.
 
-    After UNKNOWN the worker may still execute the command.
+    FENCED and OTHER_INCARNATION: as for `StartOutcome`. After UNKNOWN the
+    worker may still execute the command.
     """
 
     STOPPED = "stopped"
--- a/citronmount/fleet/delay_scheduling.py
+++ b/citronmount/fleet/delay_scheduling.py
@@ -1,4 +1,4 @@
-"""Delay scheduling: how long a unit waits for better workers.
+"""Delay scheduling by a pool's owner: how long units wait for better workers.
 
 The preferred rack or the fast workers may be full while others are free.
 Waiting pays off as long as the wait is shorter than the time that the run would
@@ -19,7 +19,7 @@
 
 
 class DelayPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Decides which workers a unit accepts after its waiting time.
+    """Decides which workers a unit accepts, given how long it has waited.
 
     Attributes:
         now_ms: Monotonic time in milliseconds.
@@ -34,8 +34,9 @@
     def accepts_distrusted(self, unit: waiting_units.WaitingUnit) -> bool:
         """Returns whether a unit accepts distrusted workers.
 
-        Jobs that fail everywhere can make many workers distrusted, so the
-        exclusion of these is limited in time.
+        Two jobs that fail everywhere can make many workers distrusted (see
+        `worker_health.FAILURES_TO_DISTRUST`), so a unit avoids distrusted
+        workers for `DISTRUSTED_DELAY_MS` only.
         """
         return self.now_ms - unit.since_ms >= DISTRUSTED_DELAY_MS
 
@@ -44,8 +45,9 @@
     ) -> bool:
         """Returns whether a unit accepts slow workers.
 
-        The limit is the estimated run time: a slow worker takes at least twice
-        as long.
+        The limit is the estimated run time. A worker is slow if runs on it
+        take at least `worker_health.SLOW_FACTOR` times (twice) as long as on
+        others, so a run there loses at least its estimated run time.
         """
         limit_ms = self._capped(unit.step.estimate_ms, guaranteed)
         return self.now_ms - unit.since_ms >= limit_ms
--- a/citronmount/fleet/job_completion.py
+++ b/citronmount/fleet/job_completion.py
@@ -1,4 +1,4 @@
-"""Completion of jobs: stops remaining runs, records the final state."""
+"""Ends jobs of a pool: stops remaining runs and records the final state."""
 
 from citronmount.core import ids
 from citronmount.fleet import commands
--- a/citronmount/fleet/preemption.py
+++ b/citronmount/fleet/preemption.py
@@ -1,9 +1,9 @@
-"""Chooses the runs to preempt so that a unit of the highest priority fits.
+"""Preemption by a pool's owner: chooses the runs to stop for a unit.
 
 A job inside its guarantee may arrive while runs of other jobs use the capacity.
-The chosen runs lose little work. The lost work of a run is its run time (with
-checkpoints at most the time between two of them), weighted by the resources of
-the whole gang.
+Runs are stopped so that a unit of the highest priority fits. The chosen runs
+lose little work. The lost work of a run is its run time (with checkpoints at
+most the time between two of them), weighted by the resources of the whole gang.
 """
 
 from collections.abc import Callable
--- a/citronmount/fleet/run_table.py
+++ b/citronmount/fleet/run_table.py
@@ -53,11 +53,11 @@
 
         Args:
             task: The task.
-            number: Number of the run.
+            number: Number of the run within its unit, counted from 1.
 
         Returns:
-            The run and its member, or None if the task is not in the table
-            under a run of that number.
+            The run and its member, or None if the unit has no run, its run has
+            another number, or the task was marked as gone.
         """
         found = self._by_task.get(task)
         if found is None or found[0].number != number:
--- a/citronmount/fleet/slow_members.py
+++ b/citronmount/fleet/slow_members.py
@@ -27,7 +27,10 @@
 
     Returns:
         The workers whose members progress at less than half the best rate, if
-        waiting for them takes longer than a restart; otherwise an empty set.
+        one of these members needs more time to finish than a restarted run;
+        otherwise an empty set. A restarted run counts from the start: its time
+        is that of a whole run at the best rate, times `RESTART_FACTOR`, plus
+        `RESTART_OVERHEAD_S`.
     """
     rates = {
         member.task: member.progress.rough_percent_per_s
--- a/citronmount/fleet/worker_directory.py
+++ b/citronmount/fleet/worker_directory.py
@@ -30,7 +30,7 @@
         address: ``ip:port`` that accepts commands.
         failure_domain: Failure domain of the worker.
         service: Service that the worker belongs to.
-        state: Whether the worker accepts new tasks.
+        state: Published state; only a READY worker receives new tasks.
         capacity: Total resources of the worker.
         labels: Labels that a step can require.
         rack: Rack of the worker.
@@ -52,9 +52,10 @@
 
     @property
     def speed_key(self) -> MachineId:
-        """Key of the speed estimate: the machine, otherwise the worker id.
+        """Key of the speed estimate: the machine or, if unknown, the worker id.
 
-        The estimate of a machine outlives the incarnations of its workers.
+        A machine keeps its estimate when a worker on it restarts, even under
+        another worker id.
         """
         return self.machine or self.worker
 
--- a/citronmount/fleet/worker_health.py
+++ b/citronmount/fleet/worker_health.py
@@ -2,8 +2,8 @@
 
 Some workers take several times as long as others, fail every task or let tasks
 stall although they report that they are ready, so only the results of their
-runs count. Failures count per job, so that a job that fails everywhere does not
-make its workers distrusted.
+runs count. Failures of the same job count once, so that a single job that fails
+everywhere does not make its workers distrusted.
 """
 
 import collections
--- a/citronmount/fleet/worker_reports.py
+++ b/citronmount/fleet/worker_reports.py
@@ -1,4 +1,4 @@
-"""Handles the answers of workers to commands."""
+"""Handles the answers of workers to the commands of a pool's owner."""
 
 import collections
 import statistics
--- a/citronmount/fleet/worker_speeds.py
+++ b/citronmount/fleet/worker_speeds.py
@@ -46,10 +46,12 @@
     ) -> None:
         """Updates the estimates with the progress rates of a gang's members.
 
-        The level of the rates depends on the job, so the median of the rates
-        relative to the current estimates is subtracted from them. Each estimate
-        is an exponential moving average in which the first observations weigh
-        more.
+        Rates depend on the job as well as on the machine, and the estimates are
+        logarithms. The effect of the job is taken to be the median difference
+        between the logarithm of a machine's rate and its estimate; it is
+        subtracted from the logarithm of each rate. Each estimate is an
+        exponential moving average of the resulting values, in which the first
+        observations weigh more.
 
         Args:
             rates: Mean progress rate on each machine, in percent per second.
