--- a/citronmount/fleet_service/job_service.py
+++ b/citronmount/fleet_service/job_service.py
@@ -58,8 +58,8 @@
 
     Attributes:
         verdict: The outcome of the call.
-        retry_after_s: Seconds after which the client should retry a call that
-            had no effect.
+        retry_after_s: Seconds after which the client should retry a call whose
+            outcome is NOT_DONE or UNCERTAIN; otherwise 0.
     """
 
     verdict: RequestOutcome
@@ -107,7 +107,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether a configuration and a first snapshot of the jobs are here."""
+        """Whether a configuration and the first snapshot of jobs were read."""
         return self.configuration is not None and (
             self._job_tail.position is not None
         )
@@ -259,9 +259,9 @@
         """Appends a record, with retries.
 
         Records are idempotent, so an append that got no answer may be retried.
-        From the first unknown outcome on, retries stop after
-        `UNKNOWN_OUTCOME_LIMIT_MS`, so that the client need not wait until its
-        deadline.
+        Retries stop `UNKNOWN_OUTCOME_LIMIT_MS` after the first unknown outcome:
+        the client then receives UNCERTAIN, instead of waiting for an answer
+        until its deadline.
         """
         entry = (records.key_of(record), records.encode(record))
         end_s = self._clock.seconds() + (
--- a/citronmount/fleet_service/log_health.py
+++ b/citronmount/fleet_service/log_health.py
@@ -1,8 +1,9 @@
-"""Tracks whether a part of the log answered the latest call of this VM.
+"""Tracks whether the log answered the latest call of this VM.
 
 The topics of the log may be served by different machines of the site, so one
-topic may stop answering while the others do not. The job service therefore
-considers the calls on the job topic only.
+topic may stop answering while the others do not. The calls on the job topic
+therefore have an instance of their own, and the job service considers only
+that one.
 
 The log may not answer for seconds while clients keep submitting jobs. A
 submission whose record was never sent can be refused at once, because it is
@@ -20,7 +21,7 @@
 
 
 class LogHealth:
-    """Records whether the calls to a part of the log were answered."""
+    """Records whether the calls on one topic, or on several, were answered."""
 
     def __init__(self, *, clock: interfaces.IReactorTime) -> None:
         """Initializes as if the log had just answered.
@@ -57,9 +58,9 @@
     def call_timeout_ms(self, default_ms: int) -> int:
         """Returns the timeout of the next call.
 
-        A slow log is not an unreachable one: the next answer may take as long
-        as the last one, so the timeout grows with the latest latency, up to
-        `MAX_TIMEOUT_MS`.
+        The next answer may take as long as the last one, so the timeout grows
+        with the latest latency, up to `MAX_TIMEOUT_MS`. Otherwise a slow log
+        would count as unreachable.
 
         Args:
             default_ms: The timeout for a log with a low latency.
--- a/citronmount/fleet_service/log_tail.py
+++ b/citronmount/fleet_service/log_tail.py
@@ -55,9 +55,11 @@
             log: The log.
             health: The health of the log, which this class updates.
             topic: The topic.
-            on_snapshot: Called with the newest record of each key; they
-                replace all records passed on before.
-            on_records: Called with the records after those.
+            on_snapshot: Called with the newest record of each key at the start,
+                and again if records expired before they were read. The callback
+                decides whether these records replace those passed on before or
+                are added to them.
+            on_records: Called with the records after those, in order.
             read_interval_ms: Pause between two reads, in which records
                 accumulate.
         """
--- a/citronmount/fleet_service/pool_vm.py
+++ b/citronmount/fleet_service/pool_vm.py
@@ -177,7 +177,11 @@
         self._owner.mark_changed()
 
     def _fold_snapshot(self, log_records: Sequence[ports.LogRecord]) -> None:
-        """Folds a snapshot without clearing the job view first."""
+        """Folds a snapshot into the job view, which is not cleared first.
+
+        The job view ignores records of a key that are not newer than the last
+        one it folded.
+        """
         self._fold(log_records)
 
     def _fold(self, log_records: Sequence[ports.LogRecord]) -> None:
--- a/citronmount/fleet_service/ports.py
+++ b/citronmount/fleet_service/ports.py
@@ -95,7 +95,7 @@
     """Consecutive records of a topic.
 
     Attributes:
-        records: The records, by offset.
+        records: The records, sorted by offset.
         next_offset: The offset at which the next read starts.
         end_offset: The end of the topic at the time of the read.
     """
@@ -109,9 +109,10 @@
     """The newest record of each key of a topic.
 
     Attributes:
-        records: The records, by offset.
-        end_offset: The end of the topic before the first record was read, so
-            that a reader that continues from here misses no record.
+        records: The records, sorted by offset.
+        end_offset: The end of the topic when the log answered the first
+            request of the snapshot. A reader that continues from this offset
+            misses no record, but may read some again.
     """
 
     records: tuple[LogRecord, ...]
@@ -206,12 +207,19 @@
     def read(
         self, topic: Topic, offset: int, wait_ms: int, timeout_ms: int
     ) -> defer.Deferred[LogPage]:
-        """Reads records, waiting up to `wait_ms` if there is none yet."""
+        """Reads the records from an offset on, as many as the log returns.
+
+        If there is none yet, the log delays its answer by up to `wait_ms`. The
+        call fails after `timeout_ms`, which should therefore be longer.
+        """
 
     def snapshot(
         self, topic: Topic, timeout_ms: int
     ) -> defer.Deferred[Snapshot]:
-        """Reads the newest record of each key."""
+        """Reads the newest record of each key.
+
+        This may take several requests; `timeout_ms` applies to each of them.
+        """
 
     def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
@@ -262,7 +270,14 @@
     def renew_leases(
         self, command: commands.RenewLeases, timeout_ms: int
     ) -> defer.Deferred[commands.LeaseReport | commands.StopOutcome]:
-        """Renews the leases of a worker's tasks.
+        """Renews the leases of a worker's tasks and requests a report.
+
+        Without a new end of the leases (`until_ms` is None), only a report is
+        requested. The worker may delay its answer by up to the `wait_ms` of the
+        command, so `timeout_ms` should be longer.
 
-        Fires with the worker's report, or with the reason why there is none.
+        Fires with the worker's report. If there is none, fires with FENCED if
+        the worker has seen a newer fencing token, OTHER_INCARNATION if another
+        incarnation answered, and UNKNOWN if there was no answer, an unexpected
+        status or an unreadable report.
         """
