--- a/citronmount/platform/store_log.py
+++ b/citronmount/platform/store_log.py
@@ -90,6 +90,11 @@
 class StoreLog:
     """Implements `ports.Log` with calls to the platform's store.
 
+    Calls fail with `ports.CallRefusedError` if they certainly had no effect
+    (nothing was sent, or the store answered with one of `_NO_EFFECT_STATUSES`),
+    and with `ports.UnknownOutcomeError` if the store did not answer within
+    `timeout_ms` or answered with another unexpected status.
+
     Attributes:
         member: Name of this process in the owners' group.
     """
@@ -115,7 +120,11 @@
     async def append(
         self, records: Sequence[tuple[str, bytes | None]], timeout_ms: int
     ) -> int:
-        """Appends to the job topic; see `ports.Log`."""
+        """Appends to the job topic without an epoch; see `ports.Log`.
+
+        Returns:
+            The offset of the first record.
+        """
         response = await self._append({}, framing.encode(records), timeout_ms)
         return _decode_response(response, _AppendResponse).offset
 
@@ -126,7 +135,15 @@
         sequence: int,
         timeout_ms: int,
     ) -> int:
-        """Appends unless the log has seen a newer epoch; see `ports.Log`."""
+        """Appends to the job topic as the owner; see `ports.Log`.
+
+        Returns:
+            The offset of the first record, also if this is a retry.
+
+        Raises:
+            FencedError: The store refused the append because of its epoch or
+                sequence number.
+        """
         query = {"producer": PRODUCER, "epoch": epoch, "seq": sequence}
         response = await self._append(
             query, framing.encode(records), timeout_ms
@@ -136,7 +153,19 @@
     async def read(
         self, topic: ports.Topic, offset: int, wait_ms: int, timeout_ms: int
     ) -> ports.LogPage:
-        """Reads records; see `ports.Log`."""
+        """Reads at most `MAX_READ_KB` kilobytes of records from an offset on.
+
+        Args:
+            topic: The topic.
+            offset: The offset of the first record.
+            wait_ms: How long the store may delay its answer while there is no
+                record at the offset.
+            timeout_ms: The time limit of the call, including `wait_ms`.
+
+        Raises:
+            LogTruncatedError: The records at the offset have expired.
+            InvalidPageError: The response is not a valid page.
+        """
         query = {
             **_partition_query(topic),
             "from": offset,
@@ -151,7 +180,12 @@
     async def snapshot(
         self, topic: ports.Topic, timeout_ms: int
     ) -> ports.Snapshot:
-        """Reads the newest record of each key; see `ports.Log`."""
+        """Reads the newest record of each key, sorted by offset.
+
+        The store may return them in several pages, with `timeout_ms` for each.
+        The end offset is that of the first page, because records may be
+        appended between the requests.
+        """
         items: list[_NewestItem] = []
         end_offset: int | None = None
         query = _partition_query(topic)
@@ -171,7 +205,10 @@
     async def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> ports.Membership:
-        """Joins the owners' group or renews the membership; see `ports.Log`."""
+        """Joins the owners' group or renews the membership; see `ports.Log`.
+
+        The store removes the member after `ttl_ms` without another call.
+        """
         body = _JoinRequest(
             group=OWNERS_GROUP,
             member=self.member,
@@ -191,7 +228,7 @@
         )
 
     async def members(self, timeout_ms: int) -> frozenset[str]:
-        """Returns the members with a partition; see `ports.Log`."""
+        """Returns the members of the owners' group that have a partition."""
         response = await self._call(
             "GET", "/-/log-owners", {"group": OWNERS_GROUP}, timeout_ms
         )
@@ -199,7 +236,7 @@
         return frozenset(member for _, _, member, _ in rows)
 
     async def leave(self, timeout_ms: int) -> None:
-        """Leaves the owners' group; see `ports.Log`."""
+        """Leaves the owners' group."""
         body = msgspec.json.encode(
             _LeaveRequest(group=OWNERS_GROUP, member=self.member)
         )
