--- a/citronmount/bench/__init__.py
+++ b/citronmount/bench/__init__.py
@@ -1,4 +1,9 @@
-"""Benchmarks of the scheduling and routing policies on virtual time."""
+"""Benchmarks of the scheduling and routing policies.
+
+The benches that `names` returns run on virtual time. The modules `loopback` and
+`capacity_daemon` instead start daemon processes on the loopback interface and
+measure them in real time.
+"""
 
 from citronmount.bench import registry
 from citronmount.bench import report
--- a/citronmount/bench/replay_events.py
+++ b/citronmount/bench/replay_events.py
@@ -39,7 +39,11 @@
 
 
 class PowerDownDomain(msgspec.Struct, frozen=True, kw_only=True):
-    """The running jobs of a failure domain checkpoint and stop.
+    """All placed jobs of a failure domain write a checkpoint and stop.
+
+    Jobs that are already being evicted are left alone. The failure domain
+    stays in service, so jobs can start in it afterwards; `ApplyConfiguration`
+    takes it out of service.
 
     Attributes:
         domain: The failure domain.
