--- a/citronmount/cli/bench_command.py
+++ b/citronmount/cli/bench_command.py
@@ -43,7 +43,7 @@
 
 
 def _load_registry() -> types.ModuleType:
-    _import_module("bench.suite").load()
+    _import_module("bench.suite").load_benches()
     return _import_module("bench.registry")
 
 
