--- a/citronmount/platform/__init__.py
+++ b/citronmount/platform/__init__.py
@@ -1,7 +1,6 @@
 """Adapter to the users' platform: names, formats and HTTP calls.
 
 The platform's names for concepts of this project:
-
 - runner: worker; its ``born`` time: the start of the worker's incarnation
 - backend: service
 - zone: failure domain
--- a/citronmount/platform/day_journal.py
+++ b/citronmount/platform/day_journal.py
@@ -25,17 +25,11 @@
 
 
 class _JournalDay(msgspec.Struct, frozen=True, kw_only=True):
-    """A scored day.
-
-    `parts` has rows of name, weight and share earned, `prices` rows of name, a
-    number that is not used here, and worth.
-    """
-
     # Worth: (credit earned - prices) / credit owed.
     worth: float = msgspec.field(name="G")
     slot: str
-    parts: list[tuple[str, float, float]]
-    prices: list[tuple[str, float, float]]
+    parts: list[tuple[str, float, float]]  # Name, weight, share earned
+    prices: list[tuple[str, float, float]]  # Name, unused number, worth
 
 
 class _JournalEntry(msgspec.Struct, frozen=True, kw_only=True):
@@ -44,14 +38,7 @@
 
 
 def read(path: pathlib.Path) -> tuple[str, list[score_losses.ScoredDay]]:
-    """Reads the scored days of a journal entry.
-
-    Args:
-        path: JSON file of the entry.
-
-    Returns:
-        The site's name and its days.
-    """
+    """Returns the site's name and its scored days from an entry's JSON file."""
     entry = msgspec.json.decode(path.read_bytes(), type=_JournalEntry)
     return entry.site, [_to_day(day) for day in entry.days]
 
--- a/citronmount/platform/framing.py
+++ b/citronmount/platform/framing.py
@@ -22,14 +22,7 @@
 
 
 def encode(records: Sequence[tuple[str, bytes | None]]) -> bytes:
-    """Encodes records for an append.
-
-    Args:
-        records: Pairs of key and value; a value of None deletes the key.
-
-    Returns:
-        The request body of the append.
-    """
+    """Encodes pairs of key and value for an append; None deletes the key."""
     return b"".join(_encode_record(key, value) for key, value in records)
 
 
@@ -40,18 +33,10 @@
 
 
 def decode_page(body: bytes, first_offset: int) -> ports.LogPage:
-    """Decodes the response to a read.
-
-    Args:
-        body: Response body: the end offset and the first retained offset of
-            the topic (eight bytes each, big-endian), then the records.
-        first_offset: The offset that the read started from.
-
-    Returns:
-        The page.
+    """Decodes the response to a read from `first_offset` on.
 
-    Raises:
-        InvalidPageError: The body is truncated.
+    The body is the topic's end offset and first retained offset (eight bytes
+    each, big-endian), then the records. Raises `InvalidPageError` if truncated.
     """
     try:
         end_offset, _ = _PAGE_HEADER.unpack_from(body)
--- a/citronmount/platform/store_log.py
+++ b/citronmount/platform/store_log.py
@@ -40,11 +40,9 @@
 
 
 class _ConflictResponse(msgspec.Struct):
-    """Why an append was refused; `epoch` and `seq` are the expected values."""
-
     reason: str = ""
-    epoch: int | None = None
-    seq: int | None = None
+    epoch: int | None = None  # The expected epoch
+    seq: int | None = None  # The expected sequence number
 
 
 class _NewestItem(msgspec.Struct):
@@ -60,15 +58,12 @@
 
 
 class _JoinResponse(msgspec.Struct):
-    """`parts` has rows of topic, partition and committed offset."""
-
     generation: int
-    parts: list[tuple[str, int, int]] = []
+    parts: list[tuple[str, int, int]] = []  # Topic, partition, committed offset
 
 
 class _OwnersResponse(msgspec.Struct):
-    """`parts` has rows of topic, partition, member and offset."""
-
+    # Topic, partition, member and offset.
     rows: list[tuple[str, int, str, int]] = msgspec.field(
         name="parts", default_factory=list
     )
@@ -90,25 +85,15 @@
 class StoreLog:
     """Implements `ports.Log` with calls to the platform's store.
 
-    Calls fail with `ports.CallRefusedError` if they certainly had no effect
-    (nothing was sent, or the store answered with one of `_NO_EFFECT_STATUSES`),
-    and with `ports.UnknownOutcomeError` if the store did not answer within
-    `timeout_ms` or answered with another unexpected status.
-
-    Attributes:
-        member: Name of this process in the owners' group.
+    Calls fail with `ports.CallRefusedError` if nothing was sent or the answer
+    is one of `_NO_EFFECT_STATUSES`, and with `ports.UnknownOutcomeError` after
+    `timeout_ms` without an answer or on another unexpected status.
     """
 
     def __init__(
         self, *, client: http_client.HttpClient, address: str, member: str
     ) -> None:
-        """Initializes a client of one store.
-
-        Args:
-            client: HTTP client for the calls.
-            address: ``ip:port`` of the store.
-            member: Name of this process in the owners' group.
-        """
+        """Initializes a client of the store at `address` (``ip:port``)."""
         self._client = client
         self._address = address
         self.member = member
@@ -120,11 +105,7 @@
     async def append(
         self, records: Sequence[tuple[str, bytes | None]], timeout_ms: int
     ) -> int:
-        """Appends to the job topic without an epoch; see `ports.Log`.
-
-        Returns:
-            The offset of the first record.
-        """
+        """Appends to the job topic without an epoch; see `ports.Log`."""
         response = await self._append({}, framing.encode(records), timeout_ms)
         return _decode_response(response, _AppendResponse).offset
 
@@ -135,15 +116,7 @@
         sequence: int,
         timeout_ms: int,
     ) -> int:
-        """Appends to the job topic as the owner; see `ports.Log`.
-
-        Returns:
-            The offset of the first record, also if this is a retry.
-
-        Raises:
-            FencedError: The store refused the append because of its epoch or
-                sequence number.
-        """
+        """Appends as the owner; a wrong sequence also raises `FencedError`."""
         query = {"producer": PRODUCER, "epoch": epoch, "seq": sequence}
         response = await self._append(
             query, framing.encode(records), timeout_ms
@@ -155,16 +128,7 @@
     ) -> ports.LogPage:
         """Reads at most `MAX_READ_KB` kilobytes of records from an offset on.
 
-        Args:
-            topic: The topic.
-            offset: The offset of the first record.
-            wait_ms: How long the store may delay its answer while there is no
-                record at the offset.
-            timeout_ms: The time limit of the call, including `wait_ms`.
-
-        Raises:
-            LogTruncatedError: The records at the offset have expired.
-            InvalidPageError: The response is not a valid page.
+        Raises `framing.InvalidPageError` if the response is not a valid page.
         """
         query = {
             **_partition_query(topic),
@@ -180,12 +144,7 @@
     async def snapshot(
         self, topic: ports.Topic, timeout_ms: int
     ) -> ports.Snapshot:
-        """Reads the newest record of each key, sorted by offset.
-
-        The store may return them in several pages, with `timeout_ms` for each.
-        The end offset is that of the first page, because records may be
-        appended between the requests.
-        """
+        """Reads the newest record of each key, in one or more pages."""
         items: list[_NewestItem] = []
         end_offset: int | None = None
         query = _partition_query(topic)
@@ -194,6 +153,7 @@
                 "GET", "/-/log-newest", query, timeout_ms
             )
             page = _decode_response(response, _NewestResponse)
+            # Records may be appended between the requests: keep the first end.
             end_offset = page.end_offset if end_offset is None else end_offset
             items += page.items
             if not page.truncated or not page.items:
@@ -205,10 +165,7 @@
     async def join(
         self, generation: int, ttl_ms: int, timeout_ms: int
     ) -> ports.Membership:
-        """Joins the owners' group or renews the membership; see `ports.Log`.
-
-        The store removes the member after `ttl_ms` without another call.
-        """
+        """Joins the owners' group or renews the membership; see `ports.Log`."""
         body = _JoinRequest(
             group=OWNERS_GROUP,
             member=self.member,
