--- a/citronmount/platform/__main__.py
+++ b/citronmount/platform/__main__.py
@@ -1,8 +1,7 @@
 """Runs the process of one VM: ``python -m citronmount.platform``.
 
-The site uses plain HTTP only. Several dependencies import the OpenSSL bindings
-if these are present, which costs 4 MB of memory on every VM. Setting the
-modules to None makes these imports fail.
+The site uses plain HTTP only. Dependencies import the OpenSSL bindings if these
+are present, at 4 MB of memory per VM; a module set to None fails to import.
 """
 
 import sys
--- a/citronmount/platform/daemon.py
+++ b/citronmount/platform/daemon.py
@@ -20,10 +20,7 @@
 
 
 class PlatformAdapter:
-    """The formats, names and protocols of the platform.
-
-    See `vm_process.Adapter`.
-    """
+    """The platform's formats, names and protocols; see `vm_process.Adapter`."""
 
     def load(self, path: str) -> vm_settings.VmSettings:
         """Reads and decodes a settings file."""
@@ -69,14 +66,9 @@
 
 
 def run(path: str | None) -> int:
-    """Runs the process of one VM until it is stopped.
-
-    Args:
-        path: Path of the settings file, or None for the path in the
-            environment variable that the platform sets.
+    """Runs the process of one VM; see `vm_process.run` for the exit status.
 
-    Returns:
-        The exit status; see `vm_process.run`.
+    The default path is in an environment variable that the platform sets.
     """
     default_path = os.environ.get(settings_file.SETTINGS_VARIABLE, "")
     return vm_process.run(PlatformAdapter(), path or default_path)
--- a/citronmount/platform/job_api.py
+++ b/citronmount/platform/job_api.py
@@ -41,11 +41,7 @@
     app = klein.Klein()
 
     def __init__(self, *, service: job_service.JobService) -> None:
-        """Initializes the interface.
-
-        Args:
-            service: The service that the calls are dispatched to.
-        """
+        """Initializes the interface."""
         self.closing = False
         self._service = service
 
@@ -57,8 +53,7 @@
     async def call(self, request: iweb.IRequest) -> bytes:
         """Answers any call and logs each refusal.
 
-        A VM that responds with status 503 closes the connection, so that the
-        client's retry reaches another VM.
+        Status 503 closes the connection, so that a retry reaches another VM.
         """
         request.setHeader("content-type", "application/json")
         start_s = time.monotonic()
@@ -181,11 +176,7 @@
 
 
 def close_after_response(request: iweb.IRequest) -> None:
-    """Closes the connection of a call after its response.
-
-    Args:
-        request: The call; its connection may have been closed already.
-    """
+    """Closes a call's connection after the response, if it is still open."""
     if request.channel is not None:
         request.channel.persistent = False
 
--- a/citronmount/platform/job_bodies.py
+++ b/citronmount/platform/job_bodies.py
@@ -38,10 +38,7 @@
 class _Phase(msgspec.Struct):
     """A step, with the field names of the platform's interface.
 
-    Clients may omit fields whose value is 0, false or empty. `cpu` is in
-    millicores, `constraints` is one label, `affinity_to` a rack,
-    `anti_affinity` the maximum number of tasks on one runner and `may_miss`
-    the maximum number of tasks unavailable at a time.
+    Clients may omit values of 0, false or empty. `_to_step` shows the meanings.
     """
 
     count: int = 0
@@ -92,14 +89,7 @@
 
 
 def decode_job(job: ids.JobId, body: bytes) -> spec.Workflow:
-    """Decodes the body of a submission.
-
-    Args:
-        job: Id of the job, taken from the path.
-        body: JSON text in UTF-8.
-
-    Returns:
-        The job.
+    """Decodes the body of a submission, JSON text in UTF-8.
 
     Raises:
         InvalidJobError: The body cannot be decoded, or a value is out of range.
--- a/citronmount/platform/runner_client.py
+++ b/citronmount/platform/runner_client.py
@@ -66,8 +66,6 @@
 
 
 class _AdviceResponse(msgspec.Struct):
-    """`granted` has rows of worker and ticket."""
-
     granted: list[tuple[str, str]]
     valid_ms: float
 
@@ -78,12 +76,7 @@
 
 
 class _LeaseReport(msgspec.Struct):
-    """The tasks that run on a runner and those that ended.
-
-    `running` has rows of task, run, checkpoint, percent and load, `finished`
-    rows of number, task, run, kind of end and checkpoint. `born` is the start
-    of the runner's incarnation.
-    """
+    """Running and ended tasks; `born` is the start of the incarnation."""
 
     clock_ms: int
     born: int | None = None
@@ -97,13 +90,7 @@
     def __init__(
         self, *, client: http_client.HttpClient, advice_address: str = ""
     ) -> None:
-        """Initializes a client.
-
-        Args:
-            client: HTTP client for the calls.
-            advice_address: ``ip:port`` of the service that answers advice
-                requests for the queues' policies, or empty.
-        """
+        """Initializes a client; `advice_address` is ``ip:port`` or empty."""
         self._client = client
         self._advice_address = advice_address
 
--- a/citronmount/platform/settings_file.py
+++ b/citronmount/platform/settings_file.py
@@ -29,8 +29,7 @@
 class _Bounds(msgspec.Struct):
     """See `fleet_configuration.Bounds`.
 
-    `hold_max_ms` is the longest lease, `far_factor` the spread factor and
-    `grace_s` the time in seconds between SIGTERM and SIGKILL.
+    `grace_s` is the time in seconds between SIGTERM and SIGKILL.
     """
 
     hold_max_ms: int = 6_000
@@ -59,17 +58,10 @@
 
 
 def decode(data: bytes) -> vm_settings.VmSettings:
-    """Decodes a settings file.
-
-    Args:
-        data: TOML text in UTF-8.
-
-    Returns:
-        The settings. Unknown fields are ignored.
+    """Decodes a settings file, TOML text in UTF-8; ignores unknown fields.
 
     Raises:
-        SettingsError: The text is not valid TOML, or a field is missing or has
-            the wrong type.
+        SettingsError: Invalid TOML, or a field is missing or has a wrong type.
     """
     try:
         file = msgspec.toml.decode(data, type=_File)
@@ -101,12 +93,6 @@
 def load(path: str) -> vm_settings.VmSettings:
     """Reads and decodes a settings file.
 
-    Args:
-        path: Path of the file.
-
-    Returns:
-        The settings.
-
     Raises:
         SettingsError: The file cannot be read or decoded.
     """
--- a/citronmount/platform/topic_records.py
+++ b/citronmount/platform/topic_records.py
@@ -27,11 +27,7 @@
 
 
 class _RunnerEntry(msgspec.Struct):
-    """A runner's own entry.
-
-    Despite its name, `free_resources` is the total capacity. The last of the
-    `labels` is the rack.
-    """
+    """`free_resources` is the total capacity; the last label is the rack."""
 
     backend: str
     address: str
@@ -45,11 +41,7 @@
 
 
 class _Route(msgspec.Struct):
-    """A queue.
-
-    A job should complete within `slack_factor` times its critical path plus
-    `slo_ms`.
-    """
+    """A queue; `slo_ms` is the `objective_ms` of `spec.QueueTerms`."""
 
     name: str
     host: str
@@ -85,13 +77,7 @@
 ) -> ports.LogEvent | None:
     """Decodes one record of the operators' or the runners' topic.
 
-    Args:
-        topic: The topic that the record was read from.
-        record: The record.
-
-    Returns:
-        The event, or None if the record is not used here or holds a
-        configuration that cannot be decoded.
+    Returns None for an unused record and for an undecodable configuration.
     """
     if topic is ports.Topic.WORKERS:
         return _decode_worker_record(record)
