--- a/citronmount/platform/job_bodies.py
+++ b/citronmount/platform/job_bodies.py
@@ -38,7 +38,10 @@
 class _Phase(msgspec.Struct):
     """A step, with the field names of the platform's interface.
 
-    Clients may omit values of 0, false or empty. `_to_step` shows the meanings.
+    Clients may omit fields whose value is 0, false or empty. `cpu` is in
+    millicores, `constraints` is one label, `affinity_to` a rack,
+    `anti_affinity` the maximum number of tasks on one runner and `may_miss`
+    the maximum number of tasks unavailable at a time.
     """
 
     count: int = 0
--- a/citronmount/platform/runner_client.py
+++ b/citronmount/platform/runner_client.py
@@ -66,6 +66,8 @@
 
 
 class _AdviceResponse(msgspec.Struct):
+    """`granted` has rows of worker and ticket."""
+
     granted: list[tuple[str, str]]
     valid_ms: float
 
@@ -76,7 +78,12 @@
 
 
 class _LeaseReport(msgspec.Struct):
-    """Running and ended tasks; `born` is the start of the incarnation."""
+    """The tasks that run on a runner and those that ended.
+
+    `running` has rows of task, run, checkpoint, percent and load, `finished`
+    rows of number, task, run, kind of end and checkpoint. `born` is the start
+    of the runner's incarnation.
+    """
 
     clock_ms: int
     born: int | None = None
--- a/citronmount/platform/topic_records.py
+++ b/citronmount/platform/topic_records.py
@@ -41,7 +41,11 @@
 
 
 class _Route(msgspec.Struct):
-    """A queue; `slo_ms` is the `objective_ms` of `spec.QueueTerms`."""
+    """A queue.
+
+    A job should complete within `slack_factor` times its critical path plus
+    `slo_ms`.
+    """
 
     name: str
     host: str
